--- a/admission/src/address.rs
+++ b/crates/admission/src/address.rs
@@ -1,5 +1,6 @@
-//! Addresses and prefixes as keys. An IPv4 address and the same one mapped into IPv6 (RFC 4291, section
-//! 2.5.5.2) are one: guards against a client that doubles its caps by the way it is written.
+//! Addresses and prefixes as keys. An IPv4 address and the same one mapped into IPv6 (RFC 4291,
+//! section 2.5.5.2) are one: guards against a client that doubles its caps by the way it is
+//! written.
 
 use ipnet::IpNet;
 use std::collections::HashSet;
@@ -29,7 +30,8 @@
 pub struct Prefixes {
     /// Bits of an IPv4 address that name a neighbourhood, 8 to 32.
     pub v4: u8,
-    /// Bits of an IPv6 address that name one client, 32 to 128: a client usually has a whole /64 to itself.
+    /// Bits of an IPv6 address that name one client, 32 to 128: a client usually has a whole /64 to
+    /// itself.
     pub v6_client: u8,
     /// Bits of an IPv6 address that name a neighbourhood, 16 to 128.
     pub v6: u8,
@@ -37,7 +39,11 @@
 
 impl Default for Prefixes {
     fn default() -> Self {
-        Prefixes { v4: 24, v6_client: 64, v6: 48 }
+        Prefixes {
+            v4: 24,
+            v6_client: 64,
+            v6: 48,
+        }
     }
 }
 
@@ -55,12 +61,19 @@
     /// What names its neighbourhood.
     pub fn neighbourhood(&self, address: IpAddr) -> u128 {
         let bits = bits(address);
-        masked(bits, if is_v4(bits) { 96 + self.v4.min(32) } else { self.v6 })
+        masked(
+            bits,
+            if is_v4(bits) {
+                96 + self.v4.min(32)
+            } else {
+                self.v6
+            },
+        )
     }
 }
 
-/// The operator's own addresses and ranges. A look-up takes one step for each length of prefix in use, however
-/// many ranges there are.
+/// The operator's own addresses and ranges. A look-up takes one step for each length of prefix in
+/// use, however many ranges there are.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
     lengths: Vec<u8>,
@@ -74,7 +87,11 @@
         for range in ranges {
             let bits = bits(range.network());
             // A range of IPv6 that lies within the mapped addresses is one of IPv4.
-            let len = if let IpNet::V4(v4) = range { 96 + v4.prefix_len() } else { range.prefix_len() };
+            let len = if let IpNet::V4(v4) = range {
+                96 + v4.prefix_len()
+            } else {
+                range.prefix_len()
+            };
             listed.ranges.insert((len, masked(bits, len)));
             if !listed.lengths.contains(&len) {
                 listed.lengths.push(len);
@@ -86,7 +103,9 @@
     /// Is this address within one of the ranges?
     pub fn contains(&self, address: IpAddr) -> bool {
         let bits = bits(address);
-        self.lengths.iter().any(|len| self.ranges.contains(&(*len, masked(bits, *len))))
+        self.lengths
+            .iter()
+            .any(|len| self.ranges.contains(&(*len, masked(bits, *len))))
     }
 
     /// Ranges held.
--- a/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,7 +1,7 @@
 //! One owner of all descriptors of the process.
 //!
-//! Each use has a guaranteed minimum and a most; what is between them is borrowed from what others leave
-//! unused, and never from what another use is guaranteed.
+//! Each use has a guaranteed minimum and a most; what is between them is borrowed from what others
+//! leave unused, and never from what another use is guaranteed.
 
 /// What a descriptor is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,8 +25,16 @@
 }
 
 /// All uses, by their index.
-pub const USES: [Use; 8] =
-    [Use::Fixed, Use::Clients, Use::Links, Use::Counter, Use::Discovery, Use::Files, Use::Spare, Use::Peers];
+pub const USES: [Use; 8] = [
+    Use::Fixed,
+    Use::Clients,
+    Use::Links,
+    Use::Counter,
+    Use::Discovery,
+    Use::Files,
+    Use::Spare,
+    Use::Peers,
+];
 
 /// What a use may hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -56,13 +64,18 @@
 }
 
 impl Budget {
-    /// A budget of so many descriptors, by the order of [`USES`]. An error if the minima do not fit.
+    /// A budget of so many descriptors, by the order of [`USES`]. An error if the minima do not
+    /// fit.
     pub fn new(total: usize, shares: [Share; USES.len()]) -> Result<Budget, TooFew> {
         let least = shares.iter().map(|s| s.least).sum();
         if least > total {
             return Err(TooFew { least, total });
         }
-        Ok(Budget { total, shares, used: [0; USES.len()] })
+        Ok(Budget {
+            total,
+            shares,
+            used: [0; USES.len()],
+        })
     }
 
     /// What a use may hold.
@@ -102,7 +115,10 @@
 
     /// Other shares hold from now on. What is held beyond them stays until it is given back.
     pub fn set(&mut self, total: usize, shares: [Share; USES.len()]) -> Result<(), TooFew> {
-        *self = Budget { used: self.used, ..Budget::new(total, shares)? };
+        *self = Budget {
+            used: self.used,
+            ..Budget::new(total, shares)?
+        };
         Ok(())
     }
 }
--- a/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -3,8 +3,8 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Names a connection. The lower 32 bits are its slot in the caller's table, which is used again after it has
-/// closed; the rest tells apart those that had the same slot.
+/// Names a connection. The lower 32 bits are its slot in the caller's table, which is used again
+/// after it has closed; the rest tells apart those that had the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
@@ -25,7 +25,8 @@
         /// Where it comes from.
         peer: IpAddr,
     },
-    /// A request has come whole and is to be taken in. Answered by [`Action::Refuse`] or by nothing.
+    /// A request has come whole and is to be taken in. Answered by [`Action::Refuse`] or by
+    /// nothing.
     Asked {
         /// Its connection.
         conn: ConnectionId,
@@ -113,8 +114,8 @@
         /// Why.
         why: Reason,
     },
-    /// The connection that has just come is not taken: say when to come again and close it. It counts as
-    /// closed already.
+    /// The connection that has just come is not taken: say when to come again and close it. It
+    /// counts as closed already.
     TurnAway {
         /// The connection.
         conn: ConnectionId,
--- a/admission/src/gate/connect.rs
+++ b/crates/admission/src/gate/connect.rs
@@ -33,57 +33,107 @@
         peer: IpAddr,
         out: &mut Vec<Action>,
     ) {
-        // Guards against a caller that names two connections alike: the first one's counts would stay for ever.
+        // Guards against a caller that names two connections alike: the first one's counts would
+        // stay for ever.
         self.remove(conn, now);
         let newcomer = self.identify(conn, peer, now);
-        if let Some(exceeded) = newcomer.address.and_then(|address| self.exceeded_limit(address, now)) {
+        if let Some(exceeded) = newcomer
+            .address
+            .and_then(|address| self.exceeded_limit(address, now))
+        {
             return self.turn_away(newcomer, exceeded, out);
         }
         if !self.make_room(newcomer.reputation, now, out) {
-            let full = Exceeded { why: Reason::Full, wait: Duration::ZERO };
+            let full = Exceeded {
+                why: Reason::Full,
+                wait: Duration::ZERO,
+            };
             return self.turn_away(newcomer, full, out);
         }
         if let Some(address) = newcomer.address {
             self.histories.connection_opened(address);
         }
         let is_listed = newcomer.reputation == Reputation::Listed;
-        self.connections.insert(Connection::new(conn, newcomer.address, is_listed, now));
+        self.connections
+            .insert(Connection::new(conn, newcomer.address, is_listed, now));
         self.line_up(conn, now, out);
     }
 
     fn identify(&mut self, conn: ConnectionId, peer: IpAddr, now: Duration) -> Newcomer {
         if self.policy.listed.contains(peer) {
-            return Newcomer { conn, address: None, reputation: Reputation::Listed };
+            return Newcomer {
+                conn,
+                address: None,
+                reputation: Reputation::Listed,
+            };
         }
         if !self.policy.by_address {
-            return Newcomer { conn, address: None, reputation: Reputation::Newcomer };
+            return Newcomer {
+                conn,
+                address: None,
+                reputation: Reputation::Newcomer,
+            };
         }
         let address = self.histories.address_entries(&self.policy, peer);
         let is_known = self.policy.is_known(self.histories.client(address), now);
-        let reputation = if is_known { Reputation::Known } else { Reputation::Newcomer };
-        Newcomer { conn, address: Some(address), reputation }
+        let reputation = if is_known {
+            Reputation::Known
+        } else {
+            Reputation::Newcomer
+        };
+        Newcomer {
+            conn,
+            address: Some(address),
+            reputation,
+        }
     }
 
-    /// The first cap that the address or its neighbourhood is at, or rate that it is beyond; caps go first.
+    /// The first cap that the address or its neighbourhood is at, or rate that it is beyond; caps
+    /// go first.
     fn exceeded_limit(&mut self, address: AddressEntries, now: Duration) -> Option<Exceeded> {
         let policy = &self.policy;
-        let (client, neighbourhood) = (self.histories.client(address), self.histories.neighbourhood(address));
+        let (client, neighbourhood) = (
+            self.histories.client(address),
+            self.histories.neighbourhood(address),
+        );
         if policy.per_client.is_some_and(|cap| client.open >= cap) {
-            return Some(Exceeded { why: Reason::ClientCap, wait: Duration::ZERO });
+            return Some(Exceeded {
+                why: Reason::ClientCap,
+                wait: Duration::ZERO,
+            });
         }
-        if policy.per_neighbourhood.is_some_and(|cap| neighbourhood.open >= cap) {
-            return Some(Exceeded { why: Reason::NeighbourhoodCap, wait: Duration::ZERO });
+        if policy
+            .per_neighbourhood
+            .is_some_and(|cap| neighbourhood.open >= cap)
+        {
+            return Some(Exceeded {
+                why: Reason::NeighbourhoodCap,
+                wait: Duration::ZERO,
+            });
         }
         let client = self.histories.clients.get_mut(address.client);
-        if let Some(Err(wait)) = policy.rate_client.map(|rate| client.connects.take(now, rate)) {
+        if let Some(Err(wait)) = policy
+            .rate_client
+            .map(|rate| client.connects.take(now, rate))
+        {
             // Hammering speaks against an address, a full one that comes again does not.
-            client.faults.add(HAMMERING_FAULT, now, policy.suspect_half_life);
-            return Some(Exceeded { why: Reason::ClientRate, wait });
+            client
+                .faults
+                .add(HAMMERING_FAULT, now, policy.suspect_half_life);
+            return Some(Exceeded {
+                why: Reason::ClientRate,
+                wait,
+            });
         }
         let neighbourhood = self.histories.neighbourhoods.get_mut(address.neighbourhood);
-        if let Some(Err(wait)) = policy.rate_neighbourhood.map(|rate| neighbourhood.connects.take(now, rate))
+        if let Some(Err(wait)) = policy
+            .rate_neighbourhood
+            .map(|rate| neighbourhood.connects.take(now, rate))
         {
-            return Some(Exceeded { why: Reason::NeighbourhoodRate, wait });
+            return Some(Exceeded {
+                why: Reason::NeighbourhoodRate,
+                wait,
+            });
         }
         None
     }
@@ -93,7 +143,9 @@
         if self.held() < self.policy.places {
             return true;
         }
-        let Some(victim) = self.victim(reputation, now) else { return false };
+        let Some(victim) = self.victim(reputation, now) else {
+            return false;
+        };
         self.close(victim, Reason::Displaced, now, out);
         true
     }
@@ -102,9 +154,14 @@
         let Exceeded { why, wait } = exceeded;
         self.counts[why as usize] += 1;
         if let Some(address) = newcomer.address {
-            self.histories.connection_refused(address, newcomer.reputation == Reputation::Known);
+            self.histories
+                .connection_refused(address, newcomer.reputation == Reputation::Known);
         }
-        out.push(Action::TurnAway { conn: newcomer.conn, after: wait.max(self.policy.advice), why });
+        out.push(Action::TurnAway {
+            conn: newcomer.conn,
+            after: wait.max(self.policy.advice),
+            why,
+        });
     }
 
     /// The cap that a connection's address is beyond, after one was lowered.
--- a/admission/src/gate/connections.rs
+++ b/crates/admission/src/gate/connections.rs
@@ -20,7 +20,8 @@
     pub id: ConnectionId,
     /// The entries of its address, where addresses count.
     pub address: Option<AddressEntries>,
-    /// The entry of the first customer that it named, where customers vouch, and whether this one does.
+    /// The entry of the first customer that it named, where customers vouch, and whether this one
+    /// does.
     pub customer: Option<u32>,
     pub is_vouched: bool,
     pub asked: u32,
@@ -33,7 +34,7 @@
 }
 
 impl Connection {
-    pub fn new(
+    pub(super) fn new(
         id: ConnectionId,
         address: Option<AddressEntries>,
         is_listed: bool,
@@ -55,7 +56,7 @@
     }
 
     /// Does it count among the newcomers with requests open?
-    pub fn is_busy_newcomer(&self) -> bool {
+    pub(super) fn is_busy_newcomer(&self) -> bool {
         self.activity == Activity::Busy { is_newcomer: true }
     }
 }
@@ -70,15 +71,15 @@
 }
 
 impl ConnectionTable {
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.len
     }
 
-    pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
+    pub(super) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.at(id.slot()).filter(|connection| connection.id == id)
     }
 
-    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         let slot = self.slots.get_mut(id.slot() as usize)?;
         slot.as_mut().filter(|connection| connection.id == id)
     }
@@ -87,7 +88,7 @@
         self.slots.get(slot as usize)?.as_ref()
     }
 
-    pub fn insert(&mut self, connection: Connection) {
+    pub(super) fn insert(&mut self, connection: Connection) {
         let slot = connection.id.slot() as usize;
         if slot >= self.slots.len() {
             self.slots.resize_with(slot + 1, || None);
@@ -96,7 +97,7 @@
         self.len += 1;
     }
 
-    pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let slot = self.slots.get_mut(id.slot() as usize)?;
         let connection = slot.take_if(|connection| connection.id == id)?;
         self.idle.remove(id.slot());
@@ -105,42 +106,50 @@
     }
 
     /// Lines an idle connection up behind those of its reputation.
-    pub fn push_idle(&mut self, id: ConnectionId, reputation: Reputation) {
+    pub(super) fn push_idle(&mut self, id: ConnectionId, reputation: Reputation) {
         self.idle.push(reputation as usize, id.slot());
     }
 
     /// The connection has requests open from now on.
-    pub fn remove_idle(&mut self, id: ConnectionId) {
+    pub(super) fn remove_idle(&mut self, id: ConnectionId) {
         self.idle.remove(id.slot());
     }
 
     /// Idle connections of a reputation.
-    pub fn idle_len(&self, reputation: Reputation) -> usize {
+    pub(super) fn idle_len(&self, reputation: Reputation) -> usize {
         self.idle.len(reputation as usize)
     }
 
     /// The one of a reputation that has been idle for longest.
-    pub fn longest_idle_of(&self, reputation: Reputation) -> Option<&Connection> {
+    pub(super) fn longest_idle_of(&self, reputation: Reputation) -> Option<&Connection> {
         self.at(self.idle.first(reputation as usize)?)
     }
 
-    /// The first in the order of eviction, however short it has been idle: for bounds that were lowered.
-    pub fn first_to_evict(&self) -> Option<ConnectionId> {
-        let first = REPUTATIONS.into_iter().find_map(|reputation| self.longest_idle_of(reputation))?;
+    /// The first in the order of eviction, however short it has been idle: for bounds that were
+    /// lowered.
+    pub(super) fn first_to_evict(&self) -> Option<ConnectionId> {
+        let first = REPUTATIONS
+            .into_iter()
+            .find_map(|reputation| self.longest_idle_of(reputation))?;
         Some(first.id)
     }
 
     /// All idle connections.
-    pub fn idle_in_eviction_order(&self) -> Vec<ConnectionId> {
+    pub(super) fn idle_in_eviction_order(&self) -> Vec<ConnectionId> {
         let idle_of = |reputation: Reputation| {
-            std::iter::successors(self.idle.first(reputation as usize), |slot| self.idle.after(*slot))
+            std::iter::successors(self.idle.first(reputation as usize), |slot| {
+                self.idle.after(*slot)
+            })
         };
         let slots = REPUTATIONS.into_iter().flat_map(idle_of);
-        slots.filter_map(|slot| self.at(slot)).map(|connection| connection.id).collect()
+        slots
+            .filter_map(|slot| self.at(slot))
+            .map(|connection| connection.id)
+            .collect()
     }
 
     /// The entries of addresses are no longer there.
-    pub fn forget_addresses(&mut self) {
+    pub(super) fn forget_addresses(&mut self) {
         for connection in self.slots.iter_mut().flatten() {
             connection.address = None;
         }
--- a/admission/src/gate/eviction.rs
+++ b/crates/admission/src/gate/eviction.rs
@@ -15,7 +15,9 @@
     }
 
     pub(super) fn on_rested(&mut self, now: Duration, conn: ConnectionId, out: &mut Vec<Action>) {
-        let Some(connection) = self.connections.get_mut(conn) else { return };
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
         connection.idle_since = now;
         self.busy_newcomers -= usize::from(connection.is_busy_newcomer());
         connection.activity = Activity::Idle;
@@ -30,15 +32,20 @@
         }
     }
 
-    /// Puts an idle connection behind those of its reputation; where these are more than may be, the first goes.
+    /// Puts an idle connection behind those of its reputation; where these are more than may be,
+    /// the first goes.
     pub(super) fn line_up(&mut self, conn: ConnectionId, now: Duration, out: &mut Vec<Action>) {
-        let Some(connection) = self.connections.get(conn) else { return };
+        let Some(connection) = self.connections.get(conn) else {
+            return;
+        };
         let reputation = self.reputation_of(connection, now);
         self.connections.push_idle(conn, reputation);
         if self.connections.idle_len(reputation) <= self.max_idle(reputation) {
             return;
         }
-        let Some(first) = self.connections.longest_idle_of(reputation) else { return };
+        let Some(first) = self.connections.longest_idle_of(reputation) else {
+            return;
+        };
         let has_had_time = now.saturating_sub(first.idle_since) >= self.policy.breath;
         if reputation != Reputation::Silent || has_had_time {
             self.close(first.id, Reason::Room, now, out);
@@ -53,23 +60,27 @@
         }
     }
 
-    /// The idle connection that goes first for one of this reputation, if any may go. Looks at the longest idle of
-    /// each reputation only.
+    /// The idle connection that goes first for one of this reputation, if any may go. Looks at the
+    /// longest idle of each reputation only.
     pub(super) fn victim(&self, for_one: Reputation, now: Duration) -> Option<ConnectionId> {
         REPUTATIONS.into_iter().find_map(|reputation| {
             let connection = self.connections.longest_idle_of(reputation)?;
             let idle = now.saturating_sub(connection.idle_since);
-            self.may_evict(reputation, idle, for_one).then_some(connection.id)
+            self.may_evict(reputation, idle, for_one)
+                .then_some(connection.id)
         })
     }
 
     /// May a connection of this reputation that has been idle for so long go for another?
     fn may_evict(&self, reputation: Reputation, idle: Duration, for_one: Reputation) -> bool {
         match reputation {
-            Reputation::Suspect | Reputation::Ending | Reputation::Once | Reputation::Newcomer => true,
+            Reputation::Suspect | Reputation::Ending | Reputation::Once | Reputation::Newcomer => {
+                true
+            }
             Reputation::Silent => for_one >= Reputation::Known || idle >= self.policy.breath,
-            // While some have only just come, a newcomer waits its breath rather than a known client go:
-            // guards against a flood fast enough that none of its connections has had time to speak.
+            // While some have only just come, a newcomer waits its breath rather than a known
+            // client go: guards against a flood fast enough that none of its connections has had
+            // time to speak.
             Reputation::Known => {
                 let some_just_came = self.connections.idle_len(Reputation::Silent) > 0;
                 for_one >= Reputation::Known || idle >= self.policy.guard && !some_just_came
@@ -78,7 +89,13 @@
         }
     }
 
-    pub(super) fn close(&mut self, conn: ConnectionId, why: Reason, now: Duration, out: &mut Vec<Action>) {
+    pub(super) fn close(
+        &mut self,
+        conn: ConnectionId,
+        why: Reason,
+        now: Duration,
+        out: &mut Vec<Action>,
+    ) {
         self.counts[why as usize] += 1;
         self.remove(conn, now);
         out.push(Action::Close { conn, why });
@@ -86,7 +103,9 @@
 
     /// The connection is no more.
     pub(super) fn remove(&mut self, conn: ConnectionId, now: Duration) {
-        let Some(connection) = self.connections.remove(conn) else { return };
+        let Some(connection) = self.connections.remove(conn) else {
+            return;
+        };
         self.busy_newcomers -= usize::from(connection.is_busy_newcomer());
         if let Some(address) = connection.address {
             let is_known = self.policy.is_known(self.histories.client(address), now);
--- a/admission/src/gate/histories.rs
+++ b/crates/admission/src/gate/histories.rs
@@ -42,12 +42,15 @@
 
 /// A hash secret for each cache.
 fn hash_secret(secret: u64, cache: u64) -> (u64, u64) {
-    (secret, secret.rotate_left(29) ^ cache.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    (
+        secret,
+        secret.rotate_left(29) ^ cache.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+    )
 }
 
 impl Histories {
     /// Empty caches of this capacity each.
-    pub fn new(capacity: usize, secret: u64) -> Histories {
+    pub(super) fn new(capacity: usize, secret: u64) -> Histories {
         Histories {
             clients: HistoryCache::new(capacity, hash_secret(secret, 1)),
             neighbourhoods: HistoryCache::new(capacity, hash_secret(secret, 2)),
@@ -57,18 +60,18 @@
     }
 
     /// Drops what is remembered of addresses, with their counts of connections.
-    pub fn forget_addresses(&mut self, capacity: usize) {
+    pub(super) fn forget_addresses(&mut self, capacity: usize) {
         self.clients = HistoryCache::new(capacity, hash_secret(self.secret, 1));
         self.neighbourhoods = HistoryCache::new(capacity, hash_secret(self.secret, 2));
     }
 
-    pub fn resize(&mut self, capacity: usize) {
+    pub(super) fn resize(&mut self, capacity: usize) {
         self.clients.resize(capacity);
         self.neighbourhoods.resize(capacity);
         self.customers.resize(capacity);
     }
 
-    pub fn sizes(&self) -> CacheSizes {
+    pub(super) fn sizes(&self) -> CacheSizes {
         CacheSizes {
             clients: self.clients.len(),
             neighbourhoods: self.neighbourhoods.len(),
@@ -78,46 +81,59 @@
     }
 
     /// The entries of a peer's address, made if there are none.
-    pub fn address_entries(&mut self, policy: &Policy, peer: IpAddr) -> AddressEntries {
+    pub(super) fn address_entries(&mut self, policy: &Policy, peer: IpAddr) -> AddressEntries {
         AddressEntries {
             client: self.clients.find_or_insert(policy.prefixes.client(peer)),
-            neighbourhood: self.neighbourhoods.find_or_insert(policy.prefixes.neighbourhood(peer)),
+            neighbourhood: self
+                .neighbourhoods
+                .find_or_insert(policy.prefixes.neighbourhood(peer)),
         }
     }
 
-    pub fn client(&self, address: AddressEntries) -> &History {
+    pub(super) fn client(&self, address: AddressEntries) -> &History {
         self.clients.get(address.client)
     }
 
-    pub fn neighbourhood(&self, address: AddressEntries) -> &History {
+    pub(super) fn neighbourhood(&self, address: AddressEntries) -> &History {
         self.neighbourhoods.get(address.neighbourhood)
     }
 
-    pub fn connection_opened(&mut self, address: AddressEntries) {
+    pub(super) fn connection_opened(&mut self, address: AddressEntries) {
         self.clients.connection_opened(address.client);
         self.neighbourhoods.connection_opened(address.neighbourhood);
     }
 
-    pub fn connection_closed(&mut self, address: AddressEntries, is_known: bool) {
+    pub(super) fn connection_closed(&mut self, address: AddressEntries, is_known: bool) {
         self.clients.connection_closed(address.client, is_known);
-        self.neighbourhoods.connection_closed(address.neighbourhood, false);
+        self.neighbourhoods
+            .connection_closed(address.neighbourhood, false);
     }
 
     /// The address was seen, and its connection was not taken.
-    pub fn connection_refused(&mut self, address: AddressEntries, is_known: bool) {
+    pub(super) fn connection_refused(&mut self, address: AddressEntries, is_known: bool) {
         self.clients.settle(address.client, is_known);
         self.neighbourhoods.settle(address.neighbourhood, false);
     }
 
-    pub fn snapshot(&self, most: usize, now: Duration, half_life: Duration) -> Snapshot {
+    pub(super) fn snapshot(&self, most: usize, now: Duration, half_life: Duration) -> Snapshot {
         Snapshot {
-            clients: worth_keeping(&self.clients, now, half_life).take(most).collect(),
-            customers: worth_keeping(&self.customers, now, half_life).take(most).collect(),
+            clients: worth_keeping(&self.clients, now, half_life)
+                .take(most)
+                .collect(),
+            customers: worth_keeping(&self.customers, now, half_life)
+                .take(most)
+                .collect(),
         }
     }
 
     /// Takes in what a snapshot of this age holds.
-    pub fn recall(&mut self, snapshot: &Snapshot, age: Duration, now: Duration, policy: &Policy) {
+    pub(super) fn recall(
+        &mut self,
+        snapshot: &Snapshot,
+        age: Duration,
+        now: Duration,
+        policy: &Policy,
+    ) {
         recall_into(&mut self.clients, &snapshot.clients, age, now, policy);
         recall_into(&mut self.customers, &snapshot.customers, age, now, policy);
     }
@@ -128,7 +144,9 @@
     now: Duration,
     half_life: Duration,
 ) -> impl Iterator<Item = Remembered<K>> + '_ {
-    let scored = cache.protected().map(move |(key, history)| (key, history.served.at(now, half_life)));
+    let scored = cache
+        .protected()
+        .map(move |(key, history)| (key, history.served.at(now, half_life)));
     let kept = scored.filter(|(_, served)| *served >= LEAST_KEPT_SCORE);
     kept.map(|(key, served)| Remembered { key, served })
 }
@@ -142,7 +160,8 @@
 ) {
     // The latest stand first: they are put in last, as the latest.
     for entry in remembered.iter().rev() {
-        let written = DecayingScore::new(entry.served.clamp(0.0, MAX_RECALLED_SCORE), Duration::ZERO);
+        let written =
+            DecayingScore::new(entry.served.clamp(0.0, MAX_RECALLED_SCORE), Duration::ZERO);
         let served = written.at(age, policy.known_half_life);
         let at = cache.find_or_insert(entry.key);
         cache.get_mut(at).served = DecayingScore::new(served, now);
--- a/admission/src/gate/mod.rs
+++ b/crates/admission/src/gate/mod.rs
@@ -1,9 +1,9 @@
-//! The state machine: connections come, ask, are answered, become idle and go; it says which are turned away and
-//! which are closed for others.
+//! The state machine: connections come, ask, are answered, become idle and go; it says which are
+//! turned away and which are closed for others.
 //!
-//! [`connect`] decides on new connections, [`request`] on requests and what they say of a client, [`eviction`] on
-//! which idle connection goes, [`histories`] keeps what is remembered of clients and [`connections`] the table of
-//! open connections.
+//! [`connect`] decides on new connections, [`request`] on requests and what they say of a client,
+//! [`eviction`] on which idle connection goes, [`histories`] keeps what is remembered of clients
+//! and [`connections`] the table of open connections.
 
 mod connect;
 mod connections;
@@ -82,7 +82,9 @@
 
     /// The reputation of a connection; none if it is not held.
     pub fn reputation(&self, conn: ConnectionId, now: Duration) -> Option<Reputation> {
-        self.connections.get(conn).map(|connection| self.reputation_of(connection, now))
+        self.connections
+            .get(conn)
+            .map(|connection| self.reputation_of(connection, now))
     }
 
     /// How long a connection may be idle.
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Until when nothing is to be accepted: every place is held, and the only connections that could go have not
-    /// yet had time to speak.
+    /// Until when nothing is to be accepted: every place is held, and the only connections that
+    /// could go have not yet had time to speak.
     pub fn pause(&self, now: Duration) -> Option<Duration> {
         if self.held() < self.policy.places || self.victim(Reputation::Newcomer, now).is_some() {
             return None;
@@ -130,14 +132,17 @@
     fn on_shortage(&mut self, now: Duration, out: &mut Vec<Action>) {
         match self.victim(Reputation::Newcomer, now) {
             Some(conn) => self.close(conn, Reason::Displaced, now, out),
-            None => out.push(Action::Pause { until: now + self.policy.breath.max(SHORTEST_PAUSE) }),
+            None => out.push(Action::Pause {
+                until: now + self.policy.breath.max(SHORTEST_PAUSE),
+            }),
         }
     }
 
     /// Other settings hold from now on. What is open beyond a lowered bound goes once it is idle.
     pub fn set_policy(&mut self, policy: Policy, now: Duration, out: &mut Vec<Action>) {
         if policy.prefixes != self.policy.prefixes {
-            // Keys mean something else now: what is remembered under the old ones is dropped with its counts.
+            // Keys mean something else now: what is remembered under the old ones is dropped with
+            // its counts.
             self.connections.forget_addresses();
             self.histories.forget_addresses(policy.remembered);
         }
@@ -149,15 +154,18 @@
             }
         }
         while self.held() > self.policy.places {
-            let Some(conn) = self.connections.first_to_evict() else { break };
+            let Some(conn) = self.connections.first_to_evict() else {
+                break;
+            };
             self.close(conn, Reason::Displaced, now, out);
         }
     }
 
-    /// What is worth keeping over a restart: up to `most` client addresses and as many customers that were
-    /// served, those with a connection open and the latest first.
+    /// What is worth keeping over a restart: up to `most` client addresses and as many customers
+    /// that were served, those with a connection open and the latest first.
     pub fn snapshot(&self, most: usize, now: Duration) -> Snapshot {
-        self.histories.snapshot(most, now, self.policy.known_half_life)
+        self.histories
+            .snapshot(most, now, self.policy.known_half_life)
     }
 
     /// Takes a snapshot in that was made so long ago.
@@ -165,10 +173,13 @@
         self.histories.recall(snapshot, age, now, &self.policy);
     }
 
-    /// The reputation of a connection. Its own conduct goes first; its address speaks where addresses count, and
-    /// never for one that has asked nothing: guards against a known address that only connects.
+    /// The reputation of a connection. Its own conduct goes first; its address speaks where
+    /// addresses count, and never for one that has asked nothing: guards against a known address
+    /// that only connects.
     fn reputation_of(&self, connection: &Connection, now: Duration) -> Reputation {
-        let client = connection.address.map(|address| self.histories.client(address));
+        let client = connection
+            .address
+            .map(|address| self.histories.client(address));
         let is_suspect = |connection: &Connection| {
             connection.faults > connection.served
                 || connection.served == 0
@@ -189,8 +200,8 @@
         }
     }
 
-    /// Served requests that make a connection known. After a start many requests are refused that would not be
-    /// later: one is enough.
+    /// Served requests that make a connection known. After a start many requests are refused that
+    /// would not be later: one is enough.
     fn served_to_be_known(&self, now: Duration) -> u32 {
         if now < self.warm_until {
             1
--- a/admission/src/gate/request.rs
+++ b/crates/admission/src/gate/request.rs
@@ -14,21 +14,28 @@
         customer: u64,
         out: &mut Vec<Action>,
     ) {
-        let Some(connection) = self.connections.get_mut(conn) else { return };
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
         connection.asked = connection.asked.saturating_add(1);
         if connection.activity == Activity::Idle {
             if let Err(wait) = self.begin_request(conn, now) {
                 self.refused += 1;
-                out.push(Action::Refuse { after: wait.max(self.policy.advice) });
+                out.push(Action::Refuse {
+                    after: wait.max(self.policy.advice),
+                });
                 return;
             }
         }
         self.note_customer(conn, customer, now);
     }
 
-    /// The first request of an idle connection; an error tells how long a refused one has to wait at the least.
+    /// The first request of an idle connection; an error tells how long a refused one has to wait
+    /// at the least.
     fn begin_request(&mut self, conn: ConnectionId, now: Duration) -> Result<(), Duration> {
-        let Some(connection) = self.connections.get(conn) else { return Ok(()) };
+        let Some(connection) = self.connections.get(conn) else {
+            return Ok(());
+        };
         let is_newcomer = self.reputation_of(connection, now) < Reputation::Known;
         if is_newcomer {
             let places = self.newcomer_places(connection.asked);
@@ -45,11 +52,16 @@
         Ok(())
     }
 
-    /// Places on which newcomers may have requests open. The reserve is lent to them only while they are idle, so
-    /// that it can be given back at once. One that comes again may have half of it: guards against a flood of first
-    /// requests that keeps a client which lost its connection from ever being served, and so from being known again.
+    /// Places on which newcomers may have requests open. The reserve is lent to them only while
+    /// they are idle, so that it can be given back at once. One that comes again may have half of
+    /// it: guards against a flood of first requests that keeps a client which lost its connection
+    /// from ever being served, and so from being known again.
     fn newcomer_places(&self, asked: u32) -> usize {
-        let kept = if asked > 1 { self.policy.reserve / 2 } else { self.policy.reserve };
+        let kept = if asked > 1 {
+            self.policy.reserve / 2
+        } else {
+            self.policy.reserve
+        };
         self.policy.places.saturating_sub(kept)
     }
 
@@ -62,14 +74,17 @@
 
     /// The first customer that a connection names may vouch for it.
     fn note_customer(&mut self, conn: ConnectionId, customer: u64, now: Duration) {
-        let Some(connection) = self.connections.get_mut(conn) else { return };
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
         if self.policy.vouched == 0 || connection.customer.is_some() {
             return;
         }
         let customers = &mut self.histories.customers;
         let at = customers.find_or_insert(customer);
         let history = customers.get(at);
-        connection.is_vouched = history.open < self.policy.vouched && self.policy.is_known(history, now);
+        connection.is_vouched =
+            history.open < self.policy.vouched && self.policy.is_known(history, now);
         connection.customer = Some(at);
         customers.connection_opened(at);
     }
@@ -88,22 +103,40 @@
     }
 
     pub(super) fn on_served(&mut self, now: Duration, conn: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(conn) else { return };
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
         connection.served = connection.served.saturating_add(1);
         let half_life = self.policy.known_half_life;
         if let Some(address) = connection.address {
-            self.histories.clients.get_mut(address.client).served.add(1.0, now, half_life);
+            self.histories
+                .clients
+                .get_mut(address.client)
+                .served
+                .add(1.0, now, half_life);
         }
         if let Some(at) = connection.customer {
-            self.histories.customers.get_mut(at).served.add(1.0, now, half_life);
+            self.histories
+                .customers
+                .get_mut(at)
+                .served
+                .add(1.0, now, half_life);
         }
     }
 
     /// Something speaks against the address of a connection.
     pub(super) fn note_fault(&mut self, conn: ConnectionId, now: Duration) {
         let half_life = self.policy.suspect_half_life;
-        if let Some(address) = self.connections.get(conn).and_then(|connection| connection.address) {
-            self.histories.clients.get_mut(address.client).faults.add(1.0, now, half_life);
+        if let Some(address) = self
+            .connections
+            .get(conn)
+            .and_then(|connection| connection.address)
+        {
+            self.histories
+                .clients
+                .get_mut(address.client)
+                .faults
+                .add(1.0, now, half_life);
         }
     }
 }
--- a/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,10 @@
-//! Who may connect, how many, and who goes first when there is no room: decisions without I/O and clock.
+//! Who may connect, how many, and who goes first when there is no room: decisions without I/O and
+//! clock.
 //!
-//! [`Gate`] is a state machine: it is told of connections ([`Event`]) and says what is to be done ([`Action`]).
-//! [`Budget`] owns the descriptors of the process. [`Snapshot`] is what is known of clients, for a restart.
-//! Times are counted from any fixed moment; all of a gate's must be counted from the same one.
+//! [`Gate`] is a state machine: it is told of connections ([`Event`]) and says what is to be done
+//! ([`Action`]). [`Budget`] owns the descriptors of the process. [`Snapshot`] is what is known of
+//! clients, for a restart. Times are counted from any fixed moment; all of a gate's must be counted
+//! from the same one.
 //!
 //! ```
 //! use roseyard_admission::{Action, ConnectionId, Event, Gate, Policy, Reason};
@@ -17,8 +19,6 @@
 //! }
 //! assert!(matches!(out[..], [Action::Close { conn: ConnectionId(0), why: Reason::Room }, ..]));
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod address;
 mod budget;
--- a/admission/src/lists.rs
+++ b/crates/admission/src/lists.rs
@@ -1,5 +1,5 @@
-//! Doubly linked lists threaded through one table of nodes: each node is on one list at most, and every
-//! operation takes the same few steps however many nodes there are.
+//! Doubly linked lists threaded through one table of nodes: each node is on one list at most, and
+//! every operation takes the same few steps however many nodes there are.
 
 const NONE: u32 = u32::MAX;
 
@@ -11,7 +11,11 @@
     list: u8,
 }
 
-const LOOSE: Node = Node { before: NONE, after: NONE, list: u8::MAX };
+const LOOSE: Node = Node {
+    before: NONE,
+    after: NONE,
+    list: u8::MAX,
+};
 
 #[derive(Clone, Copy)]
 struct Ends {
@@ -28,50 +32,64 @@
 
 impl<const N: usize> Default for Lists<N> {
     fn default() -> Self {
-        Lists { nodes: Vec::new(), lists: [Ends { first: NONE, last: NONE, len: 0 }; N] }
+        Lists {
+            nodes: Vec::new(),
+            lists: [Ends {
+                first: NONE,
+                last: NONE,
+                len: 0,
+            }; N],
+        }
     }
 }
 
 impl<const N: usize> Lists<N> {
     /// Nodes on a list.
-    pub fn len(&self, list: usize) -> usize {
+    pub(crate) fn len(&self, list: usize) -> usize {
         self.lists[list].len
     }
 
     /// The node that has been on a list for longest.
-    pub fn first(&self, list: usize) -> Option<u32> {
+    pub(crate) fn first(&self, list: usize) -> Option<u32> {
         Some(self.lists[list].first).filter(|n| *n != NONE)
     }
 
     /// The node that follows another on its list.
-    pub fn after(&self, node: u32) -> Option<u32> {
+    pub(crate) fn after(&self, node: u32) -> Option<u32> {
         Some(self.nodes.get(node as usize)?.after).filter(|n| *n != NONE)
     }
 
     /// The node that came last.
-    pub fn last(&self, list: usize) -> Option<u32> {
+    pub(crate) fn last(&self, list: usize) -> Option<u32> {
         Some(self.lists[list].last).filter(|n| *n != NONE)
     }
 
     /// The node that precedes another on its list.
-    pub fn before(&self, node: u32) -> Option<u32> {
+    pub(crate) fn before(&self, node: u32) -> Option<u32> {
         Some(self.nodes.get(node as usize)?.before).filter(|n| *n != NONE)
     }
 
     /// The list that a node is on.
-    pub fn list_of(&self, node: u32) -> Option<usize> {
-        self.nodes.get(node as usize).map(|n| n.list as usize).filter(|list| *list < N)
+    pub(crate) fn list_of(&self, node: u32) -> Option<usize> {
+        self.nodes
+            .get(node as usize)
+            .map(|n| n.list as usize)
+            .filter(|list| *list < N)
     }
 
     /// Puts a node at the end of a list, wherever it was before.
-    pub fn push(&mut self, list: usize, node: u32) {
+    pub(crate) fn push(&mut self, list: usize, node: u32) {
         self.remove(node);
         let at = node as usize;
         if at >= self.nodes.len() {
             self.nodes.resize(at + 1, LOOSE);
         }
         let ends = &mut self.lists[list];
-        self.nodes[at] = Node { before: ends.last, after: NONE, list: list as u8 };
+        self.nodes[at] = Node {
+            before: ends.last,
+            after: NONE,
+            list: list as u8,
+        };
         match ends.last {
             NONE => ends.first = node,
             last => self.nodes[last as usize].after = node,
@@ -81,8 +99,13 @@
     }
 
     /// Takes a node off its list, if it is on one.
-    pub fn remove(&mut self, node: u32) {
-        let Some(held) = self.nodes.get(node as usize).copied().filter(|n| (n.list as usize) < N) else {
+    pub(crate) fn remove(&mut self, node: u32) {
+        let Some(held) = self
+            .nodes
+            .get(node as usize)
+            .copied()
+            .filter(|n| (n.list as usize) < N)
+        else {
             return;
         };
         let ends = &mut self.lists[held.list as usize];
--- a/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -10,14 +10,17 @@
 pub struct Policy {
     /// Client connections in all.
     pub places: usize,
-    /// Of these, places on which newcomers may connect but not have requests open, so that listed and known
-    /// clients find them at once. Newcomers that come again may use half of it.
+    /// Of these, places on which newcomers may connect but not have requests open, so that listed
+    /// and known clients find them at once. Newcomers that come again may use half of it.
     pub reserve: usize,
-    /// Connections that have asked nothing yet and wait; beyond it the one that has waited longest goes.
+    /// Connections that have asked nothing yet and wait; beyond it the one that has waited longest
+    /// goes.
     pub silent_room: usize,
-    /// Connections between requests that have asked once; beyond it the one that has rested longest goes.
+    /// Connections between requests that have asked once; beyond it the one that has rested longest
+    /// goes.
     pub once_room: usize,
-    /// Does the address tell clients apart? Not behind a front that brings all of them from a few addresses.
+    /// Does the address tell clients apart? Not behind a front that brings all of them from a few
+    /// addresses.
     pub by_address: bool,
     /// Connections of one client address.
     pub per_client: Option<u32>,
@@ -27,14 +30,15 @@
     pub rate_client: Option<Rate>,
     /// New connections of one neighbourhood.
     pub rate_neighbourhood: Option<Rate>,
-    /// Requests of all newcomers together: guards known clients' share of the servers against a flood that asks
-    /// for what its customers' quotas allow and begins again whenever it is closed.
+    /// Requests of all newcomers together: guards known clients' share of the servers against a
+    /// flood that asks for what its customers' quotas allow and begins again whenever it is closed.
     pub pace_newcomers: Option<Rate>,
     /// What of an address names a client and its neighbourhood.
     pub prefixes: Prefixes,
     /// The operator's own addresses.
     pub listed: Listed,
-    /// Served requests, halving with `known_half_life`, from which on an address or a customer is known.
+    /// Served requests, halving with `known_half_life`, from which on an address or a customer is
+    /// known.
     pub known_after: f32,
     /// Half-life of what was served.
     pub known_half_life: Duration,
@@ -42,8 +46,8 @@
     pub suspect_after: f32,
     /// Half-life of faults.
     pub suspect_half_life: Duration,
-    /// Connections at a time that are taken for more than newcomers because their customer is known; 0 for
-    /// none: a customer's name is easily said.
+    /// Connections at a time that are taken for more than newcomers because their customer is
+    /// known; 0 for none: a customer's name is easily said.
     pub vouched: u32,
     /// Addresses remembered without a connection open, and as many neighbourhoods and customers.
     pub remembered: usize,
@@ -59,8 +63,8 @@
     pub breath: Duration,
     /// When those that are turned away are told to come again.
     pub advice: Duration,
-    /// For so long after the start one served request makes a connection known that comes again; it takes two
-    /// later.
+    /// For so long after the start one served request makes a connection known that comes again; it
+    /// takes two later.
     pub warm_up: Duration,
 }
 
--- a/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -1,4 +1,5 @@
-//! The generic cell rate algorithm (ITU-T I.371, virtual scheduling form): a rate with a burst, kept as one time.
+//! The generic cell rate algorithm (ITU-T I.371, virtual scheduling form): a rate with a burst,
+//! kept as one time.
 
 use std::time::Duration;
 
@@ -11,13 +12,14 @@
     pub burst: f64,
 }
 
-/// The state of the algorithm: the theoretical arrival time, when the next event would come if all had come evenly,
-/// in microseconds.
+/// The state of the algorithm: the theoretical arrival time, when the next event would come if all
+/// had come evenly, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gcra(u64);
 
 impl Gcra {
-    /// Takes an event in, or says how long it would have to wait; what is turned away takes nothing.
+    /// Takes an event in, or says how long it would have to wait; what is turned away takes
+    /// nothing.
     pub fn take(&mut self, now: Duration, rate: Rate) -> Result<(), Duration> {
         let now = now.as_micros() as u64;
         let step = (1e6 / rate.per_second).clamp(1.0, 1e12) as u64;
--- a/admission/src/snapshot.rs
+++ b/crates/admission/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! What is known of clients, as bytes that outlast a restart.
 //!
-//! Layout, little-endian: the magic `RYSTAND\n`, the version (u16), 2 bytes of zero, the length of the body
-//! (u32), its CRC-32 (u32, IEEE 802.3), the Unix time of writing in milliseconds (u64), and the body in
-//! postcard's format. The checksum covers the time too.
+//! Layout, little-endian: the magic `RYSTAND\n`, the version (u16), 2 bytes of zero, the length of
+//! the body (u32), its CRC-32 (u32, IEEE 802.3), the Unix time of writing in milliseconds (u64),
+//! and the body in postcard's format. The checksum covers the time too.
 
 use serde::{Deserialize, Serialize};
 
@@ -82,9 +82,17 @@
         if magic.is_empty() || !MAGIC.starts_with(magic) {
             return Err(Unusable::Foreign);
         }
-        let torn = |wanted| Unusable::Torn { held: bytes.len(), wanted };
+        let torn = |wanted| Unusable::Torn {
+            held: bytes.len(),
+            wanted,
+        };
         let (head, body) = bytes.split_at_checked(HEAD).ok_or(torn(HEAD))?;
-        let field = |at: usize| head[at..at + 4].iter().rev().fold(0, |n, b| n << 8 | u32::from(*b));
+        let field = |at: usize| {
+            head[at..at + 4]
+                .iter()
+                .rev()
+                .fold(0, |n, b| n << 8 | u32::from(*b))
+        };
         let version = field(8) as u16;
         if version != VERSION {
             return Err(Unusable::Version(version));
--- a/src/alarms.rs
+++ b/crates/decision/src/alarms.rs
@@ -1,5 +1,5 @@
-//! A queue of what is due when: by time, and by the order of setting within one time. The module's own
-//! arithmetic is in seconds.
+//! A queue of what is due when: by time, and by the order of setting within one time. The module's
+//! own arithmetic is in seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,24 +19,30 @@
 
 impl<T> Default for Alarms<T> {
     fn default() -> Self {
-        Alarms { due: BTreeMap::new(), sequence: 0 }
+        Alarms {
+            due: BTreeMap::new(),
+            sequence: 0,
+        }
     }
 }
 
 impl<T> Alarms<T> {
-    pub fn set(&mut self, at: Duration, alarm: T) {
+    pub(crate) fn set(&mut self, at: Duration, alarm: T) {
         self.sequence += 1;
         self.due.insert((at, self.sequence), alarm);
     }
 
     /// When the first one is due.
-    pub fn first(&self) -> Option<Duration> {
+    pub(crate) fn first(&self) -> Option<Duration> {
         self.due.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Takes the first one out, if it is due.
-    pub fn pop(&mut self, now: Duration) -> Option<T> {
-        let first = self.due.first_entry().filter(|entry| entry.key().0 <= now)?;
+    pub(crate) fn pop(&mut self, now: Duration) -> Option<T> {
+        let first = self
+            .due
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)?;
         Some(first.remove())
     }
 }
--- a/src/average.rs
+++ b/crates/decision/src/average.rs
@@ -8,9 +8,9 @@
 }
 
 impl Average {
-    /// Takes a sample in. It weighs the more the longer ago the last one came, measured against `tau` seconds, at
-    /// least and at most these shares.
-    pub fn add(&mut self, sample: f64, t: f64, tau: f64, (least, most): (f64, f64)) {
+    /// Takes a sample in. It weighs the more the longer ago the last one came, measured against
+    /// `tau` seconds, at least and at most these shares.
+    pub(crate) fn add(&mut self, sample: f64, t: f64, tau: f64, (least, most): (f64, f64)) {
         let weight = (1.0 - ((self.at - t) / tau).exp()).clamp(least, most);
         self.at = t;
         self.value += (sample - self.value) * weight;
--- a/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -7,48 +7,72 @@
 use crate::quota::{EPS, FORGET_AFTER};
 use crate::service::*;
 
-/// Share of the aim that the mean answer may take before new work is refused: at half one in ten is late.
+/// Share of the aim that the mean answer may take before new work is refused: at half one in ten is
+/// late.
 pub(crate) const LOAD_OF_AIM: f64 = 0.3;
 const SEEN_BY: f64 = 4.0; // Up to so many gateways, what each has out itself tells the load of servers.
 const TIP_USED: f64 = 0.8; // Of the multiple that a cold server bears.
 const OUTSIDE: f64 = 0.01; // Servers beyond this gateway's aperture are tried where those inside fail,
 const OUTSIDE_IN_ALL: f64 = 2.0; // all of them together as often as so many inside at most.
 const LEAST_OUT: f64 = 2.0; // Out per server, over all gateways, that is never too many: its cores stay idle.
-/// The classes that earn least for their work stop at this share of the bound, at up to half while answers
-/// come well before LOAD_OF_AIM: on quiet days nobody need go first.
+/// The classes that earn least for their work stop at this share of the bound, at up to half while
+/// answers come well before LOAD_OF_AIM: on quiet days nobody need go first.
 const LEAST_CLASS: f64 = 0.2;
 
 impl Service {
-    /// The bound on what is out, by Little's law: out over answered a second is the mean answer time, held to
-    /// a share of the aims, lower while answers are slower. Classes that earn least for their work go first.
-    pub fn overloaded(&self, class: usize, draw: f64, t: f64) -> bool {
+    /// The bound on what is out, by Little's law: out over answered a second is the mean answer
+    /// time, held to a share of the aims, lower while answers are slower. Classes that earn least
+    /// for their work go first.
+    pub(crate) fn overloaded(&self, class: usize, draw: f64, t: f64) -> bool {
         let eject = self.ejects();
-        let live = || self.servers.values().filter(|s| s.ready && !(s.silent && eject));
+        let live = || {
+            self.servers
+                .values()
+                .filter(|s| s.ready && !(s.silent && eject))
+        };
         let out: usize = live().map(|s| s.out.len()).sum();
         let dt = t - self.flow.at;
-        let rate = (self.flow.rate * (-dt / RATE_TAU).exp()).max(self.flow.peak * (-dt / PEAK_TAU).exp());
+        let rate =
+            (self.flow.rate * (-dt / RATE_TAU).exp()).max(self.flow.peak * (-dt / PEAK_TAU).exp());
         let density = |(c, mean): (&Class, &f64)| c.worth / mean.max(EPS);
-        let top = self.settings.classes.iter().zip(&self.means).map(density).fold(EPS, f64::max);
+        let top = self
+            .settings
+            .classes
+            .iter()
+            .zip(&self.means)
+            .map(density)
+            .fold(EPS, f64::max);
         let mine = density((&self.settings.classes[class], &self.means[class])) / top;
         // Old lateness fades: a gateway that is seldom asked would go on refusing its few.
-        let lateness =
-            self.flow.lateness.value * ((self.flow.lateness.at + 1.0 - t).min(0.0) / LATE_TAU).exp();
+        let lateness = self.flow.lateness.value
+            * ((self.flow.lateness.at + 1.0 - t).min(0.0) / LATE_TAU).exp();
         let share = LOAD_OF_AIM * mine.max(LEAST_CLASS);
-        let floor = LEAST_OUT * live().count() as f64 * self.in_all() / f64::from(self.settings.gateways);
-        let floor = if self.flow.peak > 0.0 { floor } else { 1.5 * floor };
+        let floor =
+            LEAST_OUT * live().count() as f64 * self.in_all() / f64::from(self.settings.gateways);
+        let floor = if self.flow.peak > 0.0 {
+            floor
+        } else {
+            1.5 * floor
+        };
         let ease = (share / lateness.max(EPS)).min(1.0);
         let bound = rate * secs(self.settings.classes[class].aim) * share * ease;
-        // It swings by about its root: while answers are quick a few more do no harm, else a draw decides. Of
-        // many gateways one's own swing tells nothing of the servers: refused for it, customers come again.
+        // It swings by about its root: while answers are quick a few more do no harm, else a draw
+        // decides. Of many gateways one's own swing tells nothing of the servers: refused for it,
+        // customers come again.
         let most = bound.max(floor);
         let root = most.sqrt();
         let wide = self.unseen() * (ease * root).min(most);
-        let swing = if lateness < 0.7 * share { 2.0 * root + 1.0 } else { wide.max(root.min(most / 4.0)) };
+        let swing = if lateness < 0.7 * share {
+            2.0 * root + 1.0
+        } else {
+            wide.max(root.min(most / 4.0))
+        };
         out as f64 + draw > most + swing
     }
 
-    /// Is one request here, and no more out in all than this gateway's part of what all servers bear idle?
-    pub fn is_alone(&self, cx: &Context) -> bool {
+    /// Is one request here, and no more out in all than this gateway's part of what all servers
+    /// bear idle?
+    pub(crate) fn is_alone(&self, cx: &Context) -> bool {
         let part = LEAST_OUT * cx.servers as f64 / f64::from(self.settings.gateways);
         self.requests.len() == 1 && cx.requests as f64 - 1.0 + self.flow.draw.value <= part
     }
@@ -70,50 +94,70 @@
         if twice || r.attempts.len() >= limits.max_attempts as usize {
             return false;
         }
-        let Some(first) = r.attempts.iter().find(|a| !a.harmless) else { return true };
+        let Some(first) = r.attempts.iter().find(|a| !a.harmless) else {
+            return true;
+        };
         let Effect::Keyed { group, .. } = self.settings.classes[r.asked.class].effect else {
             return self.repeatable(r, 2.0, t);
         };
-        let same = self.servers.get(&first.server).is_some_and(|s| match group {
-            DedupGroup::All => true,
-            DedupGroup::Zone => s.entry.zone == server.entry.zone,
-            DedupGroup::Cell => s.entry.cell == server.entry.cell,
-        });
+        let same = self
+            .servers
+            .get(&first.server)
+            .is_some_and(|s| match group {
+                DedupGroup::All => true,
+                DedupGroup::Zone => s.entry.zone == server.entry.zone,
+                DedupGroup::Cell => s.entry.cell == server.entry.cell,
+            });
         same && self.repeatable(r, 2.0, t)
     }
 
     /// May it run again, and would a repeat sent that many rounds from now still be dropped?
-    pub fn repeatable(&self, r: &Request, rounds: f64, t: f64) -> bool {
-        let first = r.attempts.iter().find(|a| !a.harmless).map_or(f64::MAX, |a| a.sent);
+    pub(crate) fn repeatable(&self, r: &Request, rounds: f64, t: f64) -> bool {
+        let first = r
+            .attempts
+            .iter()
+            .find(|a| !a.harmless)
+            .map_or(f64::MAX, |a| a.sent);
         match self.settings.classes[r.asked.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
-            Effect::Keyed { window, .. } => t + rounds * secs(self.settings.tick) < first + secs(window),
+            Effect::Keyed { window, .. } => {
+                t + rounds * secs(self.settings.tick) < first + secs(window)
+            }
         }
     }
 
-    /// When most servers look silent it is a jam or a shared cause: then nobody is ejected, and what is out
-    /// at them and their time-outs count against the bound, or the jam would be fed without end.
-    pub fn ejects(&self) -> bool {
-        let silent = self.servers.values().filter(|s| s.ready && s.silent).count();
+    /// When most servers look silent it is a jam or a shared cause: then nobody is ejected, and
+    /// what is out at them and their time-outs count against the bound, or the jam would be fed
+    /// without end.
+    pub(crate) fn ejects(&self) -> bool {
+        let silent = self
+            .servers
+            .values()
+            .filter(|s| s.ready && s.silent)
+            .count();
         2 * silent <= self.servers.values().filter(|s| s.ready).count()
     }
 
     /// The share of its capacity that a server surely has by its age.
     fn warmth(&self, s: &Server, t: f64) -> f64 {
         let g = &self.settings.guarantees;
-        let age = s.entry.started_at.map_or(f64::MAX, |at| (t - secs(at)).max(0.0));
+        let age = s
+            .entry
+            .started_at
+            .map_or(f64::MAX, |at| (t - secs(at)).max(0.0));
         (g.cold_share + (1.0 - g.cold_share) * age / secs(g.warm_within).max(EPS)).min(1.0)
     }
 
     /// The server that promises most: least work out and told of, for its size, warmth and speed.
-    pub fn pick(&mut self, id: RequestId, t: f64) -> Option<ServerId> {
+    pub(crate) fn pick(&mut self, id: RequestId, t: f64) -> Option<ServerId> {
         self.lay_ring(t);
         let r = self.requests.get(&id)?;
         let guarantees = &self.settings.guarantees;
-        // Rule 4: within its span a cold server gets at most half the multiple of its part of what goes out
-        // from here, by aperture and warmth; and, where most are cold, of what would fall to it were all
-        // warm, which it can carry then. Nothing sent yet: as much as idle servers bear from all of us.
+        // Rule 4: within its span a cold server gets at most half the multiple of its part of what
+        // goes out from here, by aperture and warmth; and, where most are cold, of what would fall
+        // to it were all warm, which it can carry then. Nothing sent yet: as much as idle servers
+        // bear from all of us.
         let live = self.servers.values().filter(|s| s.ready && !s.silent);
         let outside = OUTSIDE.min(OUTSIDE_IN_ALL / self.servers.len().max(1) as f64);
         let reach = |s: &Server| s.part.max(outside);
@@ -123,7 +167,8 @@
             (full, warm, servers) = (full + part, warm + part * self.warmth(s, t), servers + 1.0);
             sent += s.sends.len() as f64;
         }
-        let answer = self.means[r.asked.class].max(secs(self.settings.classes[r.asked.class].aim) / 8.0);
+        let answer =
+            self.means[r.asked.class].max(secs(self.settings.classes[r.asked.class].aim) / 8.0);
         let idle = LEAST_OUT * servers * self.in_all() * secs(guarantees.tip_after) / answer;
         let sent = f64::max(sent, idle / f64::from(self.settings.gateways));
         let multiple = guarantees.tip_multiple.max(1.0);
@@ -134,7 +179,11 @@
         let fault_tau = self.fault_tau();
         let unseen = self.unseen();
         let fading = |s: &Server| (s.load.value, ((s.load.at - t) / REPORT_TAU).exp());
-        let reports = self.servers.values().filter(|s| s.ready && s.load.at > 0.0).map(fading);
+        let reports = self
+            .servers
+            .values()
+            .filter(|s| s.ready && s.load.at > 0.0)
+            .map(fading);
         let (sum, weights) = reports.fold((0.0, EPS), |(a, b), (load, w)| (a + load * w, b + w));
         let usual = sum / weights;
         let mut best: Option<(bool, f64, ServerId)> = None;
@@ -158,12 +207,20 @@
             let load = usual + (load - usual) * weight;
             let work = 1.0 + s.out.len() as f64 + REPORT_WEIGHT * load + faults;
             let size = s.entry.weight * warmth * reach(s);
-            let cross = if s.entry.zone == self.settings.zone { 1.0 } else { 1.02 };
+            let cross = if s.entry.zone == self.settings.zone {
+                1.0
+            } else {
+                1.02
+            };
             let score = work * s.slowness / size * cross * (1.0 + 0.02 * self.rng.f64());
-            // Few gateways know nearly all that is out and go by it. Of many each sees next to nothing: all
-            // would hold the same large servers best. The least of exponential draws falls to each by its
-            // size; what little is known of one weighs twice.
-            let draw = if unseen > 0.0 { -(1.0 - self.rng.f64()).ln() } else { 1.0 };
+            // Few gateways know nearly all that is out and go by it. Of many each sees next to
+            // nothing: all would hold the same large servers best. The least of exponential draws
+            // falls to each by its size; what little is known of one weighs twice.
+            let draw = if unseen > 0.0 {
+                -(1.0 - self.rng.f64()).ln()
+            } else {
+                1.0
+            };
             let score = score * (work * s.slowness * draw.max(EPS)).powf(unseen);
             // Second choice, but once in a while the first, to learn whether it takes us again.
             let refuses = match s.breaker {
@@ -180,24 +237,29 @@
     }
 
     /// So long each server's sends are remembered: rule 4's span.
-    pub fn span(&self) -> f64 {
+    pub(crate) fn span(&self) -> f64 {
         secs(self.settings.guarantees.tip_after).max(0.5)
     }
 
-    /// A failure fades over some seconds, and not before this gateway would come by again a few times: where
-    /// it comes by rarely, each failure would be forgotten by the next request there.
-    pub fn fault_tau(&self) -> f64 {
+    /// A failure fades over some seconds, and not before this gateway would come by again a few
+    /// times: where it comes by rarely, each failure would be forgotten by the next request there.
+    pub(crate) fn fault_tau(&self) -> f64 {
         let ready = || self.servers.values().filter(|s| s.ready);
-        let (servers, sends) =
-            ready().fold((0.0, 0.0), |(n, sum), s| (n + s.part, sum + s.sends.len() as f64));
+        let (servers, sends) = ready().fold((0.0, 0.0), |(n, sum), s| {
+            (n + s.part, sum + s.sends.len() as f64)
+        });
         (FAULT_VISITS * self.span() * servers / f64::max(sends, 1.0)).clamp(FAULT_TAU, FORGET_AFTER)
     }
 
-    /// Which servers are within reach, and which part of each is in the aperture: laid anew after a change.
+    /// Which servers are within reach, and which part of each is in the aperture: laid anew after a
+    /// change.
     fn lay_ring(&mut self, t: f64) {
-        let Some(ring) = self.roster.take_changed_ring() else { return };
+        let Some(ring) = self.roster.take_changed_ring() else {
+            return;
+        };
         let sizes: Vec<f64> = ring.iter().map(|e| e.weight).collect();
-        let arc = |least| aperture::parts(self.settings.number, self.settings.gateways, least, &sizes);
+        let arc =
+            |least| aperture::parts(self.settings.number, self.settings.gateways, least, &sizes);
         let (inside, reach) = (arc(LEAST_SERVERS), arc(LEAST_REACH));
         for ((&entry, part), near) in ring.iter().zip(inside).zip(reach) {
             if near > 0.0 && !self.servers.contains_key(&entry.server) {
--- a/src/draw.rs
+++ b/crates/decision/src/draw.rs
@@ -1,4 +1,5 @@
-//! A random number that is drawn once for a while. Drawn for each use, the luckiest of many draws would decide.
+//! A random number that is drawn once for a while. Drawn for each use, the luckiest of many draws
+//! would decide.
 
 /// The number, from 0 to 1, and when it was drawn, in seconds.
 #[derive(Clone, Copy, Default)]
@@ -9,9 +10,12 @@
 
 impl Draw {
     /// Draws anew where the last draw is so many seconds old.
-    pub fn renew(&mut self, t: f64, every: f64, rng: &mut fastrand::Rng) {
+    pub(crate) fn renew(&mut self, t: f64, every: f64, rng: &mut fastrand::Rng) {
         if t >= self.at + every {
-            *self = Draw { value: rng.f64(), at: t };
+            *self = Draw {
+                value: rng.f64(),
+                at: t,
+            };
         }
     }
 }
--- a/src/gateway.rs
+++ b/crates/decision/src/gateway.rs
@@ -1,12 +1,14 @@
 //! One gateway: hands each event to the service that it is for. It decides nothing itself.
 //!
-//! Ordinary path: a request's units go in one add to its customer's count (`Service::on_request`); the total that
-//! comes back is held against the allowance (`Quotas::on_counted`, `Ledger::settle`); what passes goes to the
-//! server of its service that promises most (`Service::decided`, `Service::pick`). Everything else guards that path.
+//! Ordinary path: a request's units go in one add to its customer's count (`Service::on_request`);
+//! the total that comes back is held against the allowance (`Quotas::on_counted`,
+//! `Ledger::settle`); what passes goes to the server of its service that promises most
+//! (`Service::decided`, `Service::pick`). Everything else guards that path.
 //!
-//! A [`Service`] is made when its first server or request comes and dropped with its last. Customers' quotas span
-//! services and stand above them. The cost of an event is that of the one service: a service without requests is
-//! never woken, and a change of the list touches the servers that it names.
+//! A [`Service`] is made when its first server or request comes and dropped with its last.
+//! Customers' quotas span services and stand above them. The cost of an event is that of the one
+//! service: a service without requests is never woken, and a change of the list touches the servers
+//! that it names.
 
 use crate::alarms::secs;
 use crate::interface::*;
@@ -62,7 +64,14 @@
 /// The entry with a size that can be reckoned with: one that is no size counts as 1.
 fn with_a_size(entry: ServerEntry) -> ServerEntry {
     let is_size = entry.weight.is_finite() && entry.weight > 0.0;
-    ServerEntry { weight: if is_size { entry.weight.max(LEAST_SIZE) } else { 1.0 }, ..entry }
+    ServerEntry {
+        weight: if is_size {
+            entry.weight.max(LEAST_SIZE)
+        } else {
+            1.0
+        },
+        ..entry
+    }
 }
 
 /// One gateway's decisions. Feed it events, carry out its actions.
@@ -112,7 +121,8 @@
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
-        if !std::mem::replace(&mut self.started, true) && self.settings.discovery == Discovery::Ask {
+        if !std::mem::replace(&mut self.started, true) && self.settings.discovery == Discovery::Ask
+        {
             out.push(Action::Subscribe);
         }
         self.dispatch(event, out);
@@ -120,8 +130,9 @@
         self.set_timer(out);
     }
 
-    /// While there are requests the sweep of their services wakes us all the time: a gap is our own stall, and what
-    /// waited through it proves nothing of servers or counter. Guards against mass silence after a stall.
+    /// While there are requests the sweep of their services wakes us all the time: a gap is our own
+    /// stall, and what waited through it proves nothing of servers or counter. Guards against mass
+    /// silence after a stall.
     fn advance(&mut self, now: Duration) {
         let before = self.clock;
         self.clock = before.max(now);
@@ -133,20 +144,33 @@
     fn dispatch(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Request(request) => self.on_request(request, out),
-            Event::Counted { name, result, elapsed } => self.on_counted(name, result, elapsed, out),
+            Event::Counted {
+                name,
+                result,
+                elapsed,
+            } => self.on_counted(name, result, elapsed, out),
             Event::AttemptEnded(end) => {
                 self.with_request(end.request, out, |service, cx| service.on_ended(&end, cx));
             }
             Event::StreamStarted { request, attempt } => {
-                self.with_request(request, out, |service, cx| service.on_stream(request, attempt, cx));
+                self.with_request(request, out, |service, cx| {
+                    service.on_stream(request, attempt, cx)
+                });
             }
             Event::ClientGone(request) => {
                 self.with_request(request, out, |service, cx| service.close(request, cx));
             }
             Event::Servers(update) => self.on_servers(update),
-            Event::ProbeEnded { service, server, outcome, load } => {
+            Event::ProbeEnded {
+                service,
+                server,
+                outcome,
+                load,
+            } => {
                 if let Some(scheduled) = self.services.get_mut(&service) {
-                    scheduled.service.on_probed(server, outcome, load, secs(self.clock));
+                    scheduled
+                        .service
+                        .on_probed(server, outcome, load, secs(self.clock));
                 }
             }
             Event::Timer(_) => self.timer = None,
@@ -157,20 +181,38 @@
         if self.requests.contains_key(&request.request) {
             return;
         }
-        if request.class >= self.settings.classes.len() || request.plan >= self.settings.plans.len() {
-            return out.push(Action::Refuse { request: request.request, retry_in: None });
+        if request.class >= self.settings.classes.len() || request.plan >= self.settings.plans.len()
+        {
+            return out.push(Action::Refuse {
+                request: request.request,
+                retry_in: None,
+            });
         }
-        request.units = if request.units.is_finite() { request.units.max(0.0) } else { 1.0 };
+        request.units = if request.units.is_finite() {
+            request.units.max(0.0)
+        } else {
+            1.0
+        };
         self.ensure(request.service);
         self.requests.insert(request.request, request.service);
-        self.with(request.service, out, |service, cx| service.on_request(&request, cx));
+        self.with(request.service, out, |service, cx| {
+            service.on_request(&request, cx)
+        });
     }
 
-    fn on_counted(&mut self, name: CountName, result: CountResult, elapsed: Duration, out: &mut Vec<Action>) {
+    fn on_counted(
+        &mut self,
+        name: CountName,
+        result: CountResult,
+        elapsed: Duration,
+        out: &mut Vec<Action>,
+    ) {
         let t = secs(self.clock);
         let undecided = self.quotas.on_counted(name, result, t);
         self.quotas.counter_heard(result, secs(elapsed), t, out);
-        let Some(Counted { request, room }) = undecided else { return };
+        let Some(Counted { request, room }) = undecided else {
+            return;
+        };
         self.with_request(request, out, |service, cx| match room {
             Some(room) => service.decided(request, room, true, cx),
             None => service.decide_alone(request, false, cx),
@@ -187,7 +229,9 @@
 
     fn on_change(&mut self, entry: &ServerEntry) {
         let t = secs(self.clock);
-        self.ensure(entry.service).service.update(&with_a_size(*entry), t);
+        self.ensure(entry.service)
+            .service
+            .update(&with_a_size(*entry), t);
         self.count_servers(entry.service);
     }
 
@@ -195,7 +239,10 @@
         let t = secs(self.clock);
         let mut named: BTreeMap<ServiceId, Vec<ServerEntry>> = BTreeMap::new();
         for entry in entries {
-            named.entry(entry.service).or_default().push(with_a_size(entry));
+            named
+                .entry(entry.service)
+                .or_default()
+                .push(with_a_size(entry));
         }
         for service in named.keys() {
             self.ensure(*service);
@@ -221,7 +268,9 @@
 
     /// A service's servers have changed: counts them, and drops it if nothing is left of it.
     fn count_servers(&mut self, id: ServiceId) {
-        let Some(scheduled) = self.services.get_mut(&id) else { return };
+        let Some(scheduled) = self.services.get_mut(&id) else {
+            return;
+        };
         let size = scheduled.size();
         let before = std::mem::replace(&mut scheduled.servers, size);
         self.servers = self.servers - before + scheduled.servers;
@@ -231,7 +280,11 @@
     }
 
     fn drop_service(&mut self, id: ServiceId) {
-        if let Some(due) = self.services.remove(&id).and_then(|scheduled| scheduled.due) {
+        if let Some(due) = self
+            .services
+            .remove(&id)
+            .and_then(|scheduled| scheduled.due)
+        {
             self.due.remove(&(due, id));
         }
     }
@@ -247,13 +300,31 @@
         }
     }
 
-    /// Lets a service take something in, and notes what has become of its requests and when it is due next.
-    fn with(&mut self, id: ServiceId, out: &mut Vec<Action>, act: impl FnOnce(&mut Service, &mut Context)) {
-        let Some(scheduled) = self.services.get_mut(&id) else { return };
+    /// Lets a service take something in, and notes what has become of its requests and when it is
+    /// due next.
+    fn with(
+        &mut self,
+        id: ServiceId,
+        out: &mut Vec<Action>,
+        act: impl FnOnce(&mut Service, &mut Context),
+    ) {
+        let Some(scheduled) = self.services.get_mut(&id) else {
+            return;
+        };
         let t = secs(self.clock);
         let (requests, servers) = (self.requests.len(), self.servers);
         let (quotas, over) = (&mut self.quotas, &mut self.over);
-        act(&mut scheduled.service, &mut Context { t, quotas, out, requests, servers, over });
+        act(
+            &mut scheduled.service,
+            &mut Context {
+                t,
+                quotas,
+                out,
+                requests,
+                servers,
+                over,
+            },
+        );
         let due = scheduled.service.alarms.first();
         if due != scheduled.due {
             if let Some(before) = std::mem::replace(&mut scheduled.due, due) {
@@ -283,10 +354,15 @@
 
     fn set_timer(&mut self, out: &mut Vec<Action>) {
         let first = self.due.first().map(|(at, _)| *at);
-        let Some(due) = first.into_iter().chain(self.subscribe_at).min() else { return };
+        let Some(due) = first.into_iter().chain(self.subscribe_at).min() else {
+            return;
+        };
         if self.timer.is_none_or(|at| due < at) {
             self.timer = Some(due);
-            out.push(Action::SetTimer { after: due.saturating_sub(self.clock), tag: TimerTag(0) });
+            out.push(Action::SetTimer {
+                after: due.saturating_sub(self.clock),
+                tag: TimerTag(0),
+            });
         }
     }
 }
--- a/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,7 +1,7 @@
 //! Settings, events and actions of the decision module.
 //!
-//! Plain data: nothing here decides or carries a default. Times are durations since an arbitrary epoch chosen
-//! by the embedder; all events of one gateway must use the same epoch.
+//! Plain data: nothing here decides or carries a default. Times are durations since an arbitrary
+//! epoch chosen by the embedder; all events of one gateway must use the same epoch.
 
 use std::time::Duration;
 
@@ -178,13 +178,22 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let good = |v: f64| v.is_finite() && v >= 0.0;
         let figures = |p: &Plan| {
-            let numbers = [p.rate, p.burst, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack, p.price];
+            let numbers = [
+                p.rate,
+                p.burst,
+                p.ceiling_rate,
+                p.ceiling_burst,
+                p.ceiling_slack,
+                p.price,
+            ];
             numbers.into_iter().all(good) && (p.rate <= 0.0 || p.burst > 0.0)
         };
         let timed = |c: &Class| good(c.worth) && good(c.late_worth) && !c.aim.is_zero();
         let g = &self.guarantees;
         if self.number >= self.gateways {
-            return Err(SettingsError::BadNumber("the number of gateways, or this one's among them,"));
+            return Err(SettingsError::BadNumber(
+                "the number of gateways, or this one's among them,",
+            ));
         }
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
--- a/src/ledgers.rs
+++ b/crates/decision/src/ledgers.rs
@@ -12,16 +12,21 @@
 }
 
 impl Ledgers {
-    pub fn get(&self, customer: CustomerId) -> Option<&Ledger> {
+    pub(crate) fn get(&self, customer: CustomerId) -> Option<&Ledger> {
         self.table.get(&customer)
     }
 
-    pub fn get_mut(&mut self, customer: CustomerId) -> Option<&mut Ledger> {
+    pub(crate) fn get_mut(&mut self, customer: CustomerId) -> Option<&mut Ledger> {
         self.table.get_mut(&customer)
     }
 
     /// The customer's ledger; a new one where there is none or it has rested for too long.
-    pub fn open(&mut self, customer: CustomerId, now: f64, new: impl Fn() -> Ledger) -> &mut Ledger {
+    pub(crate) fn open(
+        &mut self,
+        customer: CustomerId,
+        now: f64,
+        new: impl Fn() -> Ledger,
+    ) -> &mut Ledger {
         self.drop_rested(now);
         let looked_at = &mut self.looked_at;
         let ledger = self.table.entry(customer).or_insert_with(|| {
@@ -36,7 +41,11 @@
 
     fn drop_rested(&mut self, now: f64) {
         while let Some((_, customer)) = self.looked_at.pop_front_if(|(at, _)| *at <= now) {
-            if self.table.get(&customer).is_some_and(|ledger| !ledger.has_rested(now)) {
+            if self
+                .table
+                .get(&customer)
+                .is_some_and(|ledger| !ledger.has_rested(now))
+            {
                 self.looked_at.push_back((now + FORGET_AFTER, customer));
             } else {
                 self.table.remove(&customer);
--- a/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,11 +1,11 @@
-//! **roseyard** decides what an admission gateway does with each request of a service sold by plan: send it
-//! to which server, refuse it, try again, give up. It performs no I/O and reads no clock. The embedder feeds
-//! [`Event`]s with the time and carries out the [`Action`]s: it owns the sockets, the timers, the clock and the
-//! calls to the counter service.
+//! **roseyard** decides what an admission gateway does with each request of a service sold by plan:
+//! send it to which server, refuse it, try again, give up. It performs no I/O and reads no clock.
+//! The embedder feeds [`Event`]s with the time and carries out the [`Action`]s: it owns the
+//! sockets, the timers, the clock and the calls to the counter service.
 //!
 //! ```
 //! use std::time::Duration;
-//! use roseyard::*;
+//! use roseyard_decision::*;
 //!
 //! let ms = Duration::from_millis;
 //! let settings = Settings {
@@ -27,7 +27,8 @@
 //!     state: ServerState::Ready, weight: 1.0, rank: 1, started_at: None };
 //! gateway.handle(ms(0), Event::Servers(ListUpdate::Full(vec![server])), &mut actions);
 //! gateway.handle(ms(1), Event::Request(NewRequest { request: RequestId(1), service: ServiceId(0), class: 0,
-//!     plan: 0, customer: CustomerId(9), units: 1.0, spread: 2, time_left: ms(2000), retry: false }), &mut actions);
+//!     plan: 0, customer: CustomerId(9), units: 1.0, spread: 2, time_left: ms(2000),
+//!     retry: false }), &mut actions);
 //! // The request waits for its add; the embedder performs the call and tells the total.
 //! let name = actions.iter().find_map(|a| match a { Action::Count { name, .. } => Some(*name), _ => None });
 //! actions.clear();
@@ -36,8 +37,6 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
 //! # Ok::<(), SettingsError>(())
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod alarms;
 mod aperture;
--- a/src/roster.rs
+++ b/crates/decision/src/roster.rs
@@ -1,4 +1,5 @@
-//! All servers of a service that discovery names as ready, however few of them the gateway keeps a state for.
+//! All servers of a service that discovery names as ready, however few of them the gateway keeps a
+//! state for.
 
 use crate::interface::{ServerEntry, ServerId, ServerState};
 use std::collections::BTreeMap;
@@ -12,7 +13,7 @@
 
 impl Roster {
     /// Takes one entry in: a server that is not ready is not listed.
-    pub fn update(&mut self, entry: &ServerEntry) {
+    pub(crate) fn update(&mut self, entry: &ServerEntry) {
         self.changed = true;
         if entry.state == ServerState::Ready {
             self.ready.insert(entry.server, *entry);
@@ -22,18 +23,19 @@
     }
 
     /// Forgets all of them: a whole list follows.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.changed = true;
         self.ready.clear();
     }
 
     /// How many there are.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.ready.len()
     }
 
-    /// All of them in the order that every gateway agrees on, if they have changed since the last call.
-    pub fn take_changed_ring(&mut self) -> Option<Vec<ServerEntry>> {
+    /// All of them in the order that every gateway agrees on, if they have changed since the last
+    /// call.
+    pub(crate) fn take_changed_ring(&mut self) -> Option<Vec<ServerEntry>> {
         std::mem::take(&mut self.changed).then(|| {
             let mut ring: Vec<ServerEntry> = self.ready.values().copied().collect();
             ring.sort_by_key(|entry| entry.rank);
--- a/src/service.rs
+++ b/crates/decision/src/service.rs
@@ -1,4 +1,5 @@
-//! One service: its requests from their coming to their answer, and its servers by what their answers tell.
+//! One service: its requests from their coming to their answer, and its servers by what their
+//! answers tell.
 
 use crate::alarms::{dur, secs, Alarms};
 use crate::aperture::LEAST_REACH;
@@ -12,18 +13,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Mean answers of waiting, summed over what is out, until a server counts as silent: for exponential work
-/// a false alarm has a chance of about exp(-9). It then gets a trial so often, with what may be copied.
+/// Mean answers of waiting, summed over what is out, until a server counts as silent: for
+/// exponential work a false alarm has a chance of about exp(-9). It then gets a trial so often,
+/// with what may be copied.
 const SILENCE: f64 = 9.0;
 const TRIAL_AFTER: f64 = 2.0;
-/// A copy or a move is thought of after so many mean answers, or this share of the aim: later it is late.
+/// A copy or a move is thought of after so many mean answers, or this share of the aim: later it is
+/// late.
 const PATIENCE: f64 = 3.0;
 const PATIENCE_OF_AIM: f64 = 0.45;
 const COPY_LOAD: f64 = 0.4; // Copies of what merely hangs go out under this part of the load bound.
-/// Further attempts earned by each request sent on, and the most saved up: a small part of the load always.
+/// Further attempts earned by each request sent on, and the most saved up: a small part of the load
+/// always.
 pub(crate) const RETRY_EARN: f64 = 0.1;
 pub(crate) const RETRY_MOST: f64 = 20.0;
-/// Time constants, seconds: throughput, its peak; answer times (in answers, in seconds where they are few).
+/// Time constants, seconds: throughput, its peak; answer times (in answers, in seconds where they
+/// are few).
 pub(crate) const RATE_TAU: f64 = 0.5;
 pub(crate) const PEAK_TAU: f64 = 6.0;
 const ANSWERS_AVERAGED: f64 = 30.0;
@@ -32,22 +37,24 @@
 pub(crate) const FAULT_LOAD: f64 = 3.0;
 pub(crate) const FAULT_TAU: f64 = 4.0;
 pub(crate) const FAULT_VISITS: f64 = 2.0;
-/// How much each opening of a connection counts in their mean; from this share refused on, a server that
-/// never answered here is taken to refuse too. One of them is tried again each TRIAL_AFTER.
+/// How much each opening of a connection counts in their mean; from this share refused on, a server
+/// that never answered here is taken to refuse too. One of them is tried again each TRIAL_AFTER.
 const CONNECT_SHARE: f64 = 0.3;
 pub(crate) const MOST_REFUSE: f64 = 0.5;
-/// Load reports are averaged, each counting this much or by the seconds since the last; they fade so too
-/// towards the fleet's mean, and weigh this much of a request held here.
+/// Load reports are averaged, each counting this much or by the seconds since the last; they fade
+/// so too towards the fleet's mean, and weigh this much of a request held here.
 const REPORT_SHARE: f64 = 0.03;
 pub(crate) const REPORT_TAU: f64 = 5.0;
 pub(crate) const REPORT_WEIGHT: f64 = 0.5;
-/// Least time between probes of a server, and those earned by each request: all gateways probe as they work.
+/// Least time between probes of a server, and those earned by each request: all gateways probe as
+/// they work.
 const PROBE_EVERY: f64 = 1.0;
 const PROBE_EARN: f64 = 0.2;
 const PROBES_BORNE: f64 = 8.0; // A second at each server, of all gateways together.
 pub(crate) const SWEEP_EVERY: f64 = 0.05;
 
-/// A server's circuit breaker: does it take connections from this gateway, by the last attempt at it?
+/// A server's circuit breaker: does it take connections from this gateway, by the last attempt at
+/// it?
 #[derive(Default, PartialEq)]
 pub(crate) enum Breaker {
     #[default]
@@ -72,12 +79,14 @@
     pub silent: bool,
     pub retry_at: f64,
     pub probed: f64,
-    /// Sends within the cold budget's span, newest last, and the span's draw for what is left of one.
+    /// Sends within the cold budget's span, newest last, and the span's draw for what is left of
+    /// one.
     pub sends: VecDeque<f64>,
     pub draw: Draw,
 }
 
-/// What the answers of a service tell, and the budgets that requests earn for further attempts and probes.
+/// What the answers of a service tell, and the budgets that requests earn for further attempts and
+/// probes.
 #[derive(Default)]
 pub(crate) struct Flow {
     pub rate: f64, // Aims answered a second (each answer counts its class's), the peak remembered, and when.
@@ -130,10 +139,19 @@
 }
 
 impl Service {
-    pub fn new(settings: &Arc<Settings>, seed: u64, t: f64) -> Service {
+    pub(crate) fn new(settings: &Arc<Settings>, seed: u64, t: f64) -> Service {
         // Not quick until answers say so: at the start all gateways would fill the servers at once.
-        let lateness = Average { value: LOAD_OF_AIM, at: t };
-        let flow = Flow { lateness, at: t, retries: 1.0, probes: 1.0, ..Flow::default() };
+        let lateness = Average {
+            value: LOAD_OF_AIM,
+            at: t,
+        };
+        let flow = Flow {
+            lateness,
+            at: t,
+            retries: 1.0,
+            probes: 1.0,
+            ..Flow::default()
+        };
         Service {
             settings: Arc::clone(settings),
             rng: fastrand::Rng::with_seed(seed),
@@ -148,16 +166,23 @@
         }
     }
 
-    pub fn on_request(&mut self, r: &NewRequest, cx: &mut Context) {
+    pub(crate) fn on_request(&mut self, r: &NewRequest, cx: &mut Context) {
         let class = &self.settings.classes[r.class];
-        // Answered two rounds before the client gives up. Where a late answer is worth nothing, the end is
-        // the aim: what is still out then only takes room from requests that can make it.
+        // Answered two rounds before the client gives up. Where a late answer is worth nothing, the
+        // end is the aim: what is still out then only takes room from requests that can make it.
         let mut end = cx.t + secs(r.time_left) - 2.0 * secs(self.settings.tick);
         if class.late_worth <= 0.0 && class.aim_stretch <= 0.0 {
             end = end.min(cx.t + secs(class.aim));
         }
         let (end, waiting, done, streaming) = (end.max(cx.t), true, false, false);
-        let request = Request { asked: *r, end, waiting, done, streaming, attempts: Vec::new() };
+        let request = Request {
+            asked: *r,
+            end,
+            waiting,
+            done,
+            streaming,
+            attempts: Vec::new(),
+        };
         self.requests.insert(r.request, request);
         self.alarms.set(dur(end), Alarm::End(r.request));
         self.flow.probes = (self.flow.probes + PROBE_EARN).min(RETRY_MOST);
@@ -172,16 +197,25 @@
     }
 
     /// Decides without a total. `owed`: no add is out for it.
-    pub fn decide_alone(&mut self, id: RequestId, owed: bool, cx: &mut Context) {
-        let Some(r) = self.requests.get(&id) else { return };
+    pub(crate) fn decide_alone(&mut self, id: RequestId, owed: bool, cx: &mut Context) {
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let room = cx.quotas.decide_alone(&r.asked, owed, cx.t);
         self.decided(id, room, false, cx);
     }
 
-    pub fn decided(&mut self, id: RequestId, room: bool, confirmed: bool, cx: &mut Context) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.waiting) else { return };
+    pub(crate) fn decided(&mut self, id: RequestId, room: bool, confirmed: bool, cx: &mut Context) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.waiting) else {
+            return;
+        };
         r.waiting = false;
-        let NewRequest { customer, units, class, .. } = r.asked;
+        let NewRequest {
+            customer,
+            units,
+            class,
+            ..
+        } = r.asked;
         if r.done {
             // Ended while it waited: nothing was sent on, so its units go back.
             if let Some(l) = cx.quotas.ledgers.get_mut(customer).filter(|_| room) {
@@ -190,8 +224,11 @@
             return self.forget(id, cx);
         }
         let best = self.pick(id, cx.t);
-        // Drawn once for a few answers: drawn for each try, all gateways would fill up to the next one.
-        self.flow.draw.renew(cx.t, PATIENCE * self.means[class], &mut self.rng);
+        // Drawn once for a few answers: drawn for each try, all gateways would fill up to the next
+        // one.
+        self.flow
+            .draw
+            .renew(cx.t, PATIENCE * self.means[class], &mut self.rng);
         let overloaded = self.overloaded(class, self.flow.draw.value, cx.t) && !self.is_alone(cx);
         let Some(ledger) = cx.quotas.ledgers.get_mut(customer).filter(|_| room) else {
             return self.refuse(id, cx);
@@ -211,9 +248,16 @@
     }
 
     fn send(&mut self, id: RequestId, server: ServerId, cx: &mut Context) {
-        let (Some(r), Some(s)) = (self.requests.get_mut(&id), self.servers.get_mut(&server)) else { return };
+        let (Some(r), Some(s)) = (self.requests.get_mut(&id), self.servers.get_mut(&server)) else {
+            return;
+        };
         let (class, number) = (r.asked.class, r.attempts.len() as u16);
-        r.attempts.push(Attempt { server, sent: cx.t, open: true, harmless: false });
+        r.attempts.push(Attempt {
+            server,
+            sent: cx.t,
+            open: true,
+            harmless: false,
+        });
         if s.out.is_empty() {
             s.heard = cx.t;
         }
@@ -223,22 +267,51 @@
         }
         s.sends.push_back(cx.t);
         s.retry_at = cx.t + TRIAL_AFTER;
-        cx.out.push(Action::Send { request: id, server, give_up_at: dur(r.end) });
+        cx.out.push(Action::Send {
+            request: id,
+            server,
+            give_up_at: dur(r.end),
+        });
         let latest = PATIENCE_OF_AIM * secs(self.settings.classes[class].aim);
-        self.alarms.set(dur(cx.t + latest.min(PATIENCE * self.means[class])), Alarm::Patience(id));
+        self.alarms.set(
+            dur(cx.t + latest.min(PATIENCE * self.means[class])),
+            Alarm::Patience(id),
+        );
     }
 
-    pub fn on_ended(&mut self, e: &AttemptEnd, cx: &mut Context) {
-        let harmless = matches!(e.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
-        let Some(r) = self.requests.get_mut(&e.request) else { return };
-        let Some(a) = r.attempts.get_mut(usize::from(e.attempt)).filter(|a| a.open) else { return };
+    pub(crate) fn on_ended(&mut self, e: &AttemptEnd, cx: &mut Context) {
+        let harmless = matches!(
+            e.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
+        let Some(r) = self.requests.get_mut(&e.request) else {
+            return;
+        };
+        let Some(a) = r
+            .attempts
+            .get_mut(usize::from(e.attempt))
+            .filter(|a| a.open)
+        else {
+            return;
+        };
         (a.open, a.harmless) = (false, harmless);
-        let (server, NewRequest { customer, units, class, .. }) = (a.server, r.asked);
+        let (
+            server,
+            NewRequest {
+                customer,
+                units,
+                class,
+                ..
+            },
+        ) = (a.server, r.asked);
         self.learn(server, class, e, cx.t, cx.quotas.resumed);
         self.on_load(server, e.load, cx.t);
         if let Some(l) = cx.quotas.ledgers.get_mut(customer) {
             // Guessed units: the difference rides on the customer's next add.
-            let more = e.true_units.filter(|u| u.is_finite()).map_or(0.0, |u| u.max(0.0) - units);
+            let more = e
+                .true_units
+                .filter(|u| u.is_finite())
+                .map_or(0.0, |u| u.max(0.0) - units);
             (l.level, l.carry) = (l.level - more, l.carry + more);
         }
         if e.finished || e.outcome == Outcome::Ok {
@@ -250,7 +323,9 @@
 
     fn go_on(&mut self, id: RequestId, cx: &mut Context) {
         let idle = |r: &&Request| !r.done && r.attempts.iter().all(|a| !a.open);
-        let Some(r) = self.requests.get(&id).filter(idle) else { return };
+        let Some(r) = self.requests.get(&id).filter(idle) else {
+            return;
+        };
         let harmless = r.attempts.last().is_some_and(|a| a.harmless);
         let in_time = cx.t + self.means[r.asked.class] < r.end;
         if in_time && self.flow.retries >= 1.0 {
@@ -262,26 +337,44 @@
         self.refuse(id, cx);
     }
 
-    pub fn on_stream(&mut self, id: RequestId, attempt: u16, cx: &mut Context) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else { return };
+    pub(crate) fn on_stream(&mut self, id: RequestId, attempt: u16, cx: &mut Context) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else {
+            return;
+        };
         r.streaming |= usize::from(attempt) < r.attempts.len();
         self.cancel_others(id, Some(attempt), cx);
     }
 
     fn cancel_others(&mut self, id: RequestId, keep: Option<u16>, cx: &mut Context) {
-        let Some(r) = self.requests.get(&id).filter(|_| self.settings.limits.cancel) else { return };
+        let Some(r) = self
+            .requests
+            .get(&id)
+            .filter(|_| self.settings.limits.cancel)
+        else {
+            return;
+        };
         for (n, a) in r.attempts.iter().enumerate() {
             if a.open && keep != Some(n as u16) {
-                cx.out.push(Action::Cancel { request: id, attempt: n as u16 });
+                cx.out.push(Action::Cancel {
+                    request: id,
+                    attempt: n as u16,
+                });
             }
         }
     }
 
     /// The request is over for the client: nothing more goes out for it.
-    pub fn close(&mut self, id: RequestId, cx: &mut Context) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else { return self.forget(id, cx) };
+    pub(crate) fn close(&mut self, id: RequestId, cx: &mut Context) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else {
+            return self.forget(id, cx);
+        };
         r.done = true;
-        if let Some(l) = cx.quotas.ledgers.get_mut(r.asked.customer).filter(|_| !r.attempts.is_empty()) {
+        if let Some(l) = cx
+            .quotas
+            .ledgers
+            .get_mut(r.asked.customer)
+            .filter(|_| !r.attempts.is_empty())
+        {
             l.open = l.open.saturating_sub(1);
         }
         self.cancel_others(id, None, cx);
@@ -298,26 +391,45 @@
 
     /// Answers finally: refused where rule 2 lets us say so, else failed.
     fn refuse(&mut self, id: RequestId, cx: &mut Context) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.done) else {
+            return;
+        };
         let ran = r.attempts.iter().any(|a| !a.harmless);
         let effect = self.settings.classes[r.asked.class].effect;
-        let may = !ran || matches!(effect, Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. });
-        // Advice: the time in which one such request is refilled, or in which what is out here is answered:
-        // without any, clients of a load refusal come back at once; longer, and their next try is late.
-        let (limits, ledger) = (&self.settings.limits, cx.quotas.ledgers.get(r.asked.customer));
-        let refill = ledger.map_or(0.0, |l| (r.asked.units - l.level).max(0.0) / l.rate.max(EPS));
+        let may = !ran
+            || matches!(
+                effect,
+                Effect::Safe
+                    | Effect::Keyed {
+                        group: DedupGroup::All,
+                        ..
+                    }
+            );
+        // Advice: the time in which one such request is refilled, or in which what is out here is
+        // answered: without any, clients of a load refusal come back at once; longer, and their
+        // next try is late.
+        let (limits, ledger) = (
+            &self.settings.limits,
+            cx.quotas.ledgers.get(r.asked.customer),
+        );
+        let refill = ledger.map_or(0.0, |l| {
+            (r.asked.units - l.level).max(0.0) / l.rate.max(EPS)
+        });
         let retry_in = limits
             .retry_advice
             .then(|| dur(refill.max(self.means[r.asked.class])).min(limits.max_retry_advice));
         cx.out.push(if may {
-            Action::Refuse { request: id, retry_in }
+            Action::Refuse {
+                request: id,
+                retry_in,
+            }
         } else {
             Action::Fail { request: id }
         });
         self.close(id, cx);
     }
 
-    pub fn on_alarm(&mut self, alarm: Alarm, cx: &mut Context) {
+    pub(crate) fn on_alarm(&mut self, alarm: Alarm, cx: &mut Context) {
         match alarm {
             Alarm::Decide(id) => {
                 if self.requests.get(&id).is_some_and(|r| r.waiting && !r.done) {
@@ -337,18 +449,28 @@
         }
     }
 
-    /// Guards against silent servers and against single answers that hang: a second copy where the class
-    /// and the budget allow; where copies are forbidden, a move away from a server that looks silent.
+    /// Guards against silent servers and against single answers that hang: a second copy where the
+    /// class and the budget allow; where copies are forbidden, a move away from a server that looks
+    /// silent.
     fn lost_patience(&mut self, id: RequestId, cx: &mut Context) {
         self.watch(cx);
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.streaming) else { return };
-        let Some(last) = r.attempts.last().filter(|a| a.open) else { return };
-        let silent = self.ejects() && self.servers.get(&last.server).is_none_or(|s| s.silent || !s.ready);
+        let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.streaming) else {
+            return;
+        };
+        let Some(last) = r.attempts.last().filter(|a| a.open) else {
+            return;
+        };
+        let silent = self.ejects()
+            && self
+                .servers
+                .get(&last.server)
+                .is_none_or(|s| s.silent || !s.ready);
         let class = r.asked.class;
         if cx.t + self.means[class] >= r.end {
             return;
         }
-        let busy = self.flow.lateness.value > COPY_LOAD * LOAD_OF_AIM || self.overloaded(class, 1.0, cx.t);
+        let busy =
+            self.flow.lateness.value > COPY_LOAD * LOAD_OF_AIM || self.overloaded(class, 1.0, cx.t);
         let may = self.flow.retries >= 1.0 && (silent || !busy);
         let limits = &self.settings.limits;
         let movable = silent && limits.cancel && self.repeatable(r, 4.0, cx.t);
@@ -358,56 +480,81 @@
                 return self.send(id, server, cx);
             }
         } else if may && !limits.duplicates && movable {
-            return cx.out.push(Action::Cancel { request: id, attempt: r.attempts.len() as u16 - 1 });
+            return cx.out.push(Action::Cancel {
+                request: id,
+                attempt: r.attempts.len() as u16 - 1,
+            });
         }
-        self.alarms.set(dur(cx.t + self.means[class]), Alarm::Patience(id));
+        self.alarms
+            .set(dur(cx.t + self.means[class]), Alarm::Patience(id));
     }
 
     /// Takes in how an attempt at a server ended; the gateway's own last stall ended at `resumed`.
     fn learn(&mut self, server: ServerId, class: usize, e: &AttemptEnd, t: f64, resumed: f64) {
         let eject = self.ejects();
         // Most ends are answers, which weigh no fault: they need no walk over the servers.
-        let fault_tau = if e.outcome == Outcome::Ok { FAULT_TAU } else { self.fault_tau() };
-        let Some(s) = self.servers.get_mut(&server) else { return };
+        let fault_tau = if e.outcome == Outcome::Ok {
+            FAULT_TAU
+        } else {
+            self.fault_tau()
+        };
+        let Some(s) = self.servers.get_mut(&server) else {
+            return;
+        };
         let (outcome, took) = (e.outcome, secs(e.elapsed));
         s.out.remove(&(e.request, e.attempt));
-        // Guards against servers that take no new connections, from all of us or from some, and against dead
-        // ones still listed. Who comes by once in many seconds must remember until an attempt gets through.
-        // Harm: after a short refusal by all, one server is taken back at a time, until trials succeed.
+        // Guards against servers that take no new connections, from all of us or from some, and
+        // against dead ones still listed. Who comes by once in many seconds must remember until an
+        // attempt gets through. Harm: after a short refusal by all, one server is taken back at a
+        // time, until trials succeed.
         let refused = outcome == Outcome::ConnectFailed;
         if refused || !matches!(outcome, Outcome::Reset | Outcome::Cancelled | Outcome::Moot) {
             if s.breaker == Breaker::Untried || (s.breaker == Breaker::Open && !refused) {
-                self.flow.refusing += (f64::from(u8::from(refused)) - self.flow.refusing) * CONNECT_SHARE;
+                self.flow.refusing +=
+                    (f64::from(u8::from(refused)) - self.flow.refusing) * CONNECT_SHARE;
                 // One that takes us calls for the next trial at once.
                 self.flow.half_open = if refused { self.flow.half_open } else { t };
             }
-            s.breaker = if refused { Breaker::Open } else { Breaker::Closed };
+            s.breaker = if refused {
+                Breaker::Open
+            } else {
+                Breaker::Closed
+            };
         }
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
             (s.heard, s.silent) = (t, false);
         }
-        // Guards against servers that fail fast: they hold little and would draw everything. By time-outs,
-        // with no answer since, against jammed, slow and hung ones, where one request waits at a time and is
-        // never silence. Harm: a server with a few chance errors or long tasks gets less for some seconds.
+        // Guards against servers that fail fast: they hold little and would draw everything. By
+        // time-outs, with no answer since, against jammed, slow and hung ones, where one request
+        // waits at a time and is never silence. Harm: a server with a few chance errors or long
+        // tasks gets less for some seconds.
         let lost = outcome == Outcome::Timeout && s.heard <= t - took && t - took >= resumed;
-        if lost || matches!(outcome, Outcome::Error | Outcome::Full | Outcome::ConnectFailed | Outcome::Reset)
+        if lost
+            || matches!(
+                outcome,
+                Outcome::Error | Outcome::Full | Outcome::ConnectFailed | Outcome::Reset
+            )
         {
             (s.faults, s.fault_at) = (s.faults * ((s.fault_at - t) / fault_tau).exp() + 1.0, t);
         }
         let aim = secs(self.settings.classes[class].aim);
         let stalled = t - took < resumed;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) && !(s.silent && eject) && !stalled {
-            self.flow.lateness.add(took / aim, t, LATE_TAU, (1.0 / ANSWERS_AVERAGED, 0.25));
+            self.flow
+                .lateness
+                .add(took / aim, t, LATE_TAU, (1.0 / ANSWERS_AVERAGED, 0.25));
         }
         if outcome == Outcome::Ok {
             if !stalled {
                 let (classes, mean) = (self.means.len() as f64, &mut self.means[class]);
-                // The first answers weigh more: servers are judged by it, and would be by when they answered.
+                // The first answers weigh more: servers are judged by it, and would be by when they
+                // answered.
                 *mean += (took - *mean) / (1.0 + self.flow.answers / classes).min(ANSWERS_AVERAGED);
                 (*mean, self.flow.answers) = (mean.max(1e-3), self.flow.answers + 1.0);
                 let ratio = (took / mean.max(EPS)).min(4.0);
                 s.answers = (s.answers + 1.0).min(4.0 * ANSWERS_AVERAGED - 8.0);
-                s.slowness = (s.slowness + (ratio - s.slowness) / (8.0 + s.answers)).clamp(0.5, 2.0);
+                s.slowness =
+                    (s.slowness + (ratio - s.slowness) / (8.0 + s.answers)).clamp(0.5, 2.0);
             }
             let dt = t - self.flow.at;
             self.flow.rate = self.flow.rate * (-dt / RATE_TAU).exp() + 1.0 / RATE_TAU;
@@ -417,26 +564,46 @@
     }
 
     fn on_load(&mut self, server: ServerId, load: Option<LoadReport>, t: f64) {
-        let (Some(s), Some(load)) = (self.servers.get_mut(&server), load) else { return };
+        let (Some(s), Some(load)) = (self.servers.get_mut(&server), load) else {
+            return;
+        };
         let good = |v: Option<f64>| v.filter(|v| v.is_finite()).map(|v| v.max(0.0));
         let held = good(load.in_flight).or(good(load.queued)).unwrap_or(0.0);
-        // Single reports are stale: gateways that follow them run from server to server together. Their mean
-        // tells a server that is slow or short of cores for all of us. Where they come seldom each counts.
+        // Single reports are stale: gateways that follow them run from server to server together.
+        // Their mean tells a server that is slow or short of cores for all of us. Where they come
+        // seldom each counts.
         s.load.add(held, t, REPORT_TAU, (REPORT_SHARE, 1.0));
     }
 
-    pub fn on_probed(&mut self, server: ServerId, outcome: Outcome, load: Option<LoadReport>, t: f64) {
+    pub(crate) fn on_probed(
+        &mut self,
+        server: ServerId,
+        outcome: Outcome,
+        load: Option<LoadReport>,
+        t: f64,
+    ) {
         self.on_load(server, load, t);
-        if let Some(s) = self.servers.get_mut(&server).filter(|_| outcome == Outcome::Ok) {
+        if let Some(s) = self
+            .servers
+            .get_mut(&server)
+            .filter(|_| outcome == Outcome::Ok)
+        {
             (s.heard, s.silent) = (t, false);
         }
     }
 
-    /// Marks servers silent: what is out there has waited for many mean answers together and none has come.
+    /// Marks servers silent: what is out there has waited for many mean answers together and none
+    /// has come.
     fn watch(&mut self, cx: &mut Context) {
-        for (id, s) in self.servers.iter_mut().filter(|(_, s)| s.ready && !s.silent) {
+        for (id, s) in self
+            .servers
+            .iter_mut()
+            .filter(|(_, s)| s.ready && !s.silent)
+        {
             let since = s.heard.max(cx.quotas.resumed);
-            let wait = |(sent, class): &(f64, usize)| (cx.t - sent.max(since)) / self.means[*class].max(EPS);
+            let wait = |(sent, class): &(f64, usize)| {
+                (cx.t - sent.max(since)) / self.means[*class].max(EPS)
+            };
             if s.out.values().map(wait).sum::<f64>() > SILENCE {
                 (s.silent, s.retry_at) = (true, cx.t + TRIAL_AFTER);
                 cx.out.push(Action::Log(format!("server {} silent", id.0)));
@@ -444,7 +611,8 @@
         }
     }
 
-    /// What time brings on, while there are requests: silent servers, sends that count no more, probes.
+    /// What time brings on, while there are requests: silent servers, sends that count no more,
+    /// probes.
     fn sweep(&mut self, cx: &mut Context) {
         self.watch(cx);
         let (t, span) = (cx.t, self.span());
@@ -457,7 +625,9 @@
         let wanted = |s: &Server| s.ready && (s.silent || any) && t >= s.probed + every;
         while self.settings.limits.probes && self.flow.probes >= 1.0 {
             let oldest = self.servers.iter_mut().filter(|(_, s)| wanted(s));
-            let Some((&id, s)) = oldest.min_by(|a, b| a.1.probed.total_cmp(&b.1.probed)) else { break };
+            let Some((&id, s)) = oldest.min_by(|a, b| a.1.probed.total_cmp(&b.1.probed)) else {
+                break;
+            };
             s.probed = t;
             self.flow.probes -= 1.0;
             cx.out.push(Action::Probe { server: id });
@@ -474,15 +644,16 @@
     }
 
     /// A whole list has come: what it does not name is gone.
-    pub fn replace(&mut self, entries: &[ServerEntry], t: f64) {
+    pub(crate) fn replace(&mut self, entries: &[ServerEntry], t: f64) {
         self.servers.values_mut().for_each(|s| s.ready = false);
         self.roster.clear();
         entries.iter().for_each(|e| self.update(e, t));
         self.drop_gone();
     }
 
-    /// Rule 3 by construction: from the moment it is told, nothing new goes to a draining or gone server.
-    pub fn update(&mut self, e: &ServerEntry, t: f64) {
+    /// Rule 3 by construction: from the moment it is told, nothing new goes to a draining or gone
+    /// server.
+    pub(crate) fn update(&mut self, e: &ServerEntry, t: f64) {
         self.roster.update(e);
         if self.roster.len() as f64 <= LEAST_REACH || self.servers.contains_key(&e.server) {
             self.take_in(*e, t);
@@ -490,11 +661,21 @@
     }
 
     /// Takes a server's entry into its state, which is made if there is none.
-    pub fn take_in(&mut self, entry: ServerEntry, t: f64) {
-        let draw = Draw { value: self.rng.f64(), at: 0.0 };
+    pub(crate) fn take_in(&mut self, entry: ServerEntry, t: f64) {
+        let draw = Draw {
+            value: self.rng.f64(),
+            at: 0.0,
+        };
         // Each gateway probes in an order of its own: else all would know, and take, the same few.
         let probed = -draw.value;
-        let new = || Server { entry, draw, probed, heard: t, slowness: 1.0, ..Server::default() };
+        let new = || Server {
+            entry,
+            draw,
+            probed,
+            heard: t,
+            slowness: 1.0,
+            ..Server::default()
+        };
         let s = self.servers.entry(entry.server).or_insert_with(new);
         if s.entry.started_at != entry.started_at {
             (s.silent, s.slowness, s.heard, s.breaker) = (false, 1.0, t, Breaker::Untried);
