--- a/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -1,13 +1,14 @@
 //! Every size, count and time of the ingress, filled once at start and handed down.
 
 use roseyard_admission::Use;
-use roseyard_operator::Effective;
-use roseyard_settings::Options;
+use roseyard_operator_config::Effective;
+use roseyard_platform_config::Options;
 use std::time::Duration;
 
 /// What discovery has to tell counts as told after this, heard or not.
 const TOLD: Duration = Duration::from_secs(6);
-/// Of that and the grace together, so much is for the call that brings the news and for the sends it stops.
+/// Of that and the grace together, so much is for the call that brings the news and for the sends
+/// it stops.
 const TOLD_MARGIN: Duration = Duration::from_millis(250);
 
 /// Sizes in bytes, counts and times.
@@ -21,7 +22,8 @@
     pub words: usize,
     /// Deepest nesting of an answer.
     pub depth: usize,
-    /// Longest line of the list of servers: a part of the memory, as it is held more than once while it is taken in.
+    /// Longest line of the list of servers: a part of the memory, as it is held more than once
+    /// while it is taken in.
     pub list_bytes: usize,
     /// A list that is on its way and comes slower than this, bytes a second, is not waited for.
     pub list_rate: f64,
@@ -29,10 +31,11 @@
     pub chunk_bytes: usize,
     /// Answers that a client may leave unread before its requests are.
     pub unread_bytes: usize,
-    /// Of a client whose commands wait, as many as may, so many bytes more are read: its end stands behind them.
+    /// Of a client whose commands wait, as many as may, so many bytes more are read: its end stands
+    /// behind them.
     pub ahead_bytes: usize,
-    /// What clients' connections hold together, parts of commands and unread answers; over it the one that
-    /// holds most is dropped.
+    /// What clients' connections hold together, parts of commands and unread answers; over it the
+    /// one that holds most is dropped.
     pub client_bytes: usize,
     /// Commands of one client taken in a round: the others have their turn before the next.
     pub round_commands: usize,
@@ -68,14 +71,15 @@
     pub connect: Duration,
     /// An idle connection to a server is dropped after this.
     pub link_idle: Duration,
-    /// A connection to a server rests so long after an answer: longer than what a server sends right behind it
-    /// is on its way.
+    /// A connection to a server rests so long after an answer: longer than what a server sends
+    /// right behind it is on its way.
     pub link_rest: Duration,
     /// Further bytes of a server's answer must follow its last ones within this.
     pub answer_part: Duration,
     /// A probe must be answered by then.
     pub probe: Duration,
-    /// A call to the counter has failed after this, or after the settings' time-out where that is longer.
+    /// A call to the counter has failed after this, or after the settings' time-out where that is
+    /// longer.
     pub counter_call: Duration,
     /// The rest of a counter's answer must follow its first bytes within this.
     pub counter_part: Duration,
@@ -87,17 +91,18 @@
     pub counter_again: Duration,
     /// Discovery is taken as silent after this: its line is due every 2 s.
     pub list_silence: Duration,
-    /// And after this on a new call, which it answers at once: what it has to tell when it is back counts as told then,
-    /// heard or not, and the grace runs.
+    /// And after this on a new call, which it answers at once: what it has to tell when it is back
+    /// counts as told then, heard or not, and the grace runs.
     pub list_first: Duration,
     /// A call that has said nothing may still be answered for so long, beside those that follow it.
     pub list_elder: Duration,
     /// Discovery is called again after this, ...
     pub list_again: Duration,
-    /// ... twice as long after each call that failed again, up to this, less up to half of it at random, ...
+    /// ... twice as long after each call that failed again, up to this, less up to half of it at
+    /// random, ...
     pub list_again_most: Duration,
-    /// ... where the call was turned away: an overbooked discovery is not to be kept so. After one that broke, up to this:
-    /// an agent may be back, and the grace runs.
+    /// ... where the call was turned away: an overbooked discovery is not to be kept so. After one
+    /// that broke, up to this: an agent may be back, and the grace runs.
     pub list_again_broken: Duration,
     /// An address that another process still listens on is waited for so long, ...
     pub address: Duration,
@@ -119,7 +124,8 @@
     pub linger: Duration,
     /// And after this once the process is to end.
     pub last_linger: Duration,
-    /// Every request has its final answer this long after accepting has ended: SIGKILL may come 0.1 s later.
+    /// Every request has its final answer this long after accepting has ended: SIGKILL may come 0.1
+    /// s later.
     pub drain: Duration,
     /// What admission did is told this often at most.
     pub report: Duration,
@@ -132,15 +138,22 @@
         let memory = memory_mb.max(32) << 20;
         let longest = options.longest_deadline();
         let (list_again, list_silence) = (ms(200), ms(3000));
-        // Guards against sends to what an agent that is back has told drained: heard within half of the grace.
-        let soon = if options.pushed() { options.drain_grace() / 2 } else { ms(1000) };
+        // Guards against sends to what an agent that is back has told drained: heard within half of
+        // the grace.
+        let soon = if options.pushed() {
+            options.drain_grace() / 2
+        } else {
+            ms(1000)
+        };
         let list_first = soon.clamp(list_again, ms(1000));
-        // Guards against sends to what counts as told drained: a watch that dies silently, a new call that is silent
-        // and the longest wait after calls that fail end in time, whatever the settings' grace.
+        // Guards against sends to what counts as told drained: a watch that dies silently, a new
+        // call that is silent and the longest wait after calls that fail end in time, whatever the
+        // settings' grace.
         let told = TOLD + options.drain_grace();
         let told = told.saturating_sub(TOLD_MARGIN + list_silence + list_first);
         // All ingresses together call some forty times a second, where there is time for that.
-        let list_again_most = ms(30 * u64::from(options.ingresses())).clamp(list_again, told.min(ms(3000)));
+        let list_again_most =
+            ms(30 * u64::from(options.ingresses())).clamp(list_again, told.min(ms(3000)));
         Limits {
             value_bytes: 64 << 10,
             line_bytes: 8 << 10,
@@ -181,10 +194,15 @@
             list_silence,
             list_first,
             list_again,
-            // Where nothing has changed, its first line may be the empty one, which is due after 2 s.
+            // Where nothing has changed, its first line may be the empty one, which is due after 2
+            // s.
             list_elder: ms(2500),
             list_again_most,
-            list_again_broken: if options.pushed() { list_first } else { list_again_most },
+            list_again_broken: if options.pushed() {
+                list_first
+            } else {
+                list_again_most
+            },
             address: ms(3000),
             address_again: ms(20),
             ready: ms(1000),
@@ -212,9 +230,18 @@
     pub(crate) fn of_test_with(ingresses: u32, grace: u32) -> Limits {
         let settings = include_str!("../tests/settings.json");
         let settings = settings.replace("\"Balancers\":1,", &format!("\"Balancers\":{ingresses},"));
-        let settings =
-            settings.replace("\"StopSendingWithinMs\":2000.0", &format!("\"StopSendingWithinMs\":{grace}.0"));
-        let operator = Effective::new(&roseyard_operator::Machine { sockets: 1024, allowed: 1024 });
-        Limits::new(&operator, 192, &Options::parse(settings.as_bytes()).unwrap())
+        let settings = settings.replace(
+            "\"StopSendingWithinMs\":2000.0",
+            &format!("\"StopSendingWithinMs\":{grace}.0"),
+        );
+        let operator = Effective::new(&roseyard_operator_config::Machine {
+            sockets: 1024,
+            allowed: 1024,
+        });
+        Limits::new(
+            &operator,
+            192,
+            &Options::parse(settings.as_bytes()).unwrap(),
+        )
     }
 }
--- a/ingress/src/main.rs
+++ b/crates/ingress/src/main.rs
@@ -1,5 +1,4 @@
-//! `roseyard`: one real ingress.
-#![forbid(unsafe_code)]
+//! `roseyard-ingress`: one ingress process.
 
 use clap::Parser;
 use roseyard_ingress::program::cli::{main as obey, Cli};
--- a/ingress/src/program/files.rs
+++ b/crates/ingress/src/program/files.rs
@@ -7,8 +7,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Unix time in milliseconds.
-pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+pub(super) fn unix_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as u64)
 }
 
 /// Writes beside the file and renames: whoever reads finds the old one or the new one, whole.
@@ -18,12 +20,15 @@
     file.write_all(bytes)?;
     file.sync_all()?;
     fs::rename(&beside, path)?;
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     fs::File::open(folder)?.sync_all()
 }
 
 /// Writes one file again and again.
-pub struct Writer {
+pub(super) struct Writer {
     /// What it writes, in log lines and as the thread's name.
     what: &'static str,
     /// The event of a log line that says why it was not written.
@@ -34,17 +39,21 @@
 
 impl Writer {
     /// One that has written nothing yet.
-    pub fn new(what: &'static str, event: &'static str) -> Writer {
-        Writer { what, event, thread: None }
+    pub(super) fn new(what: &'static str, event: &'static str) -> Writer {
+        Writer {
+            what,
+            event,
+            thread: None,
+        }
     }
 
     /// Does the last writing still go on?
-    pub fn is_busy(&self) -> bool {
+    pub(super) fn is_busy(&self) -> bool {
         self.thread.as_ref().is_some_and(|w| !w.is_finished())
     }
 
     /// Begins to write the file.
-    pub fn begin(&mut self, path: PathBuf, bytes: Vec<u8>) {
+    pub(super) fn begin(&mut self, path: PathBuf, bytes: Vec<u8>) {
         let (what, event) = (self.what, self.event);
         // One that cannot be started is like one that has failed: the next is tried again.
         let thread = std::thread::Builder::new().name(what.into());
@@ -52,7 +61,7 @@
     }
 
     /// Waits until what was begun is over.
-    pub fn wait(&mut self) {
+    pub(super) fn wait(&mut self) {
         if let Some(thread) = self.thread.take() {
             // What it could not write, it has told.
             let _ = thread.join();
@@ -60,7 +69,7 @@
     }
 
     /// Writes the file now.
-    pub fn write(&self, path: &Path, bytes: &[u8]) {
+    pub(super) fn write(&self, path: &Path, bytes: &[u8]) {
         write(self.what, self.event, path, bytes);
     }
 }
--- a/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -14,7 +14,7 @@
 use cli::Run;
 use config::Config;
 use roseyard_admission::Budget;
-use roseyard_operator::{Effective, File, Machine};
+use roseyard_operator_config::{Effective, File, Machine};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use standing::Keeper;
@@ -25,8 +25,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The signals that the program answers to, from its first moment on: what comes before the loop waits in the
-/// pipe. Guards against a SIGHUP that finds no handler, which would end the process.
+/// The signals that the program answers to, from its first moment on: what comes before the loop
+/// waits in the pipe. Guards against a SIGHUP that finds no handler, which would end the process.
 pub struct Signals {
     pipe: UnixStream,
     reload: Arc<AtomicBool>,
@@ -45,7 +45,11 @@
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         }
-        Ok(Signals { pipe, reload, leave })
+        Ok(Signals {
+            pipe,
+            reload,
+            leave,
+        })
     }
 }
 
@@ -63,7 +67,8 @@
     machine: Machine,
     keeper: Keeper,
     standing_due: Option<Duration>,
-    /// The other ingresses, and who writes down what is known of them, where the operator wants that.
+    /// The other ingresses, and who writes down what is known of them, where the operator wants
+    /// that.
     members: Option<Members>,
     status: Option<status::Keeper>,
     status_due: Option<Duration>,
@@ -111,7 +116,8 @@
     }
 }
 
-/// Listens there. Guards against a start that fails because the process before it has not let go of the address yet.
+/// Listens there. Guards against a start that fails because the process before it has not let go of
+/// the address yet.
 fn take_address(at: &SocketAddr, limits: &Limits) -> Result<OwnedFd, String> {
     let since = Instant::now();
     let mut told = false;
@@ -129,7 +135,10 @@
 }
 
 fn machine(config: &Config) -> Machine {
-    Machine { sockets: config.limits.sockets, allowed: allowed() }
+    Machine {
+        sockets: config.limits.sockets,
+        allowed: allowed(),
+    }
 }
 
 impl Program {
@@ -140,19 +149,31 @@
         let options = &config.settings;
         let limits = Limits::new(&operator, config.limits.memory_mb, options);
         let poller = Poller::new(limits.batch).map_err(|e| format!("epoll: {e}"))?;
-        let budget =
-            Budget::new(operator.sockets, operator.shares).map_err(|e| format!("descriptors: {e}"))?;
-        let mut io =
-            Io { poller, deadlines: Deadlines::default(), now: clock.now(), budget, spare: spare(), limits };
+        let budget = Budget::new(operator.sockets, operator.shares)
+            .map_err(|e| format!("descriptors: {e}"))?;
+        let mut io = Io {
+            poller,
+            deadlines: Deadlines::default(),
+            now: clock.now(),
+            budget,
+            spare: spare(),
+            limits,
+        };
         let listener = take_address(&config.listen, &limits)?;
         let settings = options.settings()?;
         let services = file.services();
         let terms = Terms::new(options, &settings, &limits, services.route_field());
-        let Effective { policy, standing, membership, .. } = operator;
-        // What others choose must not collide in tables: mixed so that the module's numbers tell nothing of it.
+        let Effective {
+            policy,
+            standing,
+            membership,
+            ..
+        } = operator;
+        // What others choose must not collide in tables: mixed so that the module's numbers tell
+        // nothing of it.
         let secret = config.seed.rotate_left(23) ^ 0x61c8_8646_80b5_83eb;
-        let mut front =
-            Front::new(listener, terms, policy, secret, &mut io).map_err(|e| format!("listen: {e}"))?;
+        let mut front = Front::new(listener, terms, policy, secret, &mut io)
+            .map_err(|e| format!("listen: {e}"))?;
         let keeper = Keeper::start(standing, front.gate_mut(), io.now);
         let start = Start {
             settings,
@@ -167,18 +188,29 @@
             let name = &config.name;
             tracing::info!(event = "listening", name, %at, "{name}: listening on {at}");
         }
-        let core = Core::new(start, &config.known, &mut io).map_err(|e| format!("settings: {e}"))?;
+        let core =
+            Core::new(start, &config.known, &mut io).map_err(|e| format!("settings: {e}"))?;
         let mut ready_due = None;
         let at = io.now + io.limits.ready;
         io.deadlines.set(&mut ready_due, Some(at), Party::Ready);
         let mut standing_due = None;
         keeper.arm(&mut standing_due, &mut io);
-        let members =
-            Members::start(&membership, &config.name, files::unix_ms(), config.seed ^ 0x5eed, &mut io)?;
-        let status = membership.status.as_deref().filter(|_| members.is_some()).map(status::Keeper::new);
+        let members = Members::start(
+            &membership,
+            &config.name,
+            files::unix_ms(),
+            config.seed ^ 0x5eed,
+            &mut io,
+        )?;
+        let status = membership
+            .status
+            .as_deref()
+            .filter(|_| members.is_some())
+            .map(status::Keeper::new);
         let mut status_due = None;
         if status.is_some() {
-            io.deadlines.set(&mut status_due, Some(io.now), Party::Status);
+            io.deadlines
+                .set(&mut status_due, Some(io.now), Party::Status);
         }
         Ok(Program {
             members,
@@ -201,19 +233,22 @@
         })
     }
 
-    /// From now on SIGHUP rereads the configuration and the operator's file, and SIGTERM and SIGINT begin the
-    /// drain.
+    /// From now on SIGHUP rereads the configuration and the operator's file, and SIGTERM and SIGINT
+    /// begin the drain.
     pub fn heed(&mut self, signals: Signals, run: Run) -> Result<(), String> {
         self.run = Some(run);
         let token = Party::Signal.token();
-        self.io.poller.add_level(&signals.pipe, token).map_err(|e| format!("signals: {e}"))?;
+        self.io
+            .poller
+            .add_level(&signals.pipe, token)
+            .map_err(|e| format!("signals: {e}"))?;
         self.signals = Some(signals);
         Ok(())
     }
 
-    /// Configuration and operator's file were read again: discovery and counter move to their addresses at once,
-    /// admission, services and routes go by the file, all else stays as it was started. If either cannot be read or does not fit,
-    /// neither changes anything.
+    /// Configuration and operator's file were read again: discovery and counter move to their
+    /// addresses at once, admission, services and routes go by the file, all else stays as it was
+    /// started. If either cannot be read or does not fit, neither changes anything.
     pub fn reload(&mut self, read: Result<(Config, File), String>) {
         let fits = |(config, file): (Config, File)| {
             let operator = file.effective(&self.machine).map_err(|e| e.to_string())?;
@@ -234,7 +269,9 @@
                 }
                 self.front.set_route_field(file.services().route_field());
                 self.core.set_directory(file.services().directory());
-                let counter = config.counter.map_or_else(|| "none".to_owned(), |c| c.to_string());
+                let counter = config
+                    .counter
+                    .map_or_else(|| "none".to_owned(), |c| c.to_string());
                 let discovery = config.discovery;
                 tracing::info!(
                     event = "reload", %discovery, counter,
@@ -269,7 +306,11 @@
 
     /// Requests held, connections to servers, and clients.
     pub fn open(&self) -> (usize, usize, usize) {
-        (self.core.open_requests(), self.core.open_links(), self.front.len())
+        (
+            self.core.open_requests(),
+            self.core.open_links(),
+            self.front.len(),
+        )
     }
 
     /// Requests open by their clients' numbers, and bytes held for clients' connections.
@@ -277,17 +318,32 @@
         self.front.held()
     }
 
-    /// Waits, takes in what came, tells the module, writes what is to go out; `now` is read after the wait.
-    /// False once all is done.
-    pub fn round(&mut self, wait: Option<Duration>, now: impl FnOnce() -> Duration) -> Result<bool, String> {
-        let wait = if self.front.has_more() { Some(Duration::ZERO) } else { wait };
+    /// Waits, takes in what came, tells the module, writes what is to go out; `now` is read after
+    /// the wait. False once all is done.
+    pub fn round(
+        &mut self,
+        wait: Option<Duration>,
+        now: impl FnOnce() -> Duration,
+    ) -> Result<bool, String> {
+        let wait = if self.front.has_more() {
+            Some(Duration::ZERO)
+        } else {
+            wait
+        };
         let mut ready = std::mem::take(&mut self.ready);
         let mut answers = std::mem::take(&mut self.answers);
-        self.io.poller.wait(wait, &mut ready).map_err(|e| format!("epoll: {e}"))?;
+        self.io
+            .poller
+            .wait(wait, &mut ready)
+            .map_err(|e| format!("epoll: {e}"))?;
         self.io.now = now();
-        // Guards against requests that are decided by a list when word of a later one is there: discovery first.
+        // Guards against requests that are decided by a list when word of a later one is there:
+        // discovery first.
         let watched = |event: &Ready| matches!(Party::of_token(event.token), Party::Watch(_));
-        ready.iter().filter(|e| watched(e)).for_each(|e| self.on_ready(*e));
+        ready
+            .iter()
+            .filter(|e| watched(e))
+            .for_each(|e| self.on_ready(*e));
         self.serve_once_told();
         self.front.resume(&mut self.core, &mut self.io);
         for event in ready.drain(..).filter(|e| !watched(e)) {
@@ -302,7 +358,8 @@
             self.core.run(&mut self.io);
             self.core.take_answers(&mut answers);
             for (owner, answer) in answers.drain(..) {
-                self.front.answer(owner, answer, &mut self.core, &mut self.io);
+                self.front
+                    .answer(owner, answer, &mut self.core, &mut self.io);
             }
             self.front.flush(&mut self.core, &mut self.io);
             if !self.core.has_news() {
@@ -310,10 +367,12 @@
             }
         }
         self.front.keep_spare(&mut self.io);
-        // After what is held has gone on. Guards against newcomers that take the descriptors which this round's
-        // ended attempts gave back, and leave the further attempts of requests that are held with none.
+        // After what is held has gone on. Guards against newcomers that take the descriptors which
+        // this round's ended attempts gave back, and leave the further attempts of requests that
+        // are held with none.
         if std::mem::take(&mut self.knocking) {
-            self.front.accept(self.io.limits.round_accepts, &mut self.core, &mut self.io);
+            self.front
+                .accept(self.io.limits.round_accepts, &mut self.core, &mut self.io);
         }
         (self.ready, self.answers) = (ready, answers);
         let over = match self.phase {
@@ -329,7 +388,9 @@
     fn serve_once_told(&mut self) {
         if !self.front.ready && (self.core.told() || self.ready_due.is_none()) {
             self.front.ready = true;
-            self.io.deadlines.set(&mut self.ready_due, None, Party::Ready);
+            self.io
+                .deadlines
+                .set(&mut self.ready_due, None, Party::Ready);
             tracing::info!(event = "ready", "ready");
             if let Some(members) = &mut self.members {
                 members.serving(&mut self.io);
@@ -344,7 +405,11 @@
             let io = &mut self.io;
             let open = self.core.open_requests();
             tracing::info!(event = "leaving", open, "leaving: {open} requests open");
-            io.deadlines.set(&mut self.drain_due, Some(io.now + io.limits.drain_accept), Party::Drain);
+            io.deadlines.set(
+                &mut self.drain_due,
+                Some(io.now + io.limits.drain_accept),
+                Party::Drain,
+            );
             if let Some(members) = &mut self.members {
                 members.leave(io);
             }
@@ -358,8 +423,16 @@
             self.phase = Phase::Draining;
             self.front.drain(core, io);
             let clients = self.front.len();
-            tracing::info!(event = "draining", clients, "draining: no longer accepting, {clients} clients");
-            io.deadlines.set(&mut self.drain_due, Some(io.now + io.limits.drain), Party::Drain);
+            tracing::info!(
+                event = "draining",
+                clients,
+                "draining: no longer accepting, {clients} clients"
+            );
+            io.deadlines.set(
+                &mut self.drain_due,
+                Some(io.now + io.limits.drain),
+                Party::Drain,
+            );
         } else if self.phase == Phase::Draining {
             // Guards against requests that a server which hangs leaves without an answer.
             self.phase = Phase::Stopping;
@@ -371,7 +444,11 @@
             );
             core.stop();
             self.front.stop();
-            io.deadlines.set(&mut self.drain_due, Some(io.now + io.limits.last_linger), Party::Drain);
+            io.deadlines.set(
+                &mut self.drain_due,
+                Some(io.now + io.limits.last_linger),
+                Party::Drain,
+            );
         } else {
             self.phase = Phase::Over;
         }
@@ -424,7 +501,9 @@
         if let (Some(status), Some(members)) = (&mut self.status, &self.members) {
             status.write(members, self.io.now);
             let at = self.io.now + Duration::from_secs(1);
-            self.io.deadlines.set(&mut self.status_due, Some(at), Party::Status);
+            self.io
+                .deadlines
+                .set(&mut self.status_due, Some(at), Party::Status);
         }
     }
 
@@ -435,13 +514,18 @@
 
     fn on_signal(&mut self) {
         let mut bytes = [0; 16];
-        let Some(signals) = &mut self.signals else { return };
+        let Some(signals) = &mut self.signals else {
+            return;
+        };
         while matches!(signals.pipe.read(&mut bytes), Ok(n) if n > 0) {}
         let reload = signals.reload.swap(false, Ordering::SeqCst);
         let leave = signals.leave.swap(false, Ordering::SeqCst);
         // Also while it leaves: what it still holds is counted and sent on by the new addresses.
         if reload {
-            let file = self.run.as_ref().map_or_else(|| Ok(File::none()), Run::file);
+            let file = self
+                .run
+                .as_ref()
+                .map_or_else(|| Ok(File::none()), Run::file);
             self.reload(Config::reread().and_then(|config| Ok((config, file?))));
         }
         if leave {
--- a/ingress/src/program/standing.rs
+++ b/crates/ingress/src/program/standing.rs
@@ -1,16 +1,17 @@
-//! Keeps standing over a restart: reads the file at the start, writes it on a schedule and at the end.
+//! Keeps standing over a restart: reads the file at the start, writes it on a schedule and at the
+//! end.
 
 use super::files::{unix_ms, Writer};
 use crate::routing::{Io, Party};
 use roseyard_admission::{Gate, Snapshot};
-use roseyard_operator::Standing;
+use roseyard_operator_config::Standing;
 use std::fs;
 use std::io::Read;
 use std::path::Path;
 use std::time::Duration;
 
 /// The file of standing and who writes it.
-pub struct Keeper {
+pub(super) struct Keeper {
     settings: Standing,
     writer: Writer,
 }
@@ -20,21 +21,30 @@
     let mut bytes = Vec::new();
     let file = fs::File::open(path).map_err(|e| e.to_string())?;
     let most = roseyard_admission::MOST_BYTES as u64 + 1;
-    file.take(most).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    file.take(most)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
     let (snapshot, written) = Snapshot::decode(&bytes).map_err(|e| e.to_string())?;
-    Ok((snapshot, Duration::from_millis(unix_ms().saturating_sub(written))))
+    Ok((
+        snapshot,
+        Duration::from_millis(unix_ms().saturating_sub(written)),
+    ))
 }
 
 impl Keeper {
-    /// Reads what was kept, if there is a file and it is whole; else says why not and goes on without.
-    pub fn start(settings: Standing, gate: &mut Gate, now: Duration) -> Keeper {
+    /// Reads what was kept, if there is a file and it is whole; else says why not and goes on
+    /// without.
+    pub(super) fn start(settings: Standing, gate: &mut Gate, now: Duration) -> Keeper {
         if let Some(path) = &settings.file {
             let file = path.display();
             match read(path) {
                 Ok((snapshot, age)) => {
                     gate.recall(&snapshot, age, now);
-                    let (clients, customers, age) =
-                        (snapshot.clients.len(), snapshot.customers.len(), age.as_secs());
+                    let (clients, customers, age) = (
+                        snapshot.clients.len(),
+                        snapshot.customers.len(),
+                        age.as_secs(),
+                    );
                     tracing::info!(
                         event = "standing.read", %file, clients, customers, age,
                         "standing: {file}: {clients} clients and {customers} customers, written {age} s ago"
@@ -45,23 +55,32 @@
                 }
             }
         }
-        Keeper { settings, writer: Writer::new("standing", "standing.write") }
+        Keeper {
+            settings,
+            writer: Writer::new("standing", "standing.write"),
+        }
     }
 
     /// Other settings hold from now on.
-    pub fn set(&mut self, settings: Standing) {
+    pub(super) fn set(&mut self, settings: Standing) {
         self.settings = settings;
     }
 
     /// Sets when the file is written next; never if nothing is kept.
-    pub fn arm(&self, due: &mut Option<Duration>, io: &mut Io) {
-        let at = self.settings.file.as_ref().map(|_| io.now + self.settings.every);
+    pub(super) fn arm(&self, due: &mut Option<Duration>, io: &mut Io) {
+        let at = self
+            .settings
+            .file
+            .as_ref()
+            .map(|_| io.now + self.settings.every);
         io.deadlines.set(due, at, Party::Standing);
     }
 
     /// Writes the file, unless the last writing still goes on.
-    pub fn write(&mut self, gate: &Gate, now: Duration) {
-        let Some(path) = self.settings.file.clone() else { return };
+    pub(super) fn write(&mut self, gate: &Gate, now: Duration) {
+        let Some(path) = self.settings.file.clone() else {
+            return;
+        };
         if self.writer.is_busy() {
             return;
         }
@@ -70,10 +89,13 @@
     }
 
     /// Writes the file for the last time.
-    pub fn finish(&mut self, gate: &Gate, now: Duration) {
+    pub(super) fn finish(&mut self, gate: &Gate, now: Duration) {
         self.writer.wait();
         if let Some(path) = &self.settings.file {
-            self.writer.write(path, &gate.snapshot(self.settings.most, now).encode(unix_ms()));
+            self.writer.write(
+                path,
+                &gate.snapshot(self.settings.most, now).encode(unix_ms()),
+            );
         }
     }
 }
--- a/ingress/src/program/status.rs
+++ b/crates/ingress/src/program/status.rs
@@ -1,4 +1,4 @@
-//! `roseyard status`: what an ingress wrote of the others, and showing it.
+//! `roseyard-ingress status`: what an ingress wrote of the others, and showing it.
 
 use super::files::{unix_ms, Writer};
 use crate::routing::members::{Members, Status};
@@ -18,7 +18,10 @@
 impl Keeper {
     /// A keeper of this file.
     pub fn new(path: &Path) -> Keeper {
-        Keeper { path: path.to_owned(), writer: Writer::new("status", "status.write") }
+        Keeper {
+            path: path.to_owned(),
+            writer: Writer::new("status", "status.write"),
+        }
     }
 
     /// Writes what is known now, unless the last writing still goes on.
@@ -43,33 +46,59 @@
         return Ok(text);
     }
     let mut bytes = text.into_bytes();
-    let status: Status = simd_json::from_slice(&mut bytes).map_err(|e| named(&format!("no status: {e}")))?;
+    let status: Status =
+        simd_json::from_slice(&mut bytes).map_err(|e| named(&format!("no status: {e}")))?;
     Ok(table(&status, unix_ms()))
 }
 
 fn table(status: &Status, now: u64) -> String {
-    let Status { name, address, health, seen, expected, .. } = status;
+    let Status {
+        name,
+        address,
+        health,
+        seen,
+        expected,
+        ..
+    } = status;
     let age = now.saturating_sub(status.written) as f64 / 1000.0;
-    let side = if status.quorum { "a majority" } else { "no majority" };
+    let side = if status.quorum {
+        "a majority"
+    } else {
+        "no majority"
+    };
     let mut out = format!(
         "{name} on {address}, written {age:.1} s ago: {seen} of {expected} answer ({side}), local health {health}\n"
     );
     if let Some(by) = &status.held {
         out += &format!("refused: its name is held by a process at {by}\n");
     }
-    let mut rows =
-        vec![["member", "standing", "heard", "address", "zone", "stage", "life"].map(String::from)];
+    let mut rows = vec![[
+        "member", "standing", "heard", "address", "zone", "stage", "life",
+    ]
+    .map(String::from)];
     for m in &status.members {
         let heard = format!("{:.1} s", m.age as f64 / 1000.0);
         let life = format!("{}.{}", m.life.0, m.life.1);
         let (address, zone, stage) = (m.address.clone(), m.zone.clone(), m.stage.clone());
-        rows.push([m.name.clone(), m.standing.clone(), heard, address, zone, stage, life]);
+        rows.push([
+            m.name.clone(),
+            m.standing.clone(),
+            heard,
+            address,
+            zone,
+            stage,
+            life,
+        ]);
     }
-    let wide: Vec<usize> =
-        (0..7).map(|c| rows.iter().map(|r| r[c].chars().count()).max().unwrap_or(0)).collect();
+    let wide: Vec<usize> = (0..7)
+        .map(|c| rows.iter().map(|r| r[c].chars().count()).max().unwrap_or(0))
+        .collect();
     for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&wide).map(|(cell, w)| format!("{cell:w$}", w = *w)).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&wide)
+            .map(|(cell, w)| format!("{cell:w$}", w = *w))
+            .collect();
         out += cells.join("  ").trim_end();
         out.push('\n');
     }
--- a/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -1,7 +1,7 @@
 //! The platform's requests: `API.READ` and `API.WRITE`.
 
 use super::resp::{decimal, put_array, put_bulk, put_bulk_of};
-use roseyard_engine::MOST_NAME_BYTES;
+use roseyard_request_engine::MOST_NAME_BYTES;
 
 /// A request as a client words it; every field is there and can be read.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,8 +51,8 @@
     u64::from_str_radix(std::str::from_utf8(word).ok().filter(|_| good)?, 16).ok()
 }
 
-/// A plain decimal number. Guards against signs, exponents, `nan` and `inf`, which the standard parser takes
-/// and which would reach the count of a customer.
+/// A plain decimal number. Guards against signs, exponents, `nan` and `inf`, which the standard
+/// parser takes and which would reach the count of a customer.
 fn decimal_number(text: &str) -> Option<f64> {
     let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |t: &str| (1..=12).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_digit());
@@ -68,12 +68,15 @@
     Ok(())
 }
 
-/// Reads a request's words; `route_field` is the name whose value is the request's route, as it stands.
+/// Reads a request's words; `route_field` is the name whose value is the request's route, as it
+/// stands.
 pub fn request<'a>(words: &[&'a [u8]], route_field: Option<&str>) -> Result<Request<'a>, Wrong> {
     let (4 | 5, [_, customer, id, list, ..]) = (words.len(), words) else {
         return Err("wrong number of arguments");
     };
-    let customer = hex(customer).filter(|c| *c < 1 << 33).ok_or("invalid customer")?;
+    let customer = hex(customer)
+        .filter(|c| *c < 1 << 33)
+        .ok_or("invalid customer")?;
     let id = hex(id).ok_or("invalid request id")?;
     let list = std::str::from_utf8(list).map_err(|_| "invalid list of names and values")?;
     let (mut class, mut plan, mut wait, mut units) = (None, None, None, None);
@@ -82,7 +85,12 @@
     let mut at = 0;
     for item in list.split(',') {
         let (name, value) = item.split_once('=').ok_or("expected name=value")?;
-        let whole = || value.parse::<u32>().ok().filter(|_| value.bytes().all(|b| b.is_ascii_digit()));
+        let whole = || {
+            value
+                .parse::<u32>()
+                .ok()
+                .filter(|_| value.bytes().all(|b| b.is_ascii_digit()))
+        };
         if route_field == Some(name) {
             let bounded = (1..=MOST_NAME_BYTES).contains(&value.len());
             put(&mut route, Some(value).filter(|_| bounded), "invalid route")?;
@@ -92,7 +100,11 @@
             "t" => put(&mut plan, Some(value), "invalid t")?,
             "d" => {
                 let place = (at + 2, at + item.len());
-                put(&mut wait, decimal_number(value).map(|ms| (ms, place)), "invalid d")?;
+                put(
+                    &mut wait,
+                    decimal_number(value).map(|ms| (ms, place)),
+                    "invalid d",
+                )?;
             }
             "units" => put(&mut units, decimal_number(value), "invalid units")?,
             "spread" => put(&mut spread, whole(), "invalid spread")?,
@@ -139,7 +151,12 @@
             *end = bytes.len() as u32;
         }
         let count = words.len().min(ends.len());
-        Held { bytes: bytes.into_boxed_slice(), ends, count, deadline: request.deadline }
+        Held {
+            bytes: bytes.into_boxed_slice(),
+            ends,
+            count,
+            deadline: request.deadline,
+        }
     }
 
     /// Bytes held.
@@ -161,7 +178,10 @@
             start = *end as usize;
             if n == 3 {
                 let (from, to) = self.deadline;
-                put_bulk_of(out, &[&word[..from], decimal(wait_ms, &mut [0; 20]), &word[to..]]);
+                put_bulk_of(
+                    out,
+                    &[&word[..from], decimal(wait_ms, &mut [0; 20]), &word[to..]],
+                );
             } else {
                 put_bulk(out, word);
             }
--- a/ingress/src/protocol/mod.rs
+++ b/crates/ingress/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Incremental parsers and encoders, pure on bytes: each takes what has come so far and says what it holds, or
-//! that more is needed, or that it is malformed.
+//! Incremental parsers and encoders, pure on bytes: each takes what has come so far and says what
+//! it holds, or that more is needed, or that it is malformed.
 
 pub mod command;
 pub mod http;
--- a/ingress/src/protocol/resp.rs
+++ b/crates/ingress/src/protocol/resp.rs
@@ -23,7 +23,9 @@
     let rest = &input[at..];
     let head = &rest[..rest.len().min(most + 2)];
     match head.iter().position(|b| *b == b'\n') {
-        Some(end) if end > 0 && rest[end - 1] == b'\r' => Ok(Some((&rest[..end - 1], at + end + 1))),
+        Some(end) if end > 0 && rest[end - 1] == b'\r' => {
+            Ok(Some((&rest[..end - 1], at + end + 1)))
+        }
         Some(_) => Err(Malformed("line without CR")),
         None if rest.len() > most => Err(Malformed("line too long")),
         None => Ok(None),
@@ -37,12 +39,17 @@
     }
     let good = !digits.is_empty() && digits.len() <= 9 && digits.iter().all(u8::is_ascii_digit);
     let number = || std::str::from_utf8(digits).ok()?.parse().ok();
-    good.then(number).flatten().map(Some).ok_or(Malformed("invalid length"))
+    good.then(number)
+        .flatten()
+        .map(Some)
+        .ok_or(Malformed("invalid length"))
 }
 
 /// The bulk string of this length that begins at `at`.
 fn bulk(input: &[u8], at: usize, len: usize) -> Parsed<&[u8]> {
-    let Some(found) = input.get(at..at + len + 2) else { return Ok(None) };
+    let Some(found) = input.get(at..at + len + 2) else {
+        return Ok(None);
+    };
     if &found[len..] != b"\r\n" {
         return Err(Malformed("bulk string without its end"));
     }
@@ -74,7 +81,9 @@
         Some(b'*') => {}
         Some(_) => return Err(Malformed("expected '*'")),
     }
-    let Some((head, mut at)) = line(input, 0, 32)? else { return Ok(None) };
+    let Some((head, mut at)) = line(input, 0, 32)? else {
+        return Ok(None);
+    };
     let count = length(&head[1..])?.unwrap_or(0);
     if count > limits.words {
         return Err(Malformed("too many words"));
@@ -85,12 +94,16 @@
             Some(b'$') => {}
             Some(_) => return Err(Malformed("expected '$'")),
         }
-        let Some((head, next)) = line(input, at, 32)? else { return Ok(None) };
+        let Some((head, next)) = line(input, at, 32)? else {
+            return Ok(None);
+        };
         let len = length(&head[1..])?.ok_or(Malformed("null in a command"))?;
         if len > limits.value_bytes {
             return Err(Malformed("value too long"));
         }
-        let Some((word, next)) = bulk(input, next, len)? else { return Ok(None) };
+        let Some((word, next)) = bulk(input, next, len)? else {
+            return Ok(None);
+        };
         if let Some(place) = words.kept.get_mut(words.count) {
             *place = word;
         }
@@ -106,12 +119,20 @@
 }
 
 fn nested<'a>(input: &'a [u8], at: usize, limits: &Limits, depth: usize) -> Parsed<Value<'a>> {
-    let Some(kind) = input.get(at) else { return Ok(None) };
+    let Some(kind) = input.get(at) else {
+        return Ok(None);
+    };
     if !b"+-:$*".contains(kind) {
         return Err(Malformed("unknown kind of value"));
     }
-    let most = if matches!(kind, b'+' | b'-') { limits.line_bytes } else { 32 };
-    let Some((head, mut at)) = line(input, at, most)? else { return Ok(None) };
+    let most = if matches!(kind, b'+' | b'-') {
+        limits.line_bytes
+    } else {
+        32
+    };
+    let Some((head, mut at)) = line(input, at, most)? else {
+        return Ok(None);
+    };
     let text = &head[1..];
     let found = match kind {
         b'+' => Value::Simple(text),
@@ -124,7 +145,9 @@
             None => Value::Bulk(None),
             Some(len) if len > limits.value_bytes => return Err(Malformed("value too long")),
             Some(len) => {
-                let Some((word, next)) = bulk(input, at, len)? else { return Ok(None) };
+                let Some((word, next)) = bulk(input, at, len)? else {
+                    return Ok(None);
+                };
                 at = next;
                 Value::Bulk(Some(word))
             }
@@ -136,7 +159,9 @@
             Some(count) => {
                 let mut values = Vec::with_capacity(count);
                 for _ in 0..count {
-                    let Some((value, next)) = nested(input, at, limits, depth - 1)? else { return Ok(None) };
+                    let Some((value, next)) = nested(input, at, limits, depth - 1)? else {
+                        return Ok(None);
+                    };
                     values.push(value);
                     at = next;
                 }
--- a/ingress/src/routing/attempts.rs
+++ b/crates/ingress/src/routing/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts and probes on connections to servers: one at a time on each, as servers answer in order and
-//! abandoning an attempt costs its connection.
+//! Attempts and probes on connections to servers: one at a time on each, as servers answer in order
+//! and abandoning an attempt costs its connection.
 
 use super::core::Core;
 use super::{Io, Party};
@@ -7,9 +7,9 @@
 use crate::protocol::report::{report, true_units};
 use crate::protocol::resp::{self, Value};
 use crate::transport::{connect, is_fd_shortage, Fill, Key, Ready, Stream};
-use roseyard::*;
 use roseyard_admission::Use;
-use roseyard_engine::{End, Rested};
+use roseyard_decision::*;
+use roseyard_request_engine::{End, Rested};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -67,12 +67,21 @@
 
 impl Meaning {
     fn of(outcome: Outcome) -> Meaning {
-        Meaning { outcome, value: None, true_units: None, load: None, spoilt: false }
+        Meaning {
+            outcome,
+            value: None,
+            true_units: None,
+            load: None,
+            spoilt: false,
+        }
     }
 
     /// It may have run, and what came cannot be passed on.
     fn spoilt() -> Meaning {
-        Meaning { spoilt: true, ..Meaning::of(Outcome::Error) }
+        Meaning {
+            spoilt: true,
+            ..Meaning::of(Outcome::Error)
+        }
     }
 
     /// An error line: words that can be read, of the two kinds that servers know.
@@ -85,22 +94,36 @@
             // `-SYNTAX` and the like: said of what we wrote, and the server closes.
             _ => return Meaning::spoilt(),
         };
-        Meaning { load: text.rsplit(|b| *b == b' ').next().and_then(report), ..Meaning::of(outcome) }
+        Meaning {
+            load: text.rsplit(|b| *b == b' ').next().and_then(report),
+            ..Meaning::of(outcome)
+        }
     }
 
-    /// Served is an array of the value, the figures on use and the load report, and nothing else: guards
-    /// against passing noise that happens to be a bulk string on as a value. Figures and report that cannot be
-    /// read are passed over.
+    /// Served is an array of the value, the figures on use and the load report, and nothing else:
+    /// guards against passing noise that happens to be a bulk string on as a value. Figures and
+    /// report that cannot be read are passed over.
     fn of_attempt(value: &Value, limits: &Limits) -> Meaning {
         match value {
             Value::Array(Some(items)) => match items.as_slice() {
                 [Value::Bulk(Some(text)), figures, load] => {
-                    let load = if let Value::Bulk(Some(load)) = load { report(load) } else { None };
+                    let load = if let Value::Bulk(Some(load)) = load {
+                        report(load)
+                    } else {
+                        None
+                    };
                     let true_units = match figures {
-                        Value::Bulk(Some(figures)) if limits.post_paid => true_units(figures, limits.units),
+                        Value::Bulk(Some(figures)) if limits.post_paid => {
+                            true_units(figures, limits.units)
+                        }
                         _ => None,
                     };
-                    Meaning { value: Some(text.to_vec()), true_units, load, ..Meaning::of(Outcome::Ok) }
+                    Meaning {
+                        value: Some(text.to_vec()),
+                        true_units,
+                        load,
+                        ..Meaning::of(Outcome::Ok)
+                    }
                 }
                 _ => Meaning::spoilt(),
             },
@@ -111,7 +134,10 @@
 
     fn of_probe(value: &Value) -> Meaning {
         match value {
-            Value::Bulk(Some(text)) => Meaning { load: report(text), ..Meaning::of(Outcome::Ok) },
+            Value::Bulk(Some(text)) => Meaning {
+                load: report(text),
+                ..Meaning::of(Outcome::Ok)
+            },
             Value::Simple(_) => Meaning::of(Outcome::Ok),
             Value::Error(text) => Meaning::error(text),
             _ => Meaning::spoilt(),
@@ -128,19 +154,29 @@
         give_up: Duration,
         io: &mut Io,
     ) {
-        let job = Job { task: Task::Attempt(request, attempt), begun: io.now, give_up };
+        let job = Job {
+            task: Task::Attempt(request, attempt),
+            begun: io.now,
+            give_up,
+        };
         self.start(server, job, io);
     }
 
     pub(super) fn probe(&mut self, server: ServerId, io: &mut Io) {
-        let job = Job { task: Task::Probe, begun: io.now, give_up: io.now + io.limits.probe };
+        let job = Job {
+            task: Task::Probe,
+            begun: io.now,
+            give_up: io.now + io.limits.probe,
+        };
         self.start(server, job, io);
     }
 
     /// May this job's first byte be written now?
     fn timely(&self, server: ServerId, job: &Job, now: Duration) -> bool {
         match job.task {
-            Task::Attempt(request, attempt) => self.life.may_write(request, attempt, job.give_up, now),
+            Task::Attempt(request, attempt) => {
+                self.life.may_write(request, attempt, job.give_up, now)
+            }
             Task::Probe => self.life.takes_work(server) && now < job.give_up,
         }
     }
@@ -179,7 +215,11 @@
         if let Some(link) = self.links.get_mut(key) {
             let at = (io.now + io.limits.connect).min(job.give_up);
             io.deadlines.set(&mut link.due, Some(at), Party::Link(key));
-            if io.poller.add(link.stream.fd(), Party::Link(key).token()).is_err() {
+            if io
+                .poller
+                .add(link.stream.fd(), Party::Link(key).token())
+                .is_err()
+            {
                 self.break_link(key, Outcome::ConnectFailed, io);
                 return;
             }
@@ -187,8 +227,8 @@
         self.occupy(job, Some(key));
     }
 
-    /// Begins a connection to a server or to discovery. Guards against running out of descriptors: an
-    /// idle connection to a server makes room, or the spare one.
+    /// Begins a connection to a server or to discovery. Guards against running out of descriptors:
+    /// an idle connection to a server makes room, or the spare one.
     pub(super) fn connect(&mut self, to: &SocketAddr, io: &mut Io) -> rustix::io::Result<Stream> {
         match connect(to, io.limits.chunk_bytes) {
             Err(e) if is_fd_shortage(e) => {
@@ -199,19 +239,27 @@
         }
     }
 
-    /// Takes a connection out of a server's pool: the latest used that has rested, unless it is likely to be dead
-    /// by now. Guards against a second answer, noise or an end that follows an answer: read as the next answer it
-    /// would be another's value, and a request written before an end was seen may have run.
+    /// Takes a connection out of a server's pool: the latest used that has rested, unless it is
+    /// likely to be dead by now. Guards against a second answer, noise or an end that follows an
+    /// answer: read as the next answer it would be another's value, and a request written before an
+    /// end was seen may have run.
     fn rested(&mut self, server: ServerId, repeatable: bool, io: &mut Io) -> Option<Key> {
         loop {
             let pool = &self.pools.get(&server)?.idle;
-            let rested = |k: &Key| self.links.get(*k).is_some_and(|l| l.used + io.limits.link_rest <= io.now);
+            let rested = |k: &Key| {
+                self.links
+                    .get(*k)
+                    .is_some_and(|l| l.used + io.limits.link_rest <= io.now)
+            };
             let at = pool.iter().rposition(rested)?;
             let key = pool[at];
             let link = self.links.get(key)?;
             let rest = io.now.saturating_sub(link.used);
-            let choice =
-                if link.stream.quiet() { self.rests.choose(rest, repeatable, io.now) } else { Rested::Close };
+            let choice = if link.stream.quiet() {
+                self.rests.choose(rest, repeatable, io.now)
+            } else {
+                Rested::Close
+            };
             match choice {
                 Rested::Use => {
                     self.pools.get_mut(&server)?.idle.remove(at);
@@ -230,7 +278,9 @@
 
     /// Closes the idle connection that was used longest ago.
     pub(super) fn evict_idle(&mut self, io: &mut Io) -> bool {
-        let Some((_, key)) = self.idle.first().copied() else { return false };
+        let Some((_, key)) = self.idle.first().copied() else {
+            return false;
+        };
         self.close_link(key, io);
         true
     }
@@ -243,19 +293,27 @@
 
     /// Writes a job on a connection that is up and free.
     fn write(&mut self, key: Key, job: Job, io: &mut Io) {
-        let Some(link) = self.links.get_mut(key) else { return };
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
         self.idle.remove(&(link.used, key));
         link.rest = matches!(link.state, State::Idle).then(|| io.now.saturating_sub(link.used));
         link.state = State::Busy(job);
         link.used = io.now;
-        io.deadlines.set(&mut link.due, Some(job.give_up), Party::Link(key));
+        io.deadlines
+            .set(&mut link.due, Some(job.give_up), Party::Link(key));
         match job.task {
             Task::Attempt(request, _) => {
-                let Some(command) = self.life.command(request) else { return };
+                let Some(command) = self.life.command(request) else {
+                    return;
+                };
                 let wait = (job.give_up - io.now).as_secs_f64() * 1000.0;
                 command.put(wait.round().max(1.0) as u64, link.stream.output());
             }
-            Task::Probe => link.stream.output().extend_from_slice(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"),
+            Task::Probe => link
+                .stream
+                .output()
+                .extend_from_slice(b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"),
         }
         let failed = link.stream.flush().is_err();
         self.occupy(job, Some(key));
@@ -266,17 +324,29 @@
 
     /// A connection has broken or ended: the request may have run if its last byte was written.
     fn broken(&mut self, key: Key, io: &mut Io) {
-        let Some(link) = self.links.get(key) else { return };
+        let Some(link) = self.links.get(key) else {
+            return;
+        };
         let sent = matches!(link.state, State::Busy(_)) && link.stream.unwritten() == 0;
         if sent {
             self.rests.told(link.rest, true, io.now);
         }
-        self.break_link(key, if sent { Outcome::Reset } else { Outcome::ConnectFailed }, io);
+        self.break_link(
+            key,
+            if sent {
+                Outcome::Reset
+            } else {
+                Outcome::ConnectFailed
+            },
+            io,
+        );
     }
 
     /// Closes a connection and ends what is out on it.
     fn break_link(&mut self, key: Key, outcome: Outcome, io: &mut Io) {
-        let Some(link) = self.links.get(key) else { return };
+        let Some(link) = self.links.get(key) else {
+            return;
+        };
         let (server, job) = (link.server, link.state.job());
         self.close_link(key, io);
         if let Some(job) = job {
@@ -285,7 +355,9 @@
     }
 
     pub(super) fn close_link(&mut self, key: Key, io: &mut Io) {
-        let Some(mut link) = self.links.remove(key) else { return };
+        let Some(mut link) = self.links.remove(key) else {
+            return;
+        };
         io.budget.give(Use::Links);
         self.idle.remove(&(link.used, key));
         io.deadlines.set(&mut link.due, None, Party::Link(key));
@@ -303,30 +375,51 @@
 
     /// Stops waiting on an attempt: its connection goes with it.
     pub(super) fn cancel(&mut self, request: Key, attempt: u16, io: &mut Io) {
-        let Some(key) = self.life.carrier(request) else { return };
-        let Some(link) = self.links.get(key) else { return };
-        if link.state.job().is_some_and(|j| j.task == Task::Attempt(request, attempt)) {
+        let Some(key) = self.life.carrier(request) else {
+            return;
+        };
+        let Some(link) = self.links.get(key) else {
+            return;
+        };
+        if link
+            .state
+            .job()
+            .is_some_and(|j| j.task == Task::Attempt(request, attempt))
+        {
             // A server begins a request when its last byte has come.
             let written = matches!(link.state, State::Busy(_)) && link.stream.unwritten() == 0;
-            self.break_link(key, if written { Outcome::Cancelled } else { Outcome::Moot }, io);
+            self.break_link(
+                key,
+                if written {
+                    Outcome::Cancelled
+                } else {
+                    Outcome::Moot
+                },
+                io,
+            );
         }
     }
 
     /// A connection to a server is ready.
     pub fn on_link(&mut self, key: Key, ready: Ready, io: &mut Io) {
-        let Some(link) = self.links.get_mut(key) else { return };
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
         if let State::Connecting(job) = link.state {
             if !ready.writable {
                 return;
             }
-            // Guards against what a server says unasked, and an end, before the first request: read behind the request,
-            // as readiness is told once, it would be taken for its answer.
+            // Guards against what a server says unasked, and an end, before the first request: read
+            // behind the request, as readiness is told once, it would be taken for its answer.
             if link.stream.connected().is_err() || !link.stream.quiet() {
                 return self.break_link(key, Outcome::ConnectFailed, io);
             }
             let server = link.server;
             // Guards against a request to a server's old address after it has moved.
-            let moved = self.life.address(server).is_some_and(|at| at != link.address);
+            let moved = self
+                .life
+                .address(server)
+                .is_some_and(|at| at != link.address);
             if moved || !self.timely(server, &job, io.now) {
                 self.rest(key, io);
                 return self.ended(job, server, End::of(Outcome::Moot), io.now);
@@ -353,13 +446,16 @@
     }
 
     fn on_answer(&mut self, key: Key, io: &mut Io) {
-        let Some(link) = self.links.get_mut(key) else { return };
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
         let State::Busy(job) = link.state else {
             // An answer that nobody asked for: what follows could not be told apart.
             return self.close_link(key, io);
         };
         if link.stream.unwritten() > 0 {
-            // Guards against what is no answer to this request: a server begins one when its last byte has come.
+            // Guards against what is no answer to this request: a server begins one when its last
+            // byte has come.
             return self.break_link(key, Outcome::ConnectFailed, io);
         }
         let (value, used) = match resp::value(link.stream.input(), &io.limits) {
@@ -381,7 +477,13 @@
                 return self.break_link(key, Outcome::Error, io);
             }
         };
-        let Meaning { outcome, value: served, true_units, load, spoilt } = match job.task {
+        let Meaning {
+            outcome,
+            value: served,
+            true_units,
+            load,
+            spoilt,
+        } = match job.task {
             Task::Attempt(..) => Meaning::of_attempt(&value, &io.limits),
             Task::Probe => Meaning::of_probe(&value),
         };
@@ -406,33 +508,56 @@
         self.rests.told(link.rest, false, io.now);
         // Whole and alone, or the connection is of no further use.
         let clean = !spoilt && link.stream.input().is_empty();
-        // Guards against a request that runs twice: a refusal with more behind it may be another request's.
-        let outcome = if outcome == Outcome::Full && !clean { Outcome::Error } else { outcome };
+        // Guards against a request that runs twice: a refusal with more behind it may be another
+        // request's.
+        let outcome = if outcome == Outcome::Full && !clean {
+            Outcome::Error
+        } else {
+            outcome
+        };
         if clean {
             self.rest(key, io);
         } else {
             self.close_link(key, io);
         }
-        self.ended(job, server, End { outcome, value: served, true_units, load }, io.now);
+        self.ended(
+            job,
+            server,
+            End {
+                outcome,
+                value: served,
+                true_units,
+                load,
+            },
+            io.now,
+        );
     }
 
     /// Puts a connection that is up and free into its server's pool.
     fn rest(&mut self, key: Key, io: &mut Io) {
-        let Some(link) = self.links.get_mut(key) else { return };
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
         let server = link.server;
         if !self.life.takes_work(server) || self.life.address(server) != Some(link.address) {
             return self.close_link(key, io);
         }
         (link.state, link.used) = (State::Idle, io.now);
         link.stream.trim(8 * io.limits.chunk_bytes);
-        io.deadlines.set(&mut link.due, Some(io.now + io.limits.link_idle), Party::Link(key));
+        io.deadlines.set(
+            &mut link.due,
+            Some(io.now + io.limits.link_idle),
+            Party::Link(key),
+        );
         self.pools.entry(server).or_default().idle.push(key);
         self.idle.insert((io.now, key));
     }
 
     /// A connection's deadline has come: not up, no answer, or idle for long.
     pub fn on_link_due(&mut self, key: Key, io: &mut Io) {
-        let Some(link) = self.links.get_mut(key) else { return };
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
         link.due = None;
         let (server, unwritten) = (link.server, link.stream.unwritten());
         match link.state {
@@ -452,10 +577,13 @@
             }
             State::Busy(job) => {
                 self.break_link(key, Outcome::Timeout, io);
-                // Guards against a machine that vanished: its idle connections are silent too, and a request
-                // written there may have run, while a new connection tells at once that it never did.
+                // Guards against a machine that vanished: its idle connections are silent too, and
+                // a request written there may have run, while a new connection tells at once that
+                // it never did.
                 let silent = self.pools.get_mut(&server).filter(|p| p.heard < job.begun);
-                let idle = silent.map(|p| std::mem::take(&mut p.idle)).unwrap_or_default();
+                let idle = silent
+                    .map(|p| std::mem::take(&mut p.idle))
+                    .unwrap_or_default();
                 for key in idle {
                     self.close_link(key, io);
                 }
--- a/ingress/src/routing/client.rs
+++ b/crates/ingress/src/routing/client.rs
@@ -33,8 +33,8 @@
     /// Bytes of the answers that wait behind others.
     pub waiting: usize,
     pub phase: Phase,
-    /// An end was told of: only then is there more to see behind a short read. The client has left: what it asked
-    /// and what it still says is of no more use.
+    /// An end was told of: only then is there more to see behind a short read. The client has left:
+    /// what it asked and what it still says is of no more use.
     pub hup: bool,
     /// Reading stopped short until answers have gone out.
     pub blocked: bool,
@@ -46,7 +46,8 @@
     pub used: Duration,
     /// Since when a command has been waiting for its rest.
     pub begun: Option<Duration>,
-    /// Until when answers must have been taken in, and how many bytes were unwritten when that was set.
+    /// Until when answers must have been taken in, and how many bytes were unwritten when that was
+    /// set.
     pub stall: Option<(Duration, usize)>,
     /// Until when the other side's end is awaited, and what was thrown away since.
     pub linger: Duration,
@@ -59,7 +60,7 @@
 
 impl Client {
     /// A connection that has just been accepted.
-    pub fn new(stream: Stream, now: Duration) -> Client {
+    pub(super) fn new(stream: Stream, now: Duration) -> Client {
         Client {
             stream,
             pending: VecDeque::new(),
@@ -81,9 +82,13 @@
     }
 
     /// Puts an answer in its place; those in front go out. Hands back the request's own number.
-    pub fn settle(&mut self, number: u64, bytes: Vec<u8>) -> Option<u64> {
-        let place = self.pending.get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?;
-        let Pending::Waiting(_, id) = *place else { return None };
+    pub(super) fn settle(&mut self, number: u64, bytes: Vec<u8>) -> Option<u64> {
+        let place = self
+            .pending
+            .get_mut(usize::try_from(number.checked_sub(self.first)?).ok()?)?;
+        let Pending::Waiting(_, id) = *place else {
+            return None;
+        };
         self.waiting += bytes.len();
         *place = Pending::Done(bytes);
         while let Some(Pending::Done(bytes)) = self.pending.front() {
@@ -96,7 +101,7 @@
     }
 
     /// Answers a command at once, behind those that wait.
-    pub fn reply(&mut self, bytes: &[u8]) {
+    pub(super) fn reply(&mut self, bytes: &[u8]) {
         if self.pending.is_empty() {
             self.stream.output().extend_from_slice(bytes);
             self.first += 1;
@@ -107,25 +112,25 @@
     }
 
     /// Says what cannot be read on; nothing that follows can be told apart.
-    pub fn protocol_error(&mut self, what: &str) {
+    pub(super) fn protocol_error(&mut self, what: &str) {
         self.reply(format!("-ERR Protocol error: {what}\r\n").as_bytes());
         self.phase = Phase::Ending;
     }
 
     /// Is it between requests?
-    pub fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.stream.unwritten() == 0
     }
 
-    /// Between requests while the process ends. Guards against a newcomer whose first request is on its way when
-    /// its connection ends.
-    pub fn is_over(&self, now: Duration, limits: &Limits) -> bool {
+    /// Between requests while the process ends. Guards against a newcomer whose first request is on
+    /// its way when its connection ends.
+    pub(super) fn is_over(&self, now: Duration, limits: &Limits) -> bool {
         let heard = self.first > 0 || now >= self.used + limits.drain_newcomer;
         self.phase == Phase::Open && self.is_idle() && self.stream.input().is_empty() && heard
     }
 
     /// The next time at which it must have moved on.
-    pub fn next_due(&self, patience: Duration, limits: &Limits) -> Option<Duration> {
+    pub(super) fn next_due(&self, patience: Duration, limits: &Limits) -> Option<Duration> {
         if self.phase == Phase::Lingering {
             return Some(self.linger);
         }
--- a/ingress/src/routing/commands.rs
+++ b/crates/ingress/src/routing/commands.rs
@@ -4,9 +4,9 @@
 use crate::limits::Limits;
 use crate::protocol::command::{self, Held};
 use crate::transport::Key;
-use roseyard::{Class, CustomerId, Effect, Settings};
-use roseyard_engine::Directory;
-use roseyard_settings::Options;
+use roseyard_decision::{Class, CustomerId, Effect, Settings};
+use roseyard_platform_config::Options;
+use roseyard_request_engine::Directory;
 use std::time::Duration;
 
 /// What a request may name, by the index that the module knows it by, and its figures.
@@ -19,7 +19,8 @@
     pub ingresses: u32,
     /// Most units of a request.
     pub units: f64,
-    /// The name in a request's list of names and values that carries its route; none: requests have no route.
+    /// The name in a request's list of names and values that carries its route; none: requests have
+    /// no route.
     pub route_field: Option<String>,
 }
 
@@ -35,15 +36,29 @@
 
 impl Terms {
     /// The terms of these settings.
-    pub fn new(options: &Options, settings: &Settings, limits: &Limits, route_field: Option<&str>) -> Terms {
+    pub fn new(
+        options: &Options,
+        settings: &Settings,
+        limits: &Limits,
+        route_field: Option<&str>,
+    ) -> Terms {
         let class = |(name, class): (&str, &Class)| ClassTerms {
             name: name.to_owned(),
             safe: class.effect == Effect::Safe,
             keyed: matches!(class.effect, Effect::Keyed { .. }),
         };
         Terms {
-            classes: options.class_names().into_iter().zip(&settings.classes).map(class).collect(),
-            plans: options.plan_names().into_iter().map(str::to_owned).collect(),
+            classes: options
+                .class_names()
+                .into_iter()
+                .zip(&settings.classes)
+                .map(class)
+                .collect(),
+            plans: options
+                .plan_names()
+                .into_iter()
+                .map(str::to_owned)
+                .collect(),
             ingresses: settings.gateways.max(1),
             units: limits.units,
             route_field: route_field.map(str::to_owned),
@@ -71,7 +86,9 @@
     directory: &Directory,
     ready: bool,
 ) -> Command {
-    let Some(name) = words.first() else { return Command::Wrong("empty command") };
+    let Some(name) = words.first() else {
+        return Command::Wrong("empty command");
+    };
     if command::is_request(name) {
         return match request(words, owner, terms, directory) {
             Ok((ask, id)) => Command::Request(ask, id),
@@ -80,7 +97,11 @@
     }
     let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
     if is("PING") {
-        Command::Reply(if ready { "+PONG\r\n" } else { "-LOADING waiting for discovery\r\n" })
+        Command::Reply(if ready {
+            "+PONG\r\n"
+        } else {
+            "-LOADING waiting for discovery\r\n"
+        })
     } else if is("QUIT") {
         Command::Quit
     } else if is("CLIENT") || is("SELECT") {
@@ -90,8 +111,8 @@
     }
 }
 
-/// Holds a request against what the settings know. Guards against figures that would spoil a usual customer's
-/// count, and against passing on what no server takes.
+/// Holds a request against what the settings know. Guards against figures that would spoil a usual
+/// customer's count, and against passing on what no server takes.
 fn request(
     words: &[&[u8]],
     owner: (Key, u64),
@@ -99,8 +120,16 @@
     directory: &Directory,
 ) -> Result<(Ask, u64), &'static str> {
     let r = command::request(words, terms.route_field.as_deref())?;
-    let class = terms.classes.iter().position(|c| c.name == r.class).ok_or("unknown class")?;
-    let plan = terms.plans.iter().position(|p| p == r.plan).ok_or("unknown plan")?;
+    let class = terms
+        .classes
+        .iter()
+        .position(|c| c.name == r.class)
+        .ok_or("unknown class")?;
+    let plan = terms
+        .plans
+        .iter()
+        .position(|p| p == r.plan)
+        .ok_or("unknown plan")?;
     check_figures(words, &r, &terms.classes[class], terms)?;
     let service = match r.route {
         Some(route) => directory.service_of_route(route).ok_or("unknown route")?,
--- a/ingress/src/routing/core.rs
+++ b/crates/ingress/src/routing/core.rs
@@ -1,4 +1,5 @@
-//! Carries out what the engine hands over: its requests' attempts, its calls to the counter, its probes.
+//! Carries out what the engine hands over: its requests' attempts, its calls to the counter, its
+//! probes.
 
 use super::attempts::Link;
 use super::counter::Counter;
@@ -8,20 +9,20 @@
 use crate::protocol::command::Held;
 use crate::protocol::list::List;
 use crate::transport::{Key, Slots};
-use roseyard::*;
-use roseyard_engine::{Bounds, Directory, Engine, Output};
+use roseyard_decision::*;
+use roseyard_request_engine::{Bounds, Directory, Engine, Output};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Whom an answer is for: a client's connection, and the number of its command there.
-pub type Owner = (Key, u64);
+pub(super) type Owner = (Key, u64);
 /// The engine as the daemon uses it.
 pub type Life = Engine<Owner, Held, Vec<u8>>;
 /// A request as a front hands it over.
-pub type Ask = roseyard_engine::Ask<Owner, Held>;
+pub type Ask = roseyard_request_engine::Ask<Owner, Held>;
 /// A final answer.
-pub type Answer = roseyard_engine::Answer<Vec<u8>>;
+pub type Answer = roseyard_request_engine::Answer<Vec<u8>>;
 
 /// What the core is started with.
 pub struct Start {
@@ -56,8 +57,9 @@
     pub(super) links: Slots<Link>,
     pub(super) pools: HashMap<ServerId, Pool>,
     /// What has been learned of connections that rest.
-    pub(super) rests: roseyard_engine::Links,
-    /// Idle connections to servers by the time of their last use: what goes first is found without a scan.
+    pub(super) rests: roseyard_request_engine::Links,
+    /// Idle connections to servers by the time of their last use: what goes first is found without
+    /// a scan.
     pub(super) idle: BTreeSet<(Duration, Key)>,
     pub(super) counter: Option<Counter>,
     pub(super) watch: Watch,
@@ -70,24 +72,31 @@
     /// Starts with the list that this ingress last held.
     pub fn new(start: Start, known: &List, io: &mut Io) -> Result<Core, SettingsError> {
         let mut settings = start.settings;
-        // The settings' time-out is the simulator's, where a call that is late is never answered. On sockets the
-        // total comes however late, and a late one still tells what the others use: guards against throwing
-        // away the totals of a counter that is merely slow. How long a request waits is the module's choice.
+        // The settings' time-out is the simulator's, where a call that is late is never answered.
+        // On sockets the total comes however late, and a late one still tells what the others use:
+        // guards against throwing away the totals of a counter that is merely slow. How long a
+        // request waits is the module's choice.
         if let Some(counter) = &mut settings.counter {
             counter.timeout = counter.timeout.max(io.limits.counter_call);
         }
         let timeout = settings.counter.as_ref().map(|c| c.timeout);
-        let counter = start.counter.zip(timeout).map(|(at, timeout)| Counter::new(at, timeout, &io.limits));
+        let counter = start
+            .counter
+            .zip(timeout)
+            .map(|(at, timeout)| Counter::new(at, timeout, &io.limits));
         if counter.is_none() {
             settings.counter = None;
         }
-        let bounds = Bounds { requests: io.limits.requests, bytes: io.limits.held_bytes };
+        let bounds = Bounds {
+            requests: io.limits.requests,
+            bytes: io.limits.held_bytes,
+        };
         let mut core = Core {
             life: Engine::new(settings, start.seed, bounds)?,
             answers: Vec::new(),
             links: Slots::default(),
             pools: HashMap::new(),
-            rests: roseyard_engine::Links::default(),
+            rests: roseyard_request_engine::Links::default(),
             idle: BTreeSet::new(),
             counter,
             watch: Watch::new(start.discovery, start.seed),
@@ -126,7 +135,8 @@
         self.life.directory()
     }
 
-    /// Another directory is in force from now on. Requests that are out keep the service and server that they have.
+    /// Another directory is in force from now on. Requests that are out keep the service and server
+    /// that they have.
     pub fn set_directory(&mut self, directory: &Directory) {
         let changes = match self.life.set_directory(directory) {
             Ok(0) => return,
@@ -200,9 +210,15 @@
     }
 
     pub(super) fn take_list(&mut self, list: &List, io: &mut Io) {
-        let (stale, bad) = self.life.take_list(list, &self.zones, |ms| self.clock.from_unix_ms(ms));
+        let (stale, bad) = self
+            .life
+            .take_list(list, &self.zones, |ms| self.clock.from_unix_ms(ms));
         for server in stale {
-            let idle = self.pools.get_mut(&server).map(|p| std::mem::take(&mut p.idle)).unwrap_or_default();
+            let idle = self
+                .pools
+                .get_mut(&server)
+                .map(|p| std::mem::take(&mut p.idle))
+                .unwrap_or_default();
             for key in idle {
                 self.close_link(key, io);
             }
@@ -219,21 +235,37 @@
                 "discovery: {bad} entries of rev {rev} unreadable"
             );
         }
-        tracing::info!(event = "discovery.list", rev, ready, "discovery: rev {rev}, {ready} servers ready");
+        tracing::info!(
+            event = "discovery.list",
+            rev,
+            ready,
+            "discovery: rev {rev}, {ready} servers ready"
+        );
     }
 
     /// Carries out all that is to be done, until there is no more.
     pub fn run(&mut self, io: &mut Io) {
         while let Some(output) = self.life.poll(io.now) {
             match output {
-                Output::Send { request, attempt, server, give_up } => {
+                Output::Send {
+                    request,
+                    attempt,
+                    server,
+                    give_up,
+                } => {
                     self.send(request, attempt, server, give_up, io);
                 }
                 Output::Cancel { request, attempt } => self.cancel(request, attempt, io),
                 Output::Answer { owner, answer } => self.answers.push((owner, answer)),
-                Output::Count { name, add, lifetime } => match &mut self.counter {
+                Output::Count {
+                    name,
+                    add,
+                    lifetime,
+                } => match &mut self.counter {
                     Some(counter) => counter.call(name, add, lifetime, io, &mut self.life),
-                    None => self.life.counted(name, CountResult::NotAdded, Duration::ZERO),
+                    None => self
+                        .life
+                        .counted(name, CountResult::NotAdded, Duration::ZERO),
                 },
                 Output::Probe { server } => self.probe(server, io),
                 // The watch is always open or being opened.
@@ -242,7 +274,8 @@
             }
         }
         if self.life.due() != self.timer {
-            io.deadlines.set(&mut self.timer, self.life.due(), Party::Module);
+            io.deadlines
+                .set(&mut self.timer, self.life.due(), Party::Module);
         }
         if let Some(counter) = &mut self.counter {
             counter.flush(io, &mut self.life);
--- a/ingress/src/routing/counter.rs
+++ b/crates/ingress/src/routing/counter.rs
@@ -1,12 +1,12 @@
-//! Calls to the counter: pipelined on a few connections, each name always on the same one, so that its
-//! answers come in the order of the calls.
+//! Calls to the counter: pipelined on a few connections, each name always on the same one, so that
+//! its answers come in the order of the calls.
 
 use super::core::Life;
 use super::{Io, Party};
 use crate::limits::Limits;
 use crate::protocol::http;
 use crate::transport::{Fill, Ready, Stream};
-use roseyard::{CountName, CountResult};
+use roseyard_decision::{CountName, CountResult};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -65,7 +65,11 @@
         let written = self.put - unwritten;
         for call in self.calls.drain(..).skip(self.late) {
             let sent = call.end.is_some_and(|end| end <= written);
-            let result = if sent { CountResult::Unknown } else { CountResult::NotAdded };
+            let result = if sent {
+                CountResult::Unknown
+            } else {
+                CountResult::NotAdded
+            };
             Wire::tell(&call, result, now, life);
         }
         (self.late, self.put, self.up, self.dirty, self.part) = (0, 0, false, false, None);
@@ -78,11 +82,21 @@
     }
 
     fn put_calls(&mut self, host: &str, epoch: u32, now: Duration) {
-        let Some(stream) = self.stream.as_mut().filter(|_| self.up && self.epoch == epoch) else { return };
+        let Some(stream) = self
+            .stream
+            .as_mut()
+            .filter(|_| self.up && self.epoch == epoch)
+        else {
+            return;
+        };
         if self.calls.front().is_none_or(|c| c.end.is_none()) {
             self.heard = now;
         }
-        let first = self.calls.iter().rposition(|c| c.end.is_some()).map_or(0, |n| n + 1);
+        let first = self
+            .calls
+            .iter()
+            .rposition(|c| c.end.is_some())
+            .map_or(0, |n| n + 1);
         for call in self.calls.range_mut(first..) {
             let before = stream.output().len();
             let keep = call.keep.as_millis().max(1) as u64;
@@ -97,27 +111,53 @@
     fn arm(&mut self, n: usize, timeout: Duration, io: &mut Io) {
         let call = self.calls.get(self.late).map(|c| c.made + timeout);
         let silence = (self.late > 0).then_some(self.heard + io.limits.counter_silence);
-        let idle = (self.up && self.calls.is_empty()).then_some(self.heard + io.limits.counter_idle);
+        let idle =
+            (self.up && self.calls.is_empty()).then_some(self.heard + io.limits.counter_idle);
         let opening = (self.stream.is_some() && !self.up).then_some(self.heard + io.limits.connect);
         let part = self.part.map(|since| since + io.limits.counter_part);
-        let next = [call, silence, idle, opening, part].into_iter().flatten().min();
-        io.deadlines.set(&mut self.due, next, Party::Counter(n as u16, 0));
+        let next = [call, silence, idle, opening, part]
+            .into_iter()
+            .flatten()
+            .min();
+        io.deadlines
+            .set(&mut self.due, next, Party::Counter(n as u16, 0));
     }
 }
 
 impl Counter {
-    pub fn new(address: SocketAddr, timeout: Duration, limits: &Limits) -> Counter {
-        let wires = (0..limits.counters.max(1)).map(|_| Wire::default()).collect();
-        Counter { address, epoch: 0, host: address.to_string(), timeout, wires }
+    pub(super) fn new(address: SocketAddr, timeout: Duration, limits: &Limits) -> Counter {
+        let wires = (0..limits.counters.max(1))
+            .map(|_| Wire::default())
+            .collect();
+        Counter {
+            address,
+            epoch: 0,
+            host: address.to_string(),
+            timeout,
+            wires,
+        }
     }
 
     /// Makes a call. It ends in an event, at once if the counter cannot be reached just now.
-    pub fn call(&mut self, name: CountName, add: f64, keep: Duration, io: &mut Io, life: &mut Life) {
+    pub(super) fn call(
+        &mut self,
+        name: CountName,
+        add: f64,
+        keep: Duration,
+        io: &mut Io,
+        life: &mut Life,
+    ) {
         // Spreads names evenly, whatever they look like.
         let mixed = name.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let n = mixed as usize % self.wires.len();
         let wire = &mut self.wires[n];
-        let call = Call { name, add, keep, made: io.now, end: None };
+        let call = Call {
+            name,
+            add,
+            keep,
+            made: io.now,
+            end: None,
+        };
         // Guards against a counter that refuses: no call waits for one that was just not there.
         let closed = wire.stream.is_none() && io.now < wire.retry;
         if closed || wire.calls.len() >= io.limits.counter_calls || !add.is_finite() {
@@ -134,7 +174,8 @@
             (wire.heard, wire.up, wire.answered, wire.epoch) = (io.now, false, false, self.epoch);
             wire.serial = wire.serial.wrapping_add(1);
             let opened = io.connect(&self.address).and_then(|s| {
-                io.poller.add(s.fd(), Party::Counter(n as u16, wire.serial).token())?;
+                io.poller
+                    .add(s.fd(), Party::Counter(n as u16, wire.serial).token())?;
                 Ok(s)
             });
             match opened {
@@ -146,9 +187,10 @@
         wire.arm(n, self.timeout, io);
     }
 
-    /// The counter is at another address now. Calls that were put on an old connection are still awaited
-    /// there; those that follow wait for them, as answers for a name must come in the order of its calls.
-    pub fn move_to(&mut self, address: SocketAddr, io: &mut Io, life: &mut Life) {
+    /// The counter is at another address now. Calls that were put on an old connection are still
+    /// awaited there; those that follow wait for them, as answers for a name must come in the order
+    /// of its calls.
+    pub(super) fn move_to(&mut self, address: SocketAddr, io: &mut Io, life: &mut Life) {
         if address == self.address {
             return;
         }
@@ -173,7 +215,7 @@
     }
 
     /// Writes all calls of this round.
-    pub fn flush(&mut self, io: &mut Io, life: &mut Life) {
+    pub(super) fn flush(&mut self, io: &mut Io, life: &mut Life) {
         for n in 0..self.wires.len() {
             let wire = &mut self.wires[n];
             if !std::mem::take(&mut wire.dirty) {
@@ -187,10 +229,20 @@
     }
 
     /// A connection is ready.
-    pub fn on_ready(&mut self, (n, serial): (u16, u32), ready: Ready, io: &mut Io, life: &mut Life) {
+    pub(super) fn on_ready(
+        &mut self,
+        (n, serial): (u16, u32),
+        ready: Ready,
+        io: &mut Io,
+        life: &mut Life,
+    ) {
         let n = usize::from(n);
-        let Some(wire) = self.wires.get_mut(n).filter(|w| w.serial == serial) else { return };
-        let Some(stream) = &mut wire.stream else { return };
+        let Some(wire) = self.wires.get_mut(n).filter(|w| w.serial == serial) else {
+            return;
+        };
+        let Some(stream) = &mut wire.stream else {
+            return;
+        };
         let (mut good, mut spoilt) = (true, false);
         if !wire.up && ready.writable {
             good = stream.connected().is_ok();
@@ -216,30 +268,43 @@
         }
         let wire = &mut self.wires[n];
         if !good {
-            // An idle connection that the counter closed, one that it spoilt, or one that broke after it had served
-            // says nothing about the counter: guards against calls that fail for want of a connection.
+            // An idle connection that the counter closed, one that it spoilt, or one that broke
+            // after it had served says nothing about the counter: guards against calls that fail
+            // for want of a connection.
             let lost = spoilt || wire.answered || wire.calls.is_empty();
-            let again = if lost { Duration::ZERO } else { io.limits.counter_again };
+            let again = if lost {
+                Duration::ZERO
+            } else {
+                io.limits.counter_again
+            };
             wire.fail(io.now, again, life);
         }
         wire.arm(n, self.timeout, io);
         self.move_on(n, io, life);
     }
 
-    /// Matches answers to calls, oldest first; `ended`: no more follows. False if the connection is of no more use.
+    /// Matches answers to calls, oldest first; `ended`: no more follows. False if the connection is
+    /// of no more use.
     fn take_answers(&mut self, n: usize, ended: bool, io: &Io, life: &mut Life) -> bool {
         let wire = &mut self.wires[n];
-        let Some(stream) = &mut wire.stream else { return false };
+        let Some(stream) = &mut wire.stream else {
+            return false;
+        };
         loop {
             let ((head, body), used) = match http::answer(stream.input(), ended, &io.limits) {
                 Ok(Some(found)) => found,
                 Ok(None) => {
-                    wire.part = wire.part.or(Some(io.now)).filter(|_| !stream.input().is_empty());
+                    wire.part = wire
+                        .part
+                        .or(Some(io.now))
+                        .filter(|_| !stream.input().is_empty());
                     return stream.input().len() < io.limits.value_bytes + io.limits.line_bytes;
                 }
                 Err(_) => return false,
             };
-            let total = std::str::from_utf8(body).ok().and_then(|t| t.trim().parse::<f64>().ok());
+            let total = std::str::from_utf8(body)
+                .ok()
+                .and_then(|t| t.trim().parse::<f64>().ok());
             let result = match (head.status, total.filter(|t| t.is_finite())) {
                 (100..=199, _) => None,
                 (200, Some(total)) => Some(CountResult::Total(total)),
@@ -249,15 +314,17 @@
             stream.take(used);
             (wire.heard, wire.part, wire.answered) = (io.now, None, true);
             let Some(result) = result else { continue };
-            let Some(call) = wire.calls.pop_front() else { return false };
+            let Some(call) = wire.calls.pop_front() else {
+                return false;
+            };
             // A late answer is consumed: the module was told that this call's end is unknown.
             if wire.late > 0 {
                 wire.late -= 1;
             } else {
                 Wire::tell(&call, result, io.now, life);
             }
-            // An answer that is none may be out of step with what follows: guards against reading the next
-            // call's total out of its rest.
+            // An answer that is none may be out of step with what follows: guards against reading
+            // the next call's total out of its rest.
             if head.closes || result == CountResult::Unknown {
                 return false;
             }
@@ -265,11 +332,17 @@
     }
 
     /// A deadline of a connection has come.
-    pub fn on_due(&mut self, n: u16, io: &mut Io, life: &mut Life) {
+    pub(super) fn on_due(&mut self, n: u16, io: &mut Io, life: &mut Life) {
         let n = usize::from(n);
-        let Some(wire) = self.wires.get_mut(n) else { return };
+        let Some(wire) = self.wires.get_mut(n) else {
+            return;
+        };
         wire.due = None;
-        while let Some(call) = wire.calls.get(wire.late).filter(|c| c.made + self.timeout <= io.now) {
+        while let Some(call) = wire
+            .calls
+            .get(wire.late)
+            .filter(|c| c.made + self.timeout <= io.now)
+        {
             if call.end.is_some() {
                 Wire::tell(call, CountResult::Unknown, io.now, life);
                 wire.late += 1;
@@ -279,14 +352,17 @@
                 wire.calls.remove(wire.late);
             }
         }
-        // Guards against a counter, or the way to it, that vanished: an open connection would stay silent for
-        // ever, and one that is never up too.
+        // Guards against a counter, or the way to it, that vanished: an open connection would stay
+        // silent for ever, and one that is never up too.
         let quiet = io.now.saturating_sub(wire.heard);
         let silent = wire.late > 0 && quiet >= io.limits.counter_silence;
         let idle = wire.up && wire.calls.is_empty() && quiet >= io.limits.counter_idle;
         let never = wire.stream.is_some() && !wire.up && quiet >= io.limits.connect;
-        // Guards against an answer that is shorter than it says: all calls behind it would wait in vain.
-        let torn = wire.part.is_some_and(|since| since + io.limits.counter_part <= io.now);
+        // Guards against an answer that is shorter than it says: all calls behind it would wait in
+        // vain.
+        let torn = wire
+            .part
+            .is_some_and(|since| since + io.limits.counter_part <= io.now);
         if silent || idle || never || torn {
             wire.fail(io.now, Duration::ZERO, life);
         }
--- a/ingress/src/routing/front/input.rs
+++ b/crates/ingress/src/routing/front/input.rs
@@ -14,7 +14,9 @@
 impl Front {
     /// A client's connection is ready.
     pub fn on_client(&mut self, key: Key, ready: Ready, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         client.hup |= ready.ended;
         if ready.writable && client.stream.unwritten() > 0 {
             self.touch(key);
@@ -36,7 +38,9 @@
 
     pub(super) fn read(&mut self, key: Key, core: &mut Core, io: &mut Io) {
         let most = io.limits.value_bytes + io.limits.line_bytes;
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         if client.phase != Phase::Open {
             return self.discard(key, core, io);
         }
@@ -50,14 +54,18 @@
         let filled = client.stream.fill(most, io.limits.chunk_bytes, client.hup);
         client.hup |= matches!(filled, Fill::Ended | Fill::Broken);
         let full = self.parse(key, core, io);
-        let Some(client) = self.clients.get_mut(key) else { return };
-        // Guards against a command whose words are each short enough but which never ends: it would be held,
-        // and read for more, without bound.
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
+        // Guards against a command whose words are each short enough but which never ends: it would
+        // be held, and read for more, without bound.
         if !full && client.phase == Phase::Open && client.stream.input().len() >= most {
             client.protocol_error("command too long");
             self.touch(key);
         }
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         let part = client.phase == Phase::Open && !full && !client.stream.input().is_empty();
         client.begun = client.begun.or(Some(io.now)).filter(|_| part);
         if client.hup {
@@ -75,13 +83,19 @@
         self.arm(key, io);
     }
 
-    /// Commands are not taken in for now, but the client's end must be seen: guards against requests that are sent on
-    /// for a client that has left meanwhile. The end of one that reads its answers stands behind all that it has sent;
-    /// one that does not read them resets its connection.
+    /// Commands are not taken in for now, but the client's end must be seen: guards against
+    /// requests that are sent on for a client that has left meanwhile. The end of one that reads
+    /// its answers stands behind all that it has sent; one that does not read them resets its
+    /// connection.
     fn read_ahead(&mut self, key: Key, unread_answers: bool, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         if !unread_answers {
-            let filled = client.stream.fill(io.limits.ahead_bytes, io.limits.chunk_bytes, client.hup);
+            let filled =
+                client
+                    .stream
+                    .fill(io.limits.ahead_bytes, io.limits.chunk_bytes, client.hup);
             client.hup |= matches!(filled, Fill::Ended | Fill::Broken);
         }
         if client.hup {
@@ -92,9 +106,13 @@
 
     /// What still comes is not read as commands and not held, but an end must be seen.
     fn discard(&mut self, key: Key, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         client.begun = None;
-        let (filled, discarded) = client.stream.discard(io.limits.round_discard, &mut self.scratch);
+        let (filled, discarded) = client
+            .stream
+            .discard(io.limits.round_discard, &mut self.scratch);
         client.discarded += discarded;
         match filled {
             Fill::Drained => {}
@@ -110,7 +128,11 @@
     /// Takes whole commands from what was read. True if it stopped for a limit.
     fn parse(&mut self, key: Key, core: &mut Core, io: &mut Io) -> bool {
         let (mut at, mut taken, mut full) = (0, 0, false);
-        while let Some(client) = self.clients.get_mut(key).filter(|client| client.phase == Phase::Open) {
+        while let Some(client) = self
+            .clients
+            .get_mut(key)
+            .filter(|client| client.phase == Phase::Open)
+        {
             client.blocked = client.pending.len() >= io.limits.pipelined;
             if client.blocked || taken >= io.limits.round_commands {
                 full = true;
@@ -121,7 +143,16 @@
                 Ok(Some((words, used))) => {
                     let owner = (key, client.first + client.pending.len() as u64);
                     let words = words.get();
-                    (Ok(read_command(words, owner, &self.terms, core.directory(), self.ready)), used)
+                    (
+                        Ok(read_command(
+                            words,
+                            owner,
+                            &self.terms,
+                            core.directory(),
+                            self.ready,
+                        )),
+                        used,
+                    )
                 }
                 Err(wrong) => (Err(wrong), 0),
             };
@@ -131,7 +162,9 @@
                 Err(wrong) => self.refuse_malformed(key, wrong.0, io),
             }
         }
-        let Some(client) = self.clients.get_mut(key) else { return false };
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
         client.stream.take(at);
         if client.stream.unwritten() > 0 || client.phase == Phase::Ending {
             self.touch(key);
@@ -166,12 +199,14 @@
             return; // Guards against counting and sending on what nobody waits for.
         }
         if self.draining || !self.ready {
-            // Guards against a request that was on its way when the drain began and would wait for a server past the
-            // end of the process; and against one that is sent by a list from before the start.
+            // Guards against a request that was on its way when the drain began and would wait for
+            // a server past the end of the process; and against one that is sent by a list from
+            // before the start.
             return self.reply(key, &busy_reply(None));
         }
         if self.open.contains(&id) {
-            // Guards against one client that names another's open request: servers would drop one of them.
+            // Guards against one client that names another's open request: servers would drop one
+            // of them.
             self.tell(Event::Wrong(connection_id(key)), io);
             return self.reply(key, b"-ERR request id in use\r\n");
         }
@@ -188,7 +223,10 @@
     /// Asks admission for a request: when to come again, if it is refused.
     fn refusal(&mut self, key: Key, customer: u64, io: &mut Io) -> Option<Duration> {
         let mut refused = None;
-        let event = Event::Asked { conn: connection_id(key), customer };
+        let event = Event::Asked {
+            conn: connection_id(key),
+            customer,
+        };
         self.listener.handle(event, io, |action, _| {
             if let Action::Refuse { after } = action {
                 refused = Some(after);
--- a/ingress/src/routing/front/mod.rs
+++ b/crates/ingress/src/routing/front/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's front: clients' connections, their commands in order, their answers in the same order.
+//! The platform's front: clients' connections, their commands in order, their answers in the same
+//! order.
 
 mod input;
 mod output;
@@ -45,14 +46,16 @@
     Some(client)
 }
 
-/// Closes a connection that admission has named. Whom it turns away or refuses is seen to where that was asked.
+/// Closes a connection that admission has named. Whom it turns away or refuses is seen to where
+/// that was asked.
 fn carry_out(action: Action, clients: &mut Slots<Client>, held: &mut usize, io: &mut Io) {
     if let Action::Close { conn, .. } = action {
         close(Key::unpack(conn.0), clients, held, io);
     }
 }
 
-/// How long a connection may rest; while the process ends, only as long as a newcomer's first request may take.
+/// How long a connection may rest; while the process ends, only as long as a newcomer's first
+/// request may take.
 fn patience(gate: &Gate, key: Key, draining: bool, limits: &Limits) -> Duration {
     let patience = gate.patience(connection_id(key));
     if draining {
@@ -145,7 +148,10 @@
     fn take_in(&mut self, stream: Stream, peer: IpAddr, core: &mut Core, io: &mut Io) {
         let key = self.clients.insert_with(|_| Client::new(stream, io.now));
         let mut away = None;
-        let event = Event::Connected { conn: connection_id(key), peer };
+        let event = Event::Connected {
+            conn: connection_id(key),
+            peer,
+        };
         let (listener, clients, held) = (&mut self.listener, &mut self.clients, &mut self.held);
         listener.handle(event, io, |action, io| match action {
             Action::TurnAway { after, .. } => away = Some(after),
@@ -159,14 +165,25 @@
         }
         // Servers may have borrowed the descriptor that this place stands for.
         if !core.take_descriptor(Use::Clients, io) {
-            self.listener.handle(Event::Closed { conn: connection_id(key), fault: false }, io, |_, _| ());
+            self.listener.handle(
+                Event::Closed {
+                    conn: connection_id(key),
+                    fault: false,
+                },
+                io,
+                |_, _| (),
+            );
             if let Some(client) = self.clients.remove(key) {
                 turn_away(client.stream, self.listener.gate.policy().advice);
             }
             return;
         }
         let client = self.clients.get(key);
-        if client.is_some_and(|c| io.poller.add(c.stream.fd(), Party::Client(key).token()).is_err()) {
+        if client.is_some_and(|c| {
+            io.poller
+                .add(c.stream.fd(), Party::Client(key).token())
+                .is_err()
+        }) {
             self.close(key, false, io);
         }
         self.arm(key, io);
@@ -215,13 +232,21 @@
     /// Ends a connection; `fault` if that speaks against its address.
     fn close(&mut self, key: Key, fault: bool, io: &mut Io) -> Option<Client> {
         let client = close(key, &mut self.clients, &mut self.held, io)?;
-        self.tell(Event::Closed { conn: connection_id(key), fault }, io);
+        self.tell(
+            Event::Closed {
+                conn: connection_id(key),
+                fault,
+            },
+            io,
+        );
         Some(client)
     }
 
     /// The client is gone: what it waited for is called off.
     fn gone(&mut self, key: Key, fault: bool, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.close(key, fault, io) else { return };
+        let Some(client) = self.close(key, fault, io) else {
+            return;
+        };
         for pending in client.pending {
             if let Pending::Waiting(request, id) = pending {
                 self.open.remove(&id);
@@ -230,7 +255,8 @@
         }
     }
 
-    /// Counts what a client's connection holds. Over the limit for all, those that hold most are dropped.
+    /// Counts what a client's connection holds. Over the limit for all, those that hold most are
+    /// dropped.
     fn account(&mut self, key: Key, core: &mut Core, io: &mut Io) {
         if let Some(client) = self.clients.get_mut(key) {
             let held = client.stream.input().len() + client.stream.unwritten() + client.waiting;
@@ -238,7 +264,11 @@
             client.held = held;
         }
         while self.held > io.limits.client_bytes {
-            let most = self.clients.iter().max_by_key(|(_, c)| c.held).map(|(key, _)| key);
+            let most = self
+                .clients
+                .iter()
+                .max_by_key(|(_, c)| c.held)
+                .map(|(key, _)| key);
             let Some(most) = most else { return };
             tracing::warn!(
                 event = "clients.bytes",
@@ -248,13 +278,19 @@
         }
     }
 
-    /// Sees to it that the client's next deadline is heard of; a later one waits for the one that is set.
+    /// Sees to it that the client's next deadline is heard of; a later one waits for the one that
+    /// is set.
     fn arm(&mut self, key: Key, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         let patience = patience(&self.listener.gate, key, self.draining, &io.limits);
-        let Some(at) = client.next_due(patience, &io.limits) else { return };
+        let Some(at) = client.next_due(patience, &io.limits) else {
+            return;
+        };
         if client.due.is_none_or(|due| at < due) {
-            io.deadlines.set(&mut client.due, Some(at), Party::Client(key));
+            io.deadlines
+                .set(&mut client.due, Some(at), Party::Client(key));
         }
     }
 
@@ -272,17 +308,25 @@
         }
     }
 
-    /// A client's deadline has come: it says nothing, reads nothing, stops amid a command or does not end.
+    /// A client's deadline has come: it says nothing, reads nothing, stops amid a command or does
+    /// not end.
     pub fn on_client_due(&mut self, key: Key, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         client.due = None;
         let unwritten = client.stream.unwritten();
-        client.stall = client.stall.map(|(at, before)| match at <= io.now && unwritten < before {
-            true => (io.now + io.limits.client_stall, unwritten),
-            false => (at, before),
-        });
+        client.stall = client
+            .stall
+            .map(|(at, before)| match at <= io.now && unwritten < before {
+                true => (io.now + io.limits.client_stall, unwritten),
+                false => (at, before),
+            });
         let patience = patience(&self.listener.gate, key, self.draining, &io.limits);
-        if client.next_due(patience, &io.limits).is_none_or(|at| at > io.now) {
+        if client
+            .next_due(patience, &io.limits)
+            .is_none_or(|at| at > io.now)
+        {
             return self.arm(key, io);
         }
         let stalled = client.stall.is_some_and(|(at, _)| at <= io.now);
@@ -300,19 +344,25 @@
             if self.draining {
                 return self.touch(key);
             }
-            fault = self.listener.gate.reputation(connection_id(key), io.now) <= Some(Reputation::Silent);
+            fault = self.listener.gate.reputation(connection_id(key), io.now)
+                <= Some(Reputation::Silent);
         }
         self.gone(key, fault, core, io);
     }
 
-    /// Takes in what still waits at the listener, then ends the connections, each after its last answer. What comes
-    /// from now on is refused at once: an answer to it might come later than the end of the process.
+    /// Takes in what still waits at the listener, then ends the connections, each after its last
+    /// answer. What comes from now on is refused at once: an answer to it might come later than the
+    /// end of the process.
     pub fn drain(&mut self, core: &mut Core, io: &mut Io) {
         self.accept(io.limits.backlog.unsigned_abs() as usize, core, io);
         self.listener.close(io);
         let keys: Vec<Key> = self.clients.iter().map(|(key, _)| key).collect();
         for key in &keys {
-            if let Some(client) = self.clients.get_mut(*key).filter(|c| c.phase == Phase::Lingering) {
+            if let Some(client) = self
+                .clients
+                .get_mut(*key)
+                .filter(|c| c.phase == Phase::Lingering)
+            {
                 client.linger = client.linger.min(io.now + io.limits.last_linger);
             }
             self.read(*key, core, io);
--- a/ingress/src/routing/front/output.rs
+++ b/crates/ingress/src/routing/front/output.rs
@@ -1,4 +1,5 @@
-//! What clients are sent: answers in the order of their commands, and the end of a connection behind the last one.
+//! What clients are sent: answers in the order of their commands, and the end of a connection
+//! behind the last one.
 
 use super::Front;
 use crate::protocol::resp;
@@ -17,12 +18,26 @@
     }
 
     /// Passes an answer on.
-    pub fn answer(&mut self, (key, number): (Key, u64), answer: Answer, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+    pub fn answer(
+        &mut self,
+        (key, number): (Key, u64),
+        answer: Answer,
+        core: &mut Core,
+        io: &mut Io,
+    ) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         let served = matches!(answer, Answer::Served(_));
         if let Some(id) = client.settle(number, answer_bytes(answer)) {
             self.open.remove(&id);
-            self.tell(Event::Answered { conn: connection_id(key), served }, io);
+            self.tell(
+                Event::Answered {
+                    conn: connection_id(key),
+                    served,
+                },
+                io,
+            );
         }
         self.touch(key);
         self.account(key, core, io);
@@ -36,16 +51,24 @@
     }
 
     fn flush_client(&mut self, key: Key, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         client.dirty = false;
         let Ok(unwritten) = client.stream.flush() else {
             return self.gone(key, false, core, io);
         };
         if unwritten > 0 {
-            client.stall = client.stall.or(Some((io.now + io.limits.client_stall, unwritten)));
+            client.stall = client
+                .stall
+                .or(Some((io.now + io.limits.client_stall, unwritten)));
         } else {
             client.stall = None;
-            client.used = if client.first > 0 { io.now } else { client.used };
+            client.used = if client.first > 0 {
+                io.now
+            } else {
+                client.used
+            };
             client.stream.trim(8 * io.limits.chunk_bytes);
         }
         let blocked = std::mem::take(&mut client.blocked);
@@ -56,7 +79,9 @@
                 false => self.queue(key),
             }
         }
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         if unwritten == 0 && client.phase == Phase::Ending && client.pending.is_empty() {
             self.linger(key, core, io);
         } else {
@@ -66,12 +91,19 @@
         self.arm(key, io);
     }
 
-    /// All is written and no command follows. Closing at once would send a reset if more input has come, which
-    /// destroys answers on their way: what comes is thrown away until the other side ends too.
+    /// All is written and no command follows. Closing at once would send a reset if more input has
+    /// come, which destroys answers on their way: what comes is thrown away until the other side
+    /// ends too.
     fn linger(&mut self, key: Key, core: &mut Core, io: &mut Io) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         client.phase = Phase::Lingering;
-        let wait = if self.draining { io.limits.last_linger } else { io.limits.linger };
+        let wait = if self.draining {
+            io.limits.last_linger
+        } else {
+            io.limits.linger
+        };
         client.linger = io.now + wait;
         if client.stream.end_sending().is_err() {
             return self.gone(key, false, core, io);
@@ -80,9 +112,12 @@
         self.tell(Event::Ending(connection_id(key)), io);
     }
 
-    /// Commands that waited for answers to go out are read on; an idle connection is reported to admission.
+    /// Commands that waited for answers to go out are read on; an idle connection is reported to
+    /// admission.
     fn after_flush(&mut self, key: Key, was_blocked: bool, io: &mut Io) {
-        let Some(is_idle) = self.clients.get(key).map(Client::is_idle) else { return };
+        let Some(is_idle) = self.clients.get(key).map(Client::is_idle) else {
+            return;
+        };
         if was_blocked {
             self.queue(key);
         }
--- a/ingress/src/routing/listener.rs
+++ b/crates/ingress/src/routing/listener.rs
@@ -1,4 +1,5 @@
-//! The listener: accepts connections as admission allows, which is decided in [`roseyard_admission`].
+//! The listener: accepts connections as admission allows, which is decided in
+//! [`roseyard_admission`].
 
 use super::{Io, Party};
 use crate::transport::{accept, is_fd_shortage, listening_at, spare, Key, Stream};
@@ -41,10 +42,22 @@
 }
 
 impl Listener {
-    pub fn new(socket: OwnedFd, policy: Policy, secret: u64, io: &mut Io) -> rustix::io::Result<Listener> {
+    pub(super) fn new(
+        socket: OwnedFd,
+        policy: Policy,
+        secret: u64,
+        io: &mut Io,
+    ) -> rustix::io::Result<Listener> {
         io.poller.add_level(&socket, Party::Listener.token())?;
         // Their number is fixed by their tables: taken for the whole of the process's life.
-        for of in [Use::Fixed, Use::Counter, Use::Discovery, Use::Files, Use::Spare, Use::Peers] {
+        for of in [
+            Use::Fixed,
+            Use::Counter,
+            Use::Discovery,
+            Use::Files,
+            Use::Spare,
+            Use::Peers,
+        ] {
             while io.budget.used(of) < io.budget.share(of).least && io.budget.take(of) {}
         }
         Ok(Listener {
@@ -58,12 +71,17 @@
     }
 
     /// Where it listens.
-    pub fn address(&self) -> Option<SocketAddr> {
+    pub(super) fn address(&self) -> Option<SocketAddr> {
         listening_at(self.socket.as_ref()?)
     }
 
     /// Hands an event to admission; what is to be done goes to `act`.
-    pub fn handle(&mut self, event: Event, io: &mut Io, mut act: impl FnMut(Action, &mut Io)) {
+    pub(super) fn handle(
+        &mut self,
+        event: Event,
+        io: &mut Io,
+        mut act: impl FnMut(Action, &mut Io),
+    ) {
         let mut actions = std::mem::take(&mut self.actions);
         self.gate.handle(io.now, event, &mut actions);
         self.schedule_report(&actions, io);
@@ -72,7 +90,7 @@
     }
 
     /// Other settings hold from now on.
-    pub fn set_policy(&mut self, policy: Policy, io: &mut Io) -> Vec<Action> {
+    pub(super) fn set_policy(&mut self, policy: Policy, io: &mut Io) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gate.set_policy(policy, io.now, &mut actions);
         self.schedule_report(&actions, io);
@@ -83,17 +101,20 @@
     fn schedule_report(&mut self, actions: &[Action], io: &mut Io) {
         if !actions.is_empty() && self.report_due.is_none() {
             let at = io.now + io.limits.report;
-            io.deadlines.set(&mut self.report_due, Some(at), Party::Report);
+            io.deadlines
+                .set(&mut self.report_due, Some(at), Party::Report);
         }
     }
 
     /// Takes the next connection that waits, unless nothing is to be accepted just now.
-    pub fn accept(&mut self, io: &mut Io) -> Accepted {
+    pub(super) fn accept(&mut self, io: &mut Io) -> Accepted {
         if let Some(until) = self.gate.pause(io.now) {
             self.pause(until, io);
             return Accepted::Nothing;
         }
-        let Some(socket) = &self.socket else { return Accepted::Nothing };
+        let Some(socket) = &self.socket else {
+            return Accepted::Nothing;
+        };
         match accept(socket, io.limits.chunk_bytes) {
             Ok((stream, peer)) => Accepted::Connection(stream, peer),
             Err(Errno::AGAIN) => Accepted::Nothing,
@@ -107,41 +128,49 @@
         }
     }
 
-    /// No descriptor is left and none can be had: the spare one serves to tell one that waits when to come
-    /// again. Guards against a loop that spins on a listener it has no descriptor to serve.
-    pub fn turn_away_one(&mut self, io: &mut Io) {
+    /// No descriptor is left and none can be had: the spare one serves to tell one that waits when
+    /// to come again. Guards against a loop that spins on a listener it has no descriptor to serve.
+    pub(super) fn turn_away_one(&mut self, io: &mut Io) {
         io.spare = None;
-        if let Some(Ok((stream, _))) =
-            self.socket.as_ref().map(|socket| accept(socket, io.limits.chunk_bytes))
+        if let Some(Ok((stream, _))) = self
+            .socket
+            .as_ref()
+            .map(|socket| accept(socket, io.limits.chunk_bytes))
         {
             turn_away(stream, self.gate.policy().advice);
         }
         io.spare = spare();
-        tracing::warn!(event = "clients.descriptors", "clients: no descriptor left; accepting later");
+        tracing::warn!(
+            event = "clients.descriptors",
+            "clients: no descriptor left; accepting later"
+        );
         self.pause(io.now + io.limits.accept_again, io);
     }
 
     /// Accepts nothing until then.
-    pub fn pause(&mut self, until: Duration, io: &mut Io) {
+    pub(super) fn pause(&mut self, until: Duration, io: &mut Io) {
         if let Some(socket) = self.socket.as_ref().filter(|_| self.paused.is_none()) {
             let _ = io.poller.remove(socket);
-            io.deadlines.set(&mut self.paused, Some(until), Party::Listener);
+            io.deadlines
+                .set(&mut self.paused, Some(until), Party::Listener);
         }
     }
 
     /// The pause is over.
-    pub fn resume(&mut self, io: &mut Io) {
+    pub(super) fn resume(&mut self, io: &mut Io) {
         self.paused = None;
         if let Some(socket) = &self.socket {
             let _ = io.poller.add_level(socket, Party::Listener.token());
         }
     }
 
-    /// Nothing is accepted any more. Guards against connections that the system has taken and that would be reset
-    /// with the listener: each that could not be taken in is told to come again.
-    pub fn close(&mut self, io: &mut Io) {
+    /// Nothing is accepted any more. Guards against connections that the system has taken and that
+    /// would be reset with the listener: each that could not be taken in is told to come again.
+    pub(super) fn close(&mut self, io: &mut Io) {
         io.deadlines.set(&mut self.paused, None, Party::Listener);
-        let Some(socket) = self.socket.take() else { return };
+        let Some(socket) = self.socket.take() else {
+            return;
+        };
         io.spare = None;
         for _ in 0..io.limits.backlog {
             match accept(&socket, io.limits.chunk_bytes) {
@@ -154,13 +183,15 @@
     }
 
     /// It is time to report what was done, each limit for itself.
-    pub fn on_report_due(&mut self) {
+    pub(super) fn on_report_due(&mut self) {
         self.report_due = None;
         let (counts, refused) = (self.gate.counts(), self.gate.refused());
         let (before, refused_before) = std::mem::replace(&mut self.reported, (counts, refused));
         let since = |why: Reason| counts[why as usize] - before[why as usize];
         let changed = REASONS.iter().filter(|why| since(**why) > 0);
-        let mut words: Vec<String> = changed.map(|why| format!("{} {}", why.as_str(), since(*why))).collect();
+        let mut words: Vec<String> = changed
+            .map(|why| format!("{} {}", why.as_str(), since(*why)))
+            .collect();
         if refused > refused_before {
             words.push(format!("refused {}", refused - refused_before));
         }
--- a/ingress/src/routing/members.rs
+++ b/crates/ingress/src/routing/members.rs
@@ -1,14 +1,14 @@
-//! The other ingresses, where the operator lets them speak to one another: the socket under the membership's state
-//! machine. Nothing on a request's path waits for it.
+//! The other ingresses, where the operator lets them speak to one another: the socket under the
+//! membership's state machine. Nothing on a request's path waits for it.
 
 use super::{Io, Party};
 use crate::transport::Datagrams;
 use roseyard_admission::{Gcra, Rate};
 use roseyard_membership::{
-    wire, Action, Dropped, Event, Guard, Key, MemberState, Metadata, Name, Received, Settings, Stage, Swim,
-    View,
+    wire, Action, Dropped, Event, Guard, Key, MemberState, Metadata, Name, Received, Settings,
+    Stage, Swim, View,
 };
-use roseyard_operator::Membership;
+use roseyard_operator_config::Membership;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs;
@@ -23,7 +23,7 @@
 /// Longer than the longest datagram, so that one that is too long is seen to be.
 const SPACE: usize = 512;
 
-/// What is known of the others, for `roseyard status`.
+/// What is known of the others, for `roseyard-ingress status`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// This ingress.
@@ -86,9 +86,15 @@
 /// The key of a file: 64 hex digits that nobody but the owner may read.
 fn key(path: &Path) -> Result<Key, String> {
     let named = |e: &dyn std::fmt::Display| format!("membership: {}: {e}", path.display());
-    let mode = fs::metadata(path).map_err(|e| named(&e))?.permissions().mode() & 0o777;
+    let mode = fs::metadata(path)
+        .map_err(|e| named(&e))?
+        .permissions()
+        .mode()
+        & 0o777;
     if mode & 0o077 != 0 {
-        return Err(named(&format!("others may read this key (mode {mode:04o}); make it 0600")));
+        return Err(named(&format!(
+            "others may read this key (mode {mode:04o}); make it 0600"
+        )));
     }
     let text = fs::read_to_string(path).map_err(|e| named(&e))?;
     let text = text.trim();
@@ -110,17 +116,24 @@
 
 /// What tells keys apart in log lines.
 fn fingerprints(keys: &[Key]) -> String {
-    keys.iter().map(Key::fingerprint).collect::<Vec<_>>().join(" ")
+    keys.iter()
+        .map(Key::fingerprint)
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 /// So many datagrams a second, a fifth of them at once.
 fn rate(operator: &Membership) -> Rate {
     let per_second = f64::from(operator.datagrams);
-    Rate { per_second, burst: (per_second / 5.0).max(8.0) }
+    Rate {
+        per_second,
+        burst: (per_second / 5.0).max(8.0),
+    }
 }
 
 impl Members {
-    /// Opens the socket, if the operator has set where. `generation` is the Unix time of this start in milliseconds.
+    /// Opens the socket, if the operator has set where. `generation` is the Unix time of this start
+    /// in milliseconds.
     pub fn start(
         operator: &Membership,
         name: &str,
@@ -128,13 +141,19 @@
         seed: u64,
         io: &mut Io,
     ) -> Result<Option<Members>, String> {
-        let Some(listen) = operator.listen else { return Ok(None) };
+        let Some(listen) = operator.listen else {
+            return Ok(None);
+        };
         let me = Name::from(name).ok().filter(|n| !n.is_empty());
-        let me = me.ok_or_else(|| format!("membership: the name '{name}' is not of 1 to 16 bytes"))?;
+        let me =
+            me.ok_or_else(|| format!("membership: the name '{name}' is not of 1 to 16 bytes"))?;
         let keys = keys(operator)?;
-        let socket = Datagrams::bind(listen).map_err(|e| format!("membership: listen on {listen}: {e}"))?;
+        let socket =
+            Datagrams::bind(listen).map_err(|e| format!("membership: listen on {listen}: {e}"))?;
         let address = socket.address().map_err(|e| format!("membership: {e}"))?;
-        io.poller.add_level(&socket, Party::Members.token()).map_err(|e| format!("membership: {e}"))?;
+        io.poller
+            .add_level(&socket, Party::Members.token())
+            .map_err(|e| format!("membership: {e}"))?;
         let path = |(name, at): &(String, _)| Some((Name::from(name).ok()?, *at));
         let settings = Settings {
             probe_interval: operator.period,
@@ -147,7 +166,10 @@
             ..Settings::new(operator.expected)
         };
         let zone = operator.zone.as_str().try_into().unwrap_or_default();
-        let metadata = Metadata { zone, ..Metadata::default() };
+        let metadata = Metadata {
+            zone,
+            ..Metadata::default()
+        };
         let (cluster, keys_held) = (&operator.cluster, fingerprints(&keys));
         tracing::info!(
             event = "membership.listening", %address, cluster, keys = keys_held,
@@ -178,14 +200,21 @@
                 self.guard.set_keys(keys);
             }
             Err(why) => {
-                tracing::warn!(event = "membership.keys", why, "{why}; the keys held stay in force");
+                tracing::warn!(
+                    event = "membership.keys",
+                    why,
+                    "{why}; the keys held stay in force"
+                );
             }
         }
     }
 
     /// This ingress serves now.
     pub fn serving(&mut self, io: &mut Io) {
-        let metadata = Metadata { stage: Stage::Serving, ..self.swim.local().metadata.clone() };
+        let metadata = Metadata {
+            stage: Stage::Serving,
+            ..self.swim.local().metadata.clone()
+        };
         self.tell(Event::Metadata(metadata), io);
     }
 
@@ -198,13 +227,21 @@
     pub fn on_ready(&mut self, io: &mut Io) {
         let mut space = [0; SPACE];
         for _ in 0..ROUND {
-            let Some((length, at)) = self.socket.receive(&mut space) else { return };
+            let Some((length, at)) = self.socket.receive(&mut space) else {
+                return;
+            };
             self.count("received");
             let heard = match self.guard.open(&space[..length]) {
                 Ok(opened) => wire::read(opened.body)
                     .map(|(message, updates)| {
                         let (sender, generation) = (opened.sender, opened.generation);
-                        Event::Received(Received { source: at, sender, generation, message, updates })
+                        Event::Received(Received {
+                            source: at,
+                            sender,
+                            generation,
+                            message,
+                            updates,
+                        })
                     })
                     .ok_or(Dropped::Malformed),
                 Err(why) => Err(why),
@@ -262,7 +299,8 @@
         }
         self.actions = actions;
         if self.swim.due() != self.due {
-            io.deadlines.set(&mut self.due, self.swim.due(), Party::Members);
+            io.deadlines
+                .set(&mut self.due, self.swim.due(), Party::Members);
         }
     }
 
@@ -273,7 +311,11 @@
         }
         let sealed = self.guard.seal(self.swim.local().generation, body);
         let taken = self.socket.send(&sealed, to);
-        self.count(if taken { "sent" } else { "not sent: not taken by the system" });
+        self.count(if taken {
+            "sent"
+        } else {
+            "not sent: not taken by the system"
+        });
     }
 
     /// All that is known; `written` is the Unix time in milliseconds.
@@ -291,9 +333,16 @@
                 stage: format!("{:?}", record.metadata.stage).to_lowercase(),
             })
         };
-        let mut counts: BTreeMap<String, u64> =
-            self.counts.iter().map(|(what, n)| ((*what).to_owned(), *n)).collect();
-        counts.extend(self.dropped.iter().map(|(why, n)| (format!("dropped: {why}"), *n)));
+        let mut counts: BTreeMap<String, u64> = self
+            .counts
+            .iter()
+            .map(|(what, n)| ((*what).to_owned(), *n))
+            .collect();
+        counts.extend(
+            self.dropped
+                .iter()
+                .map(|(why, n)| (format!("dropped: {why}"), *n)),
+        );
         for (what, n) in [
             ("probes", counted.probes),
             ("probes failed", counted.failed_probes),
--- a/ingress/src/routing/mod.rs
+++ b/crates/ingress/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Drives the engine: what comes from sockets is told to it, what it hands over becomes writes.
 //!
-//! [`Core`] knows customers, classes and plans, not the platform's words for them: a front hands it an
-//! [`Ask`] and is handed the [`Answer`]. [`front`] is the platform's.
+//! [`Core`] knows customers, classes and plans, not the platform's words for them: a front hands it
+//! an [`Ask`] and is handed the [`Answer`]. [`front`] is the platform's.
 
 mod attempts;
 mod client;
@@ -41,9 +41,11 @@
     Signal,
     /// The module's timer.
     Module,
-    /// The watch on discovery: which of its connections, counted from the start (0 for its deadline).
+    /// The watch on discovery: which of its connections, counted from the start (0 for its
+    /// deadline).
     Watch(u32),
-    /// A connection to the counter, by number, and which of those that had this number (0 for its deadline).
+    /// A connection to the counter, by number, and which of those that had this number (0 for its
+    /// deadline).
     Counter(u16, u32),
     /// A connection to a server.
     Link(Key),
@@ -116,8 +118,9 @@
 }
 
 impl Io {
-    /// Begins a connection. Where the system has no descriptor left the spare one makes room, which is had back from
-    /// clients between requests: guards against discovery, counter and servers that idle clients keep out of reach.
+    /// Begins a connection. Where the system has no descriptor left the spare one makes room, which
+    /// is had back from clients between requests: guards against discovery, counter and servers
+    /// that idle clients keep out of reach.
     pub fn connect(&mut self, to: &SocketAddr) -> rustix::io::Result<Stream> {
         match connect(to, self.limits.chunk_bytes) {
             Err(e) if is_fd_shortage(e) && self.spare.take().is_some() => {
--- a/ingress/src/transport/datagrams.rs
+++ b/crates/ingress/src/transport/datagrams.rs
@@ -22,7 +22,8 @@
         self.socket.local_addr()
     }
 
-    /// The next datagram: how long it was, cut to the space, and where it came from. None while none waits.
+    /// The next datagram: how long it was, cut to the space, and where it came from. None while
+    /// none waits.
     pub fn receive(&self, space: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
             match self.socket.recv_from(space) {
--- a/ingress/src/transport/deadlines.rs
+++ b/crates/ingress/src/transport/deadlines.rs
@@ -10,12 +10,15 @@
 
 impl<D: Ord + Copy> Default for Deadlines<D> {
     fn default() -> Self {
-        Deadlines { due: BTreeSet::new() }
+        Deadlines {
+            due: BTreeSet::new(),
+        }
     }
 }
 
 impl<D: Ord + Copy> Deadlines<D> {
-    /// Moves what stands at `slot` to `at`; the owner keeps the slot, so that a deadline can be taken back.
+    /// Moves what stands at `slot` to `at`; the owner keeps the slot, so that a deadline can be
+    /// taken back.
     pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, what: D) {
         if let Some(old) = slot.take() {
             self.due.remove(&(old, what));
--- a/ingress/src/transport/poller.rs
+++ b/crates/ingress/src/transport/poller.rs
@@ -29,18 +29,31 @@
     /// Takes in up to `batch` events a wait.
     pub fn new(batch: usize) -> io::Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        Ok(Poller { epoll, events: Vec::with_capacity(batch.max(1)) })
+        Ok(Poller {
+            epoll,
+            events: Vec::with_capacity(batch.max(1)),
+        })
     }
 
     /// Registers a socket; closing it takes it out again.
     pub fn add(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         use epoll::EventFlags as F;
-        epoll::add(&self.epoll, source, epoll::EventData::new_u64(token), F::IN | F::OUT | F::RDHUP | F::ET)
+        epoll::add(
+            &self.epoll,
+            source,
+            epoll::EventData::new_u64(token),
+            F::IN | F::OUT | F::RDHUP | F::ET,
+        )
     }
 
     /// Registers a listener or pipe: told again and again while something waits there.
     pub fn add_level(&self, source: impl AsFd, token: u64) -> io::Result<()> {
-        epoll::add(&self.epoll, source, epoll::EventData::new_u64(token), epoll::EventFlags::IN)
+        epoll::add(
+            &self.epoll,
+            source,
+            epoll::EventData::new_u64(token),
+            epoll::EventFlags::IN,
+        )
     }
 
     /// Takes a source out that stays open.
@@ -51,8 +64,10 @@
     /// Waits until something is ready or the time is over.
     pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
         use epoll::EventFlags as F;
-        let timeout = timeout
-            .map(|d| Timespec { tv_sec: d.as_secs().min(3600) as i64, tv_nsec: d.subsec_nanos().into() });
+        let timeout = timeout.map(|d| Timespec {
+            tv_sec: d.as_secs().min(3600) as i64,
+            tv_nsec: d.subsec_nanos().into(),
+        });
         self.events.clear();
         let spare = rustix::buffer::spare_capacity(&mut self.events);
         match epoll::wait(&self.epoll, spare, timeout.as_ref()) {
