--- a/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -2,7 +2,9 @@
 
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{self, Errno};
-use rustix::net::{self, sockopt, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType};
+use rustix::net::{
+    self, sockopt, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType,
+};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// What came of reading.
@@ -36,17 +38,31 @@
 /// Descriptors that the system allows this process.
 pub fn allowed() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-    limit.current.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
+    limit
+        .current
+        .map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
 
 /// Did this call fail for want of descriptors or memory of the system?
 pub fn is_fd_shortage(error: Errno) -> bool {
-    matches!(error, Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM)
+    matches!(
+        error,
+        Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM
+    )
 }
 
 fn socket(to: &SocketAddr) -> io::Result<OwnedFd> {
-    let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
-    net::socket_with(family, SocketType::STREAM, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC, None)
+    let family = if to.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
+    net::socket_with(
+        family,
+        SocketType::STREAM,
+        SocketFlags::NONBLOCK | SocketFlags::CLOEXEC,
+        None,
+    )
 }
 
 /// Listens on this address alone.
@@ -66,8 +82,13 @@
 /// Takes the next connection that waits at a listener, and where it comes from.
 pub fn accept(listener: impl AsFd, chunk: usize) -> io::Result<(Stream, IpAddr)> {
     let (fd, peer) = net::acceptfrom_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
-    let peer = peer.and_then(|p| SocketAddr::try_from(p).ok()).map(|p| p.ip());
-    Ok((Stream::new(fd, chunk)?, peer.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED))))
+    let peer = peer
+        .and_then(|p| SocketAddr::try_from(p).ok())
+        .map(|p| p.ip());
+    Ok((
+        Stream::new(fd, chunk)?,
+        peer.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED)),
+    ))
 }
 
 /// Begins a connection; it is up, or has failed, once it is writable.
@@ -82,7 +103,13 @@
 impl Stream {
     fn new(fd: OwnedFd, chunk: usize) -> io::Result<Stream> {
         sockopt::set_tcp_nodelay(&fd, true)?;
-        Ok(Stream { fd, input: Vec::with_capacity(chunk), taken: 0, output: Vec::new(), written: 0 })
+        Ok(Stream {
+            fd,
+            input: Vec::with_capacity(chunk),
+            taken: 0,
+            output: Vec::new(),
+            written: 0,
+        })
     }
 
     /// The socket.
@@ -109,8 +136,9 @@
         }
     }
 
-    /// Reads until nothing waits or `limit` bytes are held. `ended` says that an end was told of: only then
-    /// is a short read followed by another, as readiness is told anew for whatever comes later.
+    /// Reads until nothing waits or `limit` bytes are held. `ended` says that an end was told of:
+    /// only then is a short read followed by another, as readiness is told anew for whatever comes
+    /// later.
     pub fn fill(&mut self, limit: usize, chunk: usize, ended: bool) -> Fill {
         loop {
             if self.input.len() - self.taken >= limit {
@@ -141,14 +169,18 @@
         self.input().is_empty() && matches!(seen, Err(Errno::AGAIN))
     }
 
-    /// Throws away what waits, up to `limit` bytes, without holding any of it: TCP discards what is read with
-    /// TRUNC inside the kernel, so that a value of 60 MB costs neither memory nor copies.
+    /// Throws away what waits, up to `limit` bytes, without holding any of it: TCP discards what is
+    /// read with TRUNC inside the kernel, so that a value of 60 MB costs neither memory nor copies.
     pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (Fill, usize) {
         self.input = Vec::new();
         self.taken = 0;
         let mut thrown = 0;
         while thrown < limit {
-            match net::recv(&self.fd, &mut *scratch, RecvFlags::TRUNC | RecvFlags::DONTWAIT) {
+            match net::recv(
+                &self.fd,
+                &mut *scratch,
+                RecvFlags::TRUNC | RecvFlags::DONTWAIT,
+            ) {
                 Ok((_, 0)) => return (Fill::Ended, thrown),
                 Ok((_, n)) => thrown += n,
                 Err(Errno::INTR) => {}
--- a/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -52,7 +52,8 @@
         /// Its state from now on.
         to: MemberState,
     },
-    /// This process's name is held by another that runs; this one stays outside and goes on asking to join.
+    /// This process's name is held by another that runs; this one stays outside and goes on asking
+    /// to join.
     NameConflict {
         /// Where the other listens.
         holder: SocketAddr,
--- /dev/null
+++ b/crates/membership/src/lib.rs
@@ -0,0 +1,27 @@
+//! Group membership of the ingresses: which ones there are, as far as this one can know.
+//!
+//! [`Swim`] is the protocol: SWIM with suspicion and incarnations (Das, Gupta, Motivala 2002) and
+//! local health (Dadgar, Phillips, Currey 2017, "Lifeguard"). It performs no I/O and reads no
+//! clock: [`Swim::handle`] takes one event at a time and appends the actions to perform,
+//! [`Swim::due`] is the deadline of the next call. [`Guard`] authenticates datagrams and drops
+//! those of strangers and replays. [`wire`] packs a datagram of at most 256 bytes.
+//!
+//! What a caller sees is a [`MemberState`]: a name that was never heard of is `NeverSeen`, not
+//! `Dead`, and each view carries the age of its latest word. [`Swim::quorum`] tells whether this
+//! ingress sees more than half of those that there should be. What must never be exceeded may not
+//! rest on a view alone.
+
+mod event;
+mod guard;
+mod record;
+mod settings;
+mod swim;
+mod view;
+pub mod wire;
+
+pub use event::{Action, Event, Received};
+pub use guard::{Dropped, Guard, Key, Opened};
+pub use record::{Metadata, Name, Record, Stage, Status};
+pub use settings::Settings;
+pub use swim::Swim;
+pub use view::{Counts, MemberState, Quorum, View};
--- a/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -9,7 +9,9 @@
 pub type Name = ArrayString<16>;
 
 /// How far a member is with its own lifecycle, by its own word.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub enum Stage {
     /// It does not serve yet.
     #[default]
@@ -62,7 +64,8 @@
     pub name: Name,
     /// Where it listens.
     pub address: SocketAddr,
-    /// When this process of that name began, Unix time in milliseconds: a restart overrides its old records.
+    /// When this process of that name began, Unix time in milliseconds: a restart overrides its old
+    /// records.
     pub generation: u64,
     /// Counts the suspicions that it has refuted in this generation.
     pub incarnation: u32,
@@ -75,11 +78,18 @@
 }
 
 impl Record {
-    /// Which record of one member has the newer status: a later generation; within a generation, that it left; then
-    /// the later incarnation; then the graver status. Guards against a member that left and comes back by old
-    /// updates.
+    /// Which record of one member has the newer status: a later generation; within a generation,
+    /// that it left; then the later incarnation; then the graver status. Guards against a member
+    /// that left and comes back by old updates.
     pub fn cmp_status(&self, other: &Record) -> Ordering {
-        let key = |r: &Record| (r.generation, r.status == Status::Left, r.incarnation, r.status.rank());
+        let key = |r: &Record| {
+            (
+                r.generation,
+                r.status == Status::Left,
+                r.incarnation,
+                r.status.rank(),
+            )
+        };
         key(self).cmp(&key(other))
     }
 
@@ -88,8 +98,8 @@
         (self.generation, self.metadata_version).cmp(&(other.generation, other.metadata_version))
     }
 
-    /// Merges another record of the same member. Status and metadata go by their own order, so that records may come
-    /// in any order and any number of times. True if anything is new.
+    /// Merges another record of the same member. Status and metadata go by their own order, so that
+    /// records may come in any order and any number of times. True if anything is new.
     pub fn merge(&mut self, update: &Record) -> bool {
         let newer_metadata = update.cmp_metadata(self) == Ordering::Greater;
         if newer_metadata {
--- a/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -20,8 +20,8 @@
     pub gossip_fanout: usize,
     /// The digests of all records are compared with one member so often (anti-entropy).
     pub sync_interval: Duration,
-    /// Least suspicion timeout, in probe intervals times the logarithm (base ten, at least one) of the number of
-    /// members.
+    /// Least suspicion timeout, in probe intervals times the logarithm (base ten, at least one) of
+    /// the number of members.
     pub suspicion_multiplier: u32,
     /// Longest suspicion timeout, in least ones; that of a suspicion without confirmation.
     pub suspicion_max_multiplier: u32,
--- a/membership/src/swim/apply.rs
+++ b/crates/membership/src/swim/apply.rs
@@ -26,11 +26,16 @@
             self.updates.enqueue(update.name);
         }
         if from != to {
-            actions.push(Action::Changed { name: update.name, from, to });
+            actions.push(Action::Changed {
+                name: update.name,
+                from,
+                to,
+            });
         }
     }
 
-    /// Is this a newer process that claims a name while another holds it? That one has to be gone first.
+    /// Is this a newer process that claims a name while another holds it? That one has to be gone
+    /// first.
     fn is_premature_claim(&self, update: &Record) -> bool {
         let held = self.members.get(&update.name);
         let is_newer = held.is_some_and(|member| update.generation > member.record.generation);
@@ -47,7 +52,11 @@
         self.members.insert(member);
         self.updates.enqueue(update.name);
         self.probe_order.insert(update.name, &mut self.rng);
-        actions.push(Action::Changed { name: update.name, from: MemberState::NeverSeen, to });
+        actions.push(Action::Changed {
+            name: update.name,
+            from: MemberState::NeverSeen,
+            to,
+        });
     }
 
     /// An update on this member itself.
@@ -56,8 +65,9 @@
             return self.on_newer_generation(update, actions);
         }
         let is_current = update.generation == self.local.generation;
-        let is_doubted =
-            is_current && update.status != Status::Alive && update.incarnation >= self.local.incarnation;
+        let is_doubted = is_current
+            && update.status != Status::Alive
+            && update.incarnation >= self.local.incarnation;
         if is_doubted && !self.leaving {
             self.refute(update);
         }
--- a/membership/src/swim/gossip.rs
+++ b/crates/membership/src/swim/gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination: updates are piggybacked on all messages and sent in rounds of gossip, each a bounded number of
-//! times.
+//! Dissemination: updates are piggybacked on all messages and sent in rounds of gossip, each a
+//! bounded number of times.
 
 use super::Swim;
 use crate::event::Action;
@@ -8,7 +8,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// An update is sent so many times the logarithm (base ten, rounded up, at least one) of the number of members.
+/// An update is sent so many times the logarithm (base ten, rounded up, at least one) of the number
+/// of members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
 /// Names whose records are still to be sent, the least sent first.
@@ -19,17 +20,17 @@
 }
 
 impl UpdateQueue {
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
     /// Queues a member's record as sent to nobody yet.
-    pub fn enqueue(&mut self, name: Name) {
+    pub(super) fn enqueue(&mut self, name: Name) {
         self.remove(&name);
         self.queue.insert((0, name));
     }
 
-    pub fn remove(&mut self, name: &Name) {
+    pub(super) fn remove(&mut self, name: &Name) {
         self.queue.retain(|(_, queued)| queued != name);
     }
 
@@ -72,7 +73,8 @@
         self.send_about(to, message, None, actions);
     }
 
-    /// The same, led by the record of a member that is concerned if it is suspected: it is to refute that.
+    /// The same, led by the record of a member that is concerned if it is suspected: it is to
+    /// refute that.
     pub(super) fn send_about(
         &mut self,
         to: SocketAddr,
@@ -92,7 +94,10 @@
         if self.join.name_conflict.is_none() {
             self.piggyback_updates(&mut body);
         }
-        actions.push(Action::Send { to, body: body.bytes() });
+        actions.push(Action::Send {
+            to,
+            body: body.bytes(),
+        });
     }
 
     fn piggyback_updates(&mut self, body: &mut Body) {
--- a/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -14,28 +14,28 @@
 
 impl LocalHealth {
     /// One that is well; it stays so unless it is enabled.
-    pub fn new(enabled: bool) -> LocalHealth {
+    pub(super) fn new(enabled: bool) -> LocalHealth {
         LocalHealth { score: 0, enabled }
     }
 
-    pub fn score(&self) -> u32 {
+    pub(super) fn score(&self) -> u32 {
         self.score
     }
 
     /// Something points to a fault of this process itself.
-    pub fn degrade(&mut self, by: u32) {
+    pub(super) fn degrade(&mut self, by: u32) {
         if self.enabled {
             self.score = self.score.saturating_add(by).min(MAX_SCORE);
         }
     }
 
     /// A probe was answered.
-    pub fn improve(&mut self) {
+    pub(super) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
     /// A timeout or interval of a probe, longer the worse the score is.
-    pub fn scale(&self, time: Duration) -> Duration {
+    pub(super) fn scale(&self, time: Duration) -> Duration {
         time * (self.score + 1)
     }
 }
--- a/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -1,4 +1,5 @@
-//! Joining: seeds are asked until one answers, and a name that a live process holds is refused to another.
+//! Joining: seeds are asked until one answers, and a name that a live process holds is refused to
+//! another.
 
 use super::Swim;
 use crate::event::Action;
@@ -20,8 +21,12 @@
 }
 
 impl JoinState {
-    pub fn new(backoff: Duration) -> JoinState {
-        JoinState { joined: false, name_conflict: None, backoff }
+    pub(super) fn new(backoff: Duration) -> JoinState {
+        JoinState {
+            joined: false,
+            name_conflict: None,
+            backoff,
+        }
     }
 }
 
@@ -81,7 +86,8 @@
         }
     }
 
-    /// A datagram of a process of this member's own name: itself, by a seed that is its own address, or another.
+    /// A datagram of a process of this member's own name: itself, by a seed that is its own
+    /// address, or another.
     pub(super) fn on_namesake(
         &mut self,
         source: SocketAddr,
@@ -95,8 +101,8 @@
         }
     }
 
-    /// The address that holds the name of this record: of a live member of that name elsewhere. At the same address
-    /// it is a restart, since two processes cannot listen there.
+    /// The address that holds the name of this record: of a live member of that name elsewhere. At
+    /// the same address it is a restart, since two processes cannot listen there.
     pub(super) fn name_holder(&self, claimant: &Record) -> Option<SocketAddr> {
         let held = &self.members.get(&claimant.name)?.record;
         let is_other = held.generation != claimant.generation && held.address != claimant.address;
--- a/membership/src/swim/members.rs
+++ b/crates/membership/src/swim/members.rs
@@ -23,27 +23,32 @@
 
 impl Member {
     /// One that is heard of for the first time.
-    pub fn new(record: Record, now: Duration) -> Member {
-        let mut member = Member { record, last_heard: now, state_since: now, suspected_by: ArrayVec::new() };
+    pub(super) fn new(record: Record, now: Duration) -> Member {
+        let mut member = Member {
+            record,
+            last_heard: now,
+            state_since: now,
+            suspected_by: ArrayVec::new(),
+        };
         member.enter_state(now);
         member
     }
 
-    pub fn state(&self) -> MemberState {
+    pub(super) fn state(&self) -> MemberState {
         self.record.status.into()
     }
 
-    pub fn is_suspect(&self) -> bool {
+    pub(super) fn is_suspect(&self) -> bool {
         matches!(self.record.status, Status::Suspect(_))
     }
 
     /// Members that suspect it, by what has come here.
-    pub fn suspecters(&self) -> usize {
+    pub(super) fn suspecters(&self) -> usize {
         self.suspected_by.len()
     }
 
     /// Takes in another record of it; true if it says anything new that is to be passed on.
-    pub fn merge(&mut self, update: &Record, now: Duration) -> bool {
+    pub(super) fn merge(&mut self, update: &Record, now: Duration) -> bool {
         let (state, incarnation) = (self.state(), self.record.incarnation_id());
         let confirmed = self.confirm_suspicion(update);
         let changed = self.record.merge(update);
@@ -55,12 +60,14 @@
 
     /// Another's suspicion of the same incarnation confirms the one that is held.
     fn confirm_suspicion(&mut self, update: &Record) -> bool {
-        let Status::Suspect(suspecter) = update.status else { return false };
+        let Status::Suspect(suspecter) = update.status else {
+            return false;
+        };
         if !self.is_suspect() || self.record.incarnation_id() != update.incarnation_id() {
             return false;
         }
-        let confirmed =
-            !self.suspected_by.contains(&suspecter) && self.suspected_by.try_push(suspecter).is_ok();
+        let confirmed = !self.suspected_by.contains(&suspecter)
+            && self.suspected_by.try_push(suspecter).is_ok();
         if confirmed {
             // Passed on under the new suspecter, so that others count it too.
             self.record.status = update.status;
@@ -85,50 +92,53 @@
 }
 
 impl MemberTable {
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.members.len()
     }
 
-    pub fn get(&self, name: &Name) -> Option<&Member> {
+    pub(super) fn get(&self, name: &Name) -> Option<&Member> {
         self.members.get(name)
     }
 
-    pub fn get_mut(&mut self, name: &Name) -> Option<&mut Member> {
+    pub(super) fn get_mut(&mut self, name: &Name) -> Option<&mut Member> {
         self.members.get_mut(name)
     }
 
-    pub fn insert(&mut self, member: Member) {
+    pub(super) fn insert(&mut self, member: Member) {
         self.members.insert(member.record.name, member);
     }
 
-    pub fn remove(&mut self, name: &Name) {
+    pub(super) fn remove(&mut self, name: &Name) {
         self.members.remove(name);
     }
 
-    pub fn names(&self) -> impl Iterator<Item = &Name> {
+    pub(super) fn names(&self) -> impl Iterator<Item = &Name> {
         self.members.keys()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Member> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub(super) fn records(&self) -> impl Iterator<Item = &Record> {
         self.members.values().map(|member| &member.record)
     }
 
     /// Records of those that are taken to run.
-    pub fn running(&self) -> impl Iterator<Item = &Record> {
+    pub(super) fn running(&self) -> impl Iterator<Item = &Record> {
         self.records().filter(|record| record.is_running())
     }
 
     /// Records of the names that follow this one.
-    pub fn records_after(&self, name: Name) -> impl Iterator<Item = &Record> {
-        self.members.range(name..).map(|(_, member)| &member.record).filter(move |record| record.name != name)
+    pub(super) fn records_after(&self, name: Name) -> impl Iterator<Item = &Record> {
+        self.members
+            .range(name..)
+            .map(|(_, member)| &member.record)
+            .filter(move |record| record.name != name)
     }
 
     /// Moves all times on by a stall of this process.
-    pub fn postpone(&mut self, stall: Duration) {
+    pub(super) fn postpone(&mut self, stall: Duration) {
         for member in self.members.values_mut() {
             member.state_since += stall;
             member.last_heard += stall;
--- a/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,8 +1,9 @@
 //! SWIM with suspicion, incarnations and local health, as a state machine.
 //!
-//! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping, ping-req, ack,
-//! nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates, [`sync`] is anti-entropy, [`join`] finds
-//! the others, [`apply`] takes in records, [`health`] is local health and [`members`] the table of members.
+//! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping,
+//! ping-req, ack, nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates,
+//! [`sync`] is anti-entropy, [`join`] finds the others, [`apply`] takes in records, [`health`] is
+//! local health and [`members`] the table of members.
 
 mod apply;
 mod gossip;
@@ -63,8 +64,8 @@
 }
 
 impl Swim {
-    /// A member of this name that listens at this address; `generation` is the Unix time of its start in
-    /// milliseconds.
+    /// A member of this name that listens at this address; `generation` is the Unix time of its
+    /// start in milliseconds.
     pub fn new(
         settings: Settings,
         name: Name,
@@ -74,8 +75,15 @@
         seed: u64,
     ) -> Swim {
         let status = Status::Alive;
-        let local =
-            Record { name, address, generation, incarnation: 0, status, metadata_version: 0, metadata };
+        let local = Record {
+            name,
+            address,
+            generation,
+            incarnation: 0,
+            status,
+            metadata_version: 0,
+            metadata,
+        };
         Swim {
             rng: fastrand::Rng::with_seed(seed),
             local,
@@ -105,7 +113,8 @@
         self.counts
     }
 
-    /// How far this ingress trusts itself: 0 is well; probes take one more and so many times as long.
+    /// How far this ingress trusts itself: 0 is well; probes take one more and so many times as
+    /// long.
     pub fn local_health(&self) -> u32 {
         self.health.score()
     }
@@ -117,13 +126,19 @@
 
     /// The state of a member.
     pub fn state(&self, name: &Name) -> MemberState {
-        self.members.get(name).map_or(MemberState::NeverSeen, |member| member.state())
+        self.members
+            .get(name)
+            .map_or(MemberState::NeverSeen, |member| member.state())
     }
 
     /// A member as seen from here.
     pub fn view(&self, name: &Name, now: Duration) -> View {
         match self.members.get(name) {
-            None => View { state: MemberState::NeverSeen, record: None, age: None },
+            None => View {
+                state: MemberState::NeverSeen,
+                record: None,
+                age: None,
+            },
             Some(member) => View {
                 state: member.state(),
                 record: Some(member.record.clone()),
@@ -134,14 +149,28 @@
 
     /// All members that were ever heard of and are remembered, this one left out.
     pub fn views(&self, now: Duration) -> impl Iterator<Item = (Name, View)> + '_ {
-        self.members.names().map(move |name| (*name, self.view(name, now)))
+        self.members
+            .names()
+            .map(move |name| (*name, self.view(name, now)))
     }
 
-    /// How many are seen of those that there should be. One that is kept out by a name conflict sees nobody.
+    /// How many are seen of those that there should be. One that is kept out by a name conflict
+    /// sees nobody.
     pub fn quorum(&self) -> Quorum {
-        let alive = self.members.records().filter(|record| record.status == Status::Alive).count();
-        let seen = if self.join.name_conflict.is_some() { 0 } else { alive + 1 };
-        Quorum { seen, expected: self.settings.expected_members }
+        let alive = self
+            .members
+            .records()
+            .filter(|record| record.status == Status::Alive)
+            .count();
+        let seen = if self.join.name_conflict.is_some() {
+            0
+        } else {
+            alive + 1
+        };
+        Quorum {
+            seen,
+            expected: self.settings.expected_members,
+        }
     }
 
     /// Where a member is reached from here.
@@ -156,7 +185,11 @@
             return Some(Duration::ZERO);
         }
         let timers = &self.timers;
-        let mut due = timers.sweep.min(timers.gossip).min(timers.sync).min(timers.probe);
+        let mut due = timers
+            .sweep
+            .min(timers.gossip)
+            .min(timers.sync)
+            .min(timers.probe);
         if self.wants_to_join() {
             due = due.min(timers.join);
         }
@@ -184,7 +217,8 @@
     /// Sets the first deadlines, spread so that members started together do not act together.
     fn start(&mut self, now: Duration) {
         self.started = true;
-        let spread = |rng: &mut fastrand::Rng, interval: Duration| now + interval.mul_f64(rng.f64());
+        let spread =
+            |rng: &mut fastrand::Rng, interval: Duration| now + interval.mul_f64(rng.f64());
         self.timers = Timers {
             probe: spread(&mut self.rng, self.settings.probe_interval),
             gossip: spread(&mut self.rng, self.settings.gossip_interval),
@@ -213,10 +247,12 @@
         self.timers.gossip = now;
     }
 
-    /// Guards against a process that was stopped and takes all others for silent: what waited through its own stall
-    /// proves nothing, and its deadlines go on from here.
+    /// Guards against a process that was stopped and takes all others for silent: what waited
+    /// through its own stall proves nothing, and its deadlines go on from here.
     fn absorb_stall(&mut self, now: Duration) {
-        let stall = self.due().map_or(Duration::ZERO, |due| now.saturating_sub(due));
+        let stall = self
+            .due()
+            .map_or(Duration::ZERO, |due| now.saturating_sub(due));
         if stall < self.settings.probe_timeout {
             return;
         }
@@ -251,7 +287,11 @@
             self.gossip(actions);
         }
         if now >= self.timers.sync {
-            self.timers.sync = now + self.settings.sync_interval.mul_f64(0.75 + 0.5 * self.rng.f64());
+            self.timers.sync = now
+                + self
+                    .settings
+                    .sync_interval
+                    .mul_f64(0.75 + 0.5 * self.rng.f64());
             self.sync(actions);
         }
     }
@@ -279,11 +319,22 @@
     }
 
     /// Addresses of up to `count` members whose records pass, drawn at random.
-    fn random_addresses(&mut self, count: usize, eligible: impl Fn(&Record) -> bool) -> Vec<SocketAddr> {
-        let names: Vec<Name> =
-            self.members.records().filter(|record| eligible(record)).map(|record| record.name).collect();
+    fn random_addresses(
+        &mut self,
+        count: usize,
+        eligible: impl Fn(&Record) -> bool,
+    ) -> Vec<SocketAddr> {
+        let names: Vec<Name> = self
+            .members
+            .records()
+            .filter(|record| eligible(record))
+            .map(|record| record.name)
+            .collect();
         let draws = names.len().min(count);
         let drawn: BTreeSet<usize> = (0..draws).map(|_| self.rng.usize(0..names.len())).collect();
-        drawn.into_iter().filter_map(|index| self.address(&names[index])).collect()
+        drawn
+            .into_iter()
+            .filter_map(|index| self.address(&names[index]))
+            .collect()
     }
 }
--- a/membership/src/swim/probe.rs
+++ b/crates/membership/src/swim/probe.rs
@@ -13,7 +13,8 @@
 pub(super) struct Probe {
     target: Name,
     sequence: u32,
-    /// Members that were asked to ping the target, and how many of them said that they hear nothing of it.
+    /// Members that were asked to ping the target, and how many of them said that they hear nothing
+    /// of it.
     ping_reqs: u32,
     nacks: u32,
     /// When others are asked; none once they were.
@@ -23,19 +24,19 @@
 
 impl Probe {
     /// When something is next to be done for it.
-    pub fn next_deadline(&self) -> Duration {
+    pub(super) fn next_deadline(&self) -> Duration {
         self.ends_at.min(self.indirect_at.unwrap_or(Duration::MAX))
     }
 
     /// Moves its deadlines on by a stall of this process.
-    pub fn postpone(&mut self, stall: Duration) {
+    pub(super) fn postpone(&mut self, stall: Duration) {
         self.ends_at += stall;
         self.indirect_at = self.indirect_at.map(|at| at + stall);
     }
 }
 
-/// The order in which members are probed: each once in a round, and shuffled for each, so that the time until a
-/// failure is detected is bounded.
+/// The order in which members are probed: each once in a round, and shuffled for each, so that the
+/// time until a failure is detected is bounded.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeOrder {
     names: Vec<Name>,
@@ -44,7 +45,7 @@
 
 impl ProbeOrder {
     /// A new member is probed somewhere in the rest of this round, not first or last of all.
-    pub fn insert(&mut self, name: Name, rng: &mut fastrand::Rng) {
+    pub(super) fn insert(&mut self, name: Name, rng: &mut fastrand::Rng) {
         let at = rng.usize(self.next.min(self.names.len())..=self.names.len());
         self.names.insert(at, name);
     }
@@ -61,7 +62,10 @@
     fn next_in_round(&mut self, members: &MemberTable) -> Option<Name> {
         while let Some(name) = self.names.get(self.next) {
             self.next += 1;
-            if members.get(name).is_some_and(|member| member.record.is_running()) {
+            if members
+                .get(name)
+                .is_some_and(|member| member.record.is_running())
+            {
                 return Some(*name);
             }
         }
@@ -77,8 +81,12 @@
 
 impl Swim {
     pub(super) fn begin_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let Some(target) = self.probe_order.next(&self.members, &mut self.rng) else { return };
-        let Some(to) = self.address(&target) else { return };
+        let Some(target) = self.probe_order.next(&self.members, &mut self.rng) else {
+            return;
+        };
+        let Some(to) = self.address(&target) else {
+            return;
+        };
         let sequence = self.next_sequence();
         self.probe = Some(Probe {
             target,
@@ -105,13 +113,28 @@
     fn probe_indirectly(&mut self, actions: &mut Vec<Action>) {
         let Some(probe) = &self.probe else { return };
         let (target, sequence) = (probe.target, probe.sequence);
-        let Some(address) = self.members.get(&target).map(|member| member.record.address) else { return };
+        let Some(address) = self
+            .members
+            .get(&target)
+            .map(|member| member.record.address)
+        else {
+            return;
+        };
         let helpers = self.random_addresses(self.settings.indirect_probes, |record| {
             record.status == Status::Alive && record.name != target
         });
         let ping_reqs = helpers.len() as u32;
         for to in helpers {
-            self.send_about(to, &Message::PingReq { sequence, target, address }, Some(target), actions);
+            self.send_about(
+                to,
+                &Message::PingReq {
+                    sequence,
+                    target,
+                    address,
+                },
+                Some(target),
+                actions,
+            );
         }
         if let Some(probe) = &mut self.probe {
             probe.ping_reqs = ping_reqs;
@@ -120,13 +143,21 @@
 
     /// Suspects the target of a probe that nobody answered in time.
     fn end_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) else { return };
+        let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) else {
+            return;
+        };
         self.counts.failed_probes += 1;
         // Helpers that have not even said that they hear nothing: the fault may be here.
-        self.health.degrade(1 + probe.ping_reqs.saturating_sub(probe.nacks));
+        self.health
+            .degrade(1 + probe.ping_reqs.saturating_sub(probe.nacks));
         let target = self.members.get(&probe.target).map(|member| &member.record);
-        let Some(record) = target.filter(|record| record.is_running()) else { return };
-        let suspicion = Record { status: Status::Suspect(name_hash(&self.local.name)), ..record.clone() };
+        let Some(record) = target.filter(|record| record.is_running()) else {
+            return;
+        };
+        let suspicion = Record {
+            status: Status::Suspect(name_hash(&self.local.name)),
+            ..record.clone()
+        };
         self.apply(&suspicion, now, actions);
     }
 
@@ -135,7 +166,9 @@
         if let Some(relay) = self.relays.remove(sequence) {
             return self.send(relay.requester, &Message::Ack(relay.sequence), actions);
         }
-        let Some(probe) = self.probe.take_if(|probe| probe.sequence == sequence) else { return };
+        let Some(probe) = self.probe.take_if(|probe| probe.sequence == sequence) else {
+            return;
+        };
         self.health.improve();
         if let Some(member) = self.members.get_mut(&probe.target) {
             member.last_heard = now;
@@ -143,7 +176,11 @@
     }
 
     pub(super) fn on_nack(&mut self, sequence: u32) {
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
+        if let Some(probe) = self
+            .probe
+            .as_mut()
+            .filter(|probe| probe.sequence == sequence)
+        {
             probe.nacks += 1;
         }
     }
--- a/membership/src/swim/receive.rs
+++ b/crates/membership/src/swim/receive.rs
@@ -1,4 +1,5 @@
-//! Received datagrams: the sender is checked, its updates are applied, then its message is answered.
+//! Received datagrams: the sender is checked, its updates are applied, then its message is
+//! answered.
 
 use super::Swim;
 use crate::event::{Action, Received};
@@ -7,9 +8,19 @@
 use std::time::Duration;
 
 impl Swim {
-    pub(super) fn on_received(&mut self, received: Received, now: Duration, actions: &mut Vec<Action>) {
+    pub(super) fn on_received(
+        &mut self,
+        received: Received,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         if received.sender == self.local.name {
-            return self.on_namesake(received.source, received.generation, &received.message, actions);
+            return self.on_namesake(
+                received.source,
+                received.generation,
+                &received.message,
+                actions,
+            );
         }
         if !self.accept_sender(&received, now, actions) {
             return;
@@ -25,10 +36,19 @@
         self.on_message(received.source, received.message, now, actions);
     }
 
-    /// Notes that a known member was heard; one that asks to join is refused while its name is held.
-    fn accept_sender(&mut self, received: &Received, now: Duration, actions: &mut Vec<Action>) -> bool {
+    /// Notes that a known member was heard; one that asks to join is refused while its name is
+    /// held.
+    fn accept_sender(
+        &mut self,
+        received: &Received,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let (sender, generation) = (received.sender, received.generation);
-        let known = self.members.get_mut(&sender).filter(|member| member.record.generation == generation);
+        let known = self
+            .members
+            .get_mut(&sender)
+            .filter(|member| member.record.generation == generation);
         if let Some(member) = known {
             member.last_heard = now;
             return true;
@@ -36,14 +56,25 @@
         if received.message != Message::Join {
             return true;
         }
-        let own = received.updates.iter().find(|r| r.name == sender && r.generation == generation);
+        let own = received
+            .updates
+            .iter()
+            .find(|r| r.name == sender && r.generation == generation);
         let Some(own) = own else { return false };
-        let Some(holder) = self.name_holder(own) else { return true };
+        let Some(holder) = self.name_holder(own) else {
+            return true;
+        };
         self.send(received.source, &Message::NameConflict(holder), actions);
         false
     }
 
-    fn on_message(&mut self, source: SocketAddr, message: Message, now: Duration, actions: &mut Vec<Action>) {
+    fn on_message(
+        &mut self,
+        source: SocketAddr,
+        message: Message,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         let concerns_join = matches!(message, Message::NameConflict(_) | Message::Page(_));
         if self.join.name_conflict.is_some() && !concerns_join {
             return;
@@ -52,14 +83,18 @@
             Message::Ping(sequence) => self.send(source, &Message::Ack(sequence), actions),
             Message::Ack(sequence) => self.on_ack(sequence, now, actions),
             Message::Nack(sequence) => self.on_nack(sequence),
-            Message::PingReq { sequence, target, address } => {
-                self.on_ping_req(source, sequence, target, address, now, actions)
-            }
+            Message::PingReq {
+                sequence,
+                target,
+                address,
+            } => self.on_ping_req(source, sequence, target, address, now, actions),
             Message::Join => self.on_join(source, actions),
             Message::Gossip => {}
-            Message::Sync { digest, after, is_reply } => {
-                self.on_sync(source, digest, after, is_reply, actions)
-            }
+            Message::Sync {
+                digest,
+                after,
+                is_reply,
+            } => self.on_sync(source, digest, after, is_reply, actions),
             Message::Page(after) => self.on_page(source, after, actions),
             Message::NameConflict(holder) => self.on_name_conflict(holder, actions),
         }
--- a/membership/src/swim/relay.rs
+++ b/crates/membership/src/swim/relay.rs
@@ -40,13 +40,16 @@
     }
 
     /// Takes out the relayed ping of this sequence number.
-    pub fn remove(&mut self, sequence: u32) -> Option<Relay> {
+    pub(super) fn remove(&mut self, sequence: u32) -> Option<Relay> {
         self.relays.remove(&sequence)
     }
 
     /// Those that are now to be nacked.
     fn take_late(&mut self, now: Duration) -> Vec<Relay> {
-        let late = self.relays.values_mut().filter(|relay| now >= relay.nack_at && !relay.nacked);
+        let late = self
+            .relays
+            .values_mut()
+            .filter(|relay| now >= relay.nack_at && !relay.nacked);
         late.map(|relay| {
             relay.nacked = true;
             *relay
@@ -56,7 +59,8 @@
 
     /// Drops those whose nack is so long ago that no ack is worth passing on.
     fn expire(&mut self, now: Duration, lifetime: Duration) {
-        self.relays.retain(|_, relay| now < relay.nack_at + lifetime);
+        self.relays
+            .retain(|_, relay| now < relay.nack_at + lifetime);
     }
 }
 
@@ -76,14 +80,23 @@
         }
         let own_sequence = self.next_sequence();
         let nack_at = now + self.settings.probe_timeout.mul_f64(NACK_AFTER);
-        self.relays.insert(own_sequence, Relay { requester, sequence, nack_at, nacked: false });
+        self.relays.insert(
+            own_sequence,
+            Relay {
+                requester,
+                sequence,
+                nack_at,
+                nacked: false,
+            },
+        );
         let to = self.address(&target).unwrap_or(address);
         self.send_about(to, &Message::Ping(own_sequence), Some(target), actions);
     }
 
     /// Tells requesters that nothing was heard so far, and drops what is long over.
     pub(super) fn expire_relays(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.relays.expire(now, self.settings.probe_interval * MAX_SCORE);
+        self.relays
+            .expire(now, self.settings.probe_interval * MAX_SCORE);
         for relay in self.relays.take_late(now) {
             self.send(relay.requester, &Message::Nack(relay.sequence), actions);
         }
--- a/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -9,8 +9,8 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Probe intervals for which the record of a dead or departed member is kept, so that old updates do not bring it
-/// back.
+/// Probe intervals for which the record of a dead or departed member is kept, so that old updates
+/// do not bring it back.
 const FORGET_AFTER_INTERVALS: u32 = 600;
 
 /// What tells suspecters apart in a record, in four bytes.
@@ -20,13 +20,15 @@
     hasher.finish() as u32
 }
 
-/// The timeout of a suspicion that so many members share: from the longest down to the least, by the logarithm of
-/// the confirmations (the Lifeguard paper's form).
+/// The timeout of a suspicion that so many members share: from the longest down to the least, by
+/// the logarithm of the confirmations (the Lifeguard paper's form).
 fn timeout(least: Duration, max_multiplier: u32, suspecters: usize) -> Duration {
     let longest = least * max_multiplier;
     let confirmations = suspecters.saturating_sub(1) as f64;
     let part = (confirmations + 1.0).ln() / (MAX_SUSPECTERS as f64).ln();
-    longest.saturating_sub((longest - least).mul_f64(part)).max(least)
+    longest
+        .saturating_sub((longest - least).mul_f64(part))
+        .max(least)
 }
 
 impl Swim {
@@ -42,7 +44,10 @@
                 let suspected_for = now.saturating_sub(member.state_since);
                 suspected_for >= timeout(least, max_multiplier, member.suspecters())
             })
-            .map(|member| Record { status: Status::Dead, ..member.record.clone() })
+            .map(|member| Record {
+                status: Status::Dead,
+                ..member.record.clone()
+            })
             .collect();
         for record in expired {
             self.apply(&record, now, actions);
@@ -55,9 +60,9 @@
         (self.settings.probe_interval * self.settings.suspicion_multiplier).mul_f64(logarithm)
     }
 
-    /// Tells suspects that they are suspected, and each time one other member, which will tell them too. Guards
-    /// against a suspicion that its subject never hears of: the cut that caused it may swallow its updates, which
-    /// are sent only so often.
+    /// Tells suspects that they are suspected, and each time one other member, which will tell them
+    /// too. Guards against a suspicion that its subject never hears of: the cut that caused it may
+    /// swallow its updates, which are sent only so often.
     pub(super) fn remind_suspects(&mut self, actions: &mut Vec<Action>) {
         let suspects: Vec<Name> = self
             .members
@@ -67,7 +72,9 @@
             .collect();
         for _ in 0..suspects.len().min(self.settings.gossip_fanout) {
             let name = suspects[self.rng.usize(0..suspects.len())];
-            let Some(to) = self.address(&name) else { continue };
+            let Some(to) = self.address(&name) else {
+                continue;
+            };
             self.send_about(to, &Message::Gossip, Some(name), actions);
             for to in self.random_addresses(1, |record| record.status == Status::Alive) {
                 self.send_about(to, &Message::Gossip, Some(name), actions);
--- a/membership/src/swim/sync.rs
+++ b/crates/membership/src/swim/sync.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: digests of all records are compared with one member at a time, and the records exchanged where the
-//! digests differ. It also heals partitions.
+//! Anti-entropy: digests of all records are compared with one member at a time, and the records
+//! exchanged where the digests differ. It also heals partitions.
 
 use super::Swim;
 use crate::event::Action;
@@ -22,7 +22,14 @@
         Status::Left => 2,
     };
     let mut hasher = SipHasher13::new();
-    (record.name, record.generation, record.incarnation, status, record.metadata_version).hash(&mut hasher);
+    (
+        record.name,
+        record.generation,
+        record.incarnation,
+        status,
+        record.metadata_version,
+    )
+        .hash(&mut hasher);
     hasher.finish()
 }
 
@@ -31,20 +38,26 @@
     pub fn digest(&self) -> u64 {
         self.members
             .records()
-            .fold(record_digest(&self.local), |digest, record| digest ^ record_digest(record))
+            .fold(record_digest(&self.local), |digest, record| {
+                digest ^ record_digest(record)
+            })
     }
 
     /// A round of anti-entropy.
     pub(super) fn sync(&mut self, actions: &mut Vec<Action>) {
-        let question = Message::Sync { digest: self.digest(), after: Name::new(), is_reply: false };
+        let question = Message::Sync {
+            digest: self.digest(),
+            after: Name::new(),
+            is_reply: false,
+        };
         for to in self.random_addresses(1, Record::is_running) {
             self.send(to, &question, actions);
         }
         self.heal_partition(actions);
     }
 
-    /// Guards against halves of a partition that hold each other dead for ever: they are asked too, one a round, and
-    /// the seeds, where a member that was never heard of may be found.
+    /// Guards against halves of a partition that hold each other dead for ever: they are asked too,
+    /// one a round, and the seeds, where a member that was never heard of may be found.
     fn heal_partition(&mut self, actions: &mut Vec<Action>) {
         for to in self.random_addresses(1, |record| record.status == Status::Dead) {
             self.send(to, &Message::Join, actions);
@@ -71,15 +84,32 @@
         }
         self.send_pages(source, after, actions);
         if !is_reply && after.is_empty() {
-            let question = Message::Sync { digest: self.digest(), after: Name::new(), is_reply: true };
+            let question = Message::Sync {
+                digest: self.digest(),
+                after: Name::new(),
+                is_reply: true,
+            };
             self.send(source, &question, actions);
         }
     }
 
     /// The other's pages end at this name: it is asked for the rest.
-    pub(super) fn continue_sync(&mut self, source: SocketAddr, after: Name, actions: &mut Vec<Action>) {
+    pub(super) fn continue_sync(
+        &mut self,
+        source: SocketAddr,
+        after: Name,
+        actions: &mut Vec<Action>,
+    ) {
         if !after.is_empty() {
-            self.send(source, &Message::Sync { digest: 0, after, is_reply: true }, actions);
+            self.send(
+                source,
+                &Message::Sync {
+                    digest: 0,
+                    after,
+                    is_reply: true,
+                },
+                actions,
+            );
         }
     }
 
@@ -89,11 +119,20 @@
         let mut rest = &records[..];
         for page in 1..=MAX_PAGES {
             let (body, sent) = fill_page(&Message::Page(Name::new()), rest);
-            let Some(last) = sent.checked_sub(1).map(|index| &rest[index]) else { return };
+            let Some(last) = sent.checked_sub(1).map(|index| &rest[index]) else {
+                return;
+            };
             let complete = sent == rest.len();
             let truncated = page == MAX_PAGES && !complete && last.name != self.local.name;
-            let body = if truncated { last_page(&rest[..sent]) } else { body };
-            actions.push(Action::Send { to, body: body.bytes() });
+            let body = if truncated {
+                last_page(&rest[..sent])
+            } else {
+                body
+            };
+            actions.push(Action::Send {
+                to,
+                body: body.bytes(),
+            });
             if complete {
                 return;
             }
@@ -104,7 +143,10 @@
     /// More than the pages hold, so that the last one knows whether there is more.
     fn records_to_send(&self, after: Name) -> Vec<Record> {
         let local = after.is_empty().then_some(&self.local);
-        let others = self.members.records_after(after).take(MAX_PAGES * RECORDS_PER_PAGE);
+        let others = self
+            .members
+            .records_after(after)
+            .take(MAX_PAGES * RECORDS_PER_PAGE);
         local.into_iter().chain(others).cloned().collect()
     }
 }
@@ -116,8 +158,8 @@
     (body, sent)
 }
 
-/// The last of the pages, where there are more records: it names the one to go on after. That name takes room: the
-/// last record, which may no longer fit, comes first on the next page.
+/// The last of the pages, where there are more records: it names the one to go on after. That name
+/// takes room: the last record, which may no longer fit, comes first on the next page.
 fn last_page(records: &[Record]) -> Body {
     let records = &records[..(records.len() - 1).max(1)];
     let after = records.last().map_or(Name::new(), |record| record.name);
--- a/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -27,7 +27,8 @@
     Join,
     /// Nothing but records.
     Gossip,
-    /// Compares digests. If the receiver's differs, it is to send its records of the names after this one.
+    /// Compares digests. If the receiver's differs, it is to send its records of the names after
+    /// this one.
     Sync {
         /// The sender's digest of all records.
         digest: u64,
@@ -58,7 +59,9 @@
     #[must_use]
     pub fn add(&mut self, record: &Record) -> bool {
         let mut buffer = [0; MAX_BODY_BYTES];
-        let Ok(bytes) = postcard::to_slice(record, &mut buffer) else { return false };
+        let Ok(bytes) = postcard::to_slice(record, &mut buffer) else {
+            return false;
+        };
         let fits = self.0.len() + bytes.len() <= MAX_BODY_BYTES;
         if fits {
             self.0.extend_from_slice(bytes);
