--- a/operator/src/effective.rs
+++ b/crates/operator-config/src/effective.rs
@@ -56,7 +56,7 @@
     pub suspicion: u32,
     /// Datagrams sent a second at most.
     pub datagrams: u32,
-    /// Where `roseyard status` reads.
+    /// Where `roseyard-ingress status` reads.
     pub status: Option<PathBuf>,
 }
 
@@ -83,8 +83,9 @@
 const FIXED: usize = 12;
 
 impl Effective {
-    /// The defaults on such a machine. Three quarters of the descriptors that are left are for clients and a
-    /// quarter for servers; servers may borrow up to half of them while clients leave them unused.
+    /// The defaults on such a machine. Three quarters of the descriptors that are left are for
+    /// clients and a quarter for servers; servers may borrow up to half of them while clients leave
+    /// them unused.
     pub fn new(machine: &Machine) -> Effective {
         let sockets = machine.sockets.min(machine.allowed);
         let share = |least: usize, most: usize| Share { least, most };
@@ -104,7 +105,11 @@
             sockets,
             shares,
             policy: Policy::of(left - left / 4),
-            standing: Standing { file: None, every: Duration::from_secs(30), most: 100_000 },
+            standing: Standing {
+                file: None,
+                every: Duration::from_secs(30),
+                most: 100_000,
+            },
             membership: Membership {
                 listen: None,
                 cluster: "roseyard".into(),
--- a/operator/src/explain.rs
+++ b/crates/operator-config/src/explain.rs
@@ -1,4 +1,4 @@
-//! The effective settings with their sources, as `roseyard explain` prints them.
+//! The effective settings with their sources, as `roseyard-ingress explain` prints them.
 
 use crate::effective::{Effective, Machine};
 use crate::file::File;
@@ -28,7 +28,11 @@
         let row = |setting: &Setting| {
             let value = (setting.show)(&effective);
             // A default may follow from another setting that the file gives.
-            let fallback = if value == (setting.show)(&defaults) { "default" } else { "follows from others" };
+            let fallback = if value == (setting.show)(&defaults) {
+                "default"
+            } else {
+                "follows from others"
+            };
             Row {
                 name: format!("{}.{}", setting.section, setting.name),
                 source: self.place_of(setting).unwrap_or_else(|| fallback.into()),
--- a/operator/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -61,8 +61,11 @@
             };
             Mistakes(wrong.diagnostics.iter().map(told).collect())
         })?;
-        let mut file =
-            File { source: Arc::clone(&source), given: BTreeMap::new(), services: Services::none() };
+        let mut file = File {
+            source: Arc::clone(&source),
+            given: BTreeMap::new(),
+            services: Services::none(),
+        };
         let mut wrong = Vec::new();
         let mut seen = BTreeMap::new();
         let mut services = services::Reader::new(&source);
@@ -71,10 +74,15 @@
         }
         file.services = services.finish(&mut wrong);
         for (section, name, needed) in NEEDS {
-            let on = file.given.get(&(*section, *needed)).is_some_and(|(v, _)| *v != Value::Flag(false));
+            let on = file
+                .given
+                .get(&(*section, *needed))
+                .is_some_and(|(v, _)| *v != Value::Flag(false));
             if let Some((_, span)) = file.given.get(&(*section, *name)).filter(|_| !on) {
                 let what = format!("'{name}' has no effect without '{needed}'");
-                wrong.push(Mistake::new(&file.source, *span, what).help(format!("set '{needed}' too")));
+                wrong.push(
+                    Mistake::new(&file.source, *span, what).help(format!("set '{needed}' too")),
+                );
             }
         }
         if wrong.is_empty() {
@@ -115,7 +123,11 @@
         for node in children.nodes() {
             let of = || settings().filter(|s| s.section == name.value());
             let Some(setting) = of().find(|s| s.name == node.name().value()) else {
-                let what = format!("'{}' has no setting '{}'", name.value(), node.name().value());
+                let what = format!(
+                    "'{}' has no setting '{}'",
+                    name.value(),
+                    node.name().value()
+                );
                 let help = hint(node.name().value(), of().map(|s| s.name));
                 wrong.push(mistake(node.name().span(), what).help(help));
                 continue;
@@ -128,7 +140,8 @@
             }
             match setting.kind.read(node) {
                 Ok(value) => {
-                    self.given.insert((setting.section, setting.name), (value, node.name().span()));
+                    self.given
+                        .insert((setting.section, setting.name), (value, node.name().span()));
                 }
                 Err((span, what)) => {
                     let mistake = Mistake::new(&self.source, span, what);
@@ -151,21 +164,36 @@
         let most = effective.share(Use::Clients).most;
         effective.policy.places = effective.policy.places.min(most).max(1);
         // An answer that may come after the probe's end would be awaited in vain.
-        let Membership { timeout, period, .. } = effective.membership;
+        let Membership {
+            timeout, period, ..
+        } = effective.membership;
         if timeout * 2 > period {
             let given = |name| self.given.get(&("membership", name)).map(|(_, span)| *span);
-            let span = given("timeout").or(given("period")).unwrap_or((0, 0).into());
+            let span = given("timeout")
+                .or(given("period"))
+                .unwrap_or((0, 0).into());
             let what = "'timeout' is over half of 'period'".to_string();
             let help = "others are asked once the direct answer has failed, within the same period";
-            return Err(Mistakes(vec![Mistake::new(&self.source, span, what).help(help)]));
+            return Err(Mistakes(vec![
+                Mistake::new(&self.source, span, what).help(help)
+            ]));
         }
         match Budget::new(effective.sockets, effective.shares) {
             Ok(_) => Ok(effective),
             Err(few) => {
-                let first = self.given.iter().find(|((section, _), _)| *section == "descriptors");
+                let first = self
+                    .given
+                    .iter()
+                    .find(|((section, _), _)| *section == "descriptors");
                 let span = first.map_or((0, 0).into(), |(_, (_, span))| *span);
-                let help = "lower 'least' of clients or links, or give the process more descriptors";
-                Err(Mistakes(vec![Mistake::new(&self.source, span, few.to_string()).help(help)]))
+                let help =
+                    "lower 'least' of clients or links, or give the process more descriptors";
+                Err(Mistakes(vec![Mistake::new(
+                    &self.source,
+                    span,
+                    few.to_string(),
+                )
+                .help(help)]))
             }
         }
     }
--- a/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operator's own file: KDL (version 2) with every setting checked, its effective values with their sources,
-//! and the set-up of logs.
+//! The operator's own file: KDL (version 2) with every setting checked, its effective values with
+//! their sources, and the set-up of logs.
 //!
 //! ```
-//! use roseyard_operator::{File, Machine};
+//! use roseyard_operator_config::{File, Machine};
 //!
 //! let file = File::parse("roseyard.kdl", "admission { places 400; reserve 0.25 }").unwrap();
 //! let machine = Machine { sockets: 1024, allowed: 20_000 };
@@ -14,8 +14,6 @@
 //!     "roseyard.kdl:1:13: 'admission' has no setting 'resrve'; did you mean 'reserve'?"
 //! );
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod effective;
 mod explain;
--- a/operator/src/log.rs
+++ b/crates/operator-config/src/log.rs
@@ -19,12 +19,16 @@
     Json,
 }
 
-/// From now on events of the level info and above go to standard error. Does nothing if the process logs
-/// already.
+/// From now on events of the level info and above go to standard error. Does nothing if the process
+/// logs already.
 pub fn init(form: Form, lines_a_second: u32) {
     let start = Instant::now();
-    let out = Bounded::new(io::stderr, form, lines_a_second, move || start.elapsed().as_secs());
-    let builder = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(out);
+    let out = Bounded::new(io::stderr, form, lines_a_second, move || {
+        start.elapsed().as_secs()
+    });
+    let builder = tracing_subscriber::fmt()
+        .with_max_level(tracing::Level::INFO)
+        .with_writer(out);
     let _ = match form {
         Form::Text => tracing::subscriber::set_global_default(builder.event_format(Line).finish()),
         Form::Json => {
@@ -57,19 +61,29 @@
     }
 }
 
-impl<S: Subscriber + for<'a> LookupSpan<'a>, N: for<'a> FormatFields<'a> + 'static> FormatEvent<S, N>
-    for Line
+impl<S: Subscriber + for<'a> LookupSpan<'a>, N: for<'a> FormatFields<'a> + 'static>
+    FormatEvent<S, N> for Line
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut out: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
         let mut text = String::new();
         event.record(&mut Message(&mut text));
         // Guards against a line that passes for several.
-        writeln!(out, "roseyard: {}: {}", word(*event.metadata().level()), text.replace('\n', "\\n"))
+        writeln!(
+            out,
+            "roseyard: {}: {}",
+            word(*event.metadata().level()),
+            text.replace('\n', "\\n")
+        )
     }
 }
 
-/// A writer that takes so many lines a second; what goes beyond is counted and told with the next second's
-/// first line.
+/// A writer that takes so many lines a second; what goes beyond is counted and told with the next
+/// second's first line.
 pub struct Bounded<W, C> {
     make: W,
     form: Form,
@@ -88,7 +102,13 @@
 impl<W, C: Fn() -> u64> Bounded<W, C> {
     /// Writes to what `make` makes; `second` tells the present second.
     pub fn new(make: W, form: Form, most: u32, second: C) -> Bounded<W, C> {
-        Bounded { make, form, most, second, state: Mutex::default() }
+        Bounded {
+            make,
+            form,
+            most,
+            second,
+            state: Mutex::default(),
+        }
     }
 }
 
@@ -126,7 +146,10 @@
                     ),
                 };
             }
-            *state = State { second, ..State::default() };
+            *state = State {
+                second,
+                ..State::default()
+            };
         }
         let writes = state.written < self.most;
         state.written += u32::from(writes);
--- a/operator/src/mistake.rs
+++ b/crates/operator-config/src/mistake.rs
@@ -1,6 +1,8 @@
 //! What is wrong with a file, with its place and what is allowed.
 
-use miette::{Diagnostic, GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, SourceSpan};
+use miette::{
+    Diagnostic, GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, SourceSpan,
+};
 use std::fmt;
 use std::sync::Arc;
 
@@ -15,8 +17,17 @@
 }
 
 impl Mistake {
-    pub(crate) fn new(source: &Arc<NamedSource<String>>, span: SourceSpan, what: String) -> Mistake {
-        Mistake { source: Arc::clone(source), span, what, help: None }
+    pub(crate) fn new(
+        source: &Arc<NamedSource<String>>,
+        span: SourceSpan,
+        what: String,
+    ) -> Mistake {
+        Mistake {
+            source: Arc::clone(source),
+            span,
+            what,
+            help: None,
+        }
     }
 
     pub(crate) fn help(mut self, help: impl Into<String>) -> Mistake {
@@ -36,10 +47,16 @@
 }
 
 pub(crate) fn place(text: &str, offset: usize) -> (usize, usize) {
-    let end = (0..=offset.min(text.len())).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+    let end = (0..=offset.min(text.len()))
+        .rev()
+        .find(|at| text.is_char_boundary(*at))
+        .unwrap_or(0);
     let before = &text[..end];
     let line = before.bytes().filter(|b| *b == b'\n').count() + 1;
-    (line, before.rsplit('\n').next().unwrap_or("").chars().count() + 1)
+    (
+        line,
+        before.rsplit('\n').next().unwrap_or("").chars().count() + 1,
+    )
 }
 
 impl fmt::Display for Mistake {
@@ -58,7 +75,9 @@
 
 impl Diagnostic for Mistake {
     fn help(&self) -> Option<Box<dyn fmt::Display + '_>> {
-        self.help.as_ref().map(|help| Box::new(help) as Box<dyn fmt::Display>)
+        self.help
+            .as_ref()
+            .map(|help| Box::new(help) as Box<dyn fmt::Display>)
     }
 
     fn source_code(&self) -> Option<&dyn miette::SourceCode> {
@@ -66,7 +85,9 @@
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        Some(Box::new(std::iter::once(LabeledSpan::new_with_span(None, self.span))))
+        Some(Box::new(std::iter::once(LabeledSpan::new_with_span(
+            None, self.span,
+        ))))
     }
 }
 
@@ -122,6 +143,9 @@
     all.dedup();
     match all.len().saturating_sub(MOST_LISTED) {
         0 => format!("there are {}", all.join(", ")),
-        more => format!("there are {} and {more} more", all[..MOST_LISTED].join(", ")),
+        more => format!(
+            "there are {} and {more} more",
+            all[..MOST_LISTED].join(", ")
+        ),
     }
 }
--- a/operator/src/schema/membership.rs
+++ b/crates/operator-config/src/schema/membership.rs
@@ -129,7 +129,7 @@
         section: "membership",
         name: "status",
         kind: Kind::Path,
-        about: "where 'roseyard status' reads how the members are seen; written anew each second at most",
+        about: "where 'roseyard-ingress status' reads how the members are seen; written anew each second at most",
         apply: |e, v| e.membership.status = Some(v.text().into()),
         show: |e| file(&e.membership.status),
     },
--- a/operator/src/schema/mod.rs
+++ b/crates/operator-config/src/schema/mod.rs
@@ -1,5 +1,5 @@
-//! Every setting once: its section, name, kind, what it is for, how it takes effect and how it is shown. The
-//! checks, the effective values and the explanation all go by this table.
+//! Every setting once: its section, name, kind, what it is for, how it takes effect and how it is
+//! shown. The checks, the effective values and the explanation all go by this table.
 
 mod admission;
 mod descriptors;
@@ -22,8 +22,13 @@
 }
 
 /// Where settings follow from others, the others stand before them.
-const SECTIONS: [&[Setting]; 5] =
-    [descriptors::SETTINGS, admission::SETTINGS, standing::SETTINGS, membership::SETTINGS, log::SETTINGS];
+const SECTIONS: [&[Setting]; 5] = [
+    descriptors::SETTINGS,
+    admission::SETTINGS,
+    standing::SETTINGS,
+    membership::SETTINGS,
+    log::SETTINGS,
+];
 
 /// All settings, in the order in which they take effect.
 pub(crate) fn settings() -> impl Iterator<Item = &'static Setting> + Clone {
--- a/operator/src/schema/show.rs
+++ b/crates/operator-config/src/schema/show.rs
@@ -4,31 +4,31 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-pub fn time(at: Duration) -> String {
+pub(super) fn time(at: Duration) -> String {
     format!("\"{}\"", humantime::format_duration(at))
 }
 
-pub fn flag(on: bool) -> String {
+pub(super) fn flag(on: bool) -> String {
     if on { "#true" } else { "#false" }.into()
 }
 
-pub fn optional<T: ToString>(value: Option<T>) -> String {
+pub(super) fn optional<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "none".into(), |v| v.to_string())
 }
 
-pub fn file(path: &Option<PathBuf>) -> String {
+pub(super) fn file(path: &Option<PathBuf>) -> String {
     optional(path.as_ref().map(|f| format!("\"{}\"", f.display())))
 }
 
 /// One after the other, or that there are none.
-pub fn all<T>(of: &[T], word: impl Fn(&T) -> String) -> String {
+pub(super) fn all<T>(of: &[T], word: impl Fn(&T) -> String) -> String {
     optional(Some(of.iter().map(word).collect::<Vec<_>>().join(" ")).filter(|_| !of.is_empty()))
 }
 
-pub fn rate(rate: Option<Rate>) -> String {
+pub(super) fn rate(rate: Option<Rate>) -> String {
     optional(rate.map(|r| format!("{} burst={}", r.per_second, r.burst)))
 }
 
-pub fn bounds(share: Share) -> String {
+pub(super) fn bounds(share: Share) -> String {
     format!("least={} most={}", share.least, share.most)
 }
--- a/operator/src/services/check.rs
+++ b/crates/operator-config/src/services/check.rs
@@ -4,7 +4,9 @@
 use super::{most_allowed, Services, SECTION};
 use crate::mistake::Mistake;
 use miette::SourceSpan;
-use roseyard_engine::{Directory, DirectoryBounds, DirectoryChange, DirectoryError, ServerSelector};
+use roseyard_request_engine::{
+    Directory, DirectoryBounds, DirectoryChange, DirectoryError, ServerSelector,
+};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -13,16 +15,25 @@
 
 impl Reader<'_> {
     /// Holds the lines against one another. Mistakes are added to `wrong`.
-    pub fn finish(mut self, wrong: &mut Vec<Mistake>) -> Services {
-        let Some(section) = self.section else { return Services::none() };
-        let mut directory = Directory::new(DirectoryBounds { services: self.most, routes: MOST_ROUTES });
+    pub(crate) fn finish(mut self, wrong: &mut Vec<Mistake>) -> Services {
+        let Some(section) = self.section else {
+            return Services::none();
+        };
+        let mut directory = Directory::new(DirectoryBounds {
+            services: self.most,
+            routes: MOST_ROUTES,
+        });
         self.check_needs(section);
         self.add_services(&mut directory);
         self.add_servers(&mut directory);
         self.add_routes(&mut directory);
         self.set_default(&mut directory);
         self.faults.finish(wrong);
-        Services { route_field: self.route_field, directory, places: self.places }
+        Services {
+            route_field: self.route_field,
+            directory,
+            places: self.places,
+        }
     }
 
     /// What has no effect or serves nobody.
@@ -57,21 +68,27 @@
         let default = self.default.as_ref().map(|named| Arc::clone(&named.name));
         for line in &self.services {
             let (name, span) = (&line.service.name, line.service.span);
-            match directory.apply(DirectoryChange::AddService { name: Arc::clone(name) }) {
+            match directory.apply(DirectoryChange::AddService {
+                name: Arc::clone(name),
+            }) {
                 Ok(_) => {
                     first.insert(Arc::clone(name), span);
                 }
                 Err(DirectoryError::TooManyServices { .. }) => beyond = beyond.or(Some(span)),
                 Err(_) => {
                     let before = first.get(name).copied().unwrap_or(span);
-                    self.faults.twice(&format!("service '{name}' stands twice"), span, before);
+                    self.faults
+                        .twice(&format!("service '{name}' stands twice"), span, before);
                 }
             }
             // Servers that no line names belong to the default: it needs none of its own.
             if !line.has_servers && default.as_ref() != Some(name) {
                 self.faults.add(span, |_| {
                     let help = "add 'servers' with networks, addresses or uids";
-                    (format!("service '{name}' has no servers"), Some(help.into()))
+                    (
+                        format!("service '{name}' has no servers"),
+                        Some(help.into()),
+                    )
                 });
             }
         }
@@ -79,7 +96,10 @@
             let (most, given) = (self.most, self.services.len());
             self.faults.add(span, |_| {
                 let help = format!("raise 'most', which takes {}", most_allowed());
-                (format!("more than {most} services: {given} are given"), Some(help))
+                (
+                    format!("more than {most} services: {given} are given"),
+                    Some(help),
+                )
             });
         }
     }
@@ -107,11 +127,18 @@
         for line in &self.routes {
             let route = &line.route;
             if let Some(before) = first.insert(&route.name, route.span) {
-                self.faults.twice(&format!("route '{}' stands twice", route.name), route.span, before);
+                self.faults.twice(
+                    &format!("route '{}' stands twice", route.name),
+                    route.span,
+                    before,
+                );
                 continue;
             }
             let (name, service) = (Arc::clone(&route.name), Arc::clone(&line.service.name));
-            match directory.apply(DirectoryChange::SetRoute { route: name, service }) {
+            match directory.apply(DirectoryChange::SetRoute {
+                route: name,
+                service,
+            }) {
                 Ok(_) => {}
                 Err(DirectoryError::UnknownService { .. }) => {
                     self.faults.check_service(&line.service, &self.declared);
@@ -124,7 +151,10 @@
     fn set_default(&mut self, directory: &mut Directory) {
         let Some(default) = &self.default else { return };
         let service = Some(Arc::clone(&default.name));
-        if directory.apply(DirectoryChange::SetDefault { service }).is_err() {
+        if directory
+            .apply(DirectoryChange::SetDefault { service })
+            .is_err()
+        {
             self.faults.check_service(default, &self.declared);
         }
     }
--- a/operator/src/services/mod.rs
+++ b/crates/operator-config/src/services/mod.rs
@@ -1,4 +1,5 @@
-//! The section `services`: its lines repeat, so it has a reader of its own beside the table of settings.
+//! The section `services`: its lines repeat, so it has a reader of its own beside the table of
+//! settings.
 
 mod check;
 mod faults;
@@ -9,7 +10,7 @@
 
 use crate::explain::Row;
 use miette::SourceSpan;
-use roseyard_engine::{Directory, MOST_NAME_BYTES};
+use roseyard_request_engine::{Directory, MOST_NAME_BYTES};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -35,10 +36,15 @@
 impl Services {
     /// No section: one service that holds everything.
     pub(crate) fn none() -> Services {
-        Services { route_field: None, directory: Directory::single(), places: BTreeMap::new() }
+        Services {
+            route_field: None,
+            directory: Directory::single(),
+            places: BTreeMap::new(),
+        }
     }
 
-    /// The name, in a request's list of names and values, that carries its route; none: requests carry no route.
+    /// The name, in a request's list of names and values, that carries its route; none: requests
+    /// carry no route.
     pub fn route_field(&self) -> Option<&str> {
         self.route_field.as_deref()
     }
@@ -51,14 +57,24 @@
     /// What is shown of them: settings in full, lines that repeat by their number.
     pub(crate) fn rows(&self, place: impl Fn(SourceSpan) -> String) -> Vec<Row> {
         let directory = &self.directory;
-        let quoted = |text: Option<&str>| text.map_or_else(|| "none".to_owned(), |text| format!("{text:?}"));
-        let most = if directory.is_single() { SERVICES } else { directory.bounds().services };
-        let default = directory.default_service().and_then(|id| directory.name(id));
+        let quoted =
+            |text: Option<&str>| text.map_or_else(|| "none".to_owned(), |text| format!("{text:?}"));
+        let most = if directory.is_single() {
+            SERVICES
+        } else {
+            directory.bounds().services
+        };
+        let default = directory
+            .default_service()
+            .and_then(|id| directory.name(id));
         let selectors = directory.selector_count();
         let row = |name: &'static str, value: String, about: &'static str, allowed: String| Row {
             name: format!("{SECTION}.{name}"),
             value,
-            source: self.places.get(name).map_or_else(|| "default".to_owned(), |span| place(*span)),
+            source: self
+                .places
+                .get(name)
+                .map_or_else(|| "default".to_owned(), |span| place(*span)),
             about,
             allowed,
         };
@@ -69,7 +85,12 @@
                 "the name in a request's list of names and values that carries its route",
                 field_allowed(),
             ),
-            row(LINES[1], most.to_string(), "more services are refused", most_allowed()),
+            row(
+                LINES[1],
+                most.to_string(),
+                "more services are refused",
+                most_allowed(),
+            ),
             row(
                 LINES[2],
                 quoted(default),
--- a/operator/src/services/reader.rs
+++ b/crates/operator-config/src/services/reader.rs
@@ -3,14 +3,14 @@
 use super::faults::Faults;
 use super::selector::{selector, BadServers};
 use super::{
-    field_allowed, is_name, most_allowed, name_allowed, LINES, MOST_FIELD_BYTES, MOST_SERVICES, SECTION,
-    SERVICES,
+    field_allowed, is_name, most_allowed, name_allowed, LINES, MOST_FIELD_BYTES, MOST_SERVICES,
+    SECTION, SERVICES,
 };
 use crate::mistake::hint;
 use crate::value::is_label;
 use kdl::{KdlEntry, KdlNode};
 use miette::{NamedSource, SourceSpan};
-use roseyard_engine::ServerSelector;
+use roseyard_request_engine::ServerSelector;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
 
 impl<'a> Reader<'a> {
     /// A reader that has seen no section.
-    pub fn new(source: &'a Arc<NamedSource<String>>) -> Reader<'a> {
+    pub(crate) fn new(source: &'a Arc<NamedSource<String>>) -> Reader<'a> {
         Reader {
             faults: Faults::new(source),
             places: BTreeMap::new(),
@@ -65,7 +65,7 @@
     }
 
     /// Reads the lines of a section.
-    pub fn read(&mut self, section: &KdlNode, nodes: &[KdlNode]) {
+    pub(crate) fn read(&mut self, section: &KdlNode, nodes: &[KdlNode]) {
         self.section = self.section.or(Some(section.name().span()));
         for node in nodes {
             match node.name().value() {
@@ -89,7 +89,8 @@
             self.places.insert(name, span);
             return true;
         };
-        self.faults.twice(&format!("'{name}' is set twice"), span, first);
+        self.faults
+            .twice(&format!("'{name}' is set twice"), span, first);
         false
     }
 
@@ -97,7 +98,9 @@
     fn only_value<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlEntry> {
         let name = node.name().value();
         if let Some(children) = node.children() {
-            self.faults.plain(children.span(), || format!("'{name}' holds values, not settings"));
+            self.faults.plain(children.span(), || {
+                format!("'{name}' holds values, not settings")
+            });
             return None;
         }
         self.first_value(node)
@@ -107,20 +110,27 @@
     fn first_value<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlEntry> {
         let name = node.name().value();
         if let Some((entry, property)) = node.entries().iter().find_map(|e| Some((e, e.name()?))) {
-            self.faults.plain(entry.span(), || format!("'{name}' takes no '{}='", property.value()));
+            self.faults.plain(entry.span(), || {
+                format!("'{name}' takes no '{}='", property.value())
+            });
             return None;
         }
         if let [entry] = node.entries() {
             return Some(entry);
         }
-        self.faults.plain(node.name().span(), || format!("'{name}' has {} values", node.entries().len()));
+        self.faults.plain(node.name().span(), || {
+            format!("'{name}' has {} values", node.entries().len())
+        });
         None
     }
 
     /// A name of a service or route.
     fn named(&mut self, entry: &KdlEntry, of: &str) -> Option<Named> {
         match entry.value().as_string().filter(|text| is_name(text)) {
-            Some(text) => Some(Named { name: text.into(), span: entry.span() }),
+            Some(text) => Some(Named {
+                name: text.into(),
+                span: entry.span(),
+            }),
             None => {
                 self.faults.not_allowed(entry, of, name_allowed);
                 None
@@ -132,8 +142,14 @@
         if !self.once("route-field", node) {
             return;
         }
-        let Some(entry) = self.only_value(node) else { return };
-        match entry.value().as_string().filter(|text| is_label(text, MOST_FIELD_BYTES)) {
+        let Some(entry) = self.only_value(node) else {
+            return;
+        };
+        match entry
+            .value()
+            .as_string()
+            .filter(|text| is_label(text, MOST_FIELD_BYTES))
+        {
             Some(text) => self.route_field = Some(text.to_owned()),
             None => self.faults.not_allowed(entry, "route-field", field_allowed),
         }
@@ -143,8 +159,13 @@
         if !self.once("most", node) {
             return;
         }
-        let Some(entry) = self.only_value(node) else { return };
-        let found = entry.value().as_integer().and_then(|n| u64::try_from(n).ok());
+        let Some(entry) = self.only_value(node) else {
+            return;
+        };
+        let found = entry
+            .value()
+            .as_integer()
+            .and_then(|n| u64::try_from(n).ok());
         match found.filter(|n| (1..=MOST_SERVICES).contains(n)) {
             Some(most) => self.most = most as usize,
             None => self.faults.not_allowed(entry, "most", most_allowed),
@@ -162,7 +183,10 @@
 
     fn read_service(&mut self, node: &KdlNode) {
         self.places.entry("service").or_insert(node.name().span());
-        let Some(service) = self.first_value(node).and_then(|entry| self.named(entry, "service")) else {
+        let Some(service) = self
+            .first_value(node)
+            .and_then(|entry| self.named(entry, "service"))
+        else {
             return;
         };
         let (mut servers, mut has_servers) = (Vec::new(), false);
@@ -181,19 +205,29 @@
             }
         }
         self.declared.insert(Arc::clone(&service.name));
-        self.services.push(ServiceLine { service, servers, has_servers });
+        self.services.push(ServiceLine {
+            service,
+            servers,
+            has_servers,
+        });
     }
 
     fn read_servers(&mut self, line: &KdlNode, servers: &mut Vec<(ServerSelector, SourceSpan)>) {
         if let Some(children) = line.children() {
-            return self.faults.plain(children.span(), || "'servers' holds values, not settings".to_owned());
+            return self.faults.plain(children.span(), || {
+                "'servers' holds values, not settings".to_owned()
+            });
         }
         if line.entries().is_empty() {
-            return self.faults.plain(line.name().span(), || "'servers' has 0 values".to_owned());
+            return self
+                .faults
+                .plain(line.name().span(), || "'servers' has 0 values".to_owned());
         }
         for entry in line.entries() {
             if let Some(property) = entry.name() {
-                self.faults.plain(entry.span(), || format!("'servers' takes no '{}='", property.value()));
+                self.faults.plain(entry.span(), || {
+                    format!("'servers' takes no '{}='", property.value())
+                });
                 continue;
             }
             let text = entry.value().as_string();
@@ -207,28 +241,44 @@
     fn read_route(&mut self, node: &KdlNode) {
         self.places.entry("route").or_insert(node.name().span());
         if let Some(children) = node.children() {
-            return self.faults.plain(children.span(), || "'route' holds values, not settings".to_owned());
+            return self.faults.plain(children.span(), || {
+                "'route' holds values, not settings".to_owned()
+            });
         }
         let is_service = |e: &&KdlEntry| e.name().is_some_and(|n| n.value() == "service");
-        let mut others = node.entries().iter().filter(|e| e.name().is_some() && !is_service(e));
+        let mut others = node
+            .entries()
+            .iter()
+            .filter(|e| e.name().is_some() && !is_service(e));
         if let Some((entry, property)) = others.find_map(|e| Some((e, e.name()?))) {
-            return self.faults.plain(entry.span(), || format!("'route' takes no '{}='", property.value()));
+            return self.faults.plain(entry.span(), || {
+                format!("'route' takes no '{}='", property.value())
+            });
         }
-        let values: Vec<&KdlEntry> = node.entries().iter().filter(|e| e.name().is_none()).collect();
+        let values: Vec<&KdlEntry> = node
+            .entries()
+            .iter()
+            .filter(|e| e.name().is_none())
+            .collect();
         let services: Vec<&KdlEntry> = node.entries().iter().filter(is_service).collect();
         let ([route], [service]) = (&values[..], &services[..]) else {
             let help = "write 'route \"NAME\" service=\"NAME\"'";
             return self.faults.add(node.name().span(), |_| {
-                ("'route' takes one name and one 'service='".to_owned(), Some(help.to_owned()))
+                (
+                    "'route' takes one name and one 'service='".to_owned(),
+                    Some(help.to_owned()),
+                )
             });
         };
         let (route, service) = (self.named(route, "route"), self.named(service, "service="));
-        let (Some(route), Some(service)) = (route, service) else { return };
+        let (Some(route), Some(service)) = (route, service) else {
+            return;
+        };
         // A request's list of names and values is parted by commas.
         if route.name.contains(',') {
-            return self
-                .faults
-                .plain(route.span, || "a route holds no ','; no request could carry it".to_owned());
+            return self.faults.plain(route.span, || {
+                "a route holds no ','; no request could carry it".to_owned()
+            });
         }
         self.routes.push(RouteLine { route, service });
     }
--- a/operator/src/services/selector.rs
+++ b/crates/operator-config/src/services/selector.rs
@@ -2,7 +2,7 @@
 
 use super::is_name;
 use ipnet::IpNet;
-use roseyard_engine::{ServerSelector, MOST_NAME_BYTES};
+use roseyard_request_engine::{ServerSelector, MOST_NAME_BYTES};
 use std::net::{IpAddr, SocketAddr};
 
 /// Why a word names no servers.
@@ -19,12 +19,14 @@
 
 impl BadServers {
     /// What is allowed in its place.
-    pub fn allowed(&self) -> String {
+    pub(super) fn allowed(&self) -> String {
         match self {
             BadServers::Malformed => {
                 format!("networks, addresses, or uids of 1 to {MOST_NAME_BYTES} bytes without '/' or spaces")
             }
-            BadServers::Port(address) => format!("addresses without a port; did you mean '{address}'?"),
+            BadServers::Port(address) => {
+                format!("addresses without a port; did you mean '{address}'?")
+            }
             BadServers::HostBits(network) => {
                 format!("networks without bits beyond their prefix; did you mean '{network}'?")
             }
--- a/operator/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -57,7 +57,7 @@
 }
 
 impl Value {
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         if let Value::Count(n) = self {
             *n as usize
         } else {
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn number(&self) -> f64 {
+    pub(crate) fn number(&self) -> f64 {
         if let Value::Number(n) = self {
             *n
         } else {
@@ -73,7 +73,7 @@
         }
     }
 
-    pub fn time(&self) -> Duration {
+    pub(crate) fn time(&self) -> Duration {
         if let Value::Time(at) = self {
             *at
         } else {
@@ -81,19 +81,22 @@
         }
     }
 
-    pub fn on(&self) -> bool {
+    pub(crate) fn on(&self) -> bool {
         *self == Value::Flag(true)
     }
 
-    pub fn rate(&self) -> Option<Rate> {
+    pub(crate) fn rate(&self) -> Option<Rate> {
         if let Value::Rate(per_second, burst) = self {
-            Some(Rate { per_second: *per_second, burst: *burst })
+            Some(Rate {
+                per_second: *per_second,
+                burst: *burst,
+            })
         } else {
             None
         }
     }
 
-    pub fn text(&self) -> &str {
+    pub(crate) fn text(&self) -> &str {
         if let Value::Text(text) = self {
             text
         } else {
@@ -101,7 +104,7 @@
         }
     }
 
-    pub fn addresses(&self) -> &[SocketAddr] {
+    pub(crate) fn addresses(&self) -> &[SocketAddr] {
         if let Value::Addresses(held) = self {
             held
         } else {
@@ -110,8 +113,10 @@
     }
 
     /// The value of a property, if it was given.
-    pub fn named(&self, name: &str) -> Option<u64> {
-        let Value::Named(held) = self else { return None };
+    pub(crate) fn named(&self, name: &str) -> Option<u64> {
+        let Value::Named(held) = self else {
+            return None;
+        };
         held.iter().find(|(held, _)| *held == name).map(|(_, n)| *n)
     }
 }
@@ -129,39 +134,56 @@
 
 impl Kind {
     /// What is allowed, for messages and pages.
-    pub fn allowed(&self) -> String {
+    pub(crate) fn allowed(&self) -> String {
         match self {
             Kind::Flag => "#true or #false".into(),
             Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
             Kind::Number(least, most) => format!("a number from {least} to {most}"),
             Kind::Share => "a share from 0 to 1".into(),
             Kind::Time(least, most) => {
-                let shown = |ms: &u64| humantime::format_duration(Duration::from_millis(*ms)).to_string();
+                let shown =
+                    |ms: &u64| humantime::format_duration(Duration::from_millis(*ms)).to_string();
                 format!("a time from \"{}\" to \"{}\"", shown(least), shown(most))
             }
-            Kind::Rate => "a rate a second from 0.001 to 1000000, and burst= from 1 to 1000000".into(),
+            Kind::Rate => {
+                "a rate a second from 0.001 to 1000000, and burst= from 1 to 1000000".into()
+            }
             Kind::Prefixes => {
-                let each = PREFIXES.map(|(name, least, most)| format!("{name}= from {least} to {most}"));
+                let each =
+                    PREFIXES.map(|(name, least, most)| format!("{name}= from {least} to {most}"));
                 each.join(", ")
             }
             Kind::Ranges => "addresses or ranges such as \"192.0.2.7\" or \"2001:db8::/32\"".into(),
-            Kind::Bounds(most) => format!("least= and most= from 0 to {most}, least not above most"),
+            Kind::Bounds(most) => {
+                format!("least= and most= from 0 to {most}, least not above most")
+            }
             Kind::Word(words) => words.join(" or "),
             Kind::Path => "the path of a file".into(),
             Kind::Label(most) => format!("1 to {most} letters, digits, '.', '-' or '_'"),
             Kind::Addresses(1) => "an address with a port such as \"127.0.0.1:7946\"".into(),
-            Kind::Addresses(most) => format!("1 to {most} addresses with ports such as \"127.0.0.1:7946\""),
-            Kind::Paths(most) => format!("1 to {most} names with addresses such as \"n1=127.0.0.1:7946\""),
+            Kind::Addresses(most) => {
+                format!("1 to {most} addresses with ports such as \"127.0.0.1:7946\"")
+            }
+            Kind::Paths(most) => {
+                format!("1 to {most} names with addresses such as \"n1=127.0.0.1:7946\"")
+            }
         }
     }
 
     /// Reads a setting's values.
-    pub fn read(&self, node: &KdlNode) -> Result<Value, Wrong> {
+    pub(crate) fn read(&self, node: &KdlNode) -> Result<Value, Wrong> {
         let wrong = |what: String| (node.span(), what);
         if let Some(children) = node.children() {
-            return Err((children.span(), format!("'{}' holds values, not settings", node.name().value())));
+            return Err((
+                children.span(),
+                format!("'{}' holds values, not settings", node.name().value()),
+            ));
         }
-        let named = |name: &str| node.entries().iter().find(|e| e.name().is_some_and(|n| n.value() == name));
+        let named = |name: &str| {
+            node.entries()
+                .iter()
+                .find(|e| e.name().is_some_and(|n| n.value() == name))
+        };
         let names: &[&str] = match self {
             Kind::Rate => &["burst"],
             Kind::Prefixes => &["v4", "v6-client", "v6"],
@@ -174,7 +196,11 @@
                 return Err((entry.span(), what));
             }
         }
-        let plain: Vec<&KdlEntry> = node.entries().iter().filter(|e| e.name().is_none()).collect();
+        let plain: Vec<&KdlEntry> = node
+            .entries()
+            .iter()
+            .filter(|e| e.name().is_none())
+            .collect();
         let counts = match self {
             Kind::Ranges => 1..=4096,
             Kind::Addresses(most) | Kind::Paths(most) => 1..=*most,
@@ -192,8 +218,13 @@
             (entry.span(), format!("{shown} is not allowed here"))
         };
         let whole = |entry: &KdlEntry, least: u64, most: u64| {
-            let found = entry.value().as_integer().and_then(|n| u64::try_from(n).ok());
-            found.filter(|n| (least..=most).contains(n)).ok_or_else(|| bad(entry))
+            let found = entry
+                .value()
+                .as_integer()
+                .and_then(|n| u64::try_from(n).ok());
+            found
+                .filter(|n| (least..=most).contains(n))
+                .ok_or_else(|| bad(entry))
         };
         let number = |entry: &KdlEntry, least: f64, most: f64| {
             let found = match entry.value() {
@@ -201,10 +232,17 @@
                 KdlValue::Float(n) => Some(*n),
                 _ => None,
             };
-            found.filter(|n| (least..=most).contains(n)).ok_or_else(|| bad(entry))
+            found
+                .filter(|n| (least..=most).contains(n))
+                .ok_or_else(|| bad(entry))
+        };
+        let text = |entry: &'_ KdlEntry| {
+            entry
+                .value()
+                .as_string()
+                .map(str::to_owned)
+                .ok_or_else(|| bad(entry))
         };
-        let text =
-            |entry: &'_ KdlEntry| entry.value().as_string().map(str::to_owned).ok_or_else(|| bad(entry));
         let one = || one.ok_or_else(|| wrong("a value is missing".into()));
         Ok(match self {
             Kind::Flag => {
@@ -218,7 +256,11 @@
                 let entry = one()?;
                 let time = humantime::parse_duration(&text(entry)?).map_err(|_| bad(entry))?;
                 let bounds = Duration::from_millis(*least)..=Duration::from_millis(*most);
-                Value::Time(Some(time).filter(|t| bounds.contains(t)).ok_or_else(|| bad(entry))?)
+                Value::Time(
+                    Some(time)
+                        .filter(|t| bounds.contains(t))
+                        .ok_or_else(|| bad(entry))?,
+                )
             }
             Kind::Rate => {
                 let rate = number(one()?, 0.001, 1e6)?;
@@ -252,24 +294,38 @@
                 let range = |entry: &&KdlEntry| {
                     let text = text(entry)?;
                     let one = || text.parse::<IpAddr>().map(IpNet::from);
-                    text.parse::<IpNet>().or_else(|_| one()).map_err(|_| bad(entry))
+                    text.parse::<IpNet>()
+                        .or_else(|_| one())
+                        .map_err(|_| bad(entry))
                 };
                 Value::Ranges(plain.iter().map(range).collect::<Result<_, Wrong>>()?)
             }
             Kind::Word(words) => {
                 let entry = one()?;
                 let text = text(entry)?;
-                Value::Text(Some(text).filter(|t| words.contains(&t.as_str())).ok_or_else(|| bad(entry))?)
+                Value::Text(
+                    Some(text)
+                        .filter(|t| words.contains(&t.as_str()))
+                        .ok_or_else(|| bad(entry))?,
+                )
             }
             Kind::Path => {
                 let entry = one()?;
                 let text = text(entry)?;
-                Value::Text(Some(text).filter(|t| !t.is_empty()).ok_or_else(|| bad(entry))?)
+                Value::Text(
+                    Some(text)
+                        .filter(|t| !t.is_empty())
+                        .ok_or_else(|| bad(entry))?,
+                )
             }
             Kind::Label(most) => {
                 let entry = one()?;
                 let text = text(entry)?;
-                Value::Text(Some(text).filter(|t| is_label(t, *most)).ok_or_else(|| bad(entry))?)
+                Value::Text(
+                    Some(text)
+                        .filter(|t| is_label(t, *most))
+                        .ok_or_else(|| bad(entry))?,
+                )
             }
             Kind::Addresses(_) => {
                 let address = |entry: &&KdlEntry| text(entry)?.parse().map_err(|_| bad(entry));
@@ -280,7 +336,9 @@
                     let text = text(entry)?;
                     let (name, address) = text.split_once('=').ok_or_else(|| bad(entry))?;
                     let address = address.parse().map_err(|_| bad(entry))?;
-                    Some((name.to_owned(), address)).filter(|_| is_label(name, 16)).ok_or_else(|| bad(entry))
+                    Some((name.to_owned(), address))
+                        .filter(|_| is_label(name, 16))
+                        .ok_or_else(|| bad(entry))
                 };
                 Value::Paths(plain.iter().map(path).collect::<Result<_, Wrong>>()?)
             }
--- a/settings/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings that a platform hands an ingress, decoded once for every embedder of the module: the bench's
-//! adapter receives them as a text of their own, the real ingress inside its configuration. Unknown keys are
-//! ignored.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! The settings that a platform hands an ingress, decoded once for every embedder of the module:
+//! the bench's adapter receives them as a text of their own, the real ingress inside its
+//! configuration. Unknown keys are ignored.
 
-use roseyard::{Class, Counter, DedupGroup, Discovery, Effect, Guarantees, Limits, Plan, Settings};
+use roseyard_decision::{
+    Class, Counter, DedupGroup, Discovery, Effect, Guarantees, Limits, Plan, Settings,
+};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -115,7 +115,8 @@
     serde_path_to_error::deserialize(&mut from).map_err(|e| e.to_string())
 }
 
-/// Milliseconds of the wire as a duration, on its grid of microseconds; what is not a time reads as none.
+/// Milliseconds of the wire as a duration, on its grid of microseconds; what is not a time reads as
+/// none.
 pub fn ms(value: f64) -> Duration {
     if !value.is_finite() || value <= 0.0 {
         return Duration::ZERO;
@@ -136,7 +137,9 @@
         "all" => Ok(DedupGroup::All),
         "zone" => Ok(DedupGroup::Zone),
         "cell" => Ok(DedupGroup::Cell),
-        other => Err(format!("Classes[].Group: unknown value '{other}', expected 'all', 'zone' or 'cell'")),
+        other => Err(format!(
+            "Classes[].Group: unknown value '{other}', expected 'all', 'zone' or 'cell'"
+        )),
     };
     let effect = match c.effect.as_str() {
         "read_like" => Effect::Safe,
@@ -147,7 +150,9 @@
         "non_idempotent" => Effect::Unsafe,
         other => {
             let known = "'read_like', 'idempotency_key' or 'non_idempotent'";
-            return Err(format!("Classes[].Effect: unknown value '{other}', expected {known}"));
+            return Err(format!(
+                "Classes[].Effect: unknown value '{other}', expected {known}"
+            ));
         }
     };
     Ok(Class {
@@ -179,7 +184,10 @@
 
     /// Names of the plans, by index.
     pub fn plan_names(&self) -> Vec<&str> {
-        self.tiers_of_service.iter().map(|p| p.name.as_str()).collect()
+        self.tiers_of_service
+            .iter()
+            .map(|p| p.name.as_str())
+            .collect()
     }
 
     /// Names of the zones, by index.
@@ -192,8 +200,8 @@
         Some(ms(self.ceilings.conn_idle_ms)).filter(|d| !d.is_zero())
     }
 
-    /// Does an agent beside the ingress hold what discovery has pushed, and answer at once? Else each call is a load on
-    /// discovery itself, and may wait there.
+    /// Does an agent beside the ingress hold what discovery has pushed, and answer at once? Else
+    /// each call is a load on discovery itself, and may wait there.
     pub fn pushed(&self) -> bool {
         self.discovery == "automatic"
     }
@@ -225,7 +233,11 @@
 
     /// The longest time that a client waits.
     pub fn longest_deadline(&self) -> Duration {
-        self.classes.iter().map(|c| ms(c.deadline_ms)).max().unwrap_or_default()
+        self.classes
+            .iter()
+            .map(|c| ms(c.deadline_ms))
+            .max()
+            .unwrap_or_default()
     }
 
     /// Most requests held open at once.
@@ -242,9 +254,9 @@
             other => return Err(format!("Discovery: unknown value '{other}'")),
         };
         let counter = match o.domain.shared_counter {
-            true => {
-                Some(Counter { timeout: required("Domain.CounterTimeoutMs", o.domain.counter_timeout_ms)? })
-            }
+            true => Some(Counter {
+                timeout: required("Domain.CounterTimeoutMs", o.domain.counter_timeout_ms)?,
+            }),
             false => None,
         };
         let plan = |p: &WirePlan| Plan {
@@ -266,9 +278,13 @@
             classes: o.classes.iter().map(class).collect::<Result<_, _>>()?,
             plans: o.tiers_of_service.iter().map(plan).collect(),
             counter,
-            // What a server's cores do says nothing of what it holds: such reports are worth no probe.
+            // What a server's cores do says nothing of what it holds: such reports are worth no
+            // probe.
             reports_on_probe: o.report.via == "on_probe"
-                && o.report.fields.iter().any(|f| f == "busy_reqs" || f == "pending"),
+                && o.report
+                    .fields
+                    .iter()
+                    .any(|f| f == "busy_reqs" || f == "pending"),
             discovery,
             limits: Limits {
                 max_attempts: o.ceilings.max_attempts,
--- a/engine/src/directory.rs
+++ b/crates/request-engine/src/directory.rs
@@ -1,21 +1,22 @@
 //! Services: which one a route names, and which one a server belongs to.
 //!
-//! A [`Directory`] is changed by typed deltas, each at the cost of itself whatever the size of the directory, so
-//! that routes and servers move between services while requests are out. [`Directory::difference`] turns a
-//! directory that was read anew into the deltas that lead to it. Lookups are one hash lookup for a route, and for
-//! a server one for its uid and one for each prefix length in use.
+//! A [`Directory`] is changed by typed deltas, each at the cost of itself whatever the size of the
+//! directory, so that routes and servers move between services while requests are out.
+//! [`Directory::difference`] turns a directory that was read anew into the deltas that lead to it.
+//! Lookups are one hash lookup for a route, and for a server one for its uid and one for each
+//! prefix length in use.
 
 use crate::networks::Networks;
 use crate::tables::shrink;
 use ipnet::IpNet;
-use roseyard::ServiceId;
+use roseyard_decision::ServiceId;
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest name of a service, of a route, and of a server, in bytes: the operator's file holds none that is longer, and
-/// no request is looked up by one.
+/// Longest name of a service, of a route, and of a server, in bytes: the operator's file holds none
+/// that is longer, and no request is looked up by one.
 pub const MOST_NAME_BYTES: usize = 128;
 
 /// The service of a [`Directory::single`]; a named service never has this id.
@@ -207,7 +208,13 @@
 impl Directory {
     /// One service that holds everything: the directory of a platform without services.
     pub fn single() -> Directory {
-        Directory { single: true, ..Directory::new(DirectoryBounds { services: 0, routes: 0 }) }
+        Directory {
+            single: true,
+            ..Directory::new(DirectoryBounds {
+                services: 0,
+                routes: 0,
+            })
+        }
     }
 
     /// A directory without services.
@@ -272,13 +279,16 @@
         self.default
     }
 
-    /// The service of a server: by its uid, else by the longest network that holds its address, else the default.
+    /// The service of a server: by its uid, else by the longest network that holds its address,
+    /// else the default.
     pub fn service_of_server(&self, uid: &str, address: SocketAddr) -> Option<ServiceId> {
         if self.single {
             return Some(SINGLE_SERVICE);
         }
         let by_uid = self.uids.get(uid).copied();
-        by_uid.or_else(|| self.networks.longest(address.ip())).or(self.default)
+        by_uid
+            .or_else(|| self.networks.longest(address.ip()))
+            .or(self.default)
     }
 
     /// The name of a service; none for [`SINGLE_SERVICE`] and for one that was removed.
@@ -293,7 +303,9 @@
 
     /// All named services, in no order.
     pub fn services(&self) -> impl Iterator<Item = (ServiceId, &str)> {
-        self.services.iter().map(|(id, service)| (*id, &*service.name))
+        self.services
+            .iter()
+            .map(|(id, service)| (*id, &*service.name))
     }
 
     /// Applies a delta. An error changes nothing.
@@ -316,8 +328,8 @@
         }
     }
 
-    /// The deltas that lead from this directory to `new`, by the names of services. What is added goes before what
-    /// is removed: no server or route that stays is without a service in between.
+    /// The deltas that lead from this directory to `new`, by the names of services. What is added
+    /// goes before what is removed: no server or route that stays is without a service in between.
     pub fn difference(&self, new: &Directory) -> Vec<DirectoryChange> {
         let mut changes = Vec::new();
         let room = self.room_for_both(new);
@@ -331,7 +343,9 @@
         changes.extend(self.set_routes(new));
         changes.extend(self.assigned(new));
         if self.default_name() != new.default_name() {
-            changes.push(DirectoryChange::SetDefault { service: new.default_name().cloned() });
+            changes.push(DirectoryChange::SetDefault {
+                service: new.default_name().cloned(),
+            });
         }
         if self.single && !new.single {
             changes.push(DirectoryChange::SetSingle(false));
@@ -350,13 +364,25 @@
             return Err(DirectoryError::ServiceExists { name });
         }
         if self.services.len() >= self.bounds.services {
-            return Err(DirectoryError::TooManyServices { most: self.bounds.services });
+            return Err(DirectoryError::TooManyServices {
+                most: self.bounds.services,
+            });
         }
-        let next = self.last_id.checked_add(1).ok_or(DirectoryError::NoIdLeft)?;
+        let next = self
+            .last_id
+            .checked_add(1)
+            .ok_or(DirectoryError::NoIdLeft)?;
         self.last_id = next;
         let id = ServiceId(next);
         self.ids.insert(Arc::clone(&name), id);
-        self.services.insert(id, Service { name, routes: 0, selectors: 0 });
+        self.services.insert(
+            id,
+            Service {
+                name,
+                routes: 0,
+                selectors: 0,
+            },
+        );
         Ok(DirectoryEffect::Added(id))
     }
 
@@ -366,7 +392,12 @@
         if let Some(service) = self.services.get(&id) {
             let (routes, servers) = (service.routes, service.selectors);
             if routes > 0 || servers > 0 || default {
-                return Err(DirectoryError::ServiceInUse { name, routes, servers, default });
+                return Err(DirectoryError::ServiceInUse {
+                    name,
+                    routes,
+                    servers,
+                    default,
+                });
             }
         }
         self.services.remove(&id);
@@ -376,10 +407,16 @@
         Ok(DirectoryEffect::Removed(id))
     }
 
-    fn set_route(&mut self, route: Arc<str>, service: Arc<str>) -> Result<DirectoryEffect, DirectoryError> {
+    fn set_route(
+        &mut self,
+        route: Arc<str>,
+        service: Arc<str>,
+    ) -> Result<DirectoryEffect, DirectoryError> {
         let id = self.known(&service)?;
         if !self.routes.contains_key(&route) && self.routes.len() >= self.bounds.routes {
-            return Err(DirectoryError::TooManyRoutes { most: self.bounds.routes });
+            return Err(DirectoryError::TooManyRoutes {
+                most: self.bounds.routes,
+            });
         }
         let before = self.routes.insert(route, id);
         self.count_routes(before, Some(id));
@@ -428,7 +465,10 @@
         Ok(DirectoryEffect::Reassigned(servers))
     }
 
-    fn set_default(&mut self, service: Option<Arc<str>>) -> Result<DirectoryEffect, DirectoryError> {
+    fn set_default(
+        &mut self,
+        service: Option<Arc<str>>,
+    ) -> Result<DirectoryEffect, DirectoryError> {
         let id = service.map(|name| self.known(&name)).transpose()?;
         match std::mem::replace(&mut self.default, id) == id {
             true => Ok(DirectoryEffect::Unchanged),
@@ -438,17 +478,23 @@
 
     fn set_bounds(&mut self, bounds: DirectoryBounds) -> Result<DirectoryEffect, DirectoryError> {
         if self.services.len() > bounds.services {
-            return Err(DirectoryError::TooManyServices { most: bounds.services });
+            return Err(DirectoryError::TooManyServices {
+                most: bounds.services,
+            });
         }
         if self.routes.len() > bounds.routes {
-            return Err(DirectoryError::TooManyRoutes { most: bounds.routes });
+            return Err(DirectoryError::TooManyRoutes {
+                most: bounds.routes,
+            });
         }
         self.bounds = bounds;
         Ok(DirectoryEffect::Unchanged)
     }
 
     fn known(&self, name: &Arc<str>) -> Result<ServiceId, DirectoryError> {
-        self.id(name).ok_or_else(|| DirectoryError::UnknownService { name: Arc::clone(name) })
+        self.id(name).ok_or_else(|| DirectoryError::UnknownService {
+            name: Arc::clone(name),
+        })
     }
 
     fn count_routes(&mut self, before: Option<ServiceId>, after: Option<ServiceId>) {
@@ -479,9 +525,17 @@
 
     /// The selectors with the names of their services.
     fn selectors(&self) -> impl Iterator<Item = (ServerSelector, &Arc<str>)> {
-        let networks = self.networks.iter().map(|(network, id)| (ServerSelector::Network(network), id));
-        let uids = self.uids.iter().map(|(uid, id)| (ServerSelector::Uid(Arc::clone(uid)), *id));
-        networks.chain(uids).filter_map(|(servers, id)| Some((servers, self.shared_name(id)?)))
+        let networks = self
+            .networks
+            .iter()
+            .map(|(network, id)| (ServerSelector::Network(network), id));
+        let uids = self
+            .uids
+            .iter()
+            .map(|(uid, id)| (ServerSelector::Uid(Arc::clone(uid)), *id));
+        networks
+            .chain(uids)
+            .filter_map(|(servers, id)| Some((servers, self.shared_name(id)?)))
     }
 
     /// Name of the service that holds servers by exactly this selector.
@@ -495,30 +549,64 @@
 
     /// Bounds that hold while what is new is there already and what is old is still there.
     fn room_for_both(&self, new: &Directory) -> DirectoryBounds {
-        let added_services = new.ids.keys().filter(|name| !self.ids.contains_key(*name)).count();
-        let added_routes = new.routes.keys().filter(|route| !self.routes.contains_key(*route)).count();
+        let added_services = new
+            .ids
+            .keys()
+            .filter(|name| !self.ids.contains_key(*name))
+            .count();
+        let added_routes = new
+            .routes
+            .keys()
+            .filter(|route| !self.routes.contains_key(*route))
+            .count();
         DirectoryBounds {
-            services: self.bounds.services.max(self.services.len() + added_services),
+            services: self
+                .bounds
+                .services
+                .max(self.services.len() + added_services),
             routes: self.bounds.routes.max(self.routes.len() + added_routes),
         }
     }
 
     fn added_services(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let mut added: Vec<&Arc<str>> = new.ids.keys().filter(|n| !self.ids.contains_key(*n)).collect();
+        let mut added: Vec<&Arc<str>> = new
+            .ids
+            .keys()
+            .filter(|n| !self.ids.contains_key(*n))
+            .collect();
         added.sort_unstable();
-        added.into_iter().map(|name| DirectoryChange::AddService { name: Arc::clone(name) }).collect()
+        added
+            .into_iter()
+            .map(|name| DirectoryChange::AddService {
+                name: Arc::clone(name),
+            })
+            .collect()
     }
 
     fn removed_services(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let mut removed: Vec<&Arc<str>> = self.ids.keys().filter(|n| !new.ids.contains_key(*n)).collect();
+        let mut removed: Vec<&Arc<str>> = self
+            .ids
+            .keys()
+            .filter(|n| !new.ids.contains_key(*n))
+            .collect();
         removed.sort_unstable();
-        removed.into_iter().map(|name| DirectoryChange::RemoveService { name: Arc::clone(name) }).collect()
+        removed
+            .into_iter()
+            .map(|name| DirectoryChange::RemoveService {
+                name: Arc::clone(name),
+            })
+            .collect()
     }
 
     fn set_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let routes = new.routes.iter().filter_map(|(route, id)| Some((route, new.shared_name(*id)?)));
+        let routes = new
+            .routes
+            .iter()
+            .filter_map(|(route, id)| Some((route, new.shared_name(*id)?)));
         let held = |route| self.routes.get(route).and_then(|id| self.shared_name(*id));
-        let mut set: Vec<_> = routes.filter(|(route, service)| held(*route) != Some(service)).collect();
+        let mut set: Vec<_> = routes
+            .filter(|(route, service)| held(*route) != Some(service))
+            .collect();
         set.sort_unstable();
         let change = |(route, service): (&Arc<str>, &Arc<str>)| DirectoryChange::SetRoute {
             route: Arc::clone(route),
@@ -528,14 +616,24 @@
     }
 
     fn removed_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let mut removed: Vec<_> = self.routes.keys().filter(|r| !new.routes.contains_key(*r)).collect();
+        let mut removed: Vec<_> = self
+            .routes
+            .keys()
+            .filter(|r| !new.routes.contains_key(*r))
+            .collect();
         removed.sort_unstable();
-        removed.into_iter().map(|route| DirectoryChange::RemoveRoute { route: Arc::clone(route) }).collect()
+        removed
+            .into_iter()
+            .map(|route| DirectoryChange::RemoveRoute {
+                route: Arc::clone(route),
+            })
+            .collect()
     }
 
     fn assigned(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let differs =
-            |(servers, service): &(ServerSelector, &Arc<str>)| self.holder(servers) != Some(service);
+        let differs = |(servers, service): &(ServerSelector, &Arc<str>)| {
+            self.holder(servers) != Some(service)
+        };
         let mut assigned: Vec<_> = new.selectors().filter(differs).collect();
         assigned.sort_unstable();
         let change = |(servers, service): (ServerSelector, &Arc<str>)| DirectoryChange::Assign {
@@ -547,8 +645,13 @@
 
     fn unassigned(&self, new: &Directory) -> Vec<DirectoryChange> {
         let held = self.selectors().map(|(servers, _)| servers);
-        let mut removed: Vec<_> = held.filter(|servers| new.holder(servers).is_none()).collect();
+        let mut removed: Vec<_> = held
+            .filter(|servers| new.holder(servers).is_none())
+            .collect();
         removed.sort_unstable();
-        removed.into_iter().map(|servers| DirectoryChange::Unassign { servers }).collect()
+        removed
+            .into_iter()
+            .map(|servers| DirectoryChange::Unassign { servers })
+            .collect()
     }
 }
--- a/engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -4,12 +4,13 @@
 use crate::fleet::{Change, Fleet, Reading};
 use crate::list::List;
 use crate::slots::{Key, Slots};
-use roseyard::*;
+use roseyard_decision::*;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request as a front hands it over. `O` names whom the answer is for, `C` is what goes to a server.
+/// A request as a front hands it over. `O` names whom the answer is for, `C` is what goes to a
+/// server.
 #[derive(Clone, Debug)]
 pub struct Ask<O, C> {
     /// Whom the answer is for.
@@ -63,7 +64,12 @@
 impl<V> End<V> {
     /// An end with nothing but its outcome.
     pub fn of(outcome: Outcome) -> End<V> {
-        End { outcome, value: None, true_units: None, load: None }
+        End {
+            outcome,
+            value: None,
+            true_units: None,
+            load: None,
+        }
     }
 }
 
@@ -95,7 +101,8 @@
         /// It.
         answer: Answer<V>,
     },
-    /// Make a call to the counter; its end is told with [`Engine::counted`], for one name in the order of calls.
+    /// Make a call to the counter; its end is told with [`Engine::counted`], for one name in the
+    /// order of calls.
     Count {
         /// The name.
         name: CountName,
@@ -173,7 +180,11 @@
 
 impl<O, C, V> Engine<O, C, V> {
     /// An engine with nothing to do yet.
-    pub fn new(mut settings: Settings, seed: u64, bounds: Bounds) -> Result<Engine<O, C, V>, SettingsError> {
+    pub fn new(
+        mut settings: Settings,
+        seed: u64,
+        bounds: Bounds,
+    ) -> Result<Engine<O, C, V>, SettingsError> {
         // One outstanding attempt a request, whatever the platform would allow.
         settings.limits.duplicates = false;
         let effects = settings.classes.iter().map(|c| c.effect).collect();
@@ -215,7 +226,9 @@
 
     /// May a request be sent twice, whatever became of it the first time?
     pub fn repeatable(&self, request: Key) -> bool {
-        self.requests.get(request).is_some_and(|r| r.effect == Effect::Safe)
+        self.requests
+            .get(request)
+            .is_some_and(|r| r.effect == Effect::Safe)
     }
 
     /// When [`Engine::on_due`] wants to be called next.
@@ -230,7 +243,8 @@
 
     /// Takes a request in. Its answer comes as an [`Output::Answer`].
     pub fn submit(&mut self, ask: Ask<O, C>) -> Result<Key, Full> {
-        let full = self.requests.len() >= self.bounds.requests || self.held + ask.bytes > self.bounds.bytes;
+        let full = self.requests.len() >= self.bounds.requests
+            || self.held + ask.bytes > self.bounds.bytes;
         if full || self.stopped {
             return Err(Full);
         }
@@ -239,7 +253,11 @@
             owner: Some(ask.owner),
             command: ask.command,
             bytes: ask.bytes,
-            effect: self.effects.get(ask.class).copied().unwrap_or(Effect::Unsafe),
+            effect: self
+                .effects
+                .get(ask.class)
+                .copied()
+                .unwrap_or(Effect::Unsafe),
             out: None,
             carrier: None,
             attempts: 0,
@@ -262,26 +280,35 @@
         Ok(key)
     }
 
-    /// The owner of a request has left: it is owed nothing any more, and an attempt that is out is called off.
+    /// The owner of a request has left: it is owed nothing any more, and an attempt that is out is
+    /// called off.
     pub fn abandon(&mut self, request: Key) {
         if let Some(held) = self.requests.get_mut(request).filter(|r| !r.finished) {
             (held.finished, held.owner) = (true, None);
-            self.events.push_back(Event::ClientGone(RequestId(request.pack())));
+            self.events
+                .push_back(Event::ClientGone(RequestId(request.pack())));
         }
     }
 
-    /// May the first byte of this attempt be written to its server now? Guards against sends to a server that
-    /// drains or is gone, for a request that is over, too late, and where an earlier attempt may have run and its
-    /// repeat would no longer be dropped; also after a wait for a connection.
+    /// May the first byte of this attempt be written to its server now? Guards against sends to a
+    /// server that drains or is gone, for a request that is over, too late, and where an earlier
+    /// attempt may have run and its repeat would no longer be dropped; also after a wait for a
+    /// connection.
     pub fn may_write(&self, request: Key, attempt: u16, give_up: Duration, now: Duration) -> bool {
-        let Some(held) = self.requests.get(request).filter(|r| !r.finished) else { return false };
+        let Some(held) = self.requests.get(request).filter(|r| !r.finished) else {
+            return false;
+        };
         let end = held.until.map_or(give_up, |until| until.min(give_up));
-        held.out.is_some_and(|o| o.attempt == attempt && self.takes_work(o.server)) && now < end
+        held.out
+            .is_some_and(|o| o.attempt == attempt && self.takes_work(o.server))
+            && now < end
     }
 
     /// Does this server take new work?
     pub fn takes_work(&self, server: ServerId) -> bool {
-        self.fleet.get(server).is_some_and(|s| s.state == ServerState::Ready)
+        self.fleet
+            .get(server)
+            .is_some_and(|s| s.state == ServerState::Ready)
     }
 
     /// Notes what carries the attempt that is out.
@@ -296,13 +323,21 @@
         self.requests.get(request)?.carrier
     }
 
-    /// An attempt has ended. An end that was told before, or of an attempt that is not the one out, is passed
-    /// over: guards against counting one attempt twice, and against an answer to another's request.
+    /// An attempt has ended. An end that was told before, or of an attempt that is not the one out,
+    /// is passed over: guards against counting one attempt twice, and against an answer to
+    /// another's request.
     pub fn ended(&mut self, request: Key, attempt: u16, end: End<V>, now: Duration) {
-        let Some(held) = self.requests.get_mut(request) else { return };
-        let Some(out) = held.out.take_if(|out| out.attempt == attempt) else { return };
+        let Some(held) = self.requests.get_mut(request) else {
+            return;
+        };
+        let Some(out) = held.out.take_if(|out| out.attempt == attempt) else {
+            return;
+        };
         held.carrier = None;
-        if !matches!(end.outcome, Outcome::ConnectFailed | Outcome::Full | Outcome::Moot) {
+        if !matches!(
+            end.outcome,
+            Outcome::ConnectFailed | Outcome::Full | Outcome::Moot
+        ) {
             held.may_have_run = true;
             let until = match held.effect {
                 Effect::Safe => None,
@@ -312,11 +347,13 @@
             held.until = held.until.or(until);
         }
         held.arrived |= !matches!(end.outcome, Outcome::ConnectFailed | Outcome::Moot);
-        // Guards against a quota that is counted twice for a client that has left and comes again: what has never
-        // reached a server has taken nothing.
+        // Guards against a quota that is counted twice for a client that has left and comes again:
+        // what has never reached a server has taken nothing.
         let unsent = held.finished && !held.arrived;
         let true_units = if unsent { Some(0.0) } else { end.true_units };
-        let served = end.value.filter(|_| end.outcome == Outcome::Ok && !held.finished);
+        let served = end
+            .value
+            .filter(|_| end.outcome == Outcome::Ok && !held.finished);
         // A value that nobody can be given is an end like any other.
         let finished = held.finished || served.is_some();
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
@@ -336,25 +373,40 @@
 
     /// A probe has ended.
     pub fn probed(&mut self, server: ServerId, outcome: Outcome, load: Option<LoadReport>) {
-        let Some(service) = self.fleet.get(server).and_then(|s| s.service()) else { return };
-        self.events.push_back(Event::ProbeEnded { service, server, outcome, load });
+        let Some(service) = self.fleet.get(server).and_then(|s| s.service()) else {
+            return;
+        };
+        self.events.push_back(Event::ProbeEnded {
+            service,
+            server,
+            outcome,
+            load,
+        });
     }
 
     /// A call to the counter has ended.
     pub fn counted(&mut self, name: CountName, result: CountResult, elapsed: Duration) {
-        self.events.push_back(Event::Counted { name, result, elapsed });
+        self.events.push_back(Event::Counted {
+            name,
+            result,
+            elapsed,
+        });
     }
 
-    /// Discovery has told a list or its changes; `started` turns a Unix time in milliseconds into one of the
-    /// engine's, none for long ago. Hands back the servers whose idle connections are of no more use, and how
-    /// many entries could not be read.
+    /// Discovery has told a list or its changes; `started` turns a Unix time in milliseconds into
+    /// one of the engine's, none for long ago. Hands back the servers whose idle connections are of
+    /// no more use, and how many entries could not be read.
     pub fn take_list(
         &mut self,
         list: &List,
         zones: &[String],
         started: impl Fn(f64) -> Option<Duration>,
     ) -> (Vec<ServerId>, usize) {
-        let reading = Reading { zones, directory: &self.directory, started };
+        let reading = Reading {
+            zones,
+            directory: &self.directory,
+            started,
+        };
         let Change { update, stale, bad } = self.fleet.apply(list, &reading);
         self.events.push_back(Event::Servers(update));
         (stale, bad)
@@ -365,8 +417,9 @@
         &self.directory
     }
 
-    /// Another directory is in force from now on. Services keep their ids, and what is known of them, by their names;
-    /// only servers that have moved to another service are told to the module. Returns the number of changes.
+    /// Another directory is in force from now on. Services keep their ids, and what is known of
+    /// them, by their names; only servers that have moved to another service are told to the
+    /// module. Returns the number of changes.
     pub fn set_directory(&mut self, directory: &Directory) -> Result<usize, DirectoryError> {
         let changes = self.directory.difference(directory);
         let count = changes.len();
@@ -376,13 +429,14 @@
         Ok(count)
     }
 
-    /// Changes the directory, at the cost of the change: requests that are out stay with the service and server that
-    /// they have. An error changes nothing.
+    /// Changes the directory, at the cost of the change: requests that are out stay with the
+    /// service and server that they have. An error changes nothing.
     pub fn change_directory(&mut self, change: DirectoryChange) -> Result<(), DirectoryError> {
         let effect = self.directory.apply(change)?;
         let entries = self.fleet.reassign(&effect, &self.directory);
         if !entries.is_empty() {
-            self.events.push_back(Event::Servers(ListUpdate::Changes(entries)));
+            self.events
+                .push_back(Event::Servers(ListUpdate::Changes(entries)));
         }
         Ok(())
     }
@@ -394,16 +448,28 @@
         }
     }
 
-    /// Nothing more is taken in, and every request that is held gets its final answer now: failed if it may have
-    /// run, refused if it never did.
+    /// Nothing more is taken in, and every request that is held gets its final answer now: failed
+    /// if it may have run, refused if it never did.
     pub fn stop(&mut self) {
         self.stopped = true;
-        let open: Vec<Key> = self.requests.iter().filter(|(_, r)| !r.finished).map(|(key, _)| key).collect();
+        let open: Vec<Key> = self
+            .requests
+            .iter()
+            .filter(|(_, r)| !r.finished)
+            .map(|(key, _)| key)
+            .collect();
         for key in open {
-            let Some(held) = self.requests.get(key) else { continue };
+            let Some(held) = self.requests.get(key) else {
+                continue;
+            };
             let may_have_run = held.may_have_run || held.out.is_some();
-            let answer = if may_have_run { Answer::Failed } else { Answer::Refused(None) };
-            self.events.push_back(Event::ClientGone(RequestId(key.pack())));
+            let answer = if may_have_run {
+                Answer::Failed
+            } else {
+                Answer::Refused(None)
+            };
+            self.events
+                .push_back(Event::ClientGone(RequestId(key.pack())));
             self.answer(key, answer);
         }
     }
@@ -432,26 +498,51 @@
 
     fn take(&mut self, action: Action, now: Duration) {
         let output = match action {
-            Action::Send { request, server, give_up_at } => {
+            Action::Send {
+                request,
+                server,
+                give_up_at,
+            } => {
                 let request = Key::unpack(request.0);
-                let Some(held) = self.requests.get_mut(request) else { return };
-                // Guards against a second attempt beside one that is out: the first stays the one there is.
+                let Some(held) = self.requests.get_mut(request) else {
+                    return;
+                };
+                // Guards against a second attempt beside one that is out: the first stays the one
+                // there is.
                 if held.out.is_some() {
                     return;
                 }
                 let attempt = held.attempts;
                 held.attempts += 1;
-                held.out = Some(Out { attempt, server, begun: now });
-                Output::Send { request, attempt, server, give_up: give_up_at }
+                held.out = Some(Out {
+                    attempt,
+                    server,
+                    begun: now,
+                });
+                Output::Send {
+                    request,
+                    attempt,
+                    server,
+                    give_up: give_up_at,
+                }
             }
             Action::Refuse { request, retry_in } => {
                 return self.answer(Key::unpack(request.0), Answer::Refused(retry_in));
             }
             Action::Fail { request } => return self.answer(Key::unpack(request.0), Answer::Failed),
-            Action::Cancel { request, attempt } => {
-                Output::Cancel { request: Key::unpack(request.0), attempt }
-            }
-            Action::Count { name, add, lifetime } => Output::Count { name, add, lifetime },
+            Action::Cancel { request, attempt } => Output::Cancel {
+                request: Key::unpack(request.0),
+                attempt,
+            },
+            Action::Count {
+                name,
+                add,
+                lifetime,
+            } => Output::Count {
+                name,
+                add,
+                lifetime,
+            },
             // Timers cannot be taken back, and the module sets a new one when the earliest fires.
             Action::SetTimer { after, .. } => {
                 let at = now + after;
@@ -467,7 +558,9 @@
 
     /// Gives a request its final answer, once.
     fn answer(&mut self, request: Key, answer: Answer<V>) {
-        let Some(held) = self.requests.get_mut(request).filter(|r| !r.finished) else { return };
+        let Some(held) = self.requests.get_mut(request).filter(|r| !r.finished) else {
+            return;
+        };
         held.finished = true;
         if let Some(owner) = held.owner.take() {
             self.outputs.push_back(Output::Answer { owner, answer });
@@ -477,7 +570,11 @@
 
     /// Drops a request that is answered and has no attempt out.
     fn forget(&mut self, request: Key) {
-        if self.requests.get(request).is_some_and(|r| r.finished && r.out.is_none()) {
+        if self
+            .requests
+            .get(request)
+            .is_some_and(|r| r.finished && r.out.is_none())
+        {
             if let Some(held) = self.requests.remove(request) {
                 self.held -= held.bytes;
             }
--- a/engine/src/fleet.rs
+++ b/crates/request-engine/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::directory::{Directory, DirectoryEffect, ServerSelector};
 use crate::list::{List, Target};
 use ipnet::IpNet;
-use roseyard::{ListUpdate, ServerEntry, ServerId, ServerState, ServiceId};
+use roseyard_decision::{ListUpdate, ServerEntry, ServerId, ServerState, ServiceId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -32,7 +32,11 @@
 
     /// What the module is to know of it in this service.
     fn entry_in(&self, service: ServiceId, state: ServerState) -> ServerEntry {
-        ServerEntry { service, state, ..self.entry }
+        ServerEntry {
+            service,
+            state,
+            ..self.entry
+        }
     }
 }
 
@@ -42,8 +46,8 @@
     started: Option<Duration>,
 }
 
-/// Servers by the number that the module knows them by. A name that comes back after it was removed gets a
-/// number of its own. A list of changes costs what it names; a whole list costs its length.
+/// Servers by the number that the module knows them by. A name that comes back after it was removed
+/// gets a number of its own. A list of changes costs what it names; a whole list costs its length.
 #[derive(Default)]
 pub struct Fleet {
     servers: BTreeMap<ServerId, Server>,
@@ -59,19 +63,23 @@
     pub rev: u64,
 }
 
-/// So many of the servers that are gone are kept in mind: more than a zone loses while an agent is behind.
+/// So many of the servers that are gone are kept in mind: more than a zone loses while an agent is
+/// behind.
 const DEPARTURES_KEPT: usize = 8192;
 
 /// FNV-1a: the same at every ingress, whatever order it heard of the servers in.
 fn rank(uid: &str) -> u64 {
-    uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// What a list changed.
 pub struct Change {
     /// For the module.
     pub update: ListUpdate,
-    /// Servers that drain, are gone, have restarted or have moved: idle connections to them are of no more use.
+    /// Servers that drain, are gone, have restarted or have moved: idle connections to them are of
+    /// no more use.
     pub stale: Vec<ServerId>,
     /// Entries that could not be read.
     pub bad: usize,
@@ -133,18 +141,26 @@
         }
         self.rev = list.rev;
         let Found { entries, stale, .. } = found;
-        let update = if list.all { ListUpdate::Full(entries) } else { ListUpdate::Changes(entries) };
+        let update = if list.all {
+            ListUpdate::Full(entries)
+        } else {
+            ListUpdate::Changes(entries)
+        };
         Change { update, stale, bad }
     }
 
-    /// Guards against an agent that is behind: an older word that a server serves does not bring back one that was
-    /// told to leave since, nor the time of its start before the last. One that has started since counts.
+    /// Guards against an agent that is behind: an older word that a server serves does not bring
+    /// back one that was told to leave since, nor the time of its start before the last. One that
+    /// has started since counts.
     fn outdated(&self, target: &Target, revision: u64, started: Option<Duration>) -> bool {
         if target.state != "SERVING" {
             return false;
         }
         let later = |told: u64, since: Option<Duration>| revision < told && started <= since;
-        let held = self.numbers.get(&target.uid).and_then(|id| self.servers.get(id));
+        let held = self
+            .numbers
+            .get(&target.uid)
+            .and_then(|id| self.servers.get(id));
         let departure = self.departures.get(&target.uid);
         held.is_some_and(|s| later(s.revision, s.started))
             || departure.is_some_and(|d| later(d.revision, d.started))
@@ -167,10 +183,16 @@
             "DELETED" => ServerState::Gone,
             _ => return None,
         };
-        let held = self.numbers.get(&target.uid).and_then(|id| self.servers.get(id));
+        let held = self
+            .numbers
+            .get(&target.uid)
+            .and_then(|id| self.servers.get(id));
         let before = held.map(|s| (s.address, s.started, s.service));
-        // Where one that leaves listens is known: word of its leaving counts whatever else cannot be read.
-        let known = before.map(|(address, ..)| address).filter(|_| state != ServerState::Ready);
+        // Where one that leaves listens is known: word of its leaving counts whatever else cannot
+        // be read.
+        let known = before
+            .map(|(address, ..)| address)
+            .filter(|_| state != ServerState::Ready);
         let address: SocketAddr = target.endpoint.parse().ok().or(known)?;
         let started = (reading.started)(target.boot_ms);
         let id = self.number(&target.uid);
@@ -178,7 +200,11 @@
         let entry = ServerEntry {
             server: id,
             service: ServiceId::default(),
-            zone: reading.zones.iter().position(|z| *z == target.az).unwrap_or(0) as u16,
+            zone: reading
+                .zones
+                .iter()
+                .position(|z| *z == target.az)
+                .unwrap_or(0) as u16,
             cell: target.pod_group,
             state,
             weight: target.capacity_hint,
@@ -186,8 +212,19 @@
             started_at: started,
         };
         let uid = target.uid.clone();
-        let revision = self.servers.get(&id).map_or(revision, |s| s.revision.max(revision));
-        let server = Server { uid, address, state, started, revision, entry, service };
+        let revision = self
+            .servers
+            .get(&id)
+            .map_or(revision, |s| s.revision.max(revision));
+        let server = Server {
+            uid,
+            address,
+            state,
+            started,
+            revision,
+            entry,
+            service,
+        };
         if state == ServerState::Gone {
             found.gone.insert(id);
         } else {
@@ -197,13 +234,18 @@
         if state != ServerState::Ready || !same {
             found.stale.push(id);
         }
-        if let Some(left) = before.and_then(|(.., service)| service).filter(|left| Some(*left) != service) {
+        if let Some(left) = before
+            .and_then(|(.., service)| service)
+            .filter(|left| Some(*left) != service)
+        {
             found.entries.push(server.entry_in(left, ServerState::Gone));
         }
         if state == ServerState::Ready && before.map(|(at, ..)| at) != Some(address) {
             self.supersede(id, address, found);
         }
-        found.entries.extend(service.map(|service| server.entry_in(service, state)));
+        found
+            .entries
+            .extend(service.map(|service| server.entry_in(service, state)));
         self.put(id, server);
         Some(id)
     }
@@ -224,20 +266,34 @@
         self.places.insert((server.address, id));
         if let Some(before) = self.servers.insert(id, server) {
             self.ready -= usize::from(before.state == ServerState::Ready);
-            if self.servers.get(&id).is_some_and(|now| now.address != before.address) {
+            if self
+                .servers
+                .get(&id)
+                .is_some_and(|now| now.address != before.address)
+            {
                 self.places.remove(&(before.address, id));
             }
         }
     }
 
-    /// Guards against a new server at the address of one that is gone but was not told gone: the old one's
-    /// connections, load and health are not the new one's.
+    /// Guards against a new server at the address of one that is gone but was not told gone: the
+    /// old one's connections, load and health are not the new one's.
     fn supersede(&mut self, by: ServerId, address: SocketAddr, found: &mut Found) {
-        let at_address = self.places.range((address, ServerId(0))..=(address, ServerId(u32::MAX)));
-        let others: Vec<ServerId> = at_address.map(|(_, id)| *id).filter(|id| *id != by).collect();
+        let at_address = self
+            .places
+            .range((address, ServerId(0))..=(address, ServerId(u32::MAX)));
+        let others: Vec<ServerId> = at_address
+            .map(|(_, id)| *id)
+            .filter(|id| *id != by)
+            .collect();
         for id in others {
-            let Some(old) = self.servers.get(&id) else { continue };
-            found.entries.extend(old.service.map(|service| old.entry_in(service, ServerState::Gone)));
+            let Some(old) = self.servers.get(&id) else {
+                continue;
+            };
+            found.entries.extend(
+                old.service
+                    .map(|service| old.entry_in(service, ServerState::Gone)),
+            );
             found.stale.push(id);
             found.gone.insert(id);
         }
@@ -245,28 +301,49 @@
 
     /// A whole list ends what it does not name.
     fn end_unnamed(&mut self, named: &HashSet<ServerId>, revision: u64, found: &mut Found) {
-        let ended: Vec<ServerId> = self.servers.keys().copied().filter(|id| !named.contains(id)).collect();
+        let ended: Vec<ServerId> = self
+            .servers
+            .keys()
+            .copied()
+            .filter(|id| !named.contains(id))
+            .collect();
         for id in ended {
-            let Some(server) = self.servers.get(&id).filter(|_| !found.gone.contains(&id)) else { continue };
+            let Some(server) = self.servers.get(&id).filter(|_| !found.gone.contains(&id)) else {
+                continue;
+            };
             if server.revision <= revision {
                 found.stale.push(id);
                 found.gone.insert(id);
             } else {
-                // Guards against an agent that is behind, or has nothing yet: what it lacks is newer than its list, is
-                // kept, and is told to the module with the rest.
-                found.entries.extend(server.service.map(|service| server.entry_in(service, server.state)));
+                // Guards against an agent that is behind, or has nothing yet: what it lacks is
+                // newer than its list, is kept, and is told to the module with the rest.
+                found.entries.extend(
+                    server
+                        .service
+                        .map(|service| server.entry_in(service, server.state)),
+                );
             }
         }
     }
 
-    /// Forgets a server that is gone, but for its name, which an agent that is behind may still tell.
+    /// Forgets a server that is gone, but for its name, which an agent that is behind may still
+    /// tell.
     fn remove(&mut self, id: ServerId, revision: u64) {
-        let Some(server) = self.servers.remove(&id) else { return };
+        let Some(server) = self.servers.remove(&id) else {
+            return;
+        };
         self.ready -= usize::from(server.state == ServerState::Ready);
         self.places.remove(&(server.address, id));
         self.numbers.remove(&server.uid);
-        let departure = Departure { revision: server.revision.max(revision), started: server.started };
-        if self.departures.insert(server.uid.clone(), departure).is_none() {
+        let departure = Departure {
+            revision: server.revision.max(revision),
+            started: server.started,
+        };
+        if self
+            .departures
+            .insert(server.uid.clone(), departure)
+            .is_none()
+        {
             self.departed.push_back(server.uid);
         }
         while self.departed.len() > DEPARTURES_KEPT {
@@ -276,11 +353,18 @@
         }
     }
 
-    /// The directory has changed: what the module is to be told of the servers that have moved to another service.
-    pub fn reassign(&mut self, effect: &DirectoryEffect, directory: &Directory) -> Vec<ServerEntry> {
+    /// The directory has changed: what the module is to be told of the servers that have moved to
+    /// another service.
+    pub fn reassign(
+        &mut self,
+        effect: &DirectoryEffect,
+        directory: &Directory,
+    ) -> Vec<ServerEntry> {
         let mut entries = Vec::new();
         for id in self.concerned(effect) {
-            let Some(server) = self.servers.get_mut(&id) else { continue };
+            let Some(server) = self.servers.get_mut(&id) else {
+                continue;
+            };
             let service = directory.service_of_server(&server.uid, server.address);
             let left = std::mem::replace(&mut server.service, service);
             if left == service {
@@ -295,13 +379,15 @@
     /// The servers that a change of the directory may have moved.
     fn concerned(&self, effect: &DirectoryEffect) -> Vec<ServerId> {
         match effect {
-            DirectoryEffect::Unchanged | DirectoryEffect::Added(_) | DirectoryEffect::Removed(_) => {
-                Vec::new()
-            }
+            DirectoryEffect::Unchanged
+            | DirectoryEffect::Added(_)
+            | DirectoryEffect::Removed(_) => Vec::new(),
             DirectoryEffect::Reassigned(ServerSelector::Uid(uid)) => {
                 self.numbers.get(&**uid).copied().into_iter().collect()
             }
-            DirectoryEffect::Reassigned(ServerSelector::Network(network)) => self.in_network(*network),
+            DirectoryEffect::Reassigned(ServerSelector::Network(network)) => {
+                self.in_network(*network)
+            }
             DirectoryEffect::DefaultReassigned | DirectoryEffect::AllReassigned => {
                 self.servers.keys().copied().collect()
             }
@@ -310,7 +396,10 @@
 
     fn in_network(&self, network: IpNet) -> Vec<ServerId> {
         let first = (SocketAddr::new(network.network(), 0), ServerId(0));
-        let last = (SocketAddr::new(last_address(network), u16::MAX), ServerId(u32::MAX));
+        let last = (
+            SocketAddr::new(last_address(network), u16::MAX),
+            ServerId(u32::MAX),
+        );
         self.places.range(first..=last).map(|(_, id)| *id).collect()
     }
 }
--- a/engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,17 +1,18 @@
-//! One request's life around the decision module: taken in, counted, attempted, answered exactly once.
+//! One request's life around the decision module: taken in, counted, attempted, answered exactly
+//! once.
 //!
-//! [`Engine`] wraps the module's [`roseyard::Gateway`] and keeps what every front needs beside it: which requests
-//! are held, the one attempt that is out for each, which servers there are and what they take. It performs no I/O
-//! and reads no clock. Whoever drives it tells what has happened and carries out what [`Engine::poll`] hands over;
-//! the daemon does so on epoll. The rules that hold for all of them stand here:
+//! [`Engine`] wraps the module's [`roseyard_decision::Gateway`] and keeps what every front needs
+//! beside it: which requests are held, the one attempt that is out for each, which servers there
+//! are and what they take. It performs no I/O and reads no clock. Whoever drives it tells what has
+//! happened and carries out what [`Engine::poll`] hands over; the daemon does so on epoll. The
+//! rules that hold for all of them stand here:
 //!
 //! - one attempt of a request at a time, and an end is taken once, by the attempt's number;
 //! - nothing is written to a server that drains or is gone, for a request that is over, or too late
-//!   ([`Engine::may_write`]); whether the connection at hand still leads to [`Engine::address`] is for its owner to
-//!   see;
-//! - a request has exactly one final answer, also when its owner leaves and when the engine is stopped.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//!   ([`Engine::may_write`]); whether the connection at hand still leads to [`Engine::address`] is
+//!   for its owner to see;
+//! - a request has exactly one final answer, also when its owner leaves and when the engine is
+//!   stopped.
 
 mod directory;
 mod engine;
--- a/engine/src/links.rs
+++ b/crates/request-engine/src/links.rs
@@ -1,22 +1,25 @@
 //! How likely a connection that has rested is to be dead when the next request is written to it.
 //!
-//! A server may close a connection that rests long before the time in the settings, and its end may reach us only
-//! after the next request was written: that request has then failed, and may have run. Nothing announces it, so it
-//! is learned from what became of the requests: by the time that the connection had rested, against what becomes of
-//! requests on new connections. Resets that fall on both alike cost the comparison nothing.
+//! A server may close a connection that rests long before the time in the settings, and its end may
+//! reach us only after the next request was written: that request has then failed, and may have
+//! run. Nothing announces it, so it is learned from what became of the requests: by the time that
+//! the connection had rested, against what becomes of requests on new connections. Resets that fall
+//! on both alike cost the comparison nothing.
 
 use std::time::Duration;
 
 /// Rests are told apart by their doubling from here on; shorter ones are one kind.
 const FIRST: Duration = Duration::from_millis(20);
 const RESTS: usize = 12;
-/// What is known fades over so long: what was held to be dead is tried again after some of these, at the cost of a
-/// few requests, and servers that have mended are found out.
+/// What is known fades over so long: what was held to be dead is tried again after some of these,
+/// at the cost of a few requests, and servers that have mended are found out.
 const FADES: f64 = 10.0;
-/// What is known of the next shorter rest weighs as so many requests: guards against one reset among few requests.
+/// What is known of the next shorter rest weighs as so many requests: guards against one reset
+/// among few requests.
 const NEIGHBOUR: f64 = 8.0;
-/// A rested connection is passed over for a new one if it is likelier to fail by more than this: for requests that
-/// must not be sent twice, and for those that may, which lose only the time of one more attempt.
+/// A rested connection is passed over for a new one if it is likelier to fail by more than this:
+/// for requests that must not be sent twice, and for those that may, which lose only the time of
+/// one more attempt.
 const BEAR_ONCE: f64 = 0.05;
 const BEAR_REPEATABLE: f64 = 0.15;
 
@@ -38,7 +41,8 @@
     Close,
 }
 
-/// What has been learned of connections that rest. A fixed number of figures, whatever the number of servers.
+/// What has been learned of connections that rest. A fixed number of figures, whatever the number
+/// of servers.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     /// On new connections, then by rest.
@@ -58,8 +62,8 @@
         (-now.saturating_sub(self.at).as_secs_f64() / FADES).exp()
     }
 
-    /// Tells what became of a request at this time: on a connection that had rested so long, or on a new one; and
-    /// whether the connection broke after it was written.
+    /// Tells what became of a request at this time: on a connection that had rested so long, or on
+    /// a new one; and whether the connection broke after it was written.
     pub fn told(&mut self, rest: Option<Duration>, reset: bool, now: Duration) {
         let fade = self.fade(now);
         self.at = self.at.max(now);
@@ -71,7 +75,8 @@
         seen.reset += f64::from(u8::from(reset));
     }
 
-    /// The chance that a request on a new connection is reset, and one on a connection that has rested so long.
+    /// The chance that a request on a new connection is reset, and one on a connection that has
+    /// rested so long.
     pub fn risks(&self, rest: Duration, now: Duration) -> (f64, f64) {
         let fade = self.fade(now);
         let mut risk = 0.0;
@@ -85,7 +90,8 @@
         (new, risk)
     }
 
-    /// What to do with a connection that has rested so long, for a request that may be sent twice or not.
+    /// What to do with a connection that has rested so long, for a request that may be sent twice
+    /// or not.
     pub fn choose(&self, rest: Duration, repeatable: bool, now: Duration) -> Rested {
         let (new, risk) = self.risks(rest, now);
         match risk - new {
--- a/engine/src/list.rs
+++ b/crates/request-engine/src/list.rs
@@ -50,7 +50,11 @@
 
 impl From<Wire> for List {
     fn from(wire: Wire) -> List {
-        let mut list = List { rev: wire.rev, all: wire.all, ..List::default() };
+        let mut list = List {
+            rev: wire.rev,
+            all: wire.all,
+            ..List::default()
+        };
         for entry in wire.targets {
             match entry {
                 Entry::Whole(target) => list.targets.push(target),
@@ -92,7 +96,15 @@
             Leaving::Deleted => "DELETED",
         };
         let (endpoint, az, state) = (String::new(), String::new(), state.to_owned());
-        Target { uid, endpoint, az, pod_group: 0, state, capacity_hint: one(), boot_ms: 0.0 }
+        Target {
+            uid,
+            endpoint,
+            az,
+            pod_group: 0,
+            state,
+            capacity_hint: one(),
+            boot_ms: 0.0,
+        }
     }
 }
 
--- a/engine/src/slots.rs
+++ b/crates/request-engine/src/slots.rs
@@ -18,12 +18,15 @@
 
     /// The key that `pack` made this number from.
     pub fn unpack(packed: u64) -> Key {
-        Key { index: packed as u32, generation: (packed >> 32) as u32 & ((1 << GENERATION_BITS) - 1) }
+        Key {
+            index: packed as u32,
+            generation: (packed >> 32) as u32 & ((1 << GENERATION_BITS) - 1),
+        }
     }
 }
 
-/// A table whose entries keep their number while they live. A number is used again with another generation,
-/// which guards against news for an entry that is gone reaching its successor.
+/// A table whose entries keep their number while they live. A number is used again with another
+/// generation, which guards against news for an entry that is gone reaching its successor.
 pub struct Slots<T> {
     entries: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
@@ -31,7 +34,10 @@
 
 impl<T> Default for Slots<T> {
     fn default() -> Self {
-        Slots { entries: Vec::new(), free: Vec::new() }
+        Slots {
+            entries: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -53,24 +59,38 @@
             self.entries.len() as u32 - 1
         });
         let (generation, entry) = &mut self.entries[index as usize];
-        let key = Key { index, generation: *generation };
+        let key = Key {
+            index,
+            generation: *generation,
+        };
         *entry = Some(make(key));
         key
     }
 
     /// The entry, unless it is gone.
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.entries.get(key.index as usize).filter(|e| e.0 == key.generation)?.1.as_ref()
+        self.entries
+            .get(key.index as usize)
+            .filter(|e| e.0 == key.generation)?
+            .1
+            .as_ref()
     }
 
     /// The entry for change, unless it is gone.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.entries.get_mut(key.index as usize).filter(|e| e.0 == key.generation)?.1.as_mut()
+        self.entries
+            .get_mut(key.index as usize)
+            .filter(|e| e.0 == key.generation)?
+            .1
+            .as_mut()
     }
 
     /// Takes the entry out.
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let entry = self.entries.get_mut(key.index as usize).filter(|e| e.0 == key.generation)?;
+        let entry = self
+            .entries
+            .get_mut(key.index as usize)
+            .filter(|e| e.0 == key.generation)?;
         let value = entry.1.take()?;
         entry.0 = (entry.0 + 1) & ((1 << GENERATION_BITS) - 1);
         self.free.push(key.index);
@@ -79,8 +99,17 @@
 
     /// All entries with their keys, by slot.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
-        self.entries.iter().enumerate().filter_map(|(index, (generation, entry))| {
-            Some((Key { index: index as u32, generation: *generation }, entry.as_ref()?))
-        })
+        self.entries
+            .iter()
+            .enumerate()
+            .filter_map(|(index, (generation, entry))| {
+                Some((
+                    Key {
+                        index: index as u32,
+                        generation: *generation,
+                    },
+                    entry.as_ref()?,
+                ))
+            })
     }
 }
