--- a/benchlink/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -46,18 +46,60 @@
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Record {
-    Membership { i: u16, form: u8, serial: u64, table: u32 },
+    Membership {
+        i: u16,
+        form: u8,
+        serial: u64,
+        table: u32,
+    },
     Closed(Closed),
-    Flowing { i: u16, req: u64, duration_ms: f64, n: u16, worker: u32 },
-    Wakeup { i: u16, tag: u32 },
+    Flowing {
+        i: u16,
+        req: u64,
+        duration_ms: f64,
+        n: u16,
+        worker: u32,
+    },
+    Wakeup {
+        i: u16,
+        tag: u32,
+    },
     WorkItem(WorkItem),
-    Census { table: u32, items: Vec<Entry> },
-    Health { i: u16, worker: u32, code: u16, duration_ms: f64, stats: Vec<f32> },
-    Aborted { i: u16, req: u64 },
-    Create { i: u16, salt: u64, options: Vec<u8> },
-    Whisper { i: u16, who: u16, bytes: Vec<u8> },
-    Shutdown { i: u16 },
-    Added { i: u16, value: f32, name: u64, code: u16, duration_ms: f64 },
+    Census {
+        table: u32,
+        items: Vec<Entry>,
+    },
+    Health {
+        i: u16,
+        worker: u32,
+        code: u16,
+        duration_ms: f64,
+        stats: Vec<f32>,
+    },
+    Aborted {
+        i: u16,
+        req: u64,
+    },
+    Create {
+        i: u16,
+        salt: u64,
+        options: Vec<u8>,
+    },
+    Whisper {
+        i: u16,
+        who: u16,
+        bytes: Vec<u8>,
+    },
+    Shutdown {
+        i: u16,
+    },
+    Added {
+        i: u16,
+        value: f32,
+        name: u64,
+        code: u16,
+        duration_ms: f64,
+    },
 }
 
 /// `ClosedAttempt`.
@@ -102,7 +144,11 @@
 impl<'a> Cursor<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], CodecError> {
         let end = self.at.checked_add(n).filter(|e| *e <= self.data.len());
-        let end = end.ok_or(CodecError::Truncated { record: self.record, code: self.code, at: self.at })?;
+        let end = end.ok_or(CodecError::Truncated {
+            record: self.record,
+            code: self.code,
+            at: self.at,
+        })?;
         let slice = &self.data[self.at..end];
         self.at = end;
         Ok(slice)
@@ -154,13 +200,23 @@
 
 /// Decodes the payload of one batch.
 pub fn decode(data: &[u8]) -> Result<Vec<Record>, CodecError> {
-    let mut c = Cursor { data, at: 0, record: 0, code: 0 };
+    let mut c = Cursor {
+        data,
+        at: 0,
+        record: 0,
+        code: 0,
+    };
     let mut out = Vec::new();
     while c.at < data.len() {
         c.record = out.len();
         c.code = c.u8()?;
         let record = match c.code {
-            1 => Record::Membership { i: c.u16()?, form: c.u8()?, serial: c.u64()?, table: c.u32()? },
+            1 => Record::Membership {
+                i: c.u16()?,
+                form: c.u8()?,
+                serial: c.u64()?,
+                table: c.u32()?,
+            },
             2 => Record::Closed(Closed {
                 i: c.u16()?,
                 req: c.u64()?,
@@ -180,7 +236,10 @@
                 n: c.u16()?,
                 worker: c.u32()?,
             },
-            4 => Record::Wakeup { i: c.u16()?, tag: c.u32()? },
+            4 => Record::Wakeup {
+                i: c.u16()?,
+                tag: c.u32()?,
+            },
             5 => Record::WorkItem(WorkItem {
                 i: c.u16()?,
                 req: c.u64()?,
@@ -193,7 +252,10 @@
                 grade: c.u16()?,
                 marks: c.u16()?,
             }),
-            6 => Record::Census { table: c.u32()?, items: c.entries()? },
+            6 => Record::Census {
+                table: c.u32()?,
+                items: c.entries()?,
+            },
             7 => Record::Health {
                 i: c.u16()?,
                 worker: c.u32()?,
@@ -201,14 +263,25 @@
                 duration_ms: c.f64()?,
                 stats: c.stats()?,
             },
-            8 => Record::Aborted { i: c.u16()?, req: c.u64()? },
+            8 => Record::Aborted {
+                i: c.u16()?,
+                req: c.u64()?,
+            },
             9 => {
                 let (i, salt, n) = (c.u16()?, c.u64()?, c.u32()?);
-                Record::Create { i, salt, options: c.take(n as usize)?.to_vec() }
+                Record::Create {
+                    i,
+                    salt,
+                    options: c.take(n as usize)?.to_vec(),
+                }
             }
             10 => {
                 let (i, who, n) = (c.u16()?, c.u16()?, c.u16()?);
-                Record::Whisper { i, who, bytes: c.take(n as usize)?.to_vec() }
+                Record::Whisper {
+                    i,
+                    who,
+                    bytes: c.take(n as usize)?.to_vec(),
+                }
             }
             11 => Record::Shutdown { i: c.u16()? },
             12 => Record::Added {
@@ -218,7 +291,12 @@
                 code: c.u16()?,
                 duration_ms: c.f64()?,
             },
-            code => return Err(CodecError::UnknownCode { record: c.record, code }),
+            code => {
+                return Err(CodecError::UnknownCode {
+                    record: c.record,
+                    code,
+                })
+            }
         };
         out.push(record);
     }
@@ -247,7 +325,15 @@
     }
     /// `Forward`.
     pub fn forward(&mut self, i: u16, req: u64, abandon_at_ms: f64, worker: u32) {
-        self.record(1, i, &[&req.to_le_bytes(), &abandon_at_ms.to_le_bytes(), &worker.to_le_bytes()]);
+        self.record(
+            1,
+            i,
+            &[
+                &req.to_le_bytes(),
+                &abandon_at_ms.to_le_bytes(),
+                &worker.to_le_bytes(),
+            ],
+        );
     }
     /// `Reject`.
     pub fn reject(&mut self, i: u16, req: u64, retry_in_ms: f64) {
@@ -295,7 +381,15 @@
     }
     /// `Count`.
     pub fn count(&mut self, i: u16, add: f32, lifetime_ms: f64, name: u64) {
-        self.record(13, i, &[&add.to_le_bytes(), &lifetime_ms.to_le_bytes(), &name.to_le_bytes()]);
+        self.record(
+            13,
+            i,
+            &[
+                &add.to_le_bytes(),
+                &lifetime_ms.to_le_bytes(),
+                &name.to_le_bytes(),
+            ],
+        );
     }
     /// The reply with its header.
     pub fn frame(&self) -> Vec<u8> {
--- a/benchlink/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Records to events and actions to records: many gateways, none knowing of another.
 
 use crate::codec::{decode, Closed, Entry, Record, Reply};
-use roseyard::*;
-use roseyard_settings::{ms, Options};
+use roseyard_decision::*;
+use roseyard_platform_config::{ms, Options};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -88,13 +88,21 @@
 
 fn encode(reply: &mut Reply, i: u16, action: Action) {
     match action {
-        Action::Send { request, server, give_up_at } => {
-            reply.forward(i, request.0, to_ms(give_up_at), server.0)
+        Action::Send {
+            request,
+            server,
+            give_up_at,
+        } => reply.forward(i, request.0, to_ms(give_up_at), server.0),
+        Action::Refuse { request, retry_in } => {
+            reply.reject(i, request.0, retry_in.map_or(0.0, to_ms))
         }
-        Action::Refuse { request, retry_in } => reply.reject(i, request.0, retry_in.map_or(0.0, to_ms)),
         Action::Fail { request } => reply.abort(i, request.0),
         Action::Cancel { request, attempt } => reply.retract(i, request.0, attempt),
-        Action::Count { name, add, lifetime } => reply.count(i, add as f32, to_ms(lifetime), name.0),
+        Action::Count {
+            name,
+            add,
+            lifetime,
+        } => reply.count(i, add as f32, to_ms(lifetime), name.0),
         Action::SetTimer { after, tag } => reply.wake_at(i, to_ms(after), tag.0),
         Action::Probe { server } => reply.touch(i, server.0),
         Action::Subscribe => reply.track(i, true),
@@ -110,8 +118,13 @@
             return Err(format!("batch header: the clock {clock_ms} is not a time"));
         }
         let mut reply = Reply::default();
-        for (n, record) in decode(payload).map_err(|e| e.to_string())?.into_iter().enumerate() {
-            self.record(ms(clock_ms), record, &mut reply).map_err(|e| format!("record {n}: {e}"))?;
+        for (n, record) in decode(payload)
+            .map_err(|e| e.to_string())?
+            .into_iter()
+            .enumerate()
+        {
+            self.record(ms(clock_ms), record, &mut reply)
+                .map_err(|e| format!("record {n}: {e}"))?;
         }
         Ok(reply.frame())
     }
@@ -138,9 +151,13 @@
             // The design tells peers nothing and hears nothing from them.
             Record::Whisper { .. } => return Ok(()),
             Record::Membership { i, form, table, .. } => (i, self.list(form, table)?),
-            Record::Flowing { i, req, n, .. } => {
-                (i, Event::StreamStarted { request: RequestId(req), attempt: n })
-            }
+            Record::Flowing { i, req, n, .. } => (
+                i,
+                Event::StreamStarted {
+                    request: RequestId(req),
+                    attempt: n,
+                },
+            ),
             Record::Wakeup { i, tag } => (i, Event::Timer(TimerTag(tag))),
             Record::WorkItem(w) => (
                 w.i,
@@ -157,20 +174,47 @@
                 }),
             ),
             Record::Aborted { i, req } => (i, Event::ClientGone(RequestId(req))),
-            Record::Added { i, value, name, code, duration_ms } => {
+            Record::Added {
+                i,
+                value,
+                name,
+                code,
+                duration_ms,
+            } => {
                 let result = match code {
                     0 => CountResult::Total(f64::from(value)),
                     8 | 14 => CountResult::NotAdded,
                     4 => CountResult::Unknown,
                     other => return Err(format!("Added: unknown outcome {other}")),
                 };
-                (i, Event::Counted { name: CountName(name), result, elapsed: ms(duration_ms) })
+                (
+                    i,
+                    Event::Counted {
+                        name: CountName(name),
+                        result,
+                        elapsed: ms(duration_ms),
+                    },
+                )
             }
             Record::Closed(c) => (c.i, closed(&c, self.fields(c.i))?),
-            Record::Health { i, worker, code, stats, .. } => {
+            Record::Health {
+                i,
+                worker,
+                code,
+                stats,
+                ..
+            } => {
                 let (outcome, load) = (outcome(code)?, report(self.fields(i), &stats));
                 let service = ServiceId::default();
-                (i, Event::ProbeEnded { service, server: ServerId(worker), outcome, load })
+                (
+                    i,
+                    Event::ProbeEnded {
+                        service,
+                        server: ServerId(worker),
+                        outcome,
+                        load,
+                    },
+                )
             }
         };
         let mut actions = Vec::new();
@@ -191,7 +235,10 @@
         if form == 3 {
             return Ok(Event::Servers(ListUpdate::Failed));
         }
-        let items = self.tables.get(&table).ok_or(format!("Membership: no list numbered {table}"))?;
+        let items = self
+            .tables
+            .get(&table)
+            .ok_or(format!("Membership: no list numbered {table}"))?;
         let entries = items.iter().map(entry).collect::<Result<Vec<_>, _>>()?;
         match form {
             0 => Ok(Event::Servers(ListUpdate::Changes(entries))),
--- a/benchlink/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,6 +1,4 @@
 //! The adapter between roseyard and the bench's wire. It translates; it decides nothing.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod codec;
 pub mod host;
@@ -33,11 +31,21 @@
         let length = u64::from(u32::from_le_bytes([a, b, c, d]));
         payload.clear();
         // Grows with what really comes, so that a wrong length allocates nothing.
-        input.by_ref().take(length).read_to_end(&mut payload).map_err(|e| e.to_string())?;
+        input
+            .by_ref()
+            .take(length)
+            .read_to_end(&mut payload)
+            .map_err(|e| e.to_string())?;
         if payload.len() as u64 != length {
-            return Err(format!("batch: truncated after {} of {length} bytes", payload.len()));
+            return Err(format!(
+                "batch: truncated after {} of {length} bytes",
+                payload.len()
+            ));
         }
         let reply = host.batch(f64::from_le_bytes(clock), &payload)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| e.to_string())?;
     }
 }
--- /dev/null
+++ b/crates/simulator-adapter/src/main.rs
@@ -0,0 +1,15 @@
+//! `roseyard-simulator-adapter`: reads batches on standard input, writes replies to standard
+//! output.
+
+use std::io;
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    match roseyard_simulator_adapter::serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            eprintln!("roseyard-simulator-adapter: {e}");
+            ExitCode::FAILURE
+        }
+    }
+}
--- a/lab/src/daemon.rs
+++ b/crates/testbed/src/daemon.rs
@@ -9,17 +9,20 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The daemon's program: the one given, or the one beside this program. An error names what was looked for.
+/// The daemon's program: the one given, or the one beside this program. An error names what was
+/// looked for.
 pub fn beside(given: Option<&Path>) -> io::Result<PathBuf> {
     let found = match given {
         Some(path) => path.to_owned(),
-        None => std::env::current_exe()?.with_file_name("roseyard"),
+        None => std::env::current_exe()?.with_file_name("roseyard-ingress"),
     };
     if found.is_file() {
         return Ok(found);
     }
-    let what =
-        format!("no daemon at {}: build it with 'cargo build', or name it with --daemon", found.display());
+    let what = format!(
+        "no daemon at {}: build it with 'cargo build', or name it with --daemon",
+        found.display()
+    );
     Err(io::Error::new(io::ErrorKind::NotFound, what))
 }
 
@@ -36,7 +39,10 @@
     for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
         command.env_remove(name);
     }
-    let mut child = command.env("LB_CONFIG", config).stderr(Stdio::piped()).spawn()?;
+    let mut child = command
+        .env("LB_CONFIG", config)
+        .stderr(Stdio::piped())
+        .spawn()?;
     let log = BufReader::new(child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?);
     Ok((child, log))
 }
@@ -68,14 +74,17 @@
     while !line.contains(text) {
         line.clear();
         if log.read_line(&mut line)? == 0 {
-            return Err(io::Error::other(format!("the daemon ended before it logged '{text}'")));
+            return Err(io::Error::other(format!(
+                "the daemon ended before it logged '{text}'"
+            )));
         }
     }
     Ok(line)
 }
 
 impl Daemon {
-    /// Starts it among its stand-ins and waits until it is ready. Its log goes on to standard error.
+    /// Starts it among its stand-ins and waits until it is ready. Its log goes on to standard
+    /// error.
     pub fn start(start: &Start, around: &Around) -> io::Result<Daemon> {
         let configuration = configuration(around, start.sockets).to_string();
         let settings = start.settings.as_deref();
@@ -85,7 +94,8 @@
         Ok(daemon)
     }
 
-    /// Starts it by this configuration and waits until it listens. What it logs from then on has to be read.
+    /// Starts it by this configuration and waits until it listens. What it logs from then on has to
+    /// be read.
     pub(crate) fn launch(
         program: &Path,
         settings: Option<&Path>,
@@ -97,9 +107,16 @@
         let started = Instant::now();
         let (child, mut log) = spawn(program, settings, &config)?;
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut daemon = Daemon { child, address: unknown, started, _folder: folder };
+        let mut daemon = Daemon {
+            child,
+            address: unknown,
+            started,
+            _folder: folder,
+        };
         let line = wait_for(&mut log, "listening on ")?;
-        let address = line.split_once("listening on ").and_then(|(_, at)| at.trim().parse().ok());
+        let address = line
+            .split_once("listening on ")
+            .and_then(|(_, at)| at.trim().parse().ok());
         daemon.address =
             address.ok_or_else(|| io::Error::other("the daemon did not say where it listens"))?;
         Ok((daemon, log))
@@ -115,7 +132,10 @@
         let mut nanos = 0;
         for task in fs::read_dir(self.file("task"))? {
             let account = fs::read_to_string(task?.path().join("schedstat"))?;
-            let first = account.split_whitespace().next().and_then(|n| n.parse::<u64>().ok());
+            let first = account
+                .split_whitespace()
+                .next()
+                .and_then(|n| n.parse::<u64>().ok());
             nanos += first.ok_or_else(|| io::Error::other("no figures in schedstat"))?;
         }
         Ok(Duration::from_nanos(nanos))
@@ -124,7 +144,8 @@
     /// CPU time that it has used.
     pub fn cpu(&self) -> io::Result<Duration> {
         let stat = fs::read_to_string(self.file("stat"))?;
-        // The name in brackets may hold blanks; user and system time are the 12th and 13th field after it.
+        // The name in brackets may hold blanks; user and system time are the 12th and 13th field
+        // after it.
         let fields: Vec<u64> = stat
             .rsplit(") ")
             .next()
@@ -135,7 +156,9 @@
             .filter_map(|f| f.parse().ok())
             .collect();
         let ticks = rustix::param::clock_ticks_per_second();
-        Ok(Duration::from_secs_f64(fields.iter().sum::<u64>() as f64 / ticks as f64))
+        Ok(Duration::from_secs_f64(
+            fields.iter().sum::<u64>() as f64 / ticks as f64,
+        ))
     }
 
     /// Its resident memory in KiB.
@@ -150,12 +173,17 @@
 
     fn memory(&self, name: &str) -> io::Result<u64> {
         let status = fs::read_to_string(self.file("status"))?;
-        let line = status.lines().find_map(|l| l.strip_prefix(name)).unwrap_or("");
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix(name))
+            .unwrap_or("");
         Ok(line.trim().trim_end_matches(" kB").parse().unwrap_or(0))
     }
 
     fn file(&self, name: &str) -> PathBuf {
-        Path::new("/proc").join(self.child.id().to_string()).join(name)
+        Path::new("/proc")
+            .join(self.child.id().to_string())
+            .join(name)
     }
 }
 
--- a/lab/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -76,7 +76,9 @@
         Shape::Silent | Shape::ConnectClose => Ok(()),
         Shape::Drip => stream.write_all(b"*").await,
         Shape::Half => stream.write_all(&request(OWN, id)[..40]).await,
-        Shape::Once | Shape::Again | Shape::Active => stream.write_all(&request(OWN + n % 997, id)).await,
+        Shape::Once | Shape::Again | Shape::Active => {
+            stream.write_all(&request(OWN + n % 997, id)).await
+        }
         Shape::Pretend => stream.write_all(&request(1, id)).await,
         Shape::Garbage => stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await,
     };
@@ -90,7 +92,10 @@
         match timeout(Duration::from_secs(1), stream.read(&mut buf)).await {
             Ok(Ok(0) | Err(_)) => return,
             Ok(Ok(len)) => {
-                done.told.fetch_add(u64::from(buf[..len].starts_with(b"-BUSY")), Ordering::Relaxed);
+                done.told.fetch_add(
+                    u64::from(buf[..len].starts_with(b"-BUSY")),
+                    Ordering::Relaxed,
+                );
             }
             Err(_) => {}
         }
@@ -121,7 +126,9 @@
         while owed >= 1.0 {
             owed -= 1.0;
             n += 1;
-            let Ok(place) = Arc::clone(&room).try_acquire_owned() else { continue };
+            let Ok(place) = Arc::clone(&room).try_acquire_owned() else {
+                continue;
+            };
             let (over, done) = (Arc::clone(&over), Arc::clone(&done));
             tokio::spawn(async move {
                 let _place = place;
--- a/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,5 @@
-//! The project's laboratory, as a library for tests: stand-ins of what is around the ingress, fleets of real daemons
-//! and the faults between them. Everything stays on loopback.
-#![forbid(unsafe_code)]
+//! The project's laboratory, as a library for tests: stand-ins of what is around the ingress,
+//! fleets of real daemons and the faults between them. Everything stays on loopback.
 
 pub mod daemon;
 pub mod flood;
--- a/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,14 +1,13 @@
-//! `roseyard-lab`: the project's laboratory. Everything stays on loopback and stops by itself.
-#![forbid(unsafe_code)]
+//! `roseyard-testbed`: the project's laboratory. Everything stays on loopback and stops by itself.
 
 use clap::{CommandFactory, Parser, Subcommand};
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
-use roseyard_lab::daemon::{beside, Daemon, Start};
-use roseyard_lab::flood::{self, Done, Flood, Shape};
-use roseyard_lab::scale::{self, report::RoleReport, Role, Run};
-use roseyard_lab::scenario::{self, Scenario};
-use roseyard_lab::standins;
-use roseyard_lab::usual::{self, Outcome, Usual};
+use roseyard_testbed::daemon::{beside, Daemon, Start};
+use roseyard_testbed::flood::{self, Done, Flood, Shape};
+use roseyard_testbed::scale::{self, report::RoleReport, Role, Run};
+use roseyard_testbed::scenario::{self, Scenario};
+use roseyard_testbed::standins;
+use roseyard_testbed::usual::{self, Outcome, Usual};
 use std::io;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,7 +17,7 @@
 
 /// Stand-ins, load and floods around the real daemon, on loopback.
 #[derive(Debug, Parser)]
-#[command(name = "roseyard-lab", version)]
+#[command(name = "roseyard-testbed", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -28,25 +27,27 @@
 enum Command {
     /// Usual clients without a flood, then under each shape of flood.
     Flood(FloodArgs),
-    /// A fleet of real daemons through a scenario of faults, judged by what clients and form servers saw.
+    /// A fleet of real daemons through a scenario of faults, judged by what clients and form
+    /// servers saw.
     Fleet(FleetArgs),
-    /// What each role costs by size: hollow ingresses, the real state machines and codecs in virtual time.
+    /// What each role costs by size: hollow ingresses, the real state machines and codecs in
+    /// virtual time.
     #[command(after_help = SCALE_EXAMPLES)]
     Scale(ScaleArgs),
 }
 
 const SCALE_EXAMPLES: &str = "Examples:
-  roseyard-lab scale --role decision --sizes 17,1000,54000
-  roseyard-lab scale --role daemon --daemon-before old/roseyard --services --repeats 3
-  roseyard-lab scale --role all --json scale.json";
+  roseyard-testbed scale --role decision --sizes 17,1000,54000
+  roseyard-testbed scale --role daemon --daemon-before old/roseyard-ingress --services --repeats 3
+  roseyard-testbed scale --role all --json scale.json";
 
 #[derive(Debug, clap::Args)]
 struct ScaleArgs {
     /// What is measured.
     #[arg(long, value_enum, default_value = "all")]
     role: Role,
-    /// Sizes, such as 17,1000,54000: servers, tenants, members, addresses, routes or ingresses, by the role; each
-    /// role has its own if none are given.
+    /// Sizes, such as 17,1000,54000: servers, tenants, members, addresses, routes or ingresses, by
+    /// the role; each role has its own if none are given.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
     /// Virtual seconds of a sample; with '--role daemon' or 'faults' real seconds of load.
@@ -166,7 +167,9 @@
 
 fn run_scale(args: &ScaleArgs) -> io::Result<()> {
     let sizes = args.role.sizes(&args.sizes).unwrap_or_else(|wrong| {
-        Cli::command().error(clap::error::ErrorKind::ValueValidation, wrong).exit();
+        Cli::command()
+            .error(clap::error::ErrorKind::ValueValidation, wrong)
+            .exit();
     });
     let run = Run {
         sizes,
@@ -182,12 +185,16 @@
     let reports = match args.role.run(&run) {
         Some(report) => vec![report],
         None if args.role == Role::Daemon => scale::daemon::run(&daemon_options(args, &run)?)?,
-        None => {
-            all_shapes().map(|(role, services)| run_apart(args, role, services)).collect::<io::Result<_>>()?
-        }
+        None => all_shapes()
+            .map(|(role, services)| run_apart(args, role, services))
+            .collect::<io::Result<_>>()?,
     };
     let json = serde_json::json!({"seed": run.seed, "seconds": run.seconds, "roles": reports});
-    match args.json.as_deref().map(|path| (path, path.as_os_str() == "-")) {
+    match args
+        .json
+        .as_deref()
+        .map(|path| (path, path.as_os_str() == "-"))
+    {
         Some((_, true)) => {
             println!("{json:#}");
             return Ok(());
@@ -195,14 +202,19 @@
         Some((path, false)) => std::fs::write(path, format!("{json:#}\n"))?,
         None => {}
     }
-    reports.iter().for_each(|report| println!("{}", report.table()));
+    reports
+        .iter()
+        .for_each(|report| println!("{}", report.table()));
     Ok(())
 }
 
 fn run_faults(options: &scale::daemon::Options, json: bool) -> io::Result<()> {
     let findings = scale::daemon::faults::run(options)?;
     if json {
-        println!("{:#}", serde_json::json!({"seed": options.run.seed, "findings": findings}));
+        println!(
+            "{:#}",
+            serde_json::json!({"seed": options.run.seed, "findings": findings})
+        );
     } else {
         println!("{}", scale::daemon::faults::table(&findings));
     }
@@ -215,7 +227,11 @@
 fn daemon_options(args: &ScaleArgs, run: &Run) -> io::Result<scale::daemon::Options> {
     Ok(scale::daemon::Options {
         daemon: beside(args.daemon.as_deref())?,
-        before: args.daemon_before.as_deref().map(|path| beside(Some(path))).transpose()?,
+        before: args
+            .daemon_before
+            .as_deref()
+            .map(|path| beside(Some(path)))
+            .transpose()?,
         all_tenants: args.all_tenants,
         counter: !args.without_counter,
         probes: !args.without_probes,
@@ -235,33 +251,55 @@
 
 /// Runs a role in a process of its own: what one has held says nothing of the memory of the next.
 fn run_apart(args: &ScaleArgs, role: Role, services: bool) -> io::Result<RoleReport> {
-    let (seconds, seed, repeats) =
-        (args.seconds.to_string(), args.seed.to_string(), args.repeats.to_string());
+    let (seconds, seed, repeats) = (
+        args.seconds.to_string(),
+        args.seed.to_string(),
+        args.repeats.to_string(),
+    );
     let output = std::process::Command::new(std::env::current_exe()?)
         .args(["scale", "--role", &role.word(), "--json", "-"])
-        .args(["--seconds", &seconds, "--seed", &seed, "--repeats", &repeats])
+        .args([
+            "--seconds",
+            &seconds,
+            "--seed",
+            &seed,
+            "--repeats",
+            &repeats,
+        ])
         .args(services.then_some("--services"))
         .stderr(std::process::Stdio::inherit())
         .output()?;
     if !output.status.success() {
-        return Err(io::Error::other(format!("{}: {}", role.word(), output.status)));
+        return Err(io::Error::other(format!(
+            "{}: {}",
+            role.word(),
+            output.status
+        )));
     }
     let mut told: serde_json::Value = serde_json::from_slice(&output.stdout)?;
     Ok(serde_json::from_value(told["roles"][0].take())?)
 }
 
 fn run_fleet(args: &FleetArgs) -> io::Result<()> {
-    let named = |e: &dyn std::fmt::Display| io::Error::other(format!("{}: {e}", args.scenario.display()));
+    let named =
+        |e: &dyn std::fmt::Display| io::Error::other(format!("{}: {e}", args.scenario.display()));
     let text = std::fs::read_to_string(&args.scenario).map_err(|e| named(&e))?;
     let mut scenario = Scenario::parse(&text).map_err(|e| named(&e))?;
     scenario.seed = args.seed.unwrap_or(scenario.seed);
     let program = beside(args.daemon.as_deref())?;
-    eprintln!("{} daemons for {:?}, seed {}", scenario.members, scenario.lasts, scenario.seed);
+    eprintln!(
+        "{} daemons for {:?}, seed {}",
+        scenario.members, scenario.lasts, scenario.seed
+    );
     let played = scenario::play(&scenario, program, |line| eprintln!("{line}"))?;
     let verdict = &played.verdict;
     if args.json {
-        let steps: Vec<_> =
-            played.trace.iter().zip(&played.at).map(|(deed, at)| (at.as_secs_f64(), deed)).collect();
+        let steps: Vec<_> = played
+            .trace
+            .iter()
+            .zip(&played.at)
+            .map(|(deed, at)| (at.as_secs_f64(), deed))
+            .collect();
         let counts: std::collections::BTreeMap<_, _> = verdict.counts().into_iter().collect();
         println!(
             "{}",
@@ -271,26 +309,45 @@
     } else {
         let (names, counts): (Vec<_>, Vec<_>) = verdict.counts().into_iter().unzip();
         let mut table = Table::new();
-        table.load_preset(ASCII_MARKDOWN).set_header(names.into_iter().chain(["rules broken"]));
-        table.add_row(counts.iter().map(u64::to_string).chain([verdict.broken.len().to_string()]));
+        table
+            .load_preset(ASCII_MARKDOWN)
+            .set_header(names.into_iter().chain(["rules broken"]));
+        table.add_row(
+            counts
+                .iter()
+                .map(u64::to_string)
+                .chain([verdict.broken.len().to_string()]),
+        );
         println!("{table}");
         let mut table = Table::new();
-        table.load_preset(ASCII_MARKDOWN).set_header(["by", "of", "standing"]);
+        table
+            .load_preset(ASCII_MARKDOWN)
+            .set_header(["by", "of", "standing"]);
         for (by, of, standing) in &played.standings {
             table.add_row([by, of, standing]);
         }
         println!("{table}");
-        verdict.broken.iter().for_each(|broken| println!("broken: {broken}"));
+        verdict
+            .broken
+            .iter()
+            .for_each(|broken| println!("broken: {broken}"));
     }
     if verdict.broken.is_empty() {
         Ok(())
     } else {
-        Err(io::Error::other(format!("{} rules broken", verdict.broken.len())))
+        Err(io::Error::other(format!(
+            "{} rules broken",
+            verdict.broken.len()
+        )))
     }
 }
 
 fn runtime(name: &str) -> io::Result<Runtime> {
-    Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build()
+    Builder::new_multi_thread()
+        .worker_threads(1)
+        .thread_name(name)
+        .enable_all()
+        .build()
 }
 
 /// What a stretch has shown.
@@ -307,8 +364,10 @@
 }
 
 fn run_floods(args: &FloodArgs) -> io::Result<()> {
-    // Each side has a thread of its own, so that a flood does not slow the clients that are measured.
-    let (around_rt, usual_rt, flood_rt) = (runtime("around")?, runtime("usual")?, runtime("flood")?);
+    // Each side has a thread of its own, so that a flood does not slow the clients that are
+    // measured.
+    let (around_rt, usual_rt, flood_rt) =
+        (runtime("around")?, runtime("usual")?, runtime("flood")?);
     let around = around_rt.block_on(standins::start(12, Duration::from_millis(args.work_ms)))?;
     let start = Start {
         program: beside(args.daemon.as_deref())?,
@@ -348,10 +407,17 @@
             seed,
         };
         let length = Duration::from_secs(args.seconds);
-        usual_rt.block_on(usual::play(usual(args.seed + 1), daemon.address, Duration::from_secs(2)));
+        usual_rt.block_on(usual::play(
+            usual(args.seed + 1),
+            daemon.address,
+            Duration::from_secs(2),
+        ));
         let stretch = |name: &str, done: &Done| -> io::Result<Stretch> {
-            let (began, before, connected) =
-                (Instant::now(), daemon.cpu()?, done.connected.load(Ordering::Relaxed));
+            let (began, before, connected) = (
+                Instant::now(),
+                daemon.cpu()?,
+                done.connected.load(Ordering::Relaxed),
+            );
             let outcome = usual_rt.block_on(usual::play(usual(args.seed), daemon.address, length));
             Ok(Stretch {
                 name: name.into(),
@@ -366,10 +432,18 @@
         };
         let (over, done) = (Arc::new(AtomicBool::new(false)), Arc::new(Done::default()));
         let calm = stretch("none", &done)?;
-        let flood =
-            Flood { shape: *shape, rate: args.flood_rate, most: args.flood_most, addresses: args.flood_from };
-        let playing =
-            flood_rt.spawn(flood::play(flood, daemon.address, Arc::clone(&over), Arc::clone(&done)));
+        let flood = Flood {
+            shape: *shape,
+            rate: args.flood_rate,
+            most: args.flood_most,
+            addresses: args.flood_from,
+        };
+        let playing = flood_rt.spawn(flood::play(
+            flood,
+            daemon.address,
+            Arc::clone(&over),
+            Arc::clone(&done),
+        ));
         std::thread::sleep(Duration::from_secs(1));
         let under = stretch(&format!("{shape:?}"), &done)?;
         over.store(true, Ordering::Relaxed);
@@ -403,7 +477,10 @@
         shown.connected.to_string(),
         shown.told.to_string(),
         shown.failed.to_string(),
-        format!("{:.1}", shown.cpu.as_secs_f64() * 100.0 / shown.took.as_secs_f64()),
+        format!(
+            "{:.1}",
+            shown.cpu.as_secs_f64() * 100.0 / shown.took.as_secs_f64()
+        ),
         each,
         format!("{:.1}", shown.rss_kib as f64 / 1024.0),
     ]
--- a/lab/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -12,7 +12,7 @@
 const DECISIONS: u64 = 20_000;
 
 /// Plays one gate at each number of addresses.
-pub fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &Run) -> RoleReport {
     let mut decision = Figure::measured("processor time of connect, displace and close", "us");
     let mut tables = Figure::measured("tables by their own count", "MiB");
     let mut memory = Figure::measured("memory of the gate", "MiB");
@@ -21,13 +21,26 @@
         run.progress(&format!("admission: {size} addresses"));
         let before = resident_bytes();
         let mut gate = gate(size);
-        memory.push(size, &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)]);
-        tables.push(size, &[gate.cache_sizes().bytes as f64 / f64::from(1 << 20)]);
-        let samples: Vec<f64> = (0..run.repeats as u64).map(|n| decide(&mut gate, size as u64, n)).collect();
+        memory.push(
+            size,
+            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
+        );
+        tables.push(
+            size,
+            &[gate.cache_sizes().bytes as f64 / f64::from(1 << 20)],
+        );
+        let samples: Vec<f64> = (0..run.repeats as u64)
+            .map(|n| decide(&mut gate, size as u64, n))
+            .collect();
         decision.push(size, &samples);
         held.push(gate);
     }
-    run.report("admission", "addresses", vec![decision, memory, tables], Vec::new())
+    run.report(
+        "admission",
+        "addresses",
+        vec![decision, memory, tables],
+        Vec::new(),
+    )
 }
 
 fn peer(number: u64) -> IpAddr {
@@ -35,7 +48,10 @@
 }
 
 fn gate(addresses: usize) -> Gate {
-    let rate = Some(Rate { per_second: 1e6, burst: 1e6 });
+    let rate = Some(Rate {
+        per_second: 1e6,
+        burst: 1e6,
+    });
     let policy = Policy {
         by_address: true,
         per_client: Some(1 << 20),
@@ -50,14 +66,28 @@
     let (mut gate, mut out) = (Gate::new(policy, 7, Duration::ZERO), Vec::new());
     for number in 0..addresses as u64 {
         let conn = ConnectionId(number << 32);
-        gate.handle(Duration::ZERO, Event::Connected { conn, peer: peer(number) }, &mut out);
-        gate.handle(Duration::ZERO, Event::Closed { conn, fault: false }, &mut out);
+        gate.handle(
+            Duration::ZERO,
+            Event::Connected {
+                conn,
+                peer: peer(number),
+            },
+            &mut out,
+        );
+        gate.handle(
+            Duration::ZERO,
+            Event::Closed { conn, fault: false },
+            &mut out,
+        );
         out.clear();
     }
     for number in 0..OPEN as u64 {
         gate.handle(
             Duration::ZERO,
-            Event::Connected { conn: ConnectionId(number), peer: peer(number) },
+            Event::Connected {
+                conn: ConnectionId(number),
+                peer: peer(number),
+            },
             &mut out,
         );
     }
@@ -72,7 +102,14 @@
             let now = Duration::from_millis(20 * serial);
             // Slots are used in turn: the next one is the longest rested.
             let conn = ConnectionId((serial << 32) + serial % OPEN as u64 + OPEN as u64);
-            gate.handle(now, Event::Connected { conn, peer: peer(serial % addresses) }, &mut out);
+            gate.handle(
+                now,
+                Event::Connected {
+                    conn,
+                    peer: peer(serial % addresses),
+                },
+                &mut out,
+            );
             gate.handle(now, Event::Closed { conn, fault: false }, &mut out);
             out.clear();
         }
--- a/lab/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -16,32 +16,46 @@
 const ENOUGH: Duration = Duration::from_secs(30);
 
 /// Plays all of so many ingresses under the load of the peak.
-pub fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &Run) -> RoleReport {
     let mut calls = Figure::measured("calls at the counter", "calls/s");
     let mut bytes_in = Figure::measured("bytes to the counter", "bytes/s");
     let mut bytes_out = Figure::measured("bytes from the counter", "bytes/s");
     let mut each = Figure::measured("bytes of an ingress, to and from", "bytes/s");
     let mut cost = Figure::measured("processor time of all ingresses", "cores");
     let mut memory = Figure::measured("memory of an ingress", "KiB");
-    let load =
-        Load { rate: targets::REQUESTS_PER_INGRESS, tenants: targets::TENANTS, demand: Demand::ByServers };
+    let load = Load {
+        rate: targets::REQUESTS_PER_INGRESS,
+        tenants: targets::TENANTS,
+        demand: Demand::ByServers,
+    };
     let listing = Arc::new(Listing::single(SERVERS));
     let line = listing.whole();
     for &size in &run.sizes {
         run.progress(&format!("counter: {size} ingresses"));
         let mut world = World::new(run.seed);
         let before = resident_bytes();
-        let mut fleet: Vec<Hollow> = (0..size).map(|n| Hollow::new(&listing, size, n, run.seed)).collect();
-        fleet.iter_mut().for_each(|hollow| hollow.take_line(&line, &mut world));
+        let mut fleet: Vec<Hollow> = (0..size)
+            .map(|n| Hollow::new(&listing, size, n, run.seed))
+            .collect();
+        fleet
+            .iter_mut()
+            .for_each(|hollow| hollow.take_line(&line, &mut world));
         let mut now = WARM_UP;
         let go_on = |fleet: &mut Vec<Hollow>, until, world: &mut World| {
-            fleet.iter_mut().for_each(|hollow| hollow.run(until, Some(load), world));
+            fleet
+                .iter_mut()
+                .for_each(|hollow| hollow.run(until, Some(load), world));
         };
         go_on(&mut fleet, now, &mut world);
-        memory.push(size, &[resident_bytes().saturating_sub(before) as f64 / 1024.0 / size as f64]);
+        memory.push(
+            size,
+            &[resident_bytes().saturating_sub(before) as f64 / 1024.0 / size as f64],
+        );
         let (mut samples, mut cores, mut spent) = (Vec::new(), Vec::new(), Duration::ZERO);
         while samples.is_empty() || samples.len() < run.repeats && spent < ENOUGH {
-            fleet.iter_mut().for_each(|hollow| hollow.traffic = Traffic::default());
+            fleet
+                .iter_mut()
+                .for_each(|hollow| hollow.traffic = Traffic::default());
             now += LENGTH;
             let (_, took) = timed(|| go_on(&mut fleet, now, &mut world));
             let mut traffic = Traffic::default();
@@ -57,9 +71,18 @@
         push(&mut calls, &|t| t.counter_calls, 1.0);
         push(&mut bytes_in, &|t| t.counter_bytes_out, 1.0);
         push(&mut bytes_out, &|t| t.counter_bytes_in, 1.0);
-        push(&mut each, &|t| t.counter_bytes_out + t.counter_bytes_in, size as f64);
+        push(
+            &mut each,
+            &|t| t.counter_bytes_out + t.counter_bytes_in,
+            size as f64,
+        );
         cost.push(size, &cores);
     }
     let figures = vec![calls, bytes_in, bytes_out, each, cost, memory];
-    run.report("counter", "ingresses", figures, vec!["each ingress at 256 requests a second".into()])
+    run.report(
+        "counter",
+        "ingresses",
+        figures,
+        vec!["each ingress at 256 requests a second".into()],
+    )
 }
--- a/lab/src/scale/daemon.rs
+++ b/crates/testbed/src/scale/daemon.rs
@@ -1,5 +1,6 @@
-//! The real daemon at size: one process on loopback among stand-ins, with up to 54,000 servers at addresses of their
-//! own, one version beside another. Cost is processor time by the scheduler's account.
+//! The real daemon at size: one process on loopback among stand-ins, with up to 54,000 servers at
+//! addresses of their own, one version beside another. Cost is processor time by the scheduler's
+//! account.
 
 pub mod faults;
 pub(super) mod layout;
@@ -40,7 +41,8 @@
 const INGRESSES: u32 = targets::INGRESSES as u32;
 /// Allowance of each tenant, units a second: no request of a measurement is to be refused for it.
 const TENANT_RATE: f64 = 1000.0;
-/// Requests a second while each tenant asks once: all are held at once, as idle ones are dropped after 30 s.
+/// Requests a second while each tenant asks once: all are held at once, as idle ones are dropped
+/// after 30 s.
 const TENANTS_RATE: f64 = 4_000.0;
 /// Load before what is measured.
 const WARM_UP: Duration = Duration::from_secs(1);
@@ -75,20 +77,24 @@
     pub counter: bool,
     /// May the daemon probe servers?
     pub probes: bool,
-    /// Do servers close a connection once they have answered a request on it? Each request then needs a new one.
+    /// Do servers close a connection once they have answered a request on it? Each request then
+    /// needs a new one.
     pub servers_close: bool,
     /// Requests a second.
     pub rate: f64,
     /// Ingresses through which each tenant's requests come: 1 needs no shared counter.
     pub spread: u32,
-    /// Sizes in servers, real seconds of load, repeats, whether servers are divided into services too, and the seed
-    /// for times, tenants and services.
+    /// Sizes in servers, real seconds of load, repeats, whether servers are divided into services
+    /// too, and the seed for times, tenants and services.
     pub run: Run,
 }
 
 impl Options {
     fn conduct(&self) -> Conduct {
-        Conduct { work: Duration::ZERO, once: self.servers_close }
+        Conduct {
+            work: Duration::ZERO,
+            once: self.servers_close,
+        }
     }
 
     /// The platform's settings, of as many ingresses as are planned.
@@ -133,7 +139,11 @@
 
 impl Case {
     fn series(&self) -> Series {
-        Series { before: self.before, division: self.division, all_tenants: self.tenants != SOME_TENANTS }
+        Series {
+            before: self.before,
+            division: self.division,
+            all_tenants: self.tenants != SOME_TENANTS,
+        }
     }
 
     /// What is varied: servers, or tenants.
@@ -150,11 +160,17 @@
         if self.division == Division::Unnamed {
             return Layout::unnamed(self.servers);
         }
-        let part =
-            |of: u32| (u64::from(of) * u64::from(self.servers) / u64::from(FULL.servers)).max(1) as u32;
+        let part = |of: u32| {
+            (u64::from(of) * u64::from(self.servers) / u64::from(FULL.servers)).max(1) as u32
+        };
         let services = part(FULL.services);
         let largest = part(FULL.largest).max(self.servers.div_ceil(services));
-        Layout::long_tail(self.servers, services, largest, part(FULL.routes).max(services))
+        Layout::long_tail(
+            self.servers,
+            services,
+            largest,
+            part(FULL.routes).max(services),
+        )
     }
 }
 
@@ -187,14 +203,26 @@
     ("ready", "s", |s| s.ready_s),
     ("resident", "MiB", |s| s.resident_mib),
     ("resident at most", "MiB", |s| s.peak_mib),
-    ("resident once each tenant has asked", "MiB", |s| s.all_tenants_mib),
+    ("resident once each tenant has asked", "MiB", |s| {
+        s.all_tenants_mib
+    }),
     ("at rest after the start", "% of a core", |s| s.rest_percent),
-    ("at rest after load", "% of a core", |s| s.rest_after_percent),
+    ("at rest after load", "% of a core", |s| {
+        s.rest_after_percent
+    }),
     ("processor time of a request", "us", |s| s.request_us),
     ("p50 at the client", "ms", |s| s.p50_ms),
     ("p99 at the client", "ms", |s| s.p99_ms),
-    ("processor time of a change of one server, alone", "us", |s| s.change_us),
-    ("processor time of a change of one server, of many at once", "us", |s| s.change_burst_us),
+    (
+        "processor time of a change of one server, alone",
+        "us",
+        |s| s.change_us,
+    ),
+    (
+        "processor time of a change of one server, of many at once",
+        "us",
+        |s| s.change_burst_us,
+    ),
     ("to the counter a request", "bytes", |s| s.counter_out),
     ("from the counter a request", "bytes", |s| s.counter_in),
     ("from discovery at rest", "bytes/s", |s| s.discovery_in),
@@ -211,8 +239,17 @@
 
 impl Runtimes {
     fn start() -> io::Result<Runtimes> {
-        let one = |name| Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build();
-        Ok(Runtimes { platform: one("platform")?, clients: one("clients")? })
+        let one = |name| {
+            Builder::new_multi_thread()
+                .worker_threads(1)
+                .thread_name(name)
+                .enable_all()
+                .build()
+        };
+        Ok(Runtimes {
+            platform: one("platform")?,
+            clients: one("clients")?,
+        })
     }
 }
 
@@ -252,11 +289,18 @@
         Division::Unnamed => "all servers in one service",
         Division::LongTail => "17 servers a service in the mean",
     };
-    let varied = if series.all_tenants { "tenants" } else { "servers" };
+    let varied = if series.all_tenants {
+        "tenants"
+    } else {
+        "servers"
+    };
     RoleReport {
         role: format!("daemon, {version}, {divided}"),
         varied: varied.into(),
-        figures: QUANTITIES.iter().map(|(name, unit, _)| Figure::measured(name, unit)).collect(),
+        figures: QUANTITIES
+            .iter()
+            .map(|(name, unit, _)| Figure::measured(name, unit))
+            .collect(),
         notes: Vec::new(),
         resident_bytes: 0,
     }
@@ -269,14 +313,34 @@
     let mut cases = Vec::new();
     let mut add = |servers: u32, tenants: u64| {
         for &before in &versions {
-            cases.push(Case { before, division: Division::Unnamed, servers, tenants });
+            cases.push(Case {
+                before,
+                division: Division::Unnamed,
+                servers,
+                tenants,
+            });
         }
         if options.run.services {
-            cases.push(Case { before: false, division: Division::LongTail, servers, tenants });
+            cases.push(Case {
+                before: false,
+                division: Division::LongTail,
+                servers,
+                tenants,
+            });
         }
     };
-    options.run.sizes.iter().for_each(|servers| add(*servers as u32, SOME_TENANTS));
-    if let Some(greatest) = options.run.sizes.iter().max().filter(|_| options.all_tenants) {
+    options
+        .run
+        .sizes
+        .iter()
+        .for_each(|servers| add(*servers as u32, SOME_TENANTS));
+    if let Some(greatest) = options
+        .run
+        .sizes
+        .iter()
+        .max()
+        .filter(|_| options.all_tenants)
+    {
         add(*greatest as u32, 1);
         add(*greatest as u32, ALL_TENANTS);
     }
@@ -288,11 +352,19 @@
     let layout = case.layout();
     let runtimes = Runtimes::start()?;
     let platform =
-        runtimes.platform.block_on(Platform::start(&layout, options.conduct(), options.counter))?;
-    let program =
-        if case.before { options.before.as_ref().unwrap_or(&options.daemon) } else { &options.daemon };
+        runtimes
+            .platform
+            .block_on(Platform::start(&layout, options.conduct(), options.counter))?;
+    let program = if case.before {
+        options.before.as_ref().unwrap_or(&options.daemon)
+    } else {
+        &options.daemon
+    };
     let process = Process::start(program, &layout, &platform, &options.settings())?;
-    let mut sample = Sample { ready_s: process.ready_after.as_secs_f64(), ..Sample::default() };
+    let mut sample = Sample {
+        ready_s: process.ready_after.as_secs_f64(),
+        ..Sample::default()
+    };
     std::thread::sleep(SETTLE);
     let told = platform.discovery_totals().sent;
     sample.rest_percent = 100.0 * process.busy(REST)?;
@@ -310,7 +382,9 @@
     sample.resident_mib = mib(process.daemon.rss_kib()?);
     sample.all_tenants_mib = f64::NAN;
     if case.tenants == ALL_TENANTS && !case.before {
-        runtimes.clients.block_on(load.play_each_tenant(address, TENANTS_RATE));
+        runtimes
+            .clients
+            .block_on(load.play_each_tenant(address, TENANTS_RATE));
         sample.all_tenants_mib = mib(process.daemon.rss_kib()?);
     }
     sample.peak_mib = mib(process.daemon.peak_kib()?);
@@ -341,7 +415,9 @@
     let (began, used) = (Instant::now(), process.daemon.scheduled()?);
     let (counter, connections) = (platform.counter_totals(), platform.servers.connections());
     let length = Duration::from_secs(options.run.seconds);
-    let outcome = runtimes.clients.block_on(load.play(process.daemon.address, length));
+    let outcome = runtimes
+        .clients
+        .block_on(load.play(process.daemon.address, length));
     let totals = platform.counter_totals();
     let counter = Totals {
         received: totals.received - counter.received,
@@ -358,7 +434,8 @@
 }
 
 impl Loaded {
-    /// Puts its figures into a sample; `rest` is the share of a core that the daemon uses without load.
+    /// Puts its figures into a sample; `rest` is the share of a core that the daemon uses without
+    /// load.
     fn tell(&self, rest: f64, sample: &mut Sample) {
         let Loaded { outcome, took, .. } = self;
         let asked = outcome.asked.max(1) as f64;
@@ -374,14 +451,26 @@
     }
 }
 
-/// Processor time, in microseconds, of a change that discovery tells: one server comes, or goes again.
-fn changes(layout: &Layout, platform: &Platform, process: &Process, every: Duration) -> io::Result<f64> {
+/// Processor time, in microseconds, of a change that discovery tells: one server comes, or goes
+/// again.
+fn changes(
+    layout: &Layout,
+    platform: &Platform,
+    process: &Process,
+    every: Duration,
+) -> io::Result<f64> {
     // Probes have ceased since the load.
     let rest = process.busy(REST)?;
     let (began, used) = (Instant::now(), process.daemon.scheduled()?);
     for n in 0..CHANGES {
-        let state = if n.is_multiple_of(2) { "SERVING" } else { "DELETED" };
-        platform.discovery.change(&[target(layout.spare_address(), platform.port, state, 0.0)]);
+        let state = if n.is_multiple_of(2) {
+            "SERVING"
+        } else {
+            "DELETED"
+        };
+        platform
+            .discovery
+            .change(&[target(layout.spare_address(), platform.port, state, 0.0)]);
         std::thread::sleep(every);
     }
     std::thread::sleep(SETTLE);
@@ -395,11 +484,17 @@
     let layout = Layout::unnamed(1);
     let runtimes = Runtimes::start()?;
     let platform =
-        runtimes.platform.block_on(Platform::start(&layout, options.conduct(), options.counter))?;
-    let Some(server) = layout.services[0].addresses().next() else { return Ok(String::new()) };
+        runtimes
+            .platform
+            .block_on(Platform::start(&layout, options.conduct(), options.counter))?;
+    let Some(server) = layout.services[0].addresses().next() else {
+        return Ok(String::new());
+    };
     let address = SocketAddr::from((server, platform.port));
     let load = Load::of(&layout, options.rate, SOME_TENANTS, 1, options.run.seed);
-    let outcome = runtimes.clients.block_on(load.play(address, Duration::from_secs(options.run.seconds)));
+    let outcome = runtimes
+        .clients
+        .block_on(load.play(address, Duration::from_secs(options.run.seconds)));
     let quantile = |q| outcome.answer_times.value_at_quantile(q) as f64 / 1000.0;
     Ok(format!(
         "straight from the client to a server, without the daemon: p50 {:.2} ms, p99 {:.2} ms",
--- a/lab/src/scale/daemon/faults.rs
+++ b/crates/testbed/src/scale/daemon/faults.rs
@@ -44,8 +44,8 @@
 /// Reloads that move routes under load, and between two of them.
 const MOVES: u32 = 8;
 const MOVE_EVERY: Duration = Duration::from_millis(500);
-/// Services that churn: so many in each generation, so many generations, and after how many of them memory is first
-/// read.
+/// Services that churn: so many in each generation, so many generations, and after how many of them
+/// memory is first read.
 const CHURN_SERVICES: u32 = 1_000;
 const CHURN_GENERATIONS: u32 = 100;
 const CHURN_FIRST: u32 = 10;
@@ -71,7 +71,9 @@
 /// Findings as a table in Markdown.
 pub fn table(findings: &[Finding]) -> String {
     let mut table = Table::new();
-    table.load_preset(ASCII_MARKDOWN).set_header(["fault", "rule", "seen", "kept"]);
+    table
+        .load_preset(ASCII_MARKDOWN)
+        .set_header(["fault", "rule", "seen", "kept"]);
     for finding in findings {
         let kept = if finding.kept { "yes" } else { "NO" };
         table.add_row([finding.fault, &finding.rule, &finding.seen, kept]);
@@ -146,7 +148,13 @@
     }
 
     fn finding(self, rule: impl Into<String>, seen: impl Into<String>, kept: bool) -> Finding {
-        Finding { fault: self.name(), rule: rule.into(), seen: seen.into(), timed: false, kept }
+        Finding {
+            fault: self.name(),
+            rule: rule.into(),
+            seen: seen.into(),
+            timed: false,
+            kept,
+        }
     }
 }
 
@@ -174,22 +182,43 @@
     /// The same once services have been in use for a while.
     fn start_warm(options: &Options) -> io::Result<Stage> {
         let stage = Stage::start(options)?;
-        stage.wait_both(stage.play(&stage.victim, WARM_UP), stage.play(&stage.others, WARM_UP));
+        stage.wait_both(
+            stage.play(&stage.victim, WARM_UP),
+            stage.play(&stage.others, WARM_UP),
+        );
         Ok(stage)
     }
 
     fn start_with(options: &Options, layout: Layout, ingresses: u32) -> io::Result<Stage> {
         let runtimes = Runtimes::start()?;
-        let conduct = Conduct { work: WORK, once: false };
-        let platform = runtimes.platform.block_on(Platform::start(&layout, conduct, options.counter))?;
-        let process = Process::start(&options.daemon, &layout, &platform, &options.settings_of(ingresses))?;
+        let conduct = Conduct {
+            work: WORK,
+            once: false,
+        };
+        let platform =
+            runtimes
+                .platform
+                .block_on(Platform::start(&layout, conduct, options.counter))?;
+        let process = Process::start(
+            &options.daemon,
+            &layout,
+            &platform,
+            &options.settings_of(ingresses),
+        )?;
         let load = |services: std::ops::Range<u32>, rate, seed| {
             Load::for_services(&layout, services, rate, TENANTS, options.spread, seed)
         };
         let services = layout.services.len() as u32;
         let victim = load(VICTIM..VICTIM + 1, VICTIM_RATE, options.run.seed + 1);
         let others = load(VICTIM + 1..services, OTHERS_RATE, options.run.seed + 2);
-        Ok(Stage { layout, runtimes, platform, process, victim, others })
+        Ok(Stage {
+            layout,
+            runtimes,
+            platform,
+            process,
+            victim,
+            others,
+        })
     }
 
     fn address(&self) -> SocketAddr {
@@ -198,8 +227,14 @@
 
     /// Plays a load beside what follows.
     fn play(&self, load: &Load, length: Duration) -> JoinHandle<Outcome> {
-        let (load, at, ledger) = (load.clone(), self.address(), self.platform.servers.ledger.clone());
-        self.runtimes.clients.spawn(async move { load.play_noted(at, length, Some(&ledger)).await })
+        let (load, at, ledger) = (
+            load.clone(),
+            self.address(),
+            self.platform.servers.ledger.clone(),
+        );
+        self.runtimes
+            .clients
+            .spawn(async move { load.play_noted(at, length, Some(&ledger)).await })
     }
 
     /// Plays a load for a stretch beside what follows; what becomes of it is of no interest.
@@ -212,7 +247,11 @@
         self.runtimes.clients.block_on(playing).unwrap_or_default()
     }
 
-    fn wait_both(&self, first: JoinHandle<Outcome>, second: JoinHandle<Outcome>) -> (Outcome, Outcome) {
+    fn wait_both(
+        &self,
+        first: JoinHandle<Outcome>,
+        second: JoinHandle<Outcome>,
+    ) -> (Outcome, Outcome) {
         (self.wait(first), self.wait(second))
     }
 
@@ -224,8 +263,9 @@
     fn tell_victim(&self, state: &str, boot_ms: impl Fn(usize) -> f64) {
         let service = self.victim_service();
         let servers = service.addresses().enumerate();
-        let targets: Vec<Value> =
-            servers.map(|(n, at)| target(at, self.platform.port, state, boot_ms(n))).collect();
+        let targets: Vec<Value> = servers
+            .map(|(n, at)| target(at, self.platform.port, state, boot_ms(n)))
+            .collect();
         self.platform.discovery.change(&targets);
     }
 
@@ -233,9 +273,14 @@
         self.platform.servers.ledger.events()
     }
 
-    /// Attempts that came to the victim's servers since so many events, by the number of their address.
+    /// Attempts that came to the victim's servers since so many events, by the number of their
+    /// address.
     fn sent_to_victim(&self, mark: usize) -> HashMap<usize, u64> {
-        let slots: Vec<usize> = self.victim_service().addresses().filter_map(Layout::slot).collect();
+        let slots: Vec<usize> = self
+            .victim_service()
+            .addresses()
+            .filter_map(Layout::slot)
+            .collect();
         let mut sent = HashMap::new();
         for event in &self.events()[mark..] {
             if let What::Began(slot) = event.what {
@@ -251,12 +296,16 @@
         Duration::from_secs(options.run.seconds)
     }
 
-    /// What the others get without and with a fault, in turn, as often as a sample repeats; `fault` puts it on and off.
+    /// What the others get without and with a fault, in turn, as often as a sample repeats; `fault`
+    /// puts it on and off.
     fn compare(&self, options: &Options, mut fault: impl FnMut(bool)) -> Compared {
         let mut compared = Compared::default();
         let length = self.stretch(options);
         for pair in 0..options.run.repeats as u64 {
-            let load = |turn| self.others.with_seed(self.others.seed + 2 * pair + turn + 10);
+            let load = |turn| {
+                self.others
+                    .with_seed(self.others.seed + 2 * pair + turn + 10)
+            };
             compared.calm.push(self.wait(self.play(&load(0), length)));
             fault(true);
             compared.faulty.push(self.wait(self.play(&load(1), length)));
@@ -288,7 +337,11 @@
         let not_served = |of: &[Outcome]| of.iter().map(|o| o.asked - o.served).sum::<u64>();
         let asked: u64 = self.faulty.iter().map(|o| o.asked).sum();
         let (calm, faulty) = (not_served(&self.calm), not_served(&self.faulty));
-        let ratios = self.calm.iter().zip(&self.faulty).map(|(c, f)| p99_ms(f) / p99_ms(c).max(0.001));
+        let ratios = self
+            .calm
+            .iter()
+            .zip(&self.faulty)
+            .map(|(c, f)| p99_ms(f) / p99_ms(c).max(0.001));
         let ratio = median(ratios.collect());
         let p99 = |of: &[Outcome]| median(of.iter().map(p99_ms).collect());
         let (calm_p99, faulty_p99) = (p99(&self.calm), p99(&self.faulty));
@@ -313,8 +366,15 @@
 fn servers_die(options: &Options) -> io::Result<Vec<Finding>> {
     let stage = Stage::start_warm(options)?;
     let compared = stage.compare(options, |on| {
-        let behaviour = if on { Behaviour::Dead } else { Behaviour::Serving };
-        stage.platform.servers.set(stage.victim_service().addresses(), behaviour);
+        let behaviour = if on {
+            Behaviour::Dead
+        } else {
+            Behaviour::Serving
+        };
+        stage
+            .platform
+            .servers
+            .set(stage.victim_service().addresses(), behaviour);
         if on {
             stage.play_beside(options, &stage.victim);
         }
@@ -346,7 +406,8 @@
     Ok(findings)
 }
 
-/// All servers of the service die and are told gone. Then they come back: every second one has just started.
+/// All servers of the service die and are told gone. Then they come back: every second one has just
+/// started.
 fn comes_back_cold(options: &Options) -> io::Result<Vec<Finding>> {
     let fault = Fault::ComesBackCold;
     let stage = Stage::start_warm(options)?;
@@ -357,17 +418,32 @@
         if !on {
             return;
         }
-        stage.platform.servers.set(addresses.iter().copied(), Behaviour::Dead);
+        stage
+            .platform
+            .servers
+            .set(addresses.iter().copied(), Behaviour::Dead);
         stage.tell_victim("DELETED", |_| 0.0);
         std::thread::sleep(SETTLE);
-        stage.platform.servers.set(addresses.iter().copied(), Behaviour::Serving);
+        stage
+            .platform
+            .servers
+            .set(addresses.iter().copied(), Behaviour::Serving);
         let started = unix_ms();
-        stage.tell_victim("SERVING", |number| if is_cold(number) { started } else { 0.0 });
+        stage.tell_victim(
+            "SERVING",
+            |number| if is_cold(number) { started } else { 0.0 },
+        );
         let mark = stage.events().len();
         stage.wait(stage.play(&stage.victim, COLD_SPAN));
         for (slot, sent) in stage.sent_to_victim(mark) {
-            let number = addresses.iter().position(|at| Layout::slot(*at) == Some(slot));
-            let total = if number.is_some_and(is_cold) { &mut cold } else { &mut warm };
+            let number = addresses
+                .iter()
+                .position(|at| Layout::slot(*at) == Some(slot));
+            let total = if number.is_some_and(is_cold) {
+                &mut cold
+            } else {
+                &mut warm
+            };
             *total += sent;
         }
     });
@@ -402,21 +478,37 @@
 
 fn start_among(ingresses: u32, options: &Options) -> io::Result<Finding> {
     let stage = Stage::start_among(ingresses, options)?;
-    let all = Load::of(&stage.layout, OTHERS_RATE, TENANTS, options.spread, options.run.seed + 5);
+    let all = Load::of(
+        &stage.layout,
+        OTHERS_RATE,
+        TENANTS,
+        options.spread,
+        options.run.seed + 5,
+    );
     let outcome = stage.wait(stage.play(&all, stage.stretch(options)));
     let not_served = outcome.asked - outcome.served;
     Ok(Fault::Start.finding(
         format!("every request is served, {ingresses} ingresses before {SERVERS} servers"),
-        format!("{not_served} of {} not served: {} refused", outcome.asked, outcome.refused),
+        format!(
+            "{not_served} of {} not served: {} refused",
+            outcome.asked, outcome.refused
+        ),
         not_served == 0,
     ))
 }
 
 fn routes_move(options: &Options) -> io::Result<Vec<Finding>> {
     let stage = Stage::start_warm(options)?;
-    // What may be sent on twice is moved away from a server that answers late, whatever becomes of routes.
-    let all =
-        Load::of(&stage.layout, OTHERS_RATE, TENANTS, options.spread, options.run.seed + 3).never_twice();
+    // What may be sent on twice is moved away from a server that answers late, whatever becomes of
+    // routes.
+    let all = Load::of(
+        &stage.layout,
+        OTHERS_RATE,
+        TENANTS,
+        options.spread,
+        options.run.seed + 3,
+    )
+    .never_twice();
     // How long its class takes has to be known too.
     stage.wait(stage.play(&all.with_seed(all.seed + 1), WARM_UP));
     let mark = stage.events().len();
@@ -436,7 +528,11 @@
     let verdict = judge(&stage.events()[mark..]);
     let finding = |rule: &str, seen: String, kept| Fault::RoutesMove.finding(rule, seen, kept);
     Ok(vec![
-        finding("every reload is taken", format!("{taken} of {MOVES}"), taken == MOVES),
+        finding(
+            "every reload is taken",
+            format!("{taken} of {MOVES}"),
+            taken == MOVES,
+        ),
         finding(
             "every request is served",
             format!(
@@ -447,7 +543,10 @@
         ),
         finding(
             "none is repeated",
-            format!("{} attempts for {} that were served", verdict.attempts, verdict.served),
+            format!(
+                "{} attempts for {} that were served",
+                verdict.attempts, verdict.served
+            ),
             verdict.attempts == verdict.served,
         ),
     ])
@@ -459,11 +558,19 @@
         Layout::long_tail(CHURN_SERVICES * 2, CHURN_SERVICES, LARGEST, CHURN_SERVICES),
         INGRESSES,
     )?;
-    let all = Load::of(&stage.layout, CHURN_RATE, TENANTS, options.spread, options.run.seed + 4);
+    let all = Load::of(
+        &stage.layout,
+        CHURN_RATE,
+        TENANTS,
+        options.spread,
+        options.run.seed + 4,
+    );
     let mut first_kib = 0;
     let mut refused_reloads = 0;
     for generation in 1..=CHURN_GENERATIONS {
-        let line = stage.process.reload(&stage.layout.operator_file_of(&format!("g{generation}-")))?;
+        let line = stage
+            .process
+            .reload(&stage.layout.operator_file_of(&format!("g{generation}-")))?;
         refused_reloads += u32::from(line.contains("stay in force"));
         stage.wait(stage.play(&all.with_seed(all.seed + u64::from(generation)), SETTLE));
         if generation == CHURN_FIRST {
@@ -481,6 +588,8 @@
 }
 
 fn unix_ms() -> f64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     since.as_secs_f64() * 1000.0
 }
--- a/lab/src/scale/daemon/layout.rs
+++ b/crates/testbed/src/scale/daemon/layout.rs
@@ -1,5 +1,5 @@
-//! Which servers there are: how they are divided into services, where each listens, and the files that tell the
-//! daemon of them.
+//! Which servers there are: how they are divided into services, where each listens, and the files
+//! that tell the daemon of them.
 
 use serde_json::{json, Value};
 use std::fmt::Write;
@@ -20,7 +20,7 @@
 
 /// One service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Service {
+pub(crate) struct Service {
     /// Its servers.
     pub servers: u32,
     /// Number of its first network; the others follow it.
@@ -33,7 +33,7 @@
     }
 
     /// Its networks, as the operator's file words them.
-    pub fn network_names(&self) -> impl Iterator<Item = String> + '_ {
+    pub(crate) fn network_names(&self) -> impl Iterator<Item = String> + '_ {
         (0..self.networks()).map(|network| {
             let first = FIRST_NETWORK + (self.first_network + network) * NETWORK_SIZE;
             format!("{}/24", Ipv4Addr::from(first))
@@ -41,7 +41,7 @@
     }
 
     /// Where its servers listen.
-    pub fn addresses(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
+    pub(crate) fn addresses(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
         (0..self.servers).map(|n| {
             let network = self.first_network + n / NETWORK_SERVERS;
             Ipv4Addr::from(FIRST_NETWORK + network * NETWORK_SIZE + 1 + n % NETWORK_SERVERS)
@@ -51,7 +51,7 @@
 
 /// Servers by service; each service has networks of its own.
 #[derive(Clone, Debug)]
-pub struct Layout {
+pub(crate) struct Layout {
     /// The services, the largest first.
     pub services: Vec<Service>,
     /// Routes; the n-th names the service of number n modulo the number of services.
@@ -62,56 +62,75 @@
 
 impl Layout {
     /// All servers in one service that has no name, as without a section on services.
-    pub fn unnamed(servers: u32) -> Layout {
-        Layout { named: false, ..Layout::of(&[servers], 1) }
+    pub(crate) fn unnamed(servers: u32) -> Layout {
+        Layout {
+            named: false,
+            ..Layout::of(&[servers], 1)
+        }
     }
 
     /// So many servers in so many services by a power law, the largest of this size.
-    pub fn long_tail(servers: u32, services: u32, largest: u32, routes: u32) -> Layout {
+    pub(crate) fn long_tail(servers: u32, services: u32, largest: u32, routes: u32) -> Layout {
         Layout::of(&long_tail(servers, services, largest), routes)
     }
 
     fn of(sizes: &[u32], routes: u32) -> Layout {
         let mut next = 0;
         let place = |servers: &u32| {
-            let service = Service { servers: *servers, first_network: next };
+            let service = Service {
+                servers: *servers,
+                first_network: next,
+            };
             next += service.networks();
             service
         };
-        Layout { services: sizes.iter().map(place).collect(), routes, named: true }
+        Layout {
+            services: sizes.iter().map(place).collect(),
+            routes,
+            named: true,
+        }
     }
 
-    /// The number of a server's address among all that networks hold; none for an address outside of them.
-    pub fn slot(address: Ipv4Addr) -> Option<usize> {
-        u32::from(address).checked_sub(FIRST_NETWORK).map(|slot| slot as usize)
+    /// The number of a server's address among all that networks hold; none for an address outside
+    /// of them.
+    pub(crate) fn slot(address: Ipv4Addr) -> Option<usize> {
+        u32::from(address)
+            .checked_sub(FIRST_NETWORK)
+            .map(|slot| slot as usize)
     }
 
     /// Numbers of addresses that networks hold.
-    pub fn slots(&self) -> usize {
+    pub(crate) fn slots(&self) -> usize {
         let networks: u32 = self.services.iter().map(Service::networks).sum();
         ((networks + 1) * NETWORK_SIZE) as usize
     }
 
-    /// An address that no server has, in the last network of the last service: for one that comes and goes.
-    pub fn spare_address(&self) -> Ipv4Addr {
-        let last = self.services.last().map_or(0, |s| s.first_network + s.networks() - 1);
+    /// An address that no server has, in the last network of the last service: for one that comes
+    /// and goes.
+    pub(crate) fn spare_address(&self) -> Ipv4Addr {
+        let last = self
+            .services
+            .last()
+            .map_or(0, |s| s.first_network + s.networks() - 1);
         Ipv4Addr::from(FIRST_NETWORK + last * NETWORK_SIZE + NETWORK_SIZE - 1)
     }
 
     /// The routes that name a service.
-    pub fn routes_of(&self, service: u32) -> impl Iterator<Item = u32> {
+    pub(crate) fn routes_of(&self, service: u32) -> impl Iterator<Item = u32> {
         (service..self.routes).step_by(self.services.len())
     }
 
     /// The list of servers as discovery tells it.
-    pub fn list(&self, port: u16) -> Value {
+    pub(crate) fn list(&self, port: u16) -> Value {
         let addresses = self.services.iter().flat_map(Service::addresses);
-        let targets: Vec<Value> = addresses.map(|at| target(at, port, "SERVING", 0.0)).collect();
+        let targets: Vec<Value> = addresses
+            .map(|at| target(at, port, "SERVING", 0.0))
+            .collect();
         json!({"rev": 1, "all": true, "targets": targets})
     }
 
     /// The daemon's configuration; `known` is the list of servers that it holds at its start.
-    pub fn configuration(
+    pub(crate) fn configuration(
         &self,
         counter: Option<SocketAddr>,
         discovery: SocketAddr,
@@ -128,17 +147,17 @@
     }
 
     /// The operator's file: services with their networks and routes, where they are named.
-    pub fn operator_file(&self) -> String {
+    pub(crate) fn operator_file(&self) -> String {
         self.operator_file_of("s")
     }
 
     /// The same with other names of services: this and a number.
-    pub fn operator_file_of(&self, prefix: &str) -> String {
+    pub(crate) fn operator_file_of(&self, prefix: &str) -> String {
         self.file(prefix, |route| route % self.services.len() as u32)
     }
 
     /// The same with each route moved to the service after its own.
-    pub fn operator_file_moved(&self) -> String {
+    pub(crate) fn operator_file_moved(&self) -> String {
         self.file("s", |route| (route + 1) % self.services.len() as u32)
     }
 
@@ -156,7 +175,11 @@
             text.push_str(" }\n");
         }
         for route in 0..self.routes {
-            let _ = writeln!(text, "    route \"r{route}\" service=\"{prefix}{}\"", service_of(route));
+            let _ = writeln!(
+                text,
+                "    route \"r{route}\" service=\"{prefix}{}\"",
+                service_of(route)
+            );
         }
         text.push_str("}\n");
         text
@@ -164,15 +187,20 @@
 }
 
 /// One server as discovery words it.
-pub fn target(at: Ipv4Addr, port: u16, state: &str, boot_ms: f64) -> Value {
+pub(crate) fn target(at: Ipv4Addr, port: u16, state: &str, boot_ms: f64) -> Value {
     json!({"uid": format!("s-{at}"), "endpoint": SocketAddr::from((at, port)).to_string(), "az": "lab",
         "model": "m", "pod_group": u32::from(at) as u16, "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms})
 }
 
-/// Sizes that fall by a power of their rank from the largest on, each at least 1, and come to this sum.
+/// Sizes that fall by a power of their rank from the largest on, each at least 1, and come to this
+/// sum.
 fn long_tail(sum: u32, count: u32, largest: u32) -> Vec<u32> {
     let at = |exponent: f64| {
-        let size = |rank: u32| (f64::from(largest) / f64::from(rank).powf(exponent)).round().max(1.0) as u32;
+        let size = |rank: u32| {
+            (f64::from(largest) / f64::from(rank).powf(exponent))
+                .round()
+                .max(1.0) as u32
+        };
         (1..=count).map(size).collect::<Vec<_>>()
     };
     let (mut flat, mut steep) = (0.0, 8.0);
--- a/lab/src/scale/daemon/load.rs
+++ b/crates/testbed/src/scale/daemon/load.rs
@@ -14,29 +14,38 @@
 
 /// Whom requests are of, and what they are for.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub(super) struct Load {
     /// Requests a second.
     pub rate: f64,
     /// Tenants.
     pub tenants: u64,
     /// Ingresses through which a tenant's requests come.
     pub spread: u32,
-    /// May its requests be sent on twice? An ingress moves such a one away from a server that looks silent.
+    /// May its requests be sent on twice? An ingress moves such a one away from a server that looks
+    /// silent.
     pub repeatable: bool,
     /// For times, tenants and services.
     pub seed: u64,
-    /// The routes that are asked for, each with the sum of the weights up to it; none where services have no names.
+    /// The routes that are asked for, each with the sum of the weights up to it; none where
+    /// services have no names.
     routes: Vec<(u64, u32)>,
 }
 
 impl Load {
     /// For all services by their size.
-    pub fn of(layout: &Layout, rate: f64, tenants: u64, spread: u32, seed: u64) -> Load {
-        Load::for_services(layout, 0..layout.services.len() as u32, rate, tenants, spread, seed)
+    pub(super) fn of(layout: &Layout, rate: f64, tenants: u64, spread: u32, seed: u64) -> Load {
+        Load::for_services(
+            layout,
+            0..layout.services.len() as u32,
+            rate,
+            tenants,
+            spread,
+            seed,
+        )
     }
 
     /// For some services by their size; each route of a service has an even part of it.
-    pub fn for_services(
+    pub(super) fn for_services(
         layout: &Layout,
         services: impl Iterator<Item = u32>,
         rate: f64,
@@ -53,39 +62,62 @@
                 routes.push((sum, *route));
             }
         }
-        Load { rate, tenants, spread, repeatable: true, seed, routes }
+        Load {
+            rate,
+            tenants,
+            spread,
+            repeatable: true,
+            seed,
+            routes,
+        }
     }
 
     /// The same with other times, tenants and services.
-    pub fn with_seed(&self, seed: u64) -> Load {
-        Load { seed, ..self.clone() }
+    pub(super) fn with_seed(&self, seed: u64) -> Load {
+        Load {
+            seed,
+            ..self.clone()
+        }
     }
 
     /// The same with requests that must never run twice.
-    pub fn never_twice(&self) -> Load {
-        Load { repeatable: false, ..self.clone() }
+    pub(super) fn never_twice(&self) -> Load {
+        Load {
+            repeatable: false,
+            ..self.clone()
+        }
     }
 
     /// The same at another rate.
-    pub fn with_rate(&self, rate: f64) -> Load {
-        Load { rate, ..self.clone() }
+    pub(super) fn with_rate(&self, rate: f64) -> Load {
+        Load {
+            rate,
+            ..self.clone()
+        }
     }
 
     /// What a request adds to its list of names and values.
     fn route(&self, random: &mut StdRng) -> String {
-        let Some((sum, _)) = self.routes.last() else { return String::new() };
+        let Some((sum, _)) = self.routes.last() else {
+            return String::new();
+        };
         let drawn = random.random_range(0..*sum);
         let at = self.routes.partition_point(|(up_to, _)| *up_to <= drawn);
         format!(",route=r{}", self.routes[at].1)
     }
 
     /// Plays it in an open loop for so long.
-    pub async fn play(&self, to: SocketAddr, length: Duration) -> Outcome {
+    pub(super) async fn play(&self, to: SocketAddr, length: Duration) -> Outcome {
         self.play_noted(to, length, None).await
     }
 
     /// The same, with what was asked and answered noted in the ledger.
-    pub async fn play_noted(&self, to: SocketAddr, length: Duration, ledger: Option<&Ledger>) -> Outcome {
+    pub(super) async fn play_noted(
+        &self,
+        to: SocketAddr,
+        length: Duration,
+        ledger: Option<&Ledger>,
+    ) -> Outcome {
         let word = |random: &mut StdRng, tenant, id| {
             let route = self.route(random);
             request_with(self.repeatable, tenant, id, self.spread, &route)
@@ -94,7 +126,7 @@
     }
 
     /// Asks once for each tenant at this rate.
-    pub async fn play_each_tenant(&self, to: SocketAddr, rate: f64) -> Outcome {
+    pub(super) async fn play_each_tenant(&self, to: SocketAddr, rate: f64) -> Outcome {
         let mut tenant = 0;
         let word = |random: &mut StdRng, _, id| {
             tenant = tenant % self.tenants + 1;
@@ -107,7 +139,14 @@
 
     fn clients(&self, rate: f64) -> Usual {
         let (customers, addresses, repeatable) = (self.tenants, CLIENT_ADDRESSES, self.repeatable);
-        Usual { rate, customers, addresses, fresh: 0.0, repeatable, seed: self.seed }
+        Usual {
+            rate,
+            customers,
+            addresses,
+            fresh: 0.0,
+            repeatable,
+            seed: self.seed,
+        }
     }
 }
 
--- a/lab/src/scale/daemon/meter.rs
+++ b/crates/testbed/src/scale/daemon/meter.rs
@@ -11,7 +11,7 @@
 
 /// What has gone over the connections of a listener.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub(super) struct Traffic {
     received: AtomicU64,
     sent: AtomicU64,
     connections: AtomicU64,
@@ -19,7 +19,7 @@
 
 /// [`Traffic`] at one time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Totals {
+pub(super) struct Totals {
     /// Bytes from the daemon.
     pub received: u64,
     /// Bytes to the daemon.
@@ -30,7 +30,7 @@
 
 impl Traffic {
     /// What has gone over so far.
-    pub fn totals(&self) -> Totals {
+    pub(super) fn totals(&self) -> Totals {
         let read = |total: &AtomicU64| total.load(Ordering::Relaxed);
         Totals {
             received: read(&self.received),
@@ -40,13 +40,13 @@
     }
 
     /// A connection was accepted.
-    pub fn connected(&self) {
+    pub(super) fn connected(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// The listener.
-pub struct Metered {
+pub(super) struct Metered {
     /// Where it listens.
     pub listener: TcpListener,
     /// What it has counted.
@@ -62,7 +62,13 @@
         self.traffic.connected();
         // A connection that has ended already is noticed by its first read.
         let _ = stream.set_nodelay(true);
-        (MeteredStream { stream, traffic: Arc::clone(&self.traffic) }, from)
+        (
+            MeteredStream {
+                stream,
+                traffic: Arc::clone(&self.traffic),
+            },
+            from,
+        )
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
@@ -71,25 +77,37 @@
 }
 
 /// A connection whose bytes are counted.
-pub struct MeteredStream {
+pub(super) struct MeteredStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
 impl AsyncRead for MeteredStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        into: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let before = into.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, into);
-        self.traffic.received.fetch_add((into.filled().len() - before) as u64, Ordering::Relaxed);
+        self.traffic
+            .received
+            .fetch_add((into.filled().len() - before) as u64, Ordering::Relaxed);
         polled
     }
 }
 
 impl AsyncWrite for MeteredStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = &polled {
-            self.traffic.sent.fetch_add(*written as u64, Ordering::Relaxed);
+            self.traffic
+                .sent
+                .fetch_add(*written as u64, Ordering::Relaxed);
         }
         polled
     }
--- a/lab/src/scale/daemon/platform.rs
+++ b/crates/testbed/src/scale/daemon/platform.rs
@@ -1,5 +1,5 @@
-//! What is around the daemon, in one process: servers at addresses of their own behind one listener, a counter and
-//! discovery, each with what went over its connections.
+//! What is around the daemon, in one process: servers at addresses of their own behind one
+//! listener, a counter and discovery, each with what went over its connections.
 
 use super::layout::Layout;
 use super::meter::{Metered, Totals, Traffic};
@@ -26,7 +26,7 @@
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behaviour {
+pub(super) enum Behaviour {
     /// It answers.
     Serving,
     /// It has died: its connections are reset, and new ones too.
@@ -35,7 +35,7 @@
 
 /// What all servers do alike.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Conduct {
+pub(super) struct Conduct {
     /// Time that a server takes for a request.
     pub work: Duration,
     /// Servers close a connection once they have answered a request on it.
@@ -43,7 +43,7 @@
 }
 
 /// All servers, by the number of their address.
-pub struct Servers {
+pub(super) struct Servers {
     dead: Vec<AtomicU8>,
     traffic: Traffic,
     changed: watch::Sender<()>,
@@ -64,7 +64,7 @@
     }
 
     /// These servers behave so from now on.
-    pub fn set(&self, servers: impl Iterator<Item = Ipv4Addr>, behaviour: Behaviour) {
+    pub(super) fn set(&self, servers: impl Iterator<Item = Ipv4Addr>, behaviour: Behaviour) {
         for slot in servers.filter_map(Layout::slot) {
             self.dead[slot].store(u8::from(behaviour == Behaviour::Dead), Ordering::Relaxed);
         }
@@ -72,12 +72,14 @@
     }
 
     /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
+    pub(super) fn connections(&self) -> u64 {
         self.traffic.totals().connections
     }
 
     fn is_dead(&self, slot: usize) -> bool {
-        self.dead.get(slot).is_none_or(|dead| dead.load(Ordering::Relaxed) != 0)
+        self.dead
+            .get(slot)
+            .is_none_or(|dead| dead.load(Ordering::Relaxed) != 0)
     }
 }
 
@@ -85,7 +87,9 @@
 async fn accept(listener: TcpListener, servers: Arc<Servers>) {
     loop {
         // An error is that of one connection, which was gone before it was accepted.
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         servers.traffic.connected();
         tokio::spawn(serve_connection(stream, Arc::clone(&servers)));
     }
@@ -93,8 +97,12 @@
 
 /// Serves one connection until it ends or its server dies.
 async fn serve_connection(stream: TcpStream, servers: Arc<Servers>) {
-    let Ok(SocketAddr::V4(at)) = stream.local_addr() else { return };
-    let Some(slot) = Layout::slot(*at.ip()) else { return };
+    let Ok(SocketAddr::V4(at)) = stream.local_addr() else {
+        return;
+    };
+    let Some(slot) = Layout::slot(*at.ip()) else {
+        return;
+    };
     // A connection that is dropped before its end is reset, as those of a machine that has died.
     // Those that close after an answer end in order.
     let Conduct { work, once } = servers.conduct;
@@ -121,22 +129,31 @@
 }
 
 /// Discovery: a whole list and the changes since.
-pub struct Discovery {
+pub(super) struct Discovery {
     told: Mutex<Told>,
     news: broadcast::Sender<Bytes>,
 }
 
 impl Discovery {
     fn new(list: &Value) -> Discovery {
-        let told = Told { whole: Bytes::from(format!("{list}\n")), changes: Vec::new() };
-        Discovery { told: Mutex::new(told), news: broadcast::channel(WATCH_BACKLOG).0 }
+        let told = Told {
+            whole: Bytes::from(format!("{list}\n")),
+            changes: Vec::new(),
+        };
+        Discovery {
+            told: Mutex::new(told),
+            news: broadcast::channel(WATCH_BACKLOG).0,
+        }
     }
 
     /// Tells a change of these servers.
-    pub fn change(&self, targets: &[Value]) {
+    pub(super) fn change(&self, targets: &[Value]) {
         let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
         let version = told.changes.len() + 2;
-        let line = Bytes::from(format!("{}\n", json!({"rev": version, "all": false, "targets": targets})));
+        let line = Bytes::from(format!(
+            "{}\n",
+            json!({"rev": version, "all": false, "targets": targets})
+        ));
         told.changes.push(line.clone());
         // Nobody may watch just now: a later watch brings it.
         let _ = self.news.send(line);
@@ -165,22 +182,25 @@
 
 async fn watch_list(State(discovery): State<Arc<Discovery>>, Query(call): Query<After>) -> Body {
     let (first, news) = discovery.watch(call.after);
-    let lines = futures_util::stream::unfold((first.into_iter(), news), |(mut first, mut news)| async move {
-        let line = match first.next() {
-            Some(line) => line,
-            None => match tokio::time::timeout(WATCH_LINE, news.recv()).await {
-                Ok(Ok(line)) => line,
-                Ok(Err(_)) => return None,
-                Err(_) => Bytes::from_static(b"\n"),
-            },
-        };
-        Some((Ok::<_, io::Error>(line), (first, news)))
-    });
+    let lines = futures_util::stream::unfold(
+        (first.into_iter(), news),
+        |(mut first, mut news)| async move {
+            let line = match first.next() {
+                Some(line) => line,
+                None => match tokio::time::timeout(WATCH_LINE, news.recv()).await {
+                    Ok(Ok(line)) => line,
+                    Ok(Err(_)) => return None,
+                    Err(_) => Bytes::from_static(b"\n"),
+                },
+            };
+            Some((Ok::<_, io::Error>(line), (first, news)))
+        },
+    );
     Body::from_stream(lines)
 }
 
 /// Everything around the daemon.
-pub struct Platform {
+pub(super) struct Platform {
     /// The port that all servers listen on.
     pub port: u16,
     /// The servers.
@@ -197,14 +217,19 @@
 
 impl Platform {
     /// Starts it for these servers; without a counter the daemon is told of none.
-    pub async fn start(layout: &Layout, conduct: Conduct, counter: bool) -> io::Result<Platform> {
+    pub(super) async fn start(
+        layout: &Layout,
+        conduct: Conduct,
+        counter: bool,
+    ) -> io::Result<Platform> {
         let listener = TcpListener::bind((IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0)).await?;
         let port = listener.local_addr()?.port();
         let servers = Arc::new(Servers::new(layout.slots(), conduct));
         tokio::spawn(accept(listener, Arc::clone(&servers)));
         let discovery = Arc::new(Discovery::new(&layout.list(port)));
-        let watches =
-            Router::new().route("/discovery/hosts", get(watch_list)).with_state(Arc::clone(&discovery));
+        let watches = Router::new()
+            .route("/discovery/hosts", get(watch_list))
+            .with_state(Arc::clone(&discovery));
         let (discovery_address, discovery_traffic) = serve(watches).await?;
         let (counter_address, counter_traffic) = serve(standins::counter()).await?;
         Ok(Platform {
@@ -219,12 +244,12 @@
     }
 
     /// What went to and from the counter.
-    pub fn counter_totals(&self) -> Totals {
+    pub(super) fn counter_totals(&self) -> Totals {
         self.counter_traffic.totals()
     }
 
     /// What went to and from discovery.
-    pub fn discovery_totals(&self) -> Totals {
+    pub(super) fn discovery_totals(&self) -> Totals {
         self.discovery_traffic.totals()
     }
 }
@@ -233,7 +258,10 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let at = listener.local_addr()?;
     let traffic = Arc::<Traffic>::default();
-    let metered = Metered { listener, traffic: Arc::clone(&traffic) };
+    let metered = Metered {
+        listener,
+        traffic: Arc::clone(&traffic),
+    };
     tokio::spawn(async move { axum::serve(metered, app).await });
     Ok((at, traffic))
 }
--- a/lab/src/scale/daemon/process.rs
+++ b/crates/testbed/src/scale/daemon/process.rs
@@ -1,4 +1,5 @@
-//! One daemon among its stand-ins, and what it is measured by: readiness, memory and processor time.
+//! One daemon among its stand-ins, and what it is measured by: readiness, memory and processor
+//! time.
 
 use super::layout::Layout;
 use super::platform::Platform;
@@ -19,7 +20,7 @@
 const PING_EVERY: Duration = Duration::from_millis(2);
 
 /// A running daemon, its operator's file, and the lines that it logs.
-pub struct Process {
+pub(super) struct Process {
     /// The daemon.
     pub daemon: Daemon,
     /// From its start until `PING` was answered.
@@ -29,8 +30,9 @@
 }
 
 impl Process {
-    /// Starts the program with the list of servers in its configuration, and waits until it answers `PING`.
-    pub fn start(
+    /// Starts the program with the list of servers in its configuration, and waits until it answers
+    /// `PING`.
+    pub(super) fn start(
         program: &Path,
         layout: &Layout,
         platform: &Platform,
@@ -40,22 +42,35 @@
         let operator_file = folder.path().join("roseyard.kdl");
         fs::write(&operator_file, layout.operator_file())?;
         let known = layout.list(platform.port);
-        let configuration =
-            layout.configuration(platform.counter_address, platform.discovery_address, &known, settings);
+        let configuration = layout.configuration(
+            platform.counter_address,
+            platform.discovery_address,
+            &known,
+            settings,
+        );
         let (daemon, log) = Daemon::launch(program, Some(&operator_file), &configuration)?;
         let log = read_on(log);
         wait_for_pong(&daemon)?;
         let ready_after = daemon.started.elapsed();
-        Ok(Process { daemon, ready_after, folder, log })
+        Ok(Process {
+            daemon,
+            ready_after,
+            folder,
+            log,
+        })
     }
 
-    /// Writes another operator's file and has it read; waits until the daemon has logged what came of it.
-    pub fn reload(&self, operator_file: &str) -> io::Result<String> {
+    /// Writes another operator's file and has it read; waits until the daemon has logged what came
+    /// of it.
+    pub(super) fn reload(&self, operator_file: &str) -> io::Result<String> {
         fs::write(self.folder.path().join("roseyard.kdl"), operator_file)?;
         while self.log.try_recv().is_ok() {}
         self.daemon.signal(Signal::HUP)?;
         loop {
-            let line = self.log.recv_timeout(READY_MOST).map_err(io::Error::other)?;
+            let line = self
+                .log
+                .recv_timeout(READY_MOST)
+                .map_err(io::Error::other)?;
             if line.contains("reload") {
                 return Ok(line);
             }
@@ -63,7 +78,7 @@
     }
 
     /// Share of a core that the daemon uses over so long.
-    pub fn busy(&self, length: Duration) -> io::Result<f64> {
+    pub(super) fn busy(&self, length: Duration) -> io::Result<f64> {
         let (began, before) = (Instant::now(), self.daemon.scheduled()?);
         std::thread::sleep(length);
         let used = self.daemon.scheduled()?.saturating_sub(before);
@@ -75,7 +90,11 @@
 fn read_on(log: BufReader<ChildStderr>) -> Receiver<String> {
     let (lines, receiver) = mpsc::channel();
     // Nobody may listen any more: the log is read on all the same.
-    std::thread::spawn(move || log.lines().map_while(Result::ok).for_each(|line| drop(lines.send(line))));
+    std::thread::spawn(move || {
+        log.lines()
+            .map_while(Result::ok)
+            .for_each(|line| drop(lines.send(line)))
+    });
     receiver
 }
 
@@ -94,5 +113,7 @@
         }
         std::thread::sleep(PING_EVERY);
     }
-    Err(io::Error::other(format!("not ready after {READY_MOST:?}: PING was answered {answer:?}")))
+    Err(io::Error::other(format!(
+        "not ready after {READY_MOST:?}: PING was answered {answer:?}"
+    )))
 }
--- a/lab/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -7,7 +7,8 @@
 use super::{targets, Run};
 use std::sync::Arc;
 
-/// Servers that each ingress holds here: what one change costs by the servers held is the list's role.
+/// Servers that each ingress holds here: what one change costs by the servers held is the list's
+/// role.
 const SERVERS: usize = 170;
 /// Restarts that are played.
 const RESTARTS: usize = 20;
@@ -19,26 +20,39 @@
 const CHUNK_BYTES: usize = 8;
 
 /// Plays restarts of servers to all of so many ingresses.
-pub fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &Run) -> RoleReport {
     let mut total = Figure::measured("bytes from discovery for one restart", "bytes");
     let mut cost = Figure::measured("processor time of all ingresses for one restart", "ms");
-    let mut rate =
-        Figure::reckoned("bytes from discovery at 6,000 restarts a day, with heartbeats", "bytes/s");
+    let mut rate = Figure::reckoned(
+        "bytes from discovery at 6,000 restarts a day, with heartbeats",
+        "bytes/s",
+    );
     let mut each = Figure::reckoned("bytes of an ingress at 6,000 restarts a day", "bytes/s");
-    let mut relay = Figure::reckoned("bytes of each of 9 relays at 6,000 restarts a day", "bytes/s");
+    let mut relay = Figure::reckoned(
+        "bytes of each of 9 relays at 6,000 restarts a day",
+        "bytes/s",
+    );
     let mut watches = Figure::reckoned("watches that each of 9 relays holds", "connections");
     let listing = Arc::new(Listing::single(SERVERS));
     let line = listing.whole();
     for &size in &run.sizes {
         run.progress(&format!("discovery: {size} ingresses"));
         let mut world = World::new(run.seed);
-        let mut fleet: Vec<Hollow> = (0..size).map(|n| Hollow::new(&listing, size, n, run.seed)).collect();
-        fleet.iter_mut().for_each(|hollow| hollow.take_line(&line, &mut world));
+        let mut fleet: Vec<Hollow> = (0..size)
+            .map(|n| Hollow::new(&listing, size, n, run.seed))
+            .collect();
+        fleet
+            .iter_mut()
+            .for_each(|hollow| hollow.take_line(&line, &mut world));
         let (mut bytes, mut costs) = (Vec::new(), Vec::new());
         for restart in 0..RESTARTS {
             let lines = restart_lines(&listing, restart);
             let sent: usize = lines.iter().map(|line| line.len() + 1 + CHUNK_BYTES).sum();
-            let told = |hollow: &mut Hollow| lines.iter().for_each(|line| hollow.take_line(line, &mut world));
+            let told = |hollow: &mut Hollow| {
+                lines
+                    .iter()
+                    .for_each(|line| hollow.take_line(line, &mut world))
+            };
             let (_, took) = timed(|| fleet.iter_mut().for_each(told));
             bytes.push((sent * size) as f64);
             costs.push(took.as_secs_f64() * 1e3);
@@ -66,7 +80,11 @@
 fn restart_lines(listing: &Listing, restart: usize) -> Vec<Vec<u8>> {
     let line = |(step, state): (usize, &State)| {
         let generation = u32::from(*state == State::Serving);
-        let entry = Entry { generation, state: *state, ..Entry::serving(restart) };
+        let entry = Entry {
+            generation,
+            state: *state,
+            ..Entry::serving(restart)
+        };
         listing.encode(2 + (restart * CHANGES.len() + step) as u64, false, &[entry])
     };
     CHANGES.iter().enumerate().map(line).collect()
--- a/lab/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -13,7 +13,7 @@
 const DELTAS_A_SAMPLE: usize = 30;
 
 /// Plays one ingress at each number of servers.
-pub fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &Run) -> RoleReport {
     let mut bytes = Figure::measured("whole list", "bytes");
     let mut decode = Figure::measured("finding and decoding the whole list", "ms");
     let mut apply = Figure::measured("taking the whole list in", "ms");
@@ -29,7 +29,10 @@
         let line = listing.whole();
         let wire = line.len() as f64 + 1.0;
         bytes.push(size, &[wire]);
-        start.push(size, &[wire / (targets::BYTES_PER_SECOND * targets::READY_WITHIN.as_secs_f64())]);
+        start.push(
+            size,
+            &[wire / (targets::BYTES_PER_SECOND * targets::READY_WITHIN.as_secs_f64())],
+        );
         if line.len() > bound {
             notes.push(format!(
                 "the whole list of {size} servers is a line of {} bytes; the ingress takes {bound} at most and drops it",
@@ -51,7 +54,10 @@
         }
         decode.push(size, &decodes);
         apply.push(size, &applies);
-        memory.push(size, &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)]);
+        memory.push(
+            size,
+            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
+        );
         let (took, each) = deltas(run, &listing, &mut hollow, &mut world);
         delta.push(size, &took);
         delta_bytes.push(size, &[each]);
@@ -62,13 +68,20 @@
 }
 
 /// The limits of an ingress of the full size.
-pub fn limits() -> Limits {
-    let machine = roseyard_operator::Machine { sockets: 1024, allowed: 1024 };
-    let operator = roseyard_operator::Effective::new(&machine);
-    Limits::new(&operator, 192, &super::hollow::options(targets::INGRESSES, 0))
+pub(super) fn limits() -> Limits {
+    let machine = roseyard_operator_config::Machine {
+        sockets: 1024,
+        allowed: 1024,
+    };
+    let operator = roseyard_operator_config::Effective::new(&machine);
+    Limits::new(
+        &operator,
+        192,
+        &super::hollow::options(targets::INGRESSES, 0),
+    )
 }
 
-fn found(line: &[u8]) -> roseyard_engine::List {
+fn found(line: &[u8]) -> roseyard_request_engine::List {
     let (mut lists, mut found) = (list::Lists::default(), Vec::new());
     lists.take(line, &mut found);
     lists.take(b"\n", &mut found);
@@ -79,8 +92,8 @@
     took.as_secs_f64() * 1e3
 }
 
-/// Microseconds for the change of one server, decoded and taken in, and its bytes: in turn one drains, goes, and comes
-/// back as a new process.
+/// Microseconds for the change of one server, decoded and taken in, and its bytes: in turn one
+/// drains, goes, and comes back as a new process.
 fn deltas(run: &Run, listing: &Listing, hollow: &mut Hollow, world: &mut World) -> (Vec<f64>, f64) {
     let mut rng = fastrand::Rng::with_seed(run.seed);
     let (mut samples, mut bytes, mut lines) = (Vec::new(), 0, 0);
@@ -92,7 +105,11 @@
             let server = rng.usize(0..listing.servers());
             for state in [State::Draining, State::Deleted, State::Serving] {
                 generations[server] += u32::from(state == State::Serving);
-                let entry = Entry { generation: generations[server], state, ..Entry::serving(server) };
+                let entry = Entry {
+                    generation: generations[server],
+                    state,
+                    ..Entry::serving(server)
+                };
                 revision += 1;
                 let line = listing.encode(revision, false, &[entry]);
                 let (_, took) = timed(|| hollow.take_line(&line, world));
--- a/lab/src/scale/membership.rs
+++ b/crates/testbed/src/scale/membership.rs
@@ -1,11 +1,12 @@
-//! What membership costs each member: a whole fleet as far as that is quick, and one member among answers that are
-//! made up in the real wire form, up to the size at which all records are held.
+//! What membership costs each member: a whole fleet as far as that is quick, and one member among
+//! answers that are made up in the real wire form, up to the size at which all records are held.
 
 use super::measure::timed;
 use super::report::{Figure, RoleReport};
 use super::{targets, Run};
 use roseyard_membership::{
-    wire, Action, Event, Guard, Key, Metadata, Name, Received, Record, Settings, Stage, Status, Swim,
+    wire, Action, Event, Guard, Key, Metadata, Name, Received, Record, Settings, Stage, Status,
+    Swim,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -27,17 +28,24 @@
 const WORDS: usize = 40;
 
 /// Plays fleets and single members of each size.
-pub fn run(run: &Run) -> RoleReport {
-    let mut fleet_cost = Figure::measured("fleet at rest: processor time of a member", "% of a core");
-    let mut fleet_bytes = Figure::measured("fleet at rest: bytes of a member, in and out", "bytes/s");
-    let mut join_bytes = Figure::measured("all start at once: bytes until all agree, each", "bytes");
+pub(super) fn run(run: &Run) -> RoleReport {
+    let mut fleet_cost =
+        Figure::measured("fleet at rest: processor time of a member", "% of a core");
+    let mut fleet_bytes =
+        Figure::measured("fleet at rest: bytes of a member, in and out", "bytes/s");
+    let mut join_bytes =
+        Figure::measured("all start at once: bytes until all agree, each", "bytes");
     let mut rest = Figure::measured("one member at rest: processor time", "% of a core");
     let mut word = Figure::measured("one member: processor time of a word", "us");
     let mut join = Figure::measured("one member: processor time to take all records", "ms");
     let mut join_one = Figure::measured("one member: bytes of all records", "bytes");
-    let mut split_peak = Figure::measured("halves apart for 300 s: fullest second of a member", "bytes/s");
+    let mut split_peak = Figure::measured(
+        "halves apart for 300 s: fullest second of a member",
+        "bytes/s",
+    );
     let mut split_heals = Figure::measured("halves apart for 300 s: all agree after they met", "s");
-    let mut zone_peak = Figure::measured("a zone of 7.7% dies: fullest second of a member", "bytes/s");
+    let mut zone_peak =
+        Figure::measured("a zone of 7.7% dies: fullest second of a member", "bytes/s");
     let mut zone_agreed = Figure::measured("a zone of 7.7% dies: all hold it gone", "s");
     let mut notes = Vec::new();
     for &size in &run.sizes {
@@ -70,13 +78,18 @@
             (fleet, played)
         };
         if !agreed {
-            notes.push(format!("{size} members did not agree within {AGREE_WITHIN:?} or {ENOUGH:?} of work"));
+            notes.push(format!(
+                "{size} members did not agree within {AGREE_WITHIN:?} or {ENOUGH:?} of work"
+            ));
             continue;
         }
         join_bytes.push(size, &[2.0 * fleet.bytes as f64 / size as f64]);
         fleet.run(Duration::from_secs(60));
         let (mut costs, mut bytes) = (Vec::new(), Vec::new());
-        for _ in 0..run.repeats.min(if spent > ENOUGH / 4 { 1 } else { run.repeats }) {
+        for _ in 0..run
+            .repeats
+            .min(if spent > ENOUGH / 4 { 1 } else { run.repeats })
+        {
             let (length, before) = (Duration::from_secs(run.seconds), fleet.bytes);
             let (_, took) = timed(|| fleet.run(length));
             let members = size as f64 * length.as_secs_f64();
@@ -94,9 +107,22 @@
         zone_agreed.push(size, cost.agreed_after.as_slice());
     }
     let most = Settings::new(targets::INGRESSES).max_members;
-    notes.push(format!("the program remembers {most} members at most; here as many as there are"));
-    let whole = [fleet_cost, fleet_bytes, join_bytes, split_peak, split_heals, zone_peak, zone_agreed];
-    let figures = whole.into_iter().chain([rest, word, join, join_one]).collect();
+    notes.push(format!(
+        "the program remembers {most} members at most; here as many as there are"
+    ));
+    let whole = [
+        fleet_cost,
+        fleet_bytes,
+        join_bytes,
+        split_peak,
+        split_heals,
+        zone_peak,
+        zone_agreed,
+    ];
+    let figures = whole
+        .into_iter()
+        .chain([rest, word, join, join_one])
+        .collect();
     run.report("membership", "members", figures, notes)
 }
 
@@ -109,14 +135,27 @@
 }
 
 fn number_at(address: SocketAddr) -> usize {
-    let SocketAddr::V4(at) = address else { return usize::MAX };
+    let SocketAddr::V4(at) = address else {
+        return usize::MAX;
+    };
     (at.ip().to_bits() - 0x7f01_0000) as usize
 }
 
 fn record(number: usize, generation: u64) -> Record {
-    let metadata = Metadata { stage: Stage::Serving, ..Metadata::default() };
+    let metadata = Metadata {
+        stage: Stage::Serving,
+        ..Metadata::default()
+    };
     let (name, address, status) = (name(number), address(number), Status::Alive);
-    Record { name, address, generation, incarnation: 0, status, metadata_version: 0, metadata }
+    Record {
+        name,
+        address,
+        generation,
+        incarnation: 0,
+        status,
+        metadata_version: 0,
+        metadata,
+    }
 }
 
 fn settings(members: usize) -> Settings {
@@ -133,7 +172,14 @@
 
 fn swim(number: usize, members: usize, seed: u64) -> Swim {
     let me = record(number, GENERATION);
-    Swim::new(settings(members), me.name, me.address, me.generation, me.metadata, seed)
+    Swim::new(
+        settings(members),
+        me.name,
+        me.address,
+        me.generation,
+        me.metadata,
+        seed,
+    )
 }
 
 /// One datagram on its way.
@@ -157,7 +203,8 @@
     dead: Vec<bool>,
 }
 
-/// What a failure of many members at once has cost, in bytes a second of a member, in and out, in the fullest second.
+/// What a failure of many members at once has cost, in bytes a second of a member, in and out, in
+/// the fullest second.
 struct FailureCost {
     /// While the failure lasts.
     peak: f64,
@@ -169,7 +216,12 @@
 
 impl Fleet {
     fn new(members: usize, seed: u64) -> Fleet {
-        let one = |n: usize| (swim(n, members, seed.wrapping_add(n as u64)), guard(n, members));
+        let one = |n: usize| {
+            (
+                swim(n, members, seed.wrapping_add(n as u64)),
+                guard(n, members),
+            )
+        };
         let mut fleet = Fleet {
             now: Duration::ZERO,
             members: (0..members).map(one).collect(),
@@ -190,11 +242,18 @@
         let (swim, guard) = &mut self.members[number];
         swim.handle(self.now, event, &mut actions);
         for action in actions {
-            let Action::Send { to, body } = action else { continue };
+            let Action::Send { to, body } = action else {
+                continue;
+            };
             let bytes = guard.seal(swim.local().generation, &body);
             (self.sent, self.bytes) = (self.sent + 1, self.bytes + bytes.len() as u64);
-            let datagram = Datagram { to: number_at(to), from: number, bytes };
-            self.under_way.insert((self.now + FLIGHT, self.sent), datagram);
+            let datagram = Datagram {
+                to: number_at(to),
+                from: number,
+                bytes,
+            };
+            self.under_way
+                .insert((self.now + FLIGHT, self.sent), datagram);
         }
         let due = swim.due();
         if let Some(at) = std::mem::replace(&mut self.due_of[number], due) {
@@ -229,7 +288,9 @@
         if self.split.is_some_and(cut) || self.dead.get(datagram.to).is_none_or(|dead| *dead) {
             return;
         }
-        let Some((_, guard)) = self.members.get_mut(datagram.to) else { return };
+        let Some((_, guard)) = self.members.get_mut(datagram.to) else {
+            return;
+        };
         if let Some(event) = heard(guard, datagram) {
             self.tell(datagram.to, event);
         }
@@ -252,8 +313,13 @@
     }
 
     fn agrees(&self) -> bool {
-        let alive =
-            || self.members.iter().zip(&self.dead).filter(|(_, dead)| !**dead).map(|((swim, _), _)| swim);
+        let alive = || {
+            self.members
+                .iter()
+                .zip(&self.dead)
+                .filter(|(_, dead)| !**dead)
+                .map(|((swim, _), _)| swim)
+        };
         let (sum, seen) = (alive().next().map(Swim::digest), alive().count());
         alive().all(|swim| Some(swim.digest()) == sum && swim.quorum().seen == seen)
     }
@@ -280,10 +346,16 @@
     /// Two halves do not hear each other for a while.
     fn split_for(&mut self, lasts: Duration) -> FailureCost {
         self.split = Some(self.members.len() / 2);
-        let peak = (0..lasts.as_secs()).map(|_| self.second()).fold(0.0, f64::max);
+        let peak = (0..lasts.as_secs())
+            .map(|_| self.second())
+            .fold(0.0, f64::max);
         self.split = None;
         let (peak_healing, agreed_after) = self.heal();
-        FailureCost { peak, peak_healing, agreed_after }
+        FailureCost {
+            peak,
+            peak_healing,
+            agreed_after,
+        }
     }
 
     /// A zone's share of the members dies at once.
@@ -296,7 +368,11 @@
             }
         }
         let (peak, agreed_after) = self.heal();
-        FailureCost { peak, peak_healing: 0.0, agreed_after }
+        FailureCost {
+            peak,
+            peak_healing: 0.0,
+            agreed_after,
+        }
     }
 }
 
@@ -304,7 +380,13 @@
     let opened = guard.open(&datagram.bytes).ok()?;
     let (message, updates) = wire::read(opened.body)?;
     let (source, sender, generation) = (address(datagram.from), opened.sender, opened.generation);
-    Some(Event::Received(Received { source, sender, generation, message, updates }))
+    Some(Event::Received(Received {
+        source,
+        sender,
+        generation,
+        message,
+        updates,
+    }))
 }
 
 /// One real member whose pings are answered by peers that are made up.
@@ -329,7 +411,8 @@
         }
     }
 
-    /// Takes the records of all members, as pages in answer to its join: their bytes, and the processor time.
+    /// Takes the records of all members, as pages in answer to its join: their bytes, and the
+    /// processor time.
     fn learn_all(&mut self, members: usize) -> (usize, Duration) {
         let (mut bytes, mut spent, mut next) = (0, Duration::ZERO, 1);
         self.tell(Event::Due);
@@ -340,7 +423,13 @@
             }
             let sealed = self.peers[1].seal(GENERATION, &body.bytes());
             bytes += sealed.len();
-            let (_, took) = timed(|| self.deliver(&Datagram { to: 0, from: 1, bytes: sealed }));
+            let (_, took) = timed(|| {
+                self.deliver(&Datagram {
+                    to: 0,
+                    from: 1,
+                    bytes: sealed,
+                })
+            });
             spent += took;
         }
         (bytes, spent)
@@ -356,29 +445,41 @@
         let mut actions = Vec::new();
         self.swim.handle(self.now, event, &mut actions);
         for action in actions {
-            let Action::Send { to, body } = action else { continue };
+            let Action::Send { to, body } = action else {
+                continue;
+            };
             let sealed = self.guard.seal(GENERATION, &body);
-            let Some((wire::Message::Ping(number), _)) = wire::read(&body) else { continue };
+            let Some((wire::Message::Ping(number), _)) = wire::read(&body) else {
+                continue;
+            };
             std::hint::black_box(sealed);
             let from = number_at(to);
             let answer = wire::Body::new(&wire::Message::Ack(number)).bytes();
             let bytes = self.peers[from].seal(GENERATION, &answer);
             self.serial += 1;
-            self.answers.insert((self.now + FLIGHT, self.serial), Datagram { to: 0, from, bytes });
+            self.answers.insert(
+                (self.now + FLIGHT, self.serial),
+                Datagram { to: 0, from, bytes },
+            );
         }
     }
 
-    /// Goes on so long. Once a period one of the others probes it, as in a fleet where each probes one.
+    /// Goes on so long. Once a period one of the others probes it, as in a fleet where each probes
+    /// one.
     fn run(&mut self, length: Duration) {
         let until = self.now + length;
         let mut ping_at = self.now;
         while self.now < until {
             let answer = self.answers.keys().next().copied();
             let due = self.swim.due().unwrap_or(until);
-            let next = answer.map_or(due, |(at, _)| at.min(due)).min(ping_at).min(until);
+            let next = answer
+                .map_or(due, |(at, _)| at.min(due))
+                .min(ping_at)
+                .min(until);
             self.now = self.now.max(next);
-            if let Some(datagram) =
-                answer.filter(|(at, _)| *at <= self.now).and_then(|k| self.answers.remove(&k))
+            if let Some(datagram) = answer
+                .filter(|(at, _)| *at <= self.now)
+                .and_then(|k| self.answers.remove(&k))
             {
                 self.deliver(&datagram);
             } else if ping_at <= self.now {
@@ -402,7 +503,13 @@
             let mut body = wire::Body::new(&wire::Message::Gossip);
             let _ = body.add(&record(about, GENERATION + 1 + (round * WORDS + n) as u64));
             let bytes = self.peers[1].seal(GENERATION, &body.bytes());
-            let (_, took) = timed(|| self.deliver(&Datagram { to: 0, from: 1, bytes }));
+            let (_, took) = timed(|| {
+                self.deliver(&Datagram {
+                    to: 0,
+                    from: 1,
+                    bytes,
+                })
+            });
             spent += took;
         }
         spent.as_secs_f64() * 1e6 / WORDS as f64
--- a/lab/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! What each role of the platform costs at size: the real state machines and codecs, many in one process, without
-//! sockets and in virtual time from a seed. Messages are counted in encoded bytes, cost in processor time.
+//! What each role of the platform costs at size: the real state machines and codecs, many in one
+//! process, without sockets and in virtual time from a seed. Messages are counted in encoded bytes,
+//! cost in processor time.
 //!
 //! A role is an entry of [`Role`]: its name, the sizes that it takes, and a function that runs it.
 
@@ -131,7 +132,13 @@
         sizes: &[43, 430, 4_300],
         run: servers::run,
     },
-    Entry { role: Role::Events, varied: "ingresses", allowed: 10..=430, sizes: &[43], run: events::run },
+    Entry {
+        role: Role::Events,
+        varied: "ingresses",
+        allowed: 10..=430,
+        sizes: &[43],
+        run: events::run,
+    },
 ];
 
 /// Numbers of servers that the real daemon is measured with, and those that it may be.
@@ -174,10 +181,26 @@
         }
     }
 
-    fn report(&self, role: &str, varied: &str, figures: Vec<Figure>, notes: Vec<String>) -> RoleReport {
-        let role = if self.services { format!("{role} by service") } else { role.into() };
+    fn report(
+        &self,
+        role: &str,
+        varied: &str,
+        figures: Vec<Figure>,
+        notes: Vec<String>,
+    ) -> RoleReport {
+        let role = if self.services {
+            format!("{role} by service")
+        } else {
+            role.into()
+        };
         let (varied, resident_bytes) = (varied.into(), measure::resident_bytes());
-        RoleReport { role, varied, figures, notes, resident_bytes }
+        RoleReport {
+            role,
+            varied,
+            figures,
+            notes,
+            resident_bytes,
+        }
     }
 }
 
@@ -207,11 +230,22 @@
 impl std::fmt::Display for BadSizes {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BadSizes::Outside { size, varied, allowed } => {
-                write!(f, "--sizes: {size} {varied}: {} to {} are allowed", allowed.start(), allowed.end())
+            BadSizes::Outside {
+                size,
+                varied,
+                allowed,
+            } => {
+                write!(
+                    f,
+                    "--sizes: {size} {varied}: {} to {} are allowed",
+                    allowed.start(),
+                    allowed.end()
+                )
             }
             BadSizes::Fixed => write!(f, "--sizes: this role has a size of its own"),
-            BadSizes::AllRoles => write!(f, "--sizes goes with one role: each counts something else"),
+            BadSizes::AllRoles => {
+                write!(f, "--sizes goes with one role: each counts something else")
+            }
         }
     }
 }
@@ -234,16 +268,32 @@
         let told = entry.map(|entry| (entry.varied, &entry.allowed, entry.sizes));
         let daemon = (self == Role::Daemon).then_some(("servers", &DAEMON_ALLOWED, DAEMON_SIZES));
         if self == Role::Faults {
-            return if given.is_empty() { Ok(Vec::new()) } else { Err(BadSizes::Fixed) };
+            return if given.is_empty() {
+                Ok(Vec::new())
+            } else {
+                Err(BadSizes::Fixed)
+            };
         }
         let Some((varied, allowed, own)) = told.or(daemon) else {
-            return if given.is_empty() { Ok(Vec::new()) } else { Err(BadSizes::AllRoles) };
+            return if given.is_empty() {
+                Ok(Vec::new())
+            } else {
+                Err(BadSizes::AllRoles)
+            };
         };
         if let Some(&size) = given.iter().find(|size| !allowed.contains(size)) {
             let allowed = allowed.clone();
-            return Err(BadSizes::Outside { size, varied, allowed });
+            return Err(BadSizes::Outside {
+                size,
+                varied,
+                allowed,
+            });
         }
-        let mut sizes = if given.is_empty() { own.to_vec() } else { given.to_vec() };
+        let mut sizes = if given.is_empty() {
+            own.to_vec()
+        } else {
+            given.to_vec()
+        };
         sizes.sort_unstable();
         sizes.dedup();
         Ok(sizes)
--- a/lab/src/scale/quotas.rs
+++ b/crates/testbed/src/scale/quotas.rs
@@ -14,19 +14,26 @@
 const FILL: Duration = Duration::from_secs(20);
 
 /// Plays one ingress at each number of tenants, all of whom it has just heard of.
-pub fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &Run) -> RoleReport {
     let mut request = Figure::measured("processor time a request", "us");
     let mut rest = Figure::measured("processor time at rest", "% of a core");
     let mut memory = Figure::measured("memory of all ledgers", "MiB");
     let mut calls = Figure::measured("calls to the counter a request", "calls");
     let mut out = Figure::measured("bytes of a call", "bytes");
     let mut back = Figure::measured("bytes of its answer", "bytes");
-    let mut rate = Figure::reckoned("to and from the counter at 256 requests a second", "bytes/s");
+    let mut rate = Figure::reckoned(
+        "to and from the counter at 256 requests a second",
+        "bytes/s",
+    );
     let mut held = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("quotas: {size} tenants"));
         let mut world = World::new(run.seed);
-        let servers = if run.services { targets::SERVERS } else { SERVERS };
+        let servers = if run.services {
+            targets::SERVERS
+        } else {
+            SERVERS
+        };
         let listing = Arc::new(Listing::new(servers, run.services));
         let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
         hollow.take_line(&listing.whole(), &mut world);
@@ -36,8 +43,15 @@
             hollow.run(at, None, &mut world);
             hollow.request(tenant as u64, Demand::ByServers, &mut world);
         }
-        memory.push(size, &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)]);
-        let load = Load { rate: targets::REQUESTS_PER_INGRESS, tenants: size, demand: Demand::ByServers };
+        memory.push(
+            size,
+            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
+        );
+        let load = Load {
+            rate: targets::REQUESTS_PER_INGRESS,
+            tenants: size,
+            demand: Demand::ByServers,
+        };
         let (mut resting, mut requests, mut traffic) = (Vec::new(), Vec::new(), Traffic::default());
         let length = Duration::from_millis(1000 * run.seconds / run.repeats as u64);
         for _ in 0..run.repeats {
@@ -46,20 +60,29 @@
             hollow.traffic = Traffic::default();
             let (_, took) = timed(|| hollow.run(hollow.now() + length, Some(load), &mut world));
             let ended = hollow.traffic.attempts + hollow.traffic.refused;
-            let each = (took.as_secs_f64() - idle * length.as_secs_f64()).max(0.0) / ended.max(1) as f64;
+            let each =
+                (took.as_secs_f64() - idle * length.as_secs_f64()).max(0.0) / ended.max(1) as f64;
             resting.push(idle * 100.0);
             requests.push(each * 1e6);
             traffic += hollow.traffic;
         }
         rest.push(size, &resting);
         request.push(size, &requests);
-        let (asked, ended) = (traffic.counter_calls as f64, (traffic.attempts + traffic.refused) as f64);
-        let (bytes_out, bytes_in) =
-            (traffic.counter_bytes_out as f64 / asked, traffic.counter_bytes_in as f64 / asked);
+        let (asked, ended) = (
+            traffic.counter_calls as f64,
+            (traffic.attempts + traffic.refused) as f64,
+        );
+        let (bytes_out, bytes_in) = (
+            traffic.counter_bytes_out as f64 / asked,
+            traffic.counter_bytes_in as f64 / asked,
+        );
         calls.push(size, &[asked / ended]);
         out.push(size, &[bytes_out]);
         back.push(size, &[bytes_in]);
-        rate.push(size, &[asked / ended * (bytes_out + bytes_in) * targets::REQUESTS_PER_INGRESS]);
+        rate.push(
+            size,
+            &[asked / ended * (bytes_out + bytes_in) * targets::REQUESTS_PER_INGRESS],
+        );
         held.push(hollow);
     }
     let figures = vec![request, rest, memory, calls, out, back, rate];
--- a/lab/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -56,23 +56,44 @@
     }
 
     fn of(quantity: &str, unit: &str, basis: Basis) -> Figure {
-        Figure { quantity: quantity.into(), unit: unit.into(), basis, points: Vec::new(), exponent: None }
+        Figure {
+            quantity: quantity.into(),
+            unit: unit.into(),
+            basis,
+            points: Vec::new(),
+            exponent: None,
+        }
     }
 
     /// Adds the values of some runs at one size.
     pub fn push(&mut self, size: usize, samples: &[f64]) {
         let mut sorted = samples.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let (Some(low), Some(high)) = (sorted.first(), sorted.last()) else { return };
+        let (Some(low), Some(high)) = (sorted.first(), sorted.last()) else {
+            return;
+        };
         let (low, high, runs) = (*low, *high, sorted.len());
-        self.points.push(Point { size, median: sorted[runs / 2], low, high, runs });
-        let medians: Vec<(f64, f64)> = self.points.iter().map(|p| (p.size as f64, p.median)).collect();
+        self.points.push(Point {
+            size,
+            median: sorted[runs / 2],
+            low,
+            high,
+            runs,
+        });
+        let medians: Vec<(f64, f64)> = self
+            .points
+            .iter()
+            .map(|p| (p.size as f64, p.median))
+            .collect();
         self.exponent = measure::exponent(&medians);
     }
 
     /// The median at a size.
     pub fn at(&self, size: usize) -> Option<f64> {
-        self.points.iter().find(|p| p.size == size).map(|p| p.median)
+        self.points
+            .iter()
+            .find(|p| p.size == size)
+            .map(|p| p.median)
     }
 }
 
@@ -99,14 +120,22 @@
 
     /// As a table in Markdown: a line for each figure, a column for each size.
     pub fn table(&self) -> String {
-        let mut sizes: Vec<usize> =
-            self.figures.iter().flat_map(|f| f.points.iter().map(|p| p.size)).collect();
+        let mut sizes: Vec<usize> = self
+            .figures
+            .iter()
+            .flat_map(|f| f.points.iter().map(|p| p.size))
+            .collect();
         sizes.sort_unstable();
         sizes.dedup();
         let mut table = Table::new();
         let columns = sizes.iter().map(|size| format!("{size} {}", self.varied));
-        let header = ["figure", "unit", "basis"].map(String::from).into_iter().chain(columns);
-        table.load_preset(ASCII_MARKDOWN).set_header(header.chain(["exponent".into()]));
+        let header = ["figure", "unit", "basis"]
+            .map(String::from)
+            .into_iter()
+            .chain(columns);
+        table
+            .load_preset(ASCII_MARKDOWN)
+            .set_header(header.chain(["exponent".into()]));
         for figure in &self.figures {
             let basis = match figure.basis {
                 Basis::Measured => "measured",
@@ -114,14 +143,29 @@
             };
             let head = [figure.quantity.clone(), figure.unit.clone(), basis.into()];
             let cell = |size: &usize| {
-                figure.points.iter().find(|p| p.size == *size).map_or("-".into(), |p| p.to_string())
+                figure
+                    .points
+                    .iter()
+                    .find(|p| p.size == *size)
+                    .map_or("-".into(), |p| p.to_string())
             };
             let exponent = figure.exponent.map_or("-".into(), |e| format!("{e:.2}"));
-            table.add_row(head.into_iter().chain(sizes.iter().map(cell)).chain([exponent]));
+            table.add_row(
+                head.into_iter()
+                    .chain(sizes.iter().map(cell))
+                    .chain([exponent]),
+            );
         }
-        let notes: String = self.notes.iter().map(|note| format!("- {note}\n")).collect();
+        let notes: String = self
+            .notes
+            .iter()
+            .map(|note| format!("- {note}\n"))
+            .collect();
         let resident = self.resident_bytes >> 20;
-        format!("## {}\n\n{table}\n\n{notes}- resident at the end: {resident} MiB\n", self.role)
+        format!(
+            "## {}\n\n{table}\n\n{notes}- resident at the end: {resident} MiB\n",
+            self.role
+        )
     }
 }
 
--- a/lab/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -17,15 +17,17 @@
 const STEP: Duration = Duration::from_secs(1);
 
 /// Plays one service's share of the traffic through all of so many ingresses.
-pub fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &Run) -> RoleReport {
     let mut open = Figure::measured("connections open at a server, mean", "connections");
     let mut most = Figure::measured("connections open at a server, most", "connections");
     let mut new = Figure::measured("connections opened at a server", "connections/s");
     let mut shared = Figure::measured("requests on a connection that was open", "% of requests");
     let mut probes = Figure::measured("probes at a server", "probes/s");
     let mut refused = Figure::measured("requests refused", "%");
-    let mut links =
-        Figure::reckoned("connections open at an ingress with 3,200 such services", "connections");
+    let mut links = Figure::reckoned(
+        "connections open at an ingress with 3,200 such services",
+        "connections",
+    );
     // Of its requests each service gets an even share.
     let load = Load {
         rate: targets::REQUESTS_PER_INGRESS / targets::SERVICES as f64,
@@ -38,22 +40,37 @@
         run.progress(&format!("servers: {size} ingresses"));
         let mut world = World::new(run.seed);
         world.arrivals = Some(Vec::new());
-        let mut fleet: Vec<Hollow> = (0..size).map(|n| Hollow::new(&listing, size, n, run.seed)).collect();
-        fleet.iter_mut().for_each(|hollow| hollow.take_line(&line, &mut world));
+        let mut fleet: Vec<Hollow> = (0..size)
+            .map(|n| Hollow::new(&listing, size, n, run.seed))
+            .collect();
+        fleet
+            .iter_mut()
+            .for_each(|hollow| hollow.take_line(&line, &mut world));
         let mut now = Duration::ZERO;
         while now < WARM_UP + LENGTH {
             now += STEP;
-            fleet.iter_mut().for_each(|hollow| hollow.run(now, Some(load), &mut world));
+            fleet
+                .iter_mut()
+                .for_each(|hollow| hollow.run(now, Some(load), &mut world));
         }
         let seen = Seen::of(world.arrivals.take().unwrap_or_default());
         let per_server = seen.open.iter().sum::<usize>() as f64 / SERVERS as f64;
         open.push(size, &[per_server]);
         most.push(size, &[seen.open.iter().max().copied().unwrap_or(0) as f64]);
-        new.push(size, &[seen.opened as f64 / SERVERS as f64 / LENGTH.as_secs_f64()]);
-        shared.push(size, &[100.0 * (1.0 - seen.opened as f64 / seen.requests.max(1) as f64)]);
+        new.push(
+            size,
+            &[seen.opened as f64 / SERVERS as f64 / LENGTH.as_secs_f64()],
+        );
+        shared.push(
+            size,
+            &[100.0 * (1.0 - seen.opened as f64 / seen.requests.max(1) as f64)],
+        );
         let (turned, asked) = fleet.iter().fold((0, 0), |(turned, asked), hollow| {
             let traffic = hollow.traffic;
-            (turned + traffic.refused, asked + traffic.refused + traffic.served + traffic.failed)
+            (
+                turned + traffic.refused,
+                asked + traffic.refused + traffic.served + traffic.failed,
+            )
         });
         refused.push(size, &[100.0 * turned as f64 / asked.max(1) as f64]);
         let probed: u64 = fleet.iter().map(|hollow| hollow.traffic.probes).sum();
@@ -65,7 +82,12 @@
         "traffic of an ingress is even over 3,200 services, and each service's goes through every ingress"
             .into(),
     ];
-    run.report("servers", "ingresses", vec![open, most, new, shared, links, probes, refused], notes)
+    run.report(
+        "servers",
+        "ingresses",
+        vec![open, most, new, shared, links, probes, refused],
+        notes,
+    )
 }
 
 /// What came within the measured time.
@@ -81,8 +103,17 @@
         arrivals.sort_by_key(|arrival| arrival.at);
         let end = WARM_UP + LENGTH;
         let mut last: HashMap<(usize, usize), Duration> = HashMap::new();
-        let mut seen = Seen { requests: 0, opened: 0, open: vec![0; SERVERS] };
-        for Arrival { at, ingress, server } in arrivals {
+        let mut seen = Seen {
+            requests: 0,
+            opened: 0,
+            open: vec![0; SERVERS],
+        };
+        for Arrival {
+            at,
+            ingress,
+            server,
+        } in arrivals
+        {
             let before = last.insert((ingress, server), at);
             if at >= WARM_UP {
                 seen.requests += 1;
