--- a/lab/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -79,10 +79,15 @@
     worded("API.WRITE", &parameters("sign", 1), customer, id)
 }
 
-/// A request of a customer whose requests come through so many ingresses, with what `more` adds to its list of names
-/// and values; of the class that may be repeated, or of the one that must never run twice.
+/// A request of a customer whose requests come through so many ingresses, with what `more` adds to
+/// its list of names and values; of the class that may be repeated, or of the one that must never
+/// run twice.
 pub fn request_with(repeatable: bool, customer: u64, id: u64, spread: u32, more: &str) -> Vec<u8> {
-    let (command, class) = if repeatable { ("API.READ", "form-load") } else { ("API.WRITE", "sign") };
+    let (command, class) = if repeatable {
+        ("API.READ", "form-load")
+    } else {
+        ("API.WRITE", "sign")
+    };
     worded(command, &(parameters(class, spread) + more), customer, id)
 }
 
@@ -92,7 +97,12 @@
 
 fn worded(command: &str, list: &str, customer: u64, id: u64) -> Vec<u8> {
     let mut out = String::from("*4\r\n");
-    for word in [command, &format!("{customer:016x}"), &format!("{id:016x}"), list] {
+    for word in [
+        command,
+        &format!("{customer:016x}"),
+        &format!("{id:016x}"),
+        list,
+    ] {
         out += &format!("${}\r\n{word}\r\n", word.len());
     }
     out.into_bytes()
--- a/lab/src/standins.rs
+++ b/crates/testbed/src/standins.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of form servers, counter and discovery, each on a port of its own, written from the platform's
-//! protocol page.
+//! Stand-ins of form servers, counter and discovery, each on a port of its own, written from the
+//! platform's protocol page.
 
 use crate::judge::{Ledger, What};
 use crate::site::{self, Around};
@@ -30,7 +30,12 @@
     }
     let counter = serve(counter()).await?;
     let discovery = serve(discovery(site::list(&addresses).to_string())).await?;
-    Ok(Around { servers: addresses, counter, discovery, ledger })
+    Ok(Around {
+        servers: addresses,
+        counter,
+        discovery,
+        ledger,
+    })
 }
 
 async fn serve(app: Router) -> io::Result<SocketAddr> {
@@ -54,8 +59,8 @@
     }
 }
 
-/// Answers each request with its id as the value, and probes with a load report. If `once`, it closes after a request's
-/// answer.
+/// Answers each request with its id as the value, and probes with a load report. If `once`, it
+/// closes after a request's answer.
 pub(crate) async fn form_connection(
     mut stream: TcpStream,
     work: Duration,
@@ -67,7 +72,12 @@
     let mut input = BytesMut::with_capacity(4096);
     loop {
         while let Ok(Some((BytesFrame::Array(words), _, _))) = decode_bytes_mut(&mut input) {
-            let word = |n: usize| words.get(n).and_then(BytesFrame::as_bytes).unwrap_or_default();
+            let word = |n: usize| {
+                words
+                    .get(n)
+                    .and_then(BytesFrame::as_bytes)
+                    .unwrap_or_default()
+            };
             let is_request = matches!(word(0), b"API.READ" | b"API.WRITE");
             let answer = match word(0) {
                 b"API.READ" | b"API.WRITE" => {
@@ -105,7 +115,11 @@
 }
 
 /// Adds to a name's total; a name is forgotten when the life that its first call gave is over.
-async fn tally(State(totals): State<Totals>, Path(name): Path<String>, Query(call): Query<Tally>) -> String {
+async fn tally(
+    State(totals): State<Totals>,
+    Path(name): Path<String>,
+    Query(call): Query<Tally>,
+) -> String {
     let now = Instant::now();
     let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
     let life = Duration::from_millis(call.keep_ms.clamp(1.0, 60_000.0) as u64);
@@ -118,7 +132,9 @@
 }
 
 pub(crate) fn counter() -> Router {
-    Router::new().route("/tally/{name}", post(tally)).with_state(Totals::default())
+    Router::new()
+        .route("/tally/{name}", post(tally))
+        .with_state(Totals::default())
 }
 
 /// A watch: the whole list, then an empty line every 2 s.
@@ -139,5 +155,7 @@
 }
 
 fn discovery(list: String) -> Router {
-    Router::new().route("/discovery/hosts", get(watch)).with_state(Arc::new(list))
+    Router::new()
+        .route("/discovery/hosts", get(watch))
+        .with_state(Arc::new(list))
 }
