--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -15,27 +15,27 @@
 }
 
 /// A gate that has seen so many addresses, with `open` connections held.
-fn gate(tracked: usize, open: usize) -> Gate {
+fn controller(tracked: usize, open: usize) -> AdmissionController {
     let rate = Some(Rate {
         per_second: 1e6,
         burst: 1e6,
     });
-    let policy = Policy {
+    let policy = AdmissionPolicy {
         by_address: true,
         per_client: Some(1 << 20),
         per_neighbourhood: Some(1 << 20),
         rate_client: rate,
         rate_neighbourhood: rate,
-        remembered: tracked,
-        once_room: open,
-        silent_room: open,
-        ..Policy::of(open)
+        max_remembered: tracked,
+        max_idle_after_one_request: open,
+        max_idle_without_request: open,
+        ..AdmissionPolicy::of(open)
     };
-    let mut gate = Gate::new(policy, 7, Duration::ZERO);
+    let mut controller = AdmissionController::new(policy, 7, Duration::ZERO);
     let mut out = Vec::new();
     for n in 0..tracked as u64 {
         let conn = ConnectionId(n << 32);
-        gate.handle(
+        controller.handle(
             Duration::ZERO,
             Event::Connected {
                 conn,
@@ -43,7 +43,7 @@
             },
             &mut out,
         );
-        gate.handle(
+        controller.handle(
             Duration::ZERO,
             Event::Closed { conn, fault: false },
             &mut out,
@@ -51,7 +51,7 @@
         out.clear();
     }
     for n in 0..open as u64 {
-        gate.handle(
+        controller.handle(
             Duration::ZERO,
             Event::Connected {
                 conn: ConnectionId(n),
@@ -60,7 +60,7 @@
             &mut out,
         );
     }
-    gate
+    controller
 }
 
 fn decisions(c: &mut Criterion) {
@@ -75,8 +75,8 @@
         (1_000_000, 10_000),
         (1_000_000, 1_000_000),
     ] {
-        let mut gate = gate(tracked, 64);
-        let bytes = gate.cache_sizes().bytes;
+        let mut controller = controller(tracked, 64);
+        let bytes = controller.cache_sizes().bytes;
         println!(
             "{tracked} addresses tracked: {} bytes each in both tables",
             bytes / tracked
@@ -88,8 +88,8 @@
                 let now = Duration::from_millis(20 * n);
                 let conn = ConnectionId(n << 32 | 64);
                 let peer = peer(n.wrapping_mul(2_654_435_761) % come as u64);
-                gate.handle(now, Event::Connected { conn, peer }, &mut out);
-                gate.handle(now, Event::Closed { conn, fault: false }, &mut out);
+                controller.handle(now, Event::Connected { conn, peer }, &mut out);
+                controller.handle(now, Event::Closed { conn, fault: false }, &mut out);
                 black_box(&out);
                 out.clear();
             })
@@ -98,7 +98,7 @@
     connects.finish();
     let mut requests = c.benchmark_group("ask, answer, rest");
     for open in [100, 10_000, 1_000_000] {
-        let mut gate = gate(open, open);
+        let mut controller = controller(open, open);
         let (mut n, mut out) = (0u64, Vec::new());
         requests.bench_function(BenchmarkId::from_parameter(open), |b| {
             b.iter(|| {
@@ -107,9 +107,9 @@
                     Duration::from_millis(n),
                     ConnectionId(n.wrapping_mul(2_654_435_761) % open as u64),
                 );
-                gate.handle(now, Event::Asked { conn, customer: n }, &mut out);
-                gate.handle(now, Event::Answered { conn, served: true }, &mut out);
-                gate.handle(now, Event::Rested(conn), &mut out);
+                controller.handle(now, Event::RequestReceived { conn, customer: n }, &mut out);
+                controller.handle(now, Event::Answered { conn, served: true }, &mut out);
+                controller.handle(now, Event::BecameIdle(conn), &mut out);
                 black_box(&out);
                 out.clear();
             })
--- a/crates/admission/src/address.rs
+++ b/crates/admission/src/address.rs
@@ -75,15 +75,15 @@
 /// The operator's own addresses and ranges. A look-up takes one step for each length of prefix in
 /// use, however many ranges there are.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Listed {
+pub struct AddressList {
     lengths: Vec<u8>,
     ranges: HashSet<(u8, u128)>,
 }
 
-impl Listed {
+impl AddressList {
     /// These ranges; one address is a range of its own.
-    pub fn new(ranges: impl IntoIterator<Item = IpNet>) -> Listed {
-        let mut listed = Listed::default();
+    pub fn new(ranges: impl IntoIterator<Item = IpNet>) -> AddressList {
+        let mut listed = AddressList::default();
         for range in ranges {
             let bits = bits(range.network());
             // A range of IPv6 that lies within the mapped addresses is one of IPv4.
--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -5,13 +5,13 @@
 
 /// What a descriptor is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
+pub enum DescriptorUse {
     /// Standard streams, readiness, the listener, signals: taken once at the start.
     Fixed,
     /// Connections of clients.
     Clients,
     /// Connections to servers.
-    Links,
+    Upstream,
     /// Connections to the counter.
     Counter,
     /// The watch on discovery.
@@ -25,20 +25,20 @@
 }
 
 /// All uses, by their index.
-pub const USES: [Use; 8] = [
-    Use::Fixed,
-    Use::Clients,
-    Use::Links,
-    Use::Counter,
-    Use::Discovery,
-    Use::Files,
-    Use::Spare,
-    Use::Peers,
+pub const DESCRIPTOR_USES: [DescriptorUse; 8] = [
+    DescriptorUse::Fixed,
+    DescriptorUse::Clients,
+    DescriptorUse::Upstream,
+    DescriptorUse::Counter,
+    DescriptorUse::Discovery,
+    DescriptorUse::Files,
+    DescriptorUse::Spare,
+    DescriptorUse::Peers,
 ];
 
 /// What a use may hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Share {
+pub struct DescriptorShare {
     /// Always there for it.
     pub least: usize,
     /// Never more, however many are unused.
@@ -48,7 +48,7 @@
 /// Why shares do not fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{least} descriptors are guaranteed, and there are {total}")]
-pub struct TooFew {
+pub struct InsufficientDescriptors {
     /// All minima together.
     pub least: usize,
     /// Descriptors there are.
@@ -57,42 +57,45 @@
 
 /// Descriptors by use. A full set of shares costs a few additions a decision, whatever is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct DescriptorBudget {
     total: usize,
-    shares: [Share; USES.len()],
-    used: [usize; USES.len()],
+    shares: [DescriptorShare; DESCRIPTOR_USES.len()],
+    used: [usize; DESCRIPTOR_USES.len()],
 }
 
-impl Budget {
-    /// A budget of so many descriptors, by the order of [`USES`]. An error if the minima do not
-    /// fit.
-    pub fn new(total: usize, shares: [Share; USES.len()]) -> Result<Budget, TooFew> {
+impl DescriptorBudget {
+    /// A budget of so many descriptors, by the order of [`DESCRIPTOR_USES`]. An error if the minima
+    /// do not fit.
+    pub fn new(
+        total: usize,
+        shares: [DescriptorShare; DESCRIPTOR_USES.len()],
+    ) -> Result<DescriptorBudget, InsufficientDescriptors> {
         let least = shares.iter().map(|s| s.least).sum();
         if least > total {
-            return Err(TooFew { least, total });
+            return Err(InsufficientDescriptors { least, total });
         }
-        Ok(Budget {
+        Ok(DescriptorBudget {
             total,
             shares,
-            used: [0; USES.len()],
+            used: [0; DESCRIPTOR_USES.len()],
         })
     }
 
     /// What a use may hold.
-    pub fn share(&self, of: Use) -> Share {
+    pub fn share(&self, of: DescriptorUse) -> DescriptorShare {
         self.shares[of as usize]
     }
 
     /// What a use holds.
-    pub fn used(&self, of: Use) -> usize {
+    pub fn used(&self, of: DescriptorUse) -> usize {
         self.used[of as usize]
     }
 
     /// Could one more be taken for this use?
-    pub fn has_room(&self, of: Use) -> bool {
+    pub fn is_available(&self, of: DescriptorUse) -> bool {
         let (share, used) = (self.share(of), self.used(of));
         // What others hold, or are guaranteed if that is more.
-        let others: usize = USES
+        let others: usize = DESCRIPTOR_USES
             .into_iter()
             .filter(|other| *other != of)
             .map(|other| self.used(other).max(self.share(other).least))
@@ -102,22 +105,26 @@
 
     /// Takes one for this use; false if it may not have it.
     #[must_use]
-    pub fn take(&mut self, of: Use) -> bool {
-        let has_room = self.has_room(of);
-        self.used[of as usize] += usize::from(has_room);
-        has_room
+    pub fn take(&mut self, of: DescriptorUse) -> bool {
+        let is_available = self.is_available(of);
+        self.used[of as usize] += usize::from(is_available);
+        is_available
     }
 
     /// One of this use has been closed.
-    pub fn give(&mut self, of: Use) {
+    pub fn give(&mut self, of: DescriptorUse) {
         self.used[of as usize] = self.used[of as usize].saturating_sub(1);
     }
 
     /// Other shares hold from now on. What is held beyond them stays until it is given back.
-    pub fn set(&mut self, total: usize, shares: [Share; USES.len()]) -> Result<(), TooFew> {
-        *self = Budget {
+    pub fn set(
+        &mut self,
+        total: usize,
+        shares: [DescriptorShare; DESCRIPTOR_USES.len()],
+    ) -> Result<(), InsufficientDescriptors> {
+        *self = DescriptorBudget {
             used: self.used,
-            ..Budget::new(total, shares)?
+            ..DescriptorBudget::new(total, shares)?
         };
         Ok(())
     }
--- a/crates/admission/src/gate/connect.rs
+++ b/crates/admission/src/controller/connect.rs
@@ -2,8 +2,8 @@
 
 use super::connections::Connection;
 use super::histories::AddressEntries;
-use super::Gate;
-use crate::event::{Action, ConnectionId, Reason};
+use super::AdmissionController;
+use crate::event::{Action, ConnectionId, RejectionReason};
 use crate::reputation::Reputation;
 use std::net::IpAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 /// A limit that a new connection is beyond.
 struct Exceeded {
-    why: Reason,
+    why: RejectionReason,
     wait: Duration,
 }
 
@@ -25,7 +25,7 @@
     reputation: Reputation,
 }
 
-impl Gate {
+impl AdmissionController {
     pub(super) fn on_connected(
         &mut self,
         now: Duration,
@@ -45,7 +45,7 @@
         }
         if !self.make_room(newcomer.reputation, now, out) {
             let full = Exceeded {
-                why: Reason::Full,
+                why: RejectionReason::AtCapacity,
                 wait: Duration::ZERO,
             };
             return self.turn_away(newcomer, full, out);
@@ -53,7 +53,7 @@
         if let Some(address) = newcomer.address {
             self.histories.connection_opened(address);
         }
-        let is_listed = newcomer.reputation == Reputation::Listed;
+        let is_listed = newcomer.reputation == Reputation::AddressList;
         self.connections
             .insert(Connection::new(conn, newcomer.address, is_listed, now));
         self.line_up(conn, now, out);
@@ -64,7 +64,7 @@
             return Newcomer {
                 conn,
                 address: None,
-                reputation: Reputation::Listed,
+                reputation: Reputation::AddressList,
             };
         }
         if !self.policy.by_address {
@@ -98,7 +98,7 @@
         );
         if policy.per_client.is_some_and(|cap| client.open >= cap) {
             return Some(Exceeded {
-                why: Reason::ClientCap,
+                why: RejectionReason::ClientCap,
                 wait: Duration::ZERO,
             });
         }
@@ -107,7 +107,7 @@
             .is_some_and(|cap| neighbourhood.open >= cap)
         {
             return Some(Exceeded {
-                why: Reason::NeighbourhoodCap,
+                why: RejectionReason::NeighbourhoodCap,
                 wait: Duration::ZERO,
             });
         }
@@ -121,7 +121,7 @@
                 .faults
                 .add(HAMMERING_FAULT, now, policy.suspect_half_life);
             return Some(Exceeded {
-                why: Reason::ClientRate,
+                why: RejectionReason::ClientRate,
                 wait,
             });
         }
@@ -131,7 +131,7 @@
             .map(|rate| neighbourhood.connects.take(now, rate))
         {
             return Some(Exceeded {
-                why: Reason::NeighbourhoodRate,
+                why: RejectionReason::NeighbourhoodRate,
                 wait,
             });
         }
@@ -140,13 +140,13 @@
 
     /// Is there a place, or can one be had by eviction? Then it is free afterwards.
     fn make_room(&mut self, reputation: Reputation, now: Duration, out: &mut Vec<Action>) -> bool {
-        if self.held() < self.policy.places {
+        if self.held() < self.policy.capacity {
             return true;
         }
         let Some(victim) = self.victim(reputation, now) else {
             return false;
         };
-        self.close(victim, Reason::Displaced, now, out);
+        self.close(victim, RejectionReason::Displaced, now, out);
         true
     }
 
@@ -157,21 +157,21 @@
             self.histories
                 .connection_refused(address, newcomer.reputation == Reputation::Known);
         }
-        out.push(Action::TurnAway {
+        out.push(Action::RejectConnection {
             conn: newcomer.conn,
-            after: wait.max(self.policy.advice),
+            after: wait.max(self.policy.retry_after),
             why,
         });
     }
 
     /// The cap that a connection's address is beyond, after one was lowered.
-    pub(super) fn exceeded_cap(&self, conn: ConnectionId) -> Option<Reason> {
+    pub(super) fn exceeded_cap(&self, conn: ConnectionId) -> Option<RejectionReason> {
         let address = self.connections.get(conn)?.address?;
         let is_beyond = |cap: Option<u32>, open: u32| cap.is_some_and(|cap| open > cap);
         if is_beyond(self.policy.per_client, self.histories.client(address).open) {
-            return Some(Reason::ClientCap);
+            return Some(RejectionReason::ClientCap);
         }
         let open = self.histories.neighbourhood(address).open;
-        is_beyond(self.policy.per_neighbourhood, open).then_some(Reason::NeighbourhoodCap)
+        is_beyond(self.policy.per_neighbourhood, open).then_some(RejectionReason::NeighbourhoodCap)
     }
 }
--- a/crates/admission/src/gate/eviction.rs
+++ b/crates/admission/src/controller/eviction.rs
@@ -1,12 +1,12 @@
 //! Idle connections, and which of them goes where one has to.
 
 use super::connections::Activity;
-use super::Gate;
-use crate::event::{Action, ConnectionId, Reason};
+use super::AdmissionController;
+use crate::event::{Action, ConnectionId, RejectionReason};
 use crate::reputation::{Reputation, REPUTATIONS};
 use std::time::Duration;
 
-impl Gate {
+impl AdmissionController {
     pub(super) fn on_ending(&mut self, now: Duration, conn: ConnectionId, out: &mut Vec<Action>) {
         if let Some(connection) = self.connections.get_mut(conn) {
             connection.is_ending = true;
@@ -25,9 +25,9 @@
             return self.close(conn, why, now, out);
         }
         self.line_up(conn, now, out);
-        if self.held() > self.policy.places {
+        if self.held() > self.policy.capacity {
             if let Some(victim) = self.connections.first_to_evict() {
-                self.close(victim, Reason::Displaced, now, out);
+                self.close(victim, RejectionReason::Displaced, now, out);
             }
         }
     }
@@ -46,16 +46,16 @@
         let Some(first) = self.connections.longest_idle_of(reputation) else {
             return;
         };
-        let has_had_time = now.saturating_sub(first.idle_since) >= self.policy.breath;
+        let has_had_time = now.saturating_sub(first.idle_since) >= self.policy.first_command_grace;
         if reputation != Reputation::Silent || has_had_time {
-            self.close(first.id, Reason::Room, now, out);
+            self.close(first.id, RejectionReason::IdleCapacity, now, out);
         }
     }
 
     fn max_idle(&self, reputation: Reputation) -> usize {
         match reputation {
-            Reputation::Silent => self.policy.silent_room,
-            Reputation::Once => self.policy.once_room,
+            Reputation::Silent => self.policy.max_idle_without_request,
+            Reputation::Once => self.policy.max_idle_after_one_request,
             _ => usize::MAX,
         }
     }
@@ -77,22 +77,25 @@
             Reputation::Suspect | Reputation::Ending | Reputation::Once | Reputation::Newcomer => {
                 true
             }
-            Reputation::Silent => for_one >= Reputation::Known || idle >= self.policy.breath,
+            Reputation::Silent => {
+                for_one >= Reputation::Known || idle >= self.policy.first_command_grace
+            }
             // While some have only just come, a newcomer waits its breath rather than a known
             // client go: guards against a flood fast enough that none of its connections has had
             // time to speak.
             Reputation::Known => {
                 let some_just_came = self.connections.idle_len(Reputation::Silent) > 0;
-                for_one >= Reputation::Known || idle >= self.policy.guard && !some_just_came
+                for_one >= Reputation::Known
+                    || idle >= self.policy.known_client_grace && !some_just_came
             }
-            Reputation::Listed => for_one >= Reputation::Listed,
+            Reputation::AddressList => for_one >= Reputation::AddressList,
         }
     }
 
     pub(super) fn close(
         &mut self,
         conn: ConnectionId,
-        why: Reason,
+        why: RejectionReason,
         now: Duration,
         out: &mut Vec<Action>,
     ) {
--- a/crates/admission/src/gate/histories.rs
+++ b/crates/admission/src/controller/histories.rs
@@ -1,8 +1,8 @@
 //! What is remembered of client addresses, their neighbourhoods and customers.
 
 use crate::history::{DecayingScore, History, HistoryCache};
-use crate::policy::Policy;
-use crate::snapshot::{Remembered, Snapshot};
+use crate::policy::AdmissionPolicy;
+use crate::snapshot::{ClientRecord, Snapshot};
 use std::hash::Hash;
 use std::net::IpAddr;
 use std::time::Duration;
@@ -81,7 +81,11 @@
     }
 
     /// The entries of a peer's address, made if there are none.
-    pub(super) fn address_entries(&mut self, policy: &Policy, peer: IpAddr) -> AddressEntries {
+    pub(super) fn address_entries(
+        &mut self,
+        policy: &AdmissionPolicy,
+        peer: IpAddr,
+    ) -> AddressEntries {
         AddressEntries {
             client: self.clients.find_or_insert(policy.prefixes.client(peer)),
             neighbourhood: self
@@ -127,12 +131,12 @@
     }
 
     /// Takes in what a snapshot of this age holds.
-    pub(super) fn recall(
+    pub(super) fn restore(
         &mut self,
         snapshot: &Snapshot,
         age: Duration,
         now: Duration,
-        policy: &Policy,
+        policy: &AdmissionPolicy,
     ) {
         recall_into(&mut self.clients, &snapshot.clients, age, now, policy);
         recall_into(&mut self.customers, &snapshot.customers, age, now, policy);
@@ -143,23 +147,23 @@
     cache: &HistoryCache<K>,
     now: Duration,
     half_life: Duration,
-) -> impl Iterator<Item = Remembered<K>> + '_ {
+) -> impl Iterator<Item = ClientRecord<K>> + '_ {
     let scored = cache
         .protected()
         .map(move |(key, history)| (key, history.served.at(now, half_life)));
     let kept = scored.filter(|(_, served)| *served >= LEAST_KEPT_SCORE);
-    kept.map(|(key, served)| Remembered { key, served })
+    kept.map(|(key, served)| ClientRecord { key, served })
 }
 
 fn recall_into<K: Hash + Eq + Copy>(
     cache: &mut HistoryCache<K>,
-    remembered: &[Remembered<K>],
+    max_remembered: &[ClientRecord<K>],
     age: Duration,
     now: Duration,
-    policy: &Policy,
+    policy: &AdmissionPolicy,
 ) {
     // The latest stand first: they are put in last, as the latest.
-    for entry in remembered.iter().rev() {
+    for entry in max_remembered.iter().rev() {
         let written =
             DecayingScore::new(entry.served.clamp(0.0, MAX_RECALLED_SCORE), Duration::ZERO);
         let served = written.at(age, policy.known_half_life);
--- a/crates/admission/src/gate/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -11,8 +11,8 @@
 mod histories;
 mod request;
 
-use crate::event::{Action, ConnectionId, Event, Reason, REASONS};
-use crate::policy::Policy;
+use crate::event::{Action, ConnectionId, Event, RejectionReason, REJECTION_REASONS};
+use crate::policy::AdmissionPolicy;
 use crate::rate::Gcra;
 use crate::reputation::Reputation;
 use crate::snapshot::Snapshot;
@@ -22,33 +22,33 @@
 
 pub use histories::CacheSizes;
 
-/// Shortest pause of accepting, however short the policy's `breath` is.
+/// Shortest pause of accepting, however short the policy's `first_command_grace` is.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(1);
 
 /// Admission of connections.
-pub struct Gate {
-    policy: Policy,
+pub struct AdmissionController {
+    policy: AdmissionPolicy,
     connections: ConnectionTable,
     histories: Histories,
     /// Newcomers with requests open.
     busy_newcomers: usize,
     /// Connections that come again are known after one served request until then.
     warm_until: Duration,
-    counts: [u64; REASONS.len()],
+    counts: [u64; REJECTION_REASONS.len()],
     refused: u64,
     /// Requests of all newcomers.
     newcomer_pace: Gcra,
 }
 
-impl Gate {
+impl AdmissionController {
     /// An empty gate; `secret` keeps others from choosing addresses that collide in its tables.
-    pub fn new(policy: Policy, secret: u64, now: Duration) -> Gate {
-        Gate {
+    pub fn new(policy: AdmissionPolicy, secret: u64, now: Duration) -> AdmissionController {
+        AdmissionController {
             connections: ConnectionTable::default(),
-            histories: Histories::new(policy.remembered, secret),
+            histories: Histories::new(policy.max_remembered, secret),
             busy_newcomers: 0,
             warm_until: now + policy.warm_up,
-            counts: [0; REASONS.len()],
+            counts: [0; REJECTION_REASONS.len()],
             refused: 0,
             newcomer_pace: Gcra::default(),
             policy,
@@ -56,7 +56,7 @@
     }
 
     /// The settings in force.
-    pub fn policy(&self) -> &Policy {
+    pub fn policy(&self) -> &AdmissionPolicy {
         &self.policy
     }
 
@@ -65,8 +65,8 @@
         self.connections.len()
     }
 
-    /// Connections turned away or closed so far, by [`REASONS`].
-    pub fn counts(&self) -> [u64; REASONS.len()] {
+    /// Connections turned away or closed so far, by [`REJECTION_REASONS`].
+    pub fn counts(&self) -> [u64; REJECTION_REASONS.len()] {
         self.counts
     }
 
@@ -88,37 +88,37 @@
     }
 
     /// How long a connection may be idle.
-    pub fn patience(&self, conn: ConnectionId) -> Duration {
+    pub fn idle_timeout_of(&self, conn: ConnectionId) -> Duration {
         match self.connections.get(conn).map(|c| (c.is_listed, c.asked)) {
-            Some((false, 0)) | None => self.policy.silent,
-            Some((false, 1)) => self.policy.once,
-            Some(_) => self.policy.idle,
+            Some((false, 0)) | None => self.policy.idle_timeout_without_request,
+            Some((false, 1)) => self.policy.idle_timeout_after_one_request,
+            Some(_) => self.policy.idle_timeout,
         }
     }
 
     /// Until when nothing is to be accepted: every place is held, and the only connections that
     /// could go have not yet had time to speak.
     pub fn pause(&self, now: Duration) -> Option<Duration> {
-        if self.held() < self.policy.places || self.victim(Reputation::Newcomer, now).is_some() {
+        if self.held() < self.policy.capacity || self.victim(Reputation::Newcomer, now).is_some() {
             return None;
         }
         let first = self.connections.longest_idle_of(Reputation::Silent)?;
-        Some(first.idle_since + self.policy.breath).filter(|at| *at > now)
+        Some(first.idle_since + self.policy.first_command_grace).filter(|at| *at > now)
     }
 
     /// Takes in what has happened; what is to be done is added to `out`.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Connected { conn, peer } => self.on_connected(now, conn, peer, out),
-            Event::Asked { conn, customer } => self.on_asked(now, conn, customer, out),
-            Event::Greeted(conn) => self.on_greeted(conn),
-            Event::Wrong(conn) => self.on_wrong(now, conn),
+            Event::RequestReceived { conn, customer } => self.on_asked(now, conn, customer, out),
+            Event::CommandHandled(conn) => self.on_greeted(conn),
+            Event::ProtocolError(conn) => self.on_wrong(now, conn),
             Event::Answered { conn, served: true } => self.on_served(now, conn),
             Event::Answered { served: false, .. } => {}
-            Event::Rested(conn) => self.on_rested(now, conn, out),
-            Event::Ending(conn) => self.on_ending(now, conn, out),
+            Event::BecameIdle(conn) => self.on_rested(now, conn, out),
+            Event::HalfClosed(conn) => self.on_ending(now, conn, out),
             Event::Closed { conn, fault } => self.on_closed(now, conn, fault),
-            Event::Shortage => self.on_shortage(now, out),
+            Event::DescriptorsExhausted => self.on_shortage(now, out),
         }
     }
 
@@ -131,33 +131,33 @@
 
     fn on_shortage(&mut self, now: Duration, out: &mut Vec<Action>) {
         match self.victim(Reputation::Newcomer, now) {
-            Some(conn) => self.close(conn, Reason::Displaced, now, out),
+            Some(conn) => self.close(conn, RejectionReason::Displaced, now, out),
             None => out.push(Action::Pause {
-                until: now + self.policy.breath.max(SHORTEST_PAUSE),
+                until: now + self.policy.first_command_grace.max(SHORTEST_PAUSE),
             }),
         }
     }
 
     /// Other settings hold from now on. What is open beyond a lowered bound goes once it is idle.
-    pub fn set_policy(&mut self, policy: Policy, now: Duration, out: &mut Vec<Action>) {
+    pub fn set_policy(&mut self, policy: AdmissionPolicy, now: Duration, out: &mut Vec<Action>) {
         if policy.prefixes != self.policy.prefixes {
             // Keys mean something else now: what is remembered under the old ones is dropped with
             // its counts.
             self.connections.forget_addresses();
-            self.histories.forget_addresses(policy.remembered);
+            self.histories.forget_addresses(policy.max_remembered);
         }
-        self.histories.resize(policy.remembered);
+        self.histories.resize(policy.max_remembered);
         self.policy = policy;
         for conn in self.connections.idle_in_eviction_order() {
             if let Some(why) = self.exceeded_cap(conn) {
                 self.close(conn, why, now, out);
             }
         }
-        while self.held() > self.policy.places {
+        while self.held() > self.policy.capacity {
             let Some(conn) = self.connections.first_to_evict() else {
                 break;
             };
-            self.close(conn, Reason::Displaced, now, out);
+            self.close(conn, RejectionReason::Displaced, now, out);
         }
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Takes a snapshot in that was made so long ago.
-    pub fn recall(&mut self, snapshot: &Snapshot, age: Duration, now: Duration) {
-        self.histories.recall(snapshot, age, now, &self.policy);
+    pub fn restore(&mut self, snapshot: &Snapshot, age: Duration, now: Duration) {
+        self.histories.restore(snapshot, age, now, &self.policy);
     }
 
     /// The reputation of a connection. Its own conduct goes first; its address speaks where
@@ -191,7 +191,7 @@
         };
         match connection {
             c if c.is_ending => Reputation::Ending,
-            c if c.is_listed => Reputation::Listed,
+            c if c.is_listed => Reputation::AddressList,
             c if is_suspect(c) => Reputation::Suspect,
             c if c.asked == 0 => Reputation::Silent,
             c if is_known(c) => Reputation::Known,
--- a/crates/admission/src/gate/request.rs
+++ b/crates/admission/src/controller/request.rs
@@ -1,12 +1,12 @@
 //! Requests on open connections, and what they say of a client.
 
 use super::connections::Activity;
-use super::Gate;
+use super::AdmissionController;
 use crate::event::{Action, ConnectionId};
 use crate::reputation::Reputation;
 use std::time::Duration;
 
-impl Gate {
+impl AdmissionController {
     pub(super) fn on_asked(
         &mut self,
         now: Duration,
@@ -21,8 +21,8 @@
         if connection.activity == Activity::Idle {
             if let Err(wait) = self.begin_request(conn, now) {
                 self.refused += 1;
-                out.push(Action::Refuse {
-                    after: wait.max(self.policy.advice),
+                out.push(Action::RejectRequest {
+                    after: wait.max(self.policy.retry_after),
                 });
                 return;
             }
@@ -38,9 +38,9 @@
         };
         let is_newcomer = self.reputation_of(connection, now) < Reputation::Known;
         if is_newcomer {
-            let places = self.newcomer_places(connection.asked);
+            let capacity = self.newcomer_places(connection.asked);
             self.take_newcomer_pace(now)?;
-            if self.busy_newcomers >= places {
+            if self.busy_newcomers >= capacity {
                 return Err(Duration::ZERO);
             }
             self.busy_newcomers += 1;
@@ -62,11 +62,11 @@
         } else {
             self.policy.reserve
         };
-        self.policy.places.saturating_sub(kept)
+        self.policy.capacity.saturating_sub(kept)
     }
 
     fn take_newcomer_pace(&mut self, now: Duration) -> Result<(), Duration> {
-        match self.policy.pace_newcomers {
+        match self.policy.new_client_request_rate {
             Some(rate) => self.newcomer_pace.take(now, rate),
             None => Ok(()),
         }
@@ -77,14 +77,14 @@
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
-        if self.policy.vouched == 0 || connection.customer.is_some() {
+        if self.policy.customer_trusted_connections == 0 || connection.customer.is_some() {
             return;
         }
         let customers = &mut self.histories.customers;
         let at = customers.find_or_insert(customer);
         let history = customers.get(at);
-        connection.is_vouched =
-            history.open < self.policy.vouched && self.policy.is_known(history, now);
+        connection.is_vouched = history.open < self.policy.customer_trusted_connections
+            && self.policy.is_known(history, now);
         connection.customer = Some(at);
         customers.connection_opened(at);
     }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -25,18 +25,18 @@
         /// Where it comes from.
         peer: IpAddr,
     },
-    /// A request has come whole and is to be taken in. Answered by [`Action::Refuse`] or by
+    /// A request has come whole and is to be taken in. Answered by [`Action::RejectRequest`] or by
     /// nothing.
-    Asked {
+    RequestReceived {
         /// Its connection.
         conn: ConnectionId,
         /// The customer that it names.
         customer: u64,
     },
     /// Another command has come whole and is answered at once.
-    Greeted(ConnectionId),
+    CommandHandled(ConnectionId),
     /// Something has come that cannot be read or carried out.
-    Wrong(ConnectionId),
+    ProtocolError(ConnectionId),
     /// A request has got its final answer.
     Answered {
         /// Its connection.
@@ -45,9 +45,9 @@
         served: bool,
     },
     /// The connection is idle: it waits for nothing, and all answers are written.
-    Rested(ConnectionId),
+    BecameIdle(ConnectionId),
     /// No further command is read on it; only its other side's end is awaited.
-    Ending(ConnectionId),
+    HalfClosed(ConnectionId),
     /// It has closed; `fault` if it was closed for silence or amid a command.
     Closed {
         /// The connection.
@@ -56,12 +56,12 @@
         fault: bool,
     },
     /// The system has no descriptor left for a connection that waits.
-    Shortage,
+    DescriptorsExhausted,
 }
 
 /// Why a connection is not kept, or not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum RejectionReason {
     /// Its address has as many connections as it may have.
     ClientCap,
     /// Its neighbourhood has.
@@ -71,35 +71,35 @@
     /// Its neighbourhood does.
     NeighbourhoodRate,
     /// Every place is taken by a connection that is not to be evicted for it.
-    Full,
+    AtCapacity,
     /// Another connection needed its place.
     Displaced,
     /// Too many connections of its reputation are idle.
-    Room,
+    IdleCapacity,
 }
 
-/// Reasons, in the order of [`Gate::counts`](crate::Gate::counts).
-pub const REASONS: [Reason; 7] = [
-    Reason::ClientCap,
-    Reason::NeighbourhoodCap,
-    Reason::ClientRate,
-    Reason::NeighbourhoodRate,
-    Reason::Full,
-    Reason::Displaced,
-    Reason::Room,
+/// Reasons, in the order of [`AdmissionController::counts`](crate::Gate::counts).
+pub const REJECTION_REASONS: [RejectionReason; 7] = [
+    RejectionReason::ClientCap,
+    RejectionReason::NeighbourhoodCap,
+    RejectionReason::ClientRate,
+    RejectionReason::NeighbourhoodRate,
+    RejectionReason::AtCapacity,
+    RejectionReason::Displaced,
+    RejectionReason::IdleCapacity,
 ];
 
-impl Reason {
+impl RejectionReason {
     /// The text for log lines.
     pub fn as_str(self) -> &'static str {
         match self {
-            Reason::ClientCap => "client-cap",
-            Reason::NeighbourhoodCap => "neighbourhood-cap",
-            Reason::ClientRate => "client-rate",
-            Reason::NeighbourhoodRate => "neighbourhood-rate",
-            Reason::Full => "full",
-            Reason::Displaced => "displaced",
-            Reason::Room => "room",
+            RejectionReason::ClientCap => "client-cap",
+            RejectionReason::NeighbourhoodCap => "neighbourhood-cap",
+            RejectionReason::ClientRate => "client-rate",
+            RejectionReason::NeighbourhoodRate => "neighbourhood-rate",
+            RejectionReason::AtCapacity => "full",
+            RejectionReason::Displaced => "displaced",
+            RejectionReason::IdleCapacity => "room",
         }
     }
 }
@@ -112,20 +112,20 @@
         /// The connection.
         conn: ConnectionId,
         /// Why.
-        why: Reason,
+        why: RejectionReason,
     },
     /// The connection that has just come is not taken: say when to come again and close it. It
     /// counts as closed already.
-    TurnAway {
+    RejectConnection {
         /// The connection.
         conn: ConnectionId,
         /// When to come again.
         after: Duration,
         /// Why.
-        why: Reason,
+        why: RejectionReason,
     },
     /// The request that has just come is refused with this advice; its connection stays.
-    Refuse {
+    RejectRequest {
         /// When to come again.
         after: Duration,
     },
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,29 +1,29 @@
 //! Who may connect, how many, and who goes first when there is no room: decisions without I/O and
 //! clock.
 //!
-//! [`Gate`] is a state machine: it is told of connections ([`Event`]) and says what is to be done
-//! ([`Action`]). [`Budget`] owns the descriptors of the process. [`Snapshot`] is what is known of
-//! clients, for a restart. Times are counted from any fixed moment; all of a gate's must be counted
-//! from the same one.
+//! [`AdmissionController`] is a state machine: it is told of connections ([`Event`]) and says what
+//! is to be done ([`Action`]). [`DescriptorBudget`] owns the descriptors of the process.
+//! [`Snapshot`] is what is known of clients, for a restart. Times are counted from any fixed
+//! moment; all of a gate's must be counted from the same one.
 //!
 //! ```
-//! use roseyard_admission::{Action, ConnectionId, Event, Gate, Policy, Reason};
+//! use roseyard_admission::{Action, ConnectionId, Event, AdmissionController, AdmissionPolicy, RejectionReason};
 //! use std::time::Duration;
 //!
 //! let at = |ms| Duration::from_secs(60) + Duration::from_millis(ms);
-//! let mut gate = Gate::new(Policy { places: 2, ..Policy::of(2) }, 0x5eed, at(0));
+//! let mut controller = AdmissionController::new(AdmissionPolicy { capacity: 2, ..AdmissionPolicy::of(2) }, 0x5eed, at(0));
 //! let mut out = Vec::new();
 //! for n in 0..3 {
 //!     let peer = "192.0.2.1".parse().unwrap();
-//!     gate.handle(at(50 * n), Event::Connected { conn: ConnectionId(n), peer }, &mut out);
+//!     controller.handle(at(50 * n), Event::Connected { conn: ConnectionId(n), peer }, &mut out);
 //! }
-//! assert!(matches!(out[..], [Action::Close { conn: ConnectionId(0), why: Reason::Room }, ..]));
+//! assert!(matches!(out[..], [Action::Close { conn: ConnectionId(0), why: RejectionReason::IdleCapacity }, ..]));
 //! ```
 
 mod address;
 mod budget;
+mod controller;
 mod event;
-mod gate;
 mod history;
 mod lists;
 mod policy;
@@ -31,11 +31,13 @@
 mod reputation;
 mod snapshot;
 
-pub use address::{Listed, Prefixes};
-pub use budget::{Budget, Share, TooFew, Use, USES};
-pub use event::{Action, ConnectionId, Event, Reason, REASONS};
-pub use gate::{CacheSizes, Gate};
-pub use policy::Policy;
+pub use address::{AddressList, Prefixes};
+pub use budget::{
+    DescriptorBudget, DescriptorShare, DescriptorUse, InsufficientDescriptors, DESCRIPTOR_USES,
+};
+pub use controller::{AdmissionController, CacheSizes};
+pub use event::{Action, ConnectionId, Event, RejectionReason, REJECTION_REASONS};
+pub use policy::AdmissionPolicy;
 pub use rate::{Gcra, Rate};
 pub use reputation::Reputation;
-pub use snapshot::{Remembered, Snapshot, Unusable, MOST_BYTES};
+pub use snapshot::{ClientRecord, Snapshot, SnapshotError, MOST_BYTES};
--- a/crates/admission/src/reputation.rs
+++ b/crates/admission/src/reputation.rs
@@ -16,7 +16,7 @@
     /// It, or its address, has been served before.
     Known,
     /// Its address is the operator's own.
-    Listed,
+    AddressList,
 }
 
 /// All reputations, in the order of eviction.
@@ -27,5 +27,5 @@
     Reputation::Once,
     Reputation::Newcomer,
     Reputation::Known,
-    Reputation::Listed,
+    Reputation::AddressList,
 ];
--- a/crates/admission/src/snapshot.rs
+++ b/crates/admission/src/snapshot.rs
@@ -14,7 +14,7 @@
 
 /// One address or customer that was served.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Remembered<K> {
+pub struct ClientRecord<K> {
     /// What names it.
     pub key: K,
     /// Served requests, as they had faded when this was written.
@@ -25,14 +25,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Client addresses in their key form.
-    pub clients: Vec<Remembered<u128>>,
+    pub clients: Vec<ClientRecord<u128>>,
     /// Customers by their numbers.
-    pub customers: Vec<Remembered<u64>>,
+    pub customers: Vec<ClientRecord<u64>>,
 }
 
 /// Why a file is passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
+pub enum SnapshotError {
     /// It does not begin as a snapshot does.
     #[error("this is no snapshot of standing")]
     Foreign,
@@ -74,15 +74,15 @@
     }
 
     /// Reads a file's bytes; the Unix time of its writing in milliseconds goes with it.
-    pub fn decode(bytes: &[u8]) -> Result<(Snapshot, u64), Unusable> {
+    pub fn decode(bytes: &[u8]) -> Result<(Snapshot, u64), SnapshotError> {
         if bytes.len() > MOST_BYTES {
-            return Err(Unusable::Long);
+            return Err(SnapshotError::Long);
         }
         let magic = &bytes[..bytes.len().min(MAGIC.len())];
         if magic.is_empty() || !MAGIC.starts_with(magic) {
-            return Err(Unusable::Foreign);
+            return Err(SnapshotError::Foreign);
         }
-        let torn = |wanted| Unusable::Torn {
+        let torn = |wanted| SnapshotError::Torn {
             held: bytes.len(),
             wanted,
         };
@@ -95,7 +95,7 @@
         };
         let version = field(8) as u16;
         if version != VERSION {
-            return Err(Unusable::Version(version));
+            return Err(SnapshotError::Version(version));
         }
         let wanted = HEAD + field(12) as usize;
         if bytes.len() != wanted {
@@ -103,9 +103,9 @@
         }
         let written = u64::from(field(20)) | u64::from(field(24)) << 32;
         if checksum(written, body) != field(16) {
-            return Err(Unusable::Checksum);
+            return Err(SnapshotError::Checksum);
         }
-        let snapshot = postcard::from_bytes(body).map_err(|_| Unusable::Body)?;
+        let snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Body)?;
         Ok((snapshot, written))
     }
 }
--- a/crates/admission/tests/address.rs
+++ b/crates/admission/tests/address.rs
@@ -25,7 +25,7 @@
         prefixes.neighbourhood(ip("192.0.3.7"))
     );
     assert_ne!(prefixes.client(plain), prefixes.client(ip("192.0.2.8")));
-    let listed = Listed::new(["192.0.2.0/24".parse().unwrap()]);
+    let listed = AddressList::new(["192.0.2.0/24".parse().unwrap()]);
     assert!(listed.contains(mapped) && !listed.contains(ip("192.0.3.1")));
 }
 
@@ -40,6 +40,6 @@
     assert_eq!(prefixes.client(a), prefixes.client(b));
     assert_ne!(prefixes.client(a), prefixes.client(c));
     assert_eq!(prefixes.neighbourhood(a), prefixes.neighbourhood(c));
-    let listed = Listed::new(["2001:db8::/32".parse().unwrap(), "::1/128".parse().unwrap()]);
+    let listed = AddressList::new(["2001:db8::/32".parse().unwrap(), "::1/128".parse().unwrap()]);
     assert!(listed.contains(a) && listed.contains(ip("::1")) && !listed.contains(ip("::2")));
 }
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -58,7 +58,7 @@
 
 /// The reference.
 struct Naive {
-    policy: Policy,
+    policy: AdmissionPolicy,
     held: Vec<Held>,
     served: BTreeMap<u8, u32>,
     faults: BTreeMap<u8, u32>,
@@ -114,7 +114,8 @@
                 first
                     && match c.rank {
                         Reputation::Silent => {
-                            for_one >= Reputation::Known || rested >= self.policy.breath
+                            for_one >= Reputation::Known
+                                || rested >= self.policy.first_command_grace
                         }
                         Reputation::Known => {
                             let just_came = self
@@ -122,7 +123,7 @@
                                 .iter()
                                 .any(|c| c.busy.is_none() && c.rank == Reputation::Silent);
                             for_one >= Reputation::Known
-                                || rested >= self.policy.guard && !just_came
+                                || rested >= self.policy.known_client_grace && !just_came
                         }
                         _ => true,
                     }
@@ -130,7 +131,7 @@
             .map(|c| c.conn)
     }
 
-    fn drop(&mut self, conn: ConnectionId, why: Reason, out: &mut Vec<Action>) {
+    fn drop(&mut self, conn: ConnectionId, why: RejectionReason, out: &mut Vec<Action>) {
         self.held.retain(|c| c.conn != conn);
         out.push(Action::Close { conn, why });
     }
@@ -143,8 +144,8 @@
         self.order += 1;
         (self.held[at].rank, self.held[at].order) = (rank, self.order);
         let room = match rank {
-            Reputation::Silent => self.policy.silent_room,
-            Reputation::Once => self.policy.once_room,
+            Reputation::Silent => self.policy.max_idle_without_request,
+            Reputation::Once => self.policy.max_idle_after_one_request,
             _ => usize::MAX,
         };
         let alike: Vec<Held> = self
@@ -153,9 +154,10 @@
             .filter(|c| c.rank == rank)
             .collect();
         if alike.len() > room
-            && (rank != Reputation::Silent || now - alike[0].since >= self.policy.breath)
+            && (rank != Reputation::Silent
+                || now - alike[0].since >= self.policy.first_command_grace)
         {
-            self.drop(alike[0].conn, Reason::Room, out);
+            self.drop(alike[0].conn, RejectionReason::IdleCapacity, out);
         }
     }
 
@@ -171,43 +173,43 @@
             .per_client
             .is_some_and(|cap| self.policy.by_address && open > cap as usize)
         {
-            return self.drop(conn, Reason::ClientCap, out);
+            return self.drop(conn, RejectionReason::ClientCap, out);
         }
         self.line_up(conn, now, out);
-        if self.held.len() > self.policy.places {
+        if self.held.len() > self.policy.capacity {
             if let Some(first) = self.resting().first().map(|c| c.conn) {
-                self.drop(first, Reason::Displaced, out);
+                self.drop(first, RejectionReason::Displaced, out);
             }
         }
     }
 
     fn connect(&mut self, conn: ConnectionId, address: u8, now: Duration, out: &mut Vec<Action>) {
         let open = self.held.iter().filter(|c| c.address == address).count();
-        let after = self.policy.advice;
+        let after = self.policy.retry_after;
         if self
             .policy
             .per_client
             .is_some_and(|cap| self.policy.by_address && open >= cap as usize)
         {
-            return out.push(Action::TurnAway {
+            return out.push(Action::RejectConnection {
                 conn,
                 after,
-                why: Reason::ClientCap,
+                why: RejectionReason::ClientCap,
             });
         }
-        if self.held.len() >= self.policy.places {
+        if self.held.len() >= self.policy.capacity {
             let standing = if self.known(address) {
                 Reputation::Known
             } else {
                 Reputation::Newcomer
             };
             match self.victim(standing, now) {
-                Some(victim) => self.drop(victim, Reason::Displaced, out),
+                Some(victim) => self.drop(victim, RejectionReason::Displaced, out),
                 None => {
-                    return out.push(Action::TurnAway {
+                    return out.push(Action::RejectConnection {
                         conn,
                         after,
-                        why: Reason::Full,
+                        why: RejectionReason::AtCapacity,
                     })
                 }
             }
@@ -243,16 +245,16 @@
         steps in prop::collection::vec(step(), 1..300),
     ) {
         let mut now = Duration::from_secs(100);
-        let policy = Policy {
-            reserve, by_address, per_client, remembered: 8, once_room: 3, silent_room: 4,
+        let policy = AdmissionPolicy {
+            reserve, by_address, per_client, max_remembered: 8, max_idle_after_one_request: 3, max_idle_without_request: 4,
             known_half_life: Duration::from_secs(1 << 30), suspect_half_life: Duration::from_secs(1 << 30),
-            warm_up: Duration::from_secs(5), ..Policy::of(8)
+            warm_up: Duration::from_secs(5), ..AdmissionPolicy::of(8)
         };
         let mut naive = Naive {
             policy: policy.clone(), held: Vec::new(), served: BTreeMap::new(), faults: BTreeMap::new(),
             order: 0, warm_until: now + policy.warm_up,
         };
-        let mut gate = Gate::new(policy, 7, now);
+        let mut controller = AdmissionController::new(policy, 7, now);
         let mut generation = 0u64;
         for step in steps {
             let (mut done, mut wanted) = (Vec::new(), Vec::new());
@@ -264,41 +266,41 @@
                     let slot = (0..).find(|s| naive.held.iter().all(|c| c.conn.0 as u32 != *s)).unwrap();
                     let conn = ConnectionId(generation << 32 | u64::from(slot));
                     let peer = IpAddr::V4(Ipv4Addr::new(192, 0, 2, address));
-                    gate.handle(now, Event::Connected { conn, peer }, &mut done);
+                    controller.handle(now, Event::Connected { conn, peer }, &mut done);
                     naive.connect(conn, address, now, &mut wanted);
                 }
                 Step::Ask(n) => if let Some(c) = pick(n).filter(|c| !c.ending) {
-                    gate.handle(now, Event::Asked { conn: c.conn, customer: 1 }, &mut done);
+                    controller.handle(now, Event::RequestReceived { conn: c.conn, customer: 1 }, &mut done);
                     let kept = if c.asked > 0 { naive.policy.reserve / 2 } else { naive.policy.reserve };
-                    let lent = naive.policy.places.saturating_sub(kept);
+                    let lent = naive.policy.capacity.saturating_sub(kept);
                     let guests = naive.held.iter().filter(|c| c.busy == Some(true)).count();
                     let at = naive.held.iter().position(|h| h.conn == c.conn).unwrap();
                     naive.held[at].asked += 1;
                     if c.busy.is_none() {
                         let guest = naive.rank(&naive.held[at], now) < Reputation::Known;
                         if guest && guests >= lent {
-                            wanted.push(Action::Refuse { after: naive.policy.advice });
+                            wanted.push(Action::RejectRequest { after: naive.policy.retry_after });
                         } else {
                             naive.held[at].busy = Some(guest);
                         }
                     }
                 },
                 Step::Greet(n) => if let Some(c) = pick(n).filter(|c| c.busy.is_none() && !c.ending) {
-                    gate.handle(now, Event::Greeted(c.conn), &mut done);
-                    gate.handle(now, Event::Rested(c.conn), &mut done);
+                    controller.handle(now, Event::CommandHandled(c.conn), &mut done);
+                    controller.handle(now, Event::BecameIdle(c.conn), &mut done);
                     naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().asked += 1;
                     naive.rest(c.conn, now, &mut wanted);
                 },
                 Step::Wrong(n) => if let Some(c) = pick(n).filter(|c| c.busy.is_none() && !c.ending) {
-                    gate.handle(now, Event::Wrong(c.conn), &mut done);
-                    gate.handle(now, Event::Rested(c.conn), &mut done);
+                    controller.handle(now, Event::ProtocolError(c.conn), &mut done);
+                    controller.handle(now, Event::BecameIdle(c.conn), &mut done);
                     naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().faults += 1;
                     *naive.faults.entry(c.address).or_default() += 1;
                     naive.rest(c.conn, now, &mut wanted);
                 },
                 Step::Answer(n, served) => if let Some(c) = pick(n).filter(|c| c.busy.is_some()) {
-                    gate.handle(now, Event::Answered { conn: c.conn, served }, &mut done);
-                    gate.handle(now, Event::Rested(c.conn), &mut done);
+                    controller.handle(now, Event::Answered { conn: c.conn, served }, &mut done);
+                    controller.handle(now, Event::BecameIdle(c.conn), &mut done);
                     if served {
                         naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().served += 1;
                         *naive.served.entry(c.address).or_default() += 1;
@@ -306,39 +308,39 @@
                     naive.rest(c.conn, now, &mut wanted);
                 },
                 Step::End(n) => if let Some(c) = pick(n).filter(|c| c.busy.is_none()) {
-                    gate.handle(now, Event::Ending(c.conn), &mut done);
+                    controller.handle(now, Event::HalfClosed(c.conn), &mut done);
                     naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().ending = true;
                     naive.rest(c.conn, now, &mut wanted);
                 },
                 Step::Close(n) => if let Some(c) = pick(n) {
-                    gate.handle(now, Event::Closed { conn: c.conn, fault: false }, &mut done);
+                    controller.handle(now, Event::Closed { conn: c.conn, fault: false }, &mut done);
                     naive.held.retain(|h| h.conn != c.conn);
                 },
                 Step::Shortage => {
-                    gate.handle(now, Event::Shortage, &mut done);
+                    controller.handle(now, Event::DescriptorsExhausted, &mut done);
                     match naive.victim(Reputation::Newcomer, now) {
-                        Some(conn) => naive.drop(conn, Reason::Displaced, &mut wanted),
-                        None => wanted.push(Action::Pause { until: now + naive.policy.breath }),
+                        Some(conn) => naive.drop(conn, RejectionReason::Displaced, &mut wanted),
+                        None => wanted.push(Action::Pause { until: now + naive.policy.first_command_grace }),
                     }
                 }
-                Step::Places(places) => {
-                    naive.policy.places = places;
-                    gate.set_policy(naive.policy.clone(), now, &mut done);
-                    while naive.held.len() > places {
+                Step::Places(capacity) => {
+                    naive.policy.capacity = capacity;
+                    controller.set_policy(naive.policy.clone(), now, &mut done);
+                    while naive.held.len() > capacity {
                         let Some(first) = naive.resting().first().map(|c| c.conn) else { break };
-                        naive.drop(first, Reason::Displaced, &mut wanted);
+                        naive.drop(first, RejectionReason::Displaced, &mut wanted);
                     }
                 }
             }
             prop_assert_eq!(&done, &wanted, "{:?}", step);
             let busy = naive.held.iter().filter(|c| c.busy.is_some()).count();
-            prop_assert_eq!(gate.held(), naive.held.len());
-            prop_assert!(gate.held() <= naive.policy.places.max(busy), "beyond the places only with requests open");
-            let sizes = gate.cache_sizes();
-            prop_assert!(sizes.clients <= 8 + gate.held() && sizes.neighbourhoods <= 8 + gate.held());
+            prop_assert_eq!(controller.held(), naive.held.len());
+            prop_assert!(controller.held() <= naive.policy.capacity.max(busy), "beyond the places only with requests open");
+            let sizes = controller.cache_sizes();
+            prop_assert!(sizes.clients <= 8 + controller.held() && sizes.neighbourhoods <= 8 + controller.held());
             prop_assert!(sizes.customers <= 8);
             for c in &naive.held {
-                prop_assert_eq!(gate.reputation(c.conn, now), Some(naive.rank(c, now)));
+                prop_assert_eq!(controller.reputation(c.conn, now), Some(naive.rank(c, now)));
             }
         }
     }
@@ -349,10 +351,10 @@
         steps in prop::collection::vec((0usize..8, any::<bool>()), 1..400),
     ) {
         let least = [3, 8, 6, 2, 1, 1, 1, 1];
-        let shares = least.map(|least| Share { least, most: least * 4 });
-        let mut budget = Budget::new(total, shares).unwrap();
+        let shares = least.map(|least| DescriptorShare { least, most: least * 4 });
+        let mut budget = DescriptorBudget::new(total, shares).unwrap();
         for (of, take) in steps {
-            let (of, held) = (USES[of], budget.used(USES[of]));
+            let (of, held) = (DESCRIPTOR_USES[of], budget.used(DESCRIPTOR_USES[of]));
             match take {
                 true => {
                     let granted = budget.take(of);
@@ -361,8 +363,8 @@
                 }
                 false => budget.give(of),
             }
-            prop_assert!(USES.iter().map(|u| budget.used(*u)).sum::<usize>() <= total);
-            let owed: usize = USES.iter().map(|u| budget.used(*u).max(budget.share(*u).least)).sum();
+            prop_assert!(DESCRIPTOR_USES.iter().map(|u| budget.used(*u)).sum::<usize>() <= total);
+            let owed: usize = DESCRIPTOR_USES.iter().map(|u| budget.used(*u).max(budget.share(*u).least)).sum();
             prop_assert!(owed <= total, "what is guaranteed is no longer there");
         }
     }
--- a/crates/admission/tests/snapshot.rs
+++ b/crates/admission/tests/snapshot.rs
@@ -5,14 +5,14 @@
 #[test]
 fn what_was_written_is_read_and_every_torn_or_spoilt_file_is_told_apart() {
     let clients = (0..40)
-        .map(|n| Remembered {
+        .map(|n| ClientRecord {
             key: n << 90,
             served: n as f32 / 3.0,
         })
         .collect();
     let snapshot = Snapshot {
         clients,
-        customers: vec![Remembered {
+        customers: vec![ClientRecord {
             key: 7,
             served: 1.5,
         }],
@@ -22,9 +22,9 @@
     for len in 0..bytes.len() {
         let wrong = Snapshot::decode(&bytes[..len]).unwrap_err();
         let named = if len == 0 {
-            wrong == Unusable::Foreign
+            wrong == SnapshotError::Foreign
         } else {
-            matches!(wrong, Unusable::Torn { .. })
+            matches!(wrong, SnapshotError::Torn { .. })
         };
         assert!(named, "{len}: {wrong}");
     }
@@ -40,8 +40,11 @@
     }
     let mut newer = bytes.clone();
     newer[8] = 9;
-    assert_eq!(Snapshot::decode(&newer), Err(Unusable::Version(9)));
-    assert_eq!(Snapshot::decode(b"{\"name\":1}"), Err(Unusable::Foreign));
+    assert_eq!(Snapshot::decode(&newer), Err(SnapshotError::Version(9)));
+    assert_eq!(
+        Snapshot::decode(b"{\"name\":1}"),
+        Err(SnapshotError::Foreign)
+    );
     assert_eq!(
         Snapshot::decode(&[bytes, vec![0]].concat())
             .unwrap_err()
--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -6,7 +6,7 @@
 //! servers, and a server that comes or goes moves little of each arc.
 
 /// So many servers a gateway needs at least: fewer, and a few bad ones leave it no choice.
-pub(crate) const LEAST_SERVERS: f64 = 12.0;
+pub(crate) const LEAST_ENDPOINTS: f64 = 12.0;
 /// So many arcs over each point of the ring at least: fewer, and single gateways' traffic shows at
 /// servers.
 pub(crate) const LEAST_OVER: f64 = 4.0;
@@ -14,11 +14,11 @@
 pub(crate) const LEAST_REACH: f64 = 256.0;
 const GOLDEN: f64 = 0.618_033_988_749_895;
 
-/// The part, 0 to 1, of each server that lies on the arc of gateway `me` of `gateways`, an arc of
-/// so many servers at least; sizes in ring order.
-pub(crate) fn parts(me: u32, gateways: u32, least: f64, sizes: &[f64]) -> Vec<f64> {
+/// The part, 0 to 1, of each server that lies on the arc of gateway `me` of `ingress_count`, an arc
+/// of so many servers at least; sizes in ring order.
+pub(crate) fn parts(me: u32, ingress_count: u32, least: f64, sizes: &[f64]) -> Vec<f64> {
     let (n, total) = (sizes.len() as f64, sizes.iter().sum::<f64>());
-    let arc = total * (least.max(LEAST_OVER * n / f64::from(gateways)) / n.max(1.0));
+    let arc = total * (least.max(LEAST_OVER * n / f64::from(ingress_count)) / n.max(1.0));
     if arc >= total {
         return vec![1.0; sizes.len()];
     }
--- a/crates/decision/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -1,8 +1,8 @@
 //! Which server of a service a request goes to, and whether there is room for it.
 
 use crate::alarms::secs;
-use crate::aperture::{self, LEAST_REACH, LEAST_SERVERS};
-use crate::gateway::Context;
+use crate::aperture::{self, LEAST_ENDPOINTS, LEAST_REACH};
+use crate::dispatcher::Context;
 use crate::interface::*;
 use crate::quota::{EPS, FORGET_AFTER};
 use crate::service::*;
@@ -26,7 +26,7 @@
     pub(crate) fn overloaded(&self, class: usize, draw: f64, t: f64) -> bool {
         let eject = self.ejects();
         let live = || {
-            self.servers
+            self.endpoints
                 .values()
                 .filter(|s| s.ready && !(s.silent && eject))
         };
@@ -34,7 +34,7 @@
         let dt = t - self.flow.at;
         let rate =
             (self.flow.rate * (-dt / RATE_TAU).exp()).max(self.flow.peak * (-dt / PEAK_TAU).exp());
-        let density = |(c, mean): (&Class, &f64)| c.worth / mean.max(EPS);
+        let density = |(c, mean): (&RequestClass, &f64)| c.priority_weight / mean.max(EPS);
         let top = self
             .settings
             .classes
@@ -47,15 +47,15 @@
         let lateness = self.flow.lateness.value
             * ((self.flow.lateness.at + 1.0 - t).min(0.0) / LATE_TAU).exp();
         let share = LOAD_OF_AIM * mine.max(LEAST_CLASS);
-        let floor =
-            LEAST_OUT * live().count() as f64 * self.in_all() / f64::from(self.settings.gateways);
+        let floor = LEAST_OUT * live().count() as f64 * self.in_all()
+            / f64::from(self.settings.ingress_count);
         let floor = if self.flow.peak > 0.0 {
             floor
         } else {
             1.5 * floor
         };
         let ease = (share / lateness.max(EPS)).min(1.0);
-        let bound = rate * secs(self.settings.classes[class].aim) * share * ease;
+        let bound = rate * secs(self.settings.classes[class].latency_objective) * share * ease;
         // It swings by about its root: while answers are quick a few more do no harm, else a draw
         // decides. Of many gateways one's own swing tells nothing of the servers: refused for it,
         // customers come again.
@@ -73,40 +73,42 @@
     /// Is one request here, and no more out in all than this gateway's part of what all servers
     /// bear idle?
     pub(crate) fn is_alone(&self, cx: &Context) -> bool {
-        let part = LEAST_OUT * cx.servers as f64 / f64::from(self.settings.gateways);
+        let part = LEAST_OUT * cx.endpoints as f64 / f64::from(self.settings.ingress_count);
         self.requests.len() == 1 && cx.requests as f64 - 1.0 + self.flow.draw.value <= part
     }
 
     /// Servers in all for each within reach.
     fn in_all(&self) -> f64 {
-        (self.roster.len() as f64 / self.servers.len().max(1) as f64).max(1.0)
+        (self.roster.len() as f64 / self.endpoints.len().max(1) as f64).max(1.0)
     }
 
     /// The share of what is out at servers that this gateway does not see.
     fn unseen(&self) -> f64 {
-        1.0 - (SEEN_BY / f64::from(self.settings.gateways)).min(1.0)
+        1.0 - (SEEN_BY / f64::from(self.settings.ingress_count)).min(1.0)
     }
 
     /// May this request go to that server, by the rules on repeats?
-    fn allowed(&self, r: &Request, server: &Server, t: f64) -> bool {
-        let limits = &self.settings.limits;
-        let twice = !limits.duplicates && r.attempts.iter().any(|a| a.open);
-        if twice || r.attempts.len() >= limits.max_attempts as usize {
+    fn allowed(&self, r: &Request, endpoint: &Endpoint, t: f64) -> bool {
+        let permissions = &self.settings.permissions;
+        let twice = !permissions.hedging && r.attempts.iter().any(|a| a.open);
+        if twice || r.attempts.len() >= permissions.max_attempts as usize {
             return false;
         }
         let Some(first) = r.attempts.iter().find(|a| !a.harmless) else {
             return true;
         };
-        let Effect::Keyed { group, .. } = self.settings.classes[r.asked.class].effect else {
+        let Idempotency::IdempotencyKey { group, .. } =
+            self.settings.classes[r.asked.class].idempotency
+        else {
             return self.repeatable(r, 2.0, t);
         };
         let same = self
-            .servers
-            .get(&first.server)
+            .endpoints
+            .get(&first.endpoint)
             .is_some_and(|s| match group {
-                DedupGroup::All => true,
-                DedupGroup::Zone => s.entry.zone == server.entry.zone,
-                DedupGroup::Cell => s.entry.cell == server.entry.cell,
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => s.entry.zone == endpoint.entry.zone,
+                DeduplicationScope::Cell => s.entry.cell == endpoint.entry.cell,
             });
         same && self.repeatable(r, 2.0, t)
     }
@@ -118,10 +120,10 @@
             .iter()
             .find(|a| !a.harmless)
             .map_or(f64::MAX, |a| a.sent);
-        match self.settings.classes[r.asked.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { window, .. } => {
+        match self.settings.classes[r.asked.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::IdempotencyKey { window, .. } => {
                 t + rounds * secs(self.settings.tick) < first + secs(window)
             }
         }
@@ -132,68 +134,78 @@
     /// without end.
     pub(crate) fn ejects(&self) -> bool {
         let silent = self
-            .servers
+            .endpoints
             .values()
             .filter(|s| s.ready && s.silent)
             .count();
-        2 * silent <= self.servers.values().filter(|s| s.ready).count()
+        2 * silent <= self.endpoints.values().filter(|s| s.ready).count()
     }
 
     /// The share of its capacity that a server surely has by its age.
-    fn warmth(&self, s: &Server, t: f64) -> f64 {
-        let g = &self.settings.guarantees;
+    fn warmth(&self, s: &Endpoint, t: f64) -> f64 {
+        let g = &self.settings.endpoint_limits;
         let age = s
             .entry
             .started_at
             .map_or(f64::MAX, |at| (t - secs(at)).max(0.0));
-        (g.cold_share + (1.0 - g.cold_share) * age / secs(g.warm_within).max(EPS)).min(1.0)
+        (g.initial_capacity_ratio
+            + (1.0 - g.initial_capacity_ratio) * age / secs(g.warm_up_duration).max(EPS))
+        .min(1.0)
     }
 
     /// The server that promises most: least work out and told of, for its size, warmth and speed.
-    pub(crate) fn pick(&mut self, id: RequestId, t: f64) -> Option<ServerId> {
+    pub(crate) fn pick(&mut self, id: RequestId, t: f64) -> Option<EndpointId> {
         self.lay_ring(t);
         let r = self.requests.get(&id)?;
-        let guarantees = &self.settings.guarantees;
+        let endpoint_limits = &self.settings.endpoint_limits;
         // Rule 4: within its span a cold server gets at most half the multiple of its part of what
         // goes out from here, by aperture and warmth; and, where most are cold, of what would fall
         // to it were all warm, which it can carry then. Nothing sent yet: as much as idle servers
         // bear from all of us.
-        let live = self.servers.values().filter(|s| s.ready && !s.silent);
-        let outside = OUTSIDE.min(OUTSIDE_IN_ALL / self.servers.len().max(1) as f64);
-        let reach = |s: &Server| s.part.max(outside);
-        let (mut full, mut warm, mut sent, mut servers) = (EPS, EPS, 0.0, 0.0);
+        let live = self.endpoints.values().filter(|s| s.ready && !s.silent);
+        let outside = OUTSIDE.min(OUTSIDE_IN_ALL / self.endpoints.len().max(1) as f64);
+        let reach = |s: &Endpoint| s.part.max(outside);
+        let (mut full, mut warm, mut sent, mut endpoints) = (EPS, EPS, 0.0, 0.0);
         for s in live {
             let part = reach(s);
-            (full, warm, servers) = (full + part, warm + part * self.warmth(s, t), servers + 1.0);
+            (full, warm, endpoints) = (
+                full + part,
+                warm + part * self.warmth(s, t),
+                endpoints + 1.0,
+            );
             sent += s.sends.len() as f64;
         }
-        let answer =
-            self.means[r.asked.class].max(secs(self.settings.classes[r.asked.class].aim) / 8.0);
-        let idle = LEAST_OUT * servers * self.in_all() * secs(guarantees.tip_after) / answer;
-        let sent = f64::max(sent, idle / f64::from(self.settings.gateways));
-        let multiple = guarantees.tip_multiple.max(1.0);
+        let answer = self.means[r.asked.class]
+            .max(secs(self.settings.classes[r.asked.class].latency_objective) / 8.0);
+        let idle =
+            LEAST_OUT * endpoints * self.in_all() * secs(endpoint_limits.overload_window) / answer;
+        let sent = f64::max(sent, idle / f64::from(self.settings.ingress_count));
+        let multiple = endpoint_limits.overload_multiple.max(1.0);
         let share = sent * (0.5 * multiple / warm).min(TIP_USED * multiple / full);
-        let safe = self.settings.classes[r.asked.class].effect == Effect::Safe;
-        let may_try = safe && r.attempts.is_empty() && self.settings.limits.duplicates;
+        let safe = self.settings.classes[r.asked.class].idempotency == Idempotency::Idempotent;
+        let may_try = safe && r.attempts.is_empty() && self.settings.permissions.hedging;
         let eject = self.ejects();
         let fault_tau = self.fault_tau();
         let unseen = self.unseen();
-        let fading = |s: &Server| (s.load.value, ((s.load.at - t) / REPORT_TAU).exp());
+        let fading = |s: &Endpoint| (s.load.value, ((s.load.at - t) / REPORT_TAU).exp());
         let reports = self
-            .servers
+            .endpoints
             .values()
             .filter(|s| s.ready && s.load.at > 0.0)
             .map(fading);
         let (sum, weights) = reports.fold((0.0, EPS), |(a, b), (load, w)| (a + load * w, b + w));
         let usual = sum / weights;
-        let mut best: Option<(bool, f64, ServerId)> = None;
+        let mut best: Option<(bool, f64, EndpointId)> = None;
         let mut trial = None;
-        for (&server, s) in &self.servers {
-            if !s.ready || !self.allowed(r, s, t) || r.attempts.iter().any(|a| a.server == server) {
+        for (&endpoint, s) in &self.endpoints {
+            if !s.ready
+                || !self.allowed(r, s, t)
+                || r.attempts.iter().any(|a| a.endpoint == endpoint)
+            {
                 continue;
             }
             if s.silent && eject {
-                trial = trial.or(Some(server).filter(|_| may_try && t >= s.retry_at));
+                trial = trial.or(Some(endpoint).filter(|_| may_try && t >= s.retry_at));
                 continue;
             }
             // A fraction is drawn: hundreds of ones push a cold server over.
@@ -230,7 +242,7 @@
             };
             let refuses = refuses != (t >= self.flow.half_open && r.attempts.is_empty());
             if best.is_none_or(|(b, score_b, _)| (refuses, score) < (b, score_b)) {
-                best = Some((refuses, score, server));
+                best = Some((refuses, score, endpoint));
             }
         }
         trial.or(best.map(|(_, _, s)| s))
@@ -238,17 +250,18 @@
 
     /// So long each server's sends are remembered: rule 4's span.
     pub(crate) fn span(&self) -> f64 {
-        secs(self.settings.guarantees.tip_after).max(0.5)
+        secs(self.settings.endpoint_limits.overload_window).max(0.5)
     }
 
     /// A failure fades over some seconds, and not before this gateway would come by again a few
     /// times: where it comes by rarely, each failure would be forgotten by the next request there.
     pub(crate) fn fault_tau(&self) -> f64 {
-        let ready = || self.servers.values().filter(|s| s.ready);
-        let (servers, sends) = ready().fold((0.0, 0.0), |(n, sum), s| {
+        let ready = || self.endpoints.values().filter(|s| s.ready);
+        let (endpoints, sends) = ready().fold((0.0, 0.0), |(n, sum), s| {
             (n + s.part, sum + s.sends.len() as f64)
         });
-        (FAULT_VISITS * self.span() * servers / f64::max(sends, 1.0)).clamp(FAULT_TAU, FORGET_AFTER)
+        (FAULT_VISITS * self.span() * endpoints / f64::max(sends, 1.0))
+            .clamp(FAULT_TAU, FORGET_AFTER)
     }
 
     /// Which servers are within reach, and which part of each is in the aperture: laid anew after a
@@ -258,14 +271,20 @@
             return;
         };
         let sizes: Vec<f64> = ring.iter().map(|e| e.weight).collect();
-        let arc =
-            |least| aperture::parts(self.settings.number, self.settings.gateways, least, &sizes);
-        let (inside, reach) = (arc(LEAST_SERVERS), arc(LEAST_REACH));
+        let arc = |least| {
+            aperture::parts(
+                self.settings.ingress_index,
+                self.settings.ingress_count,
+                least,
+                &sizes,
+            )
+        };
+        let (inside, reach) = (arc(LEAST_ENDPOINTS), arc(LEAST_REACH));
         for ((&entry, part), near) in ring.iter().zip(inside).zip(reach) {
-            if near > 0.0 && !self.servers.contains_key(&entry.server) {
+            if near > 0.0 && !self.endpoints.contains_key(&entry.endpoint) {
                 self.take_in(entry, t);
             }
-            if let Some(s) = self.servers.get_mut(&entry.server) {
+            if let Some(s) = self.endpoints.get_mut(&entry.endpoint) {
                 (s.part, s.ready) = (part, near > 0.0);
             }
         }
--- a/crates/decision/src/gateway.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -30,7 +30,7 @@
     pub out: &'a mut Vec<Action>,
     /// Requests and servers of all services.
     pub requests: usize,
-    pub servers: usize,
+    pub endpoints: usize,
     /// Requests of which nothing more is to come.
     pub over: &'a mut Vec<RequestId>,
 }
@@ -46,13 +46,13 @@
     service: Service,
     due: Option<Duration>,
     /// Its servers, as they were last counted.
-    servers: usize,
+    endpoints: usize,
 }
 
 impl Scheduled {
     /// Its servers: those that are ready, or those that have a state where these are more.
     fn size(&self) -> usize {
-        self.service.servers.len().max(self.service.roster.len())
+        self.service.endpoints.len().max(self.service.roster.len())
     }
 
     /// Has it neither servers nor requests?
@@ -62,9 +62,9 @@
 }
 
 /// The entry with a size that can be reckoned with: one that is no size counts as 1.
-fn with_a_size(entry: ServerEntry) -> ServerEntry {
+fn with_a_size(entry: EndpointEntry) -> EndpointEntry {
     let is_size = entry.weight.is_finite() && entry.weight > 0.0;
-    ServerEntry {
+    EndpointEntry {
         weight: if is_size {
             entry.weight.max(LEAST_SIZE)
         } else {
@@ -75,7 +75,7 @@
 }
 
 /// One gateway's decisions. Feed it events, carry out its actions.
-pub struct Gateway {
+pub struct Dispatcher {
     settings: Arc<Settings>,
     seed: u64,
     quotas: Quotas,
@@ -83,7 +83,7 @@
     /// The service of each request of which something is still to come.
     requests: HashMap<RequestId, ServiceId>,
     /// Servers of all services.
-    servers: usize,
+    endpoints: usize,
     due: BTreeSet<(Duration, ServiceId)>,
     subscribe_at: Option<Duration>,
     timer: Option<Duration>,
@@ -92,18 +92,18 @@
     over: Vec<RequestId>,
 }
 
-impl Gateway {
+impl Dispatcher {
     /// Checks the settings and starts with no memory.
-    pub fn new(settings: Settings, seed: u64) -> Result<Gateway, SettingsError> {
+    pub fn new(settings: Settings, seed: u64) -> Result<Dispatcher, SettingsError> {
         settings.check()?;
         let settings = Arc::new(settings);
-        Ok(Gateway {
+        Ok(Dispatcher {
             quotas: Quotas::new(&settings),
             settings,
             seed,
             services: BTreeMap::new(),
             requests: HashMap::new(),
-            servers: 0,
+            endpoints: 0,
             due: BTreeSet::new(),
             subscribe_at: None,
             timer: None,
@@ -121,7 +121,8 @@
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.advance(now);
-        if !std::mem::replace(&mut self.started, true) && self.settings.discovery == Discovery::Ask
+        if !std::mem::replace(&mut self.started, true)
+            && self.settings.discovery == DiscoveryMode::Poll
         {
             out.push(Action::Subscribe);
         }
@@ -143,9 +144,9 @@
 
     fn dispatch(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Request(request) => self.on_request(request, out),
-            Event::Counted {
-                name,
+            Event::RequestReceived(request) => self.on_request(request, out),
+            Event::CounterReply {
+                key: name,
                 result,
                 elapsed,
             } => self.on_counted(name, result, elapsed, out),
@@ -157,35 +158,35 @@
                     service.on_stream(request, attempt, cx)
                 });
             }
-            Event::ClientGone(request) => {
+            Event::ClientDisconnected(request) => {
                 self.with_request(request, out, |service, cx| service.close(request, cx));
             }
-            Event::Servers(update) => self.on_servers(update),
-            Event::ProbeEnded {
+            Event::EndpointListChanged(update) => self.on_endpoints(update),
+            Event::HealthCheckEnded {
                 service,
-                server,
+                endpoint,
                 outcome,
                 load,
             } => {
                 if let Some(scheduled) = self.services.get_mut(&service) {
                     scheduled
                         .service
-                        .on_probed(server, outcome, load, secs(self.clock));
+                        .on_probed(endpoint, outcome, load, secs(self.clock));
                 }
             }
-            Event::Timer(_) => self.timer = None,
+            Event::TimerExpired(_) => self.timer = None,
         }
     }
 
-    fn on_request(&mut self, mut request: NewRequest, out: &mut Vec<Action>) {
+    fn on_request(&mut self, mut request: IncomingRequest, out: &mut Vec<Action>) {
         if self.requests.contains_key(&request.request) {
             return;
         }
         if request.class >= self.settings.classes.len() || request.plan >= self.settings.plans.len()
         {
-            return out.push(Action::Refuse {
+            return out.push(Action::Reject {
                 request: request.request,
-                retry_in: None,
+                retry_after: None,
             });
         }
         request.units = if request.units.is_finite() {
@@ -202,8 +203,8 @@
 
     fn on_counted(
         &mut self,
-        name: CountName,
-        result: CountResult,
+        name: CounterKey,
+        result: CounterResult,
         elapsed: Duration,
         out: &mut Vec<Action>,
     ) {
@@ -219,25 +220,29 @@
         });
     }
 
-    fn on_servers(&mut self, update: ListUpdate) {
+    fn on_endpoints(&mut self, update: EndpointListUpdate) {
         match update {
-            ListUpdate::Changes(entries) => entries.iter().for_each(|entry| self.on_change(entry)),
-            ListUpdate::Full(entries) => self.on_whole_list(entries),
-            ListUpdate::Failed => self.subscribe_at = Some(self.clock + SUBSCRIBE_AGAIN),
+            EndpointListUpdate::Changes(entries) => {
+                entries.iter().for_each(|entry| self.on_change(entry))
+            }
+            EndpointListUpdate::Full(entries) => self.on_whole_list(entries),
+            EndpointListUpdate::Unavailable => {
+                self.subscribe_at = Some(self.clock + SUBSCRIBE_AGAIN)
+            }
         }
     }
 
-    fn on_change(&mut self, entry: &ServerEntry) {
+    fn on_change(&mut self, entry: &EndpointEntry) {
         let t = secs(self.clock);
         self.ensure(entry.service)
             .service
             .update(&with_a_size(*entry), t);
-        self.count_servers(entry.service);
+        self.count_endpoints(entry.service);
     }
 
-    fn on_whole_list(&mut self, entries: Vec<ServerEntry>) {
+    fn on_whole_list(&mut self, entries: Vec<EndpointEntry>) {
         let t = secs(self.clock);
-        let mut named: BTreeMap<ServiceId, Vec<ServerEntry>> = BTreeMap::new();
+        let mut named: BTreeMap<ServiceId, Vec<EndpointEntry>> = BTreeMap::new();
         for entry in entries {
             named
                 .entry(entry.service)
@@ -251,7 +256,7 @@
         for service in services {
             let entries = named.get(&service).map_or(&[][..], Vec::as_slice);
             self.ensure(service).service.replace(entries, t);
-            self.count_servers(service);
+            self.count_endpoints(service);
         }
     }
 
@@ -262,18 +267,18 @@
         self.services.entry(id).or_insert_with(|| Scheduled {
             service: Service::new(settings, seed, secs(clock)),
             due: None,
-            servers: 0,
+            endpoints: 0,
         })
     }
 
     /// A service's servers have changed: counts them, and drops it if nothing is left of it.
-    fn count_servers(&mut self, id: ServiceId) {
+    fn count_endpoints(&mut self, id: ServiceId) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
         };
         let size = scheduled.size();
-        let before = std::mem::replace(&mut scheduled.servers, size);
-        self.servers = self.servers - before + scheduled.servers;
+        let before = std::mem::replace(&mut scheduled.endpoints, size);
+        self.endpoints = self.endpoints - before + scheduled.endpoints;
         if scheduled.is_unused() {
             self.drop_service(id);
         }
@@ -312,7 +317,7 @@
             return;
         };
         let t = secs(self.clock);
-        let (requests, servers) = (self.requests.len(), self.servers);
+        let (requests, endpoints) = (self.requests.len(), self.endpoints);
         let (quotas, over) = (&mut self.quotas, &mut self.over);
         act(
             &mut scheduled.service,
@@ -321,7 +326,7 @@
                 quotas,
                 out,
                 requests,
-                servers,
+                endpoints,
                 over,
             },
         );
@@ -335,7 +340,7 @@
         for request in self.over.drain(..) {
             self.requests.remove(&request);
         }
-        self.count_servers(id);
+        self.count_endpoints(id);
     }
 
     fn wake_due(&mut self, out: &mut Vec<Action>) {
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -7,7 +7,7 @@
 
 /// A server process, as named by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub u32);
+pub struct EndpointId(pub u32);
 
 /// A service: the servers that answer one kind of request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -23,7 +23,7 @@
 
 /// Name of a number on the counter service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CountName(pub u64);
+pub struct CounterKey(pub u64);
 
 /// Tag of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,23 +31,23 @@
 
 /// How far a class may be repeated once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat anywhere, any time.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the servers of one group for `window` after the first send.
-    Keyed {
+    IdempotencyKey {
         /// The servers that share the memory of a key.
-        group: DedupGroup,
+        group: DeduplicationScope,
         /// How long they remember.
         window: Duration,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which servers drop each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DedupGroup {
+pub enum DeduplicationScope {
     /// All servers.
     All,
     /// Servers of one zone.
@@ -58,19 +58,19 @@
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Answers within this time earn the full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// Total time a client waits over all its tries.
     pub deadline: Duration,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth earned after the aim.
-    pub late_worth: f64,
+    pub late_weight_ratio: f64,
     /// May it be repeated?
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Is the answer streamed?
     pub streamed: bool,
 }
@@ -83,7 +83,7 @@
     /// Most units the quota's bucket holds.
     pub burst: f64,
     /// Most attempts out at once; 0 means no such quota.
-    pub max_open: u32,
+    pub max_concurrent: u32,
     /// Units a second of the hard ceiling; 0 means none.
     pub ceiling_rate: f64,
     /// Most units the ceiling's bucket holds.
@@ -91,86 +91,86 @@
     /// How far the ceiling's bucket may fall below zero.
     pub ceiling_slack: f64,
     /// Factor on the worth.
-    pub price: f64,
+    pub priority_factor: f64,
     /// Share of the worth earned beyond the quota.
-    pub excess_worth: f64,
+    pub over_quota_weight_ratio: f64,
     /// Share of the worth that a try sent on beyond the quota costs.
-    pub excess_cost: f64,
+    pub over_quota_cost: f64,
 }
 
 /// The counter service, where there is one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Counter {
+pub struct CounterSettings {
     /// A call without an answer by then ends as timed out.
     pub timeout: Duration,
 }
 
 /// What the site permits.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
+pub struct Permissions {
     /// Attempts for one request.
     pub max_attempts: u32,
     /// May attempts be cancelled?
     pub cancel: bool,
     /// May a request have two attempts out at once?
-    pub duplicates: bool,
+    pub hedging: bool,
     /// May servers be probed?
-    pub probes: bool,
+    pub health_checks: bool,
     /// Do clients receive retry advice?
-    pub retry_advice: bool,
+    pub retry_after: bool,
     /// The longest advice that clients honour.
-    pub max_retry_advice: Duration,
+    pub max_retry_after: Duration,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Guarantees {
+pub struct EndpointLimits {
     /// Cold servers begin at this share of their capacity or more.
-    pub cold_share: f64,
+    pub initial_capacity_ratio: f64,
     /// And are warm no later than this.
-    pub warm_within: Duration,
+    pub warm_up_duration: Duration,
     /// Sent more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold server falls over.
-    pub tip_after: Duration,
+    pub overload_window: Duration,
     /// Sends to a draining or gone server must stop within this.
     pub drain_grace: Duration,
 }
 
 /// How the list of servers reaches the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes come unprompted.
     Push,
-    /// Changes come only after [`Action::Subscribe`] or [`Action::FetchList`].
-    Ask,
+    /// Changes come only after [`Action::Subscribe`] or [`Action::FetchEndpointList`].
+    Poll,
 }
 
 /// What a gateway is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of gateways in this tier.
-    pub gateways: u32,
+    pub ingress_count: u32,
     /// This gateway's number among them, from 0.
-    pub number: u32,
+    pub ingress_index: u32,
     /// The zone of this gateway.
     pub zone: u16,
     /// Shortest time between two rounds of events.
     pub tick: Duration,
     /// Request classes, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Plans, by index.
     pub plans: Vec<Plan>,
     /// The counter service, if any.
-    pub counter: Option<Counter>,
+    pub counter: Option<CounterSettings>,
     /// Do load reports that say what a server holds come with probes alone?
-    pub reports_on_probe: bool,
+    pub load_reports_on_health_check: bool,
     /// Discovery mode.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Permissions.
-    pub limits: Limits,
+    pub permissions: Permissions,
     /// Rule figures.
-    pub guarantees: Guarantees,
+    pub endpoint_limits: EndpointLimits,
 }
 
 impl Settings {
@@ -184,14 +184,16 @@
                 p.ceiling_rate,
                 p.ceiling_burst,
                 p.ceiling_slack,
-                p.price,
+                p.priority_factor,
             ];
             numbers.into_iter().all(good) && (p.rate <= 0.0 || p.burst > 0.0)
         };
-        let timed = |c: &Class| good(c.worth) && good(c.late_worth) && !c.aim.is_zero();
-        let g = &self.guarantees;
-        if self.number >= self.gateways {
-            return Err(SettingsError::BadNumber(
+        let timed = |c: &RequestClass| {
+            good(c.priority_weight) && good(c.late_weight_ratio) && !c.latency_objective.is_zero()
+        };
+        let g = &self.endpoint_limits;
+        if self.ingress_index >= self.ingress_count {
+            return Err(SettingsError::InvalidNumber(
                 "the number of gateways, or this one's among them,",
             ));
         }
@@ -202,13 +204,16 @@
             return Err(SettingsError::NoPlan);
         }
         if !self.plans.iter().all(figures) {
-            return Err(SettingsError::BadNumber("a plan's figure"));
+            return Err(SettingsError::InvalidNumber("a plan's figure"));
         }
         if !self.classes.iter().all(timed) {
-            return Err(SettingsError::BadNumber("a class's figure"));
+            return Err(SettingsError::InvalidNumber("a class's figure"));
         }
-        if !(g.cold_share <= 1.0 && good(g.cold_share) && good(g.tip_multiple)) {
-            return Err(SettingsError::BadNumber("a guarantee"));
+        if !(g.initial_capacity_ratio <= 1.0
+            && good(g.initial_capacity_ratio)
+            && good(g.overload_multiple))
+        {
+            return Err(SettingsError::InvalidNumber("a guarantee"));
         }
         Ok(())
     }
@@ -225,26 +230,26 @@
     NoPlan,
     /// A number is out of range.
     #[error("{0} must be a finite number in its range")]
-    BadNumber(&'static str),
+    InvalidNumber(&'static str),
 }
 
 /// State of a server in a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerState {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes its work; takes nothing new.
     Draining,
     /// Removed.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the list of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ServerEntry {
+pub struct EndpointEntry {
     /// The server.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// The service that it belongs to.
     pub service: ServiceId,
     /// Its zone.
@@ -252,7 +257,7 @@
     /// Its cell, a set of servers that share memory of keys.
     pub cell: u16,
     /// Its state.
-    pub state: ServerState,
+    pub state: EndpointState,
     /// Size relative to the others.
     pub weight: f64,
     /// Its place in an order that is the same at every gateway, such as a hash of its name.
@@ -263,13 +268,13 @@
 
 /// What a list event holds.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListUpdate {
+pub enum EndpointListUpdate {
     /// Changed lines only.
-    Changes(Vec<ServerEntry>),
+    Changes(Vec<EndpointEntry>),
     /// The whole list.
-    Full(Vec<ServerEntry>),
+    Full(Vec<EndpointEntry>),
     /// A call to discovery failed or the subscription broke.
-    Failed,
+    Unavailable,
 }
 
 /// Load that a server told of itself; delayed and noisy.
@@ -293,7 +298,7 @@
     /// The server returned an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; it never ran.
@@ -303,12 +308,12 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotStarted,
 }
 
 /// How a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CountResult {
+pub enum CounterResult {
     /// The total after the call.
     Total(f64),
     /// Nothing was added.
@@ -319,7 +324,7 @@
 
 /// A request that a client sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NewRequest {
+pub struct IncomingRequest {
     /// Its id.
     pub request: RequestId,
     /// The service whose servers may answer it.
@@ -333,11 +338,11 @@
     /// Units it takes from the quota, perhaps a guess.
     pub units: f64,
     /// Through how many gateways the customer's requests may come.
-    pub spread: u32,
+    pub ingress_count: u32,
     /// Time until the client gives this try up.
     pub time_left: Duration,
     /// The client says that it asks again; never where clients do not mark that.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt ended, with what came along.
@@ -348,7 +353,7 @@
     /// Number of the attempt.
     pub attempt: u16,
     /// The server.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
@@ -365,9 +370,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Servers(ListUpdate),
+    EndpointListChanged(EndpointListUpdate),
     /// A request has come.
-    Request(NewRequest),
+    RequestReceived(IncomingRequest),
     /// A streamed answer has started.
     StreamStarted {
         /// The request.
@@ -378,24 +383,24 @@
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
     /// The client has left; nothing is owed.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A counter call has ended; for one name in the order of the calls.
-    Counted {
+    CounterReply {
         /// The name.
-        name: CountName,
+        key: CounterKey,
         /// How it ended.
-        result: CountResult,
+        result: CounterResult,
         /// Time since the call.
         elapsed: Duration,
     },
     /// A timer is due.
-    Timer(TimerTag),
+    TimerExpired(TimerTag),
     /// A probe has ended.
-    ProbeEnded {
+    HealthCheckEnded {
         /// The service that the server belongs to.
         service: ServiceId,
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// The server's load report.
@@ -407,20 +412,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the request's next attempt.
-    Send {
+    Forward {
         /// The request.
         request: RequestId,
         /// Where to.
-        server: ServerId,
+        endpoint: EndpointId,
         /// When this attempt is given up.
-        give_up_at: Duration,
+        deadline: Duration,
     },
     /// Final answer: refused, harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away.
-        retry_in: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Final answer: failed, effect unknown.
     Fail {
@@ -435,15 +440,15 @@
         attempt: u16,
     },
     /// Add to a number on the counter service and tell the total.
-    Count {
+    IncrementCounter {
         /// The name.
-        name: CountName,
+        key: CounterKey,
         /// The amount.
-        add: f64,
+        amount: f64,
         /// A new name is forgotten after this.
-        lifetime: Duration,
+        time_to_live: Duration,
     },
-    /// Send [`Event::Timer`] after this time.
+    /// Send [`Event::TimerExpired`] after this time.
     SetTimer {
         /// From now.
         after: Duration,
@@ -451,14 +456,37 @@
         tag: TimerTag,
     },
     /// Probe a server.
-    Probe {
+    CheckHealth {
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
     },
     /// Ask discovery for changes from now on.
     Subscribe,
     /// Ask discovery for the whole list once.
-    FetchList,
-    /// A line for the operators.
-    Log(String),
+    FetchEndpointList,
+    /// Write a line to the operators' log.
+    Log(Notice),
+}
+
+/// A change of state that operators want to see in the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Notice {
+    /// An endpoint has not answered for so long that it is taken for unresponsive.
+    EndpointUnresponsive(EndpointId),
+    /// The counter is slow or failing: fewer than half of the requests call it.
+    CounterDegraded,
+    /// The counter answers again: every request calls it.
+    CounterRecovered,
+}
+
+impl std::fmt::Display for Notice {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Notice::EndpointUnresponsive(endpoint) => {
+                write!(f, "endpoint unresponsive, endpoint {}", endpoint.0)
+            }
+            Notice::CounterDegraded => f.write_str("counter degraded"),
+            Notice::CounterRecovered => f.write_str("counter recovered"),
+        }
+    }
 }
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -2,7 +2,7 @@
 //! without.
 
 use crate::alarms::{dur, secs};
-use crate::gateway::Counted;
+use crate::dispatcher::Counted;
 use crate::interface::*;
 use crate::ledgers::Ledgers;
 use fastrand::Rng;
@@ -48,7 +48,7 @@
     pub rate: f64,
     pub burst: f64,
     pub window: f64,
-    pub spread: f64,
+    pub ingress_count: f64,
     pub level: f64, // Units left; the total that still passes is `known + level`.
     pub at: f64,
     pub known: f64, // Last total and when this life of the name was first seen; none: never seen.
@@ -68,14 +68,14 @@
 }
 
 pub(crate) struct Call {
-    pub request: NewRequest,
+    pub request: IncomingRequest,
     pub add: f64,
     pub counted: bool,         // Are its own units in the add?
     pub decided: Option<bool>, // Decided before the answer: was it granted?
 }
 
 impl Ledger {
-    fn new(plan: &Plan, spread: f64, counted: bool, now: f64, index: usize) -> Ledger {
+    fn new(plan: &Plan, ingress_count: f64, counted: bool, now: f64, index: usize) -> Ledger {
         let window = (plan.burst / plan.rate.max(EPS)).clamp(0.1, 60.0); // a counter's longest
         let ceiling = (plan.ceiling_rate > 0.0).then_some((
             plan.ceiling_rate,
@@ -86,7 +86,7 @@
             rate,
             burst,
             window,
-            spread,
+            ingress_count,
             ceiling,
             plan: index,
             ..Ledger::default()
@@ -100,7 +100,7 @@
         l.others = if counted {
             0.0
         } else {
-            plan.rate * (spread - 1.0) / spread
+            plan.rate * (ingress_count - 1.0) / ingress_count
         };
         l
     }
@@ -113,7 +113,7 @@
         let dt = (now - self.at).max(0.0);
         self.at = now;
         self.seen *= (-dt / self.window).exp();
-        if dt >= self.window && self.spread > FEW {
+        if dt >= self.window && self.ingress_count > FEW {
             // The life is over and with it what was owed or taken back; the next total tells as to
             // a newcomer. Guards against customers seen rarely: debts of minutes, adds of nothing.
             (self.carry, self.life, self.level, self.assumed) = (0.0, None, self.burst, 0.0);
@@ -121,7 +121,7 @@
         let full = (self.level + self.rate * dt - self.burst).max(0.0);
         self.level = (self.level + self.rate * dt).min(self.burst);
         if let Some((rate, depth)) = self.ceiling {
-            let (pooled, n) = (self.pooled(), self.spread);
+            let (pooled, n) = (self.pooled(), self.ingress_count);
             self.alone =
                 (self.alone + rate * (1.0 - pooled) / n * dt).min(depth * (1.0 - pooled) / n);
             if !self.rare() {
@@ -165,10 +165,10 @@
                 .ceiling
                 .map_or(0.0, |(_, depth)| depth * self.pooled() / 2.0);
             let kept = self.pool - 2.0 * self.others * (end - self.answered);
-            let (split, kept) = if self.spread > FEW {
+            let (split, kept) = if self.ingress_count > FEW {
                 (1.0, 0.0)
             } else {
-                (self.spread, kept)
+                (self.ingress_count, kept)
             };
             self.pool = kept.clamp(if self.seen < RARE { half / split } else { 0.0 }, half);
             self.carry = self.carry.max(0.0);
@@ -179,7 +179,7 @@
         self.level = if newcomer { self.burst } else { self.level };
         // The others' refused tries stand in the total until their next add: the level may owe that
         // much.
-        self.level = (self.level - others).max(-self.spread.min(self.burst));
+        self.level = (self.level - others).max(-self.ingress_count.min(self.burst));
         let dt = (now - self.answered).max(0.0);
         self.answered = now;
         let tau = (2.0 * self.window).max(1.0);
@@ -193,10 +193,10 @@
     pub(crate) fn assume(&mut self, now: f64) {
         let since = (now - self.answered).max(0.0);
         self.refill(now);
-        let alike = if self.spread > FEW {
+        let alike = if self.ingress_count > FEW {
             0.0
         } else {
-            ALIKE * (self.spread - 1.0) * self.spent
+            ALIKE * (self.ingress_count - 1.0) * self.spent
         };
         let due =
             (f64::max(self.others * since, alike) - self.assumed).clamp(0.0, self.level.max(0.0));
@@ -211,7 +211,7 @@
     }
 
     fn pooled(&self) -> f64 {
-        if self.spread > FEW {
+        if self.ingress_count > FEW {
             POOLED_OF_MANY
         } else {
             POOLED
@@ -219,7 +219,7 @@
     }
 
     pub(crate) fn rare(&self) -> bool {
-        self.seen < RARE && self.spread > FEW
+        self.seen < RARE && self.ingress_count > FEW
     }
 
     fn under_ceiling(&self, units: f64, confirmed: bool) -> bool {
@@ -258,13 +258,13 @@
 
 impl Quotas {
     pub(crate) fn new(settings: &Arc<Settings>) -> Quotas {
-        let aim = settings
+        let latency_objective = settings
             .classes
             .iter()
-            .map(|c| secs(c.aim))
+            .map(|c| secs(c.latency_objective))
             .fold(f64::MAX, f64::min);
         let timeout = settings.counter.as_ref().map_or(0.0, |c| secs(c.timeout));
-        let wait = (aim * WAIT_OF_AIM).min(timeout);
+        let wait = (latency_objective * WAIT_OF_AIM).min(timeout);
         let inside = vec![INSIDE.map(|share| (share, GUESS_WEIGHS)); settings.plans.len()];
         let (settings, ledgers) = (Arc::clone(settings), Ledgers::default());
         let (least, told, short, pace, resumed) = (0.0, 0.0, false, 1.0, 0.0);
@@ -284,21 +284,22 @@
     /// A request has come: asks the counter, or leaves it to the ledger alone.
     pub(crate) fn enter(
         &mut self,
-        r: &NewRequest,
+        r: &IncomingRequest,
         rng: &mut Rng,
         t: f64,
         out: &mut Vec<Action>,
     ) -> Verdict {
         let plan = &self.settings.plans[r.plan];
-        let spread = f64::from(r.spread.clamp(1, self.settings.gateways));
+        let ingress_count = f64::from(r.ingress_count.clamp(1, self.settings.ingress_count));
         let has_counter =
             self.settings.counter.is_some() && (plan.rate > 0.0 || plan.ceiling_rate > 0.0);
         let ledger = self.ledgers.open(r.customer, t, || {
-            Ledger::new(plan, spread, has_counter, t, r.plan)
+            Ledger::new(plan, ingress_count, has_counter, t, r.plan)
         });
-        ledger.spread = ledger.spread.max(spread);
-        if plan.max_open > 0
-            && f64::from(ledger.open) >= (f64::from(plan.max_open) / ledger.spread).ceil()
+        ledger.ingress_count = ledger.ingress_count.max(ingress_count);
+        if plan.max_concurrent > 0
+            && f64::from(ledger.open)
+                >= (f64::from(plan.max_concurrent) / ledger.ingress_count).ceil()
         {
             return Verdict::TooManyOpen;
         }
@@ -309,7 +310,7 @@
         // is owed, nor with those of rare customers that cost nothing beyond the quota: they need
         // no total to pass.
         let hopeless = ledger.level + ledger.assumed < 0.0 && ledger.carry < r.units;
-        let free = plan.excess_cost <= 0.0 && ledger.ceiling.is_none() && ledger.rare();
+        let free = plan.over_quota_cost <= 0.0 && ledger.ceiling.is_none() && ledger.rare();
         if !has_counter || !asked || (self.pace < 1.0 && (hopeless || free)) {
             return Verdict::Alone;
         }
@@ -331,16 +332,16 @@
             counted,
             decided: None,
         });
-        out.push(Action::Count {
-            name: CountName(r.customer.0),
-            add,
-            lifetime: dur(ledger.window),
+        out.push(Action::IncrementCounter {
+            key: CounterKey(r.customer.0),
+            amount: add,
+            time_to_live: dur(ledger.window),
         });
         Verdict::Wait(self.wait)
     }
 
     /// Decides without a total, by the ledger: is there room? `owed`: no add is out for it.
-    pub(crate) fn decide_alone(&mut self, r: &NewRequest, owed: bool, t: f64) -> bool {
+    pub(crate) fn decide_alone(&mut self, r: &IncomingRequest, owed: bool, t: f64) -> bool {
         let Some(ledger) = self.ledgers.get_mut(r.customer) else {
             return false;
         };
@@ -349,9 +350,9 @@
         let rare = ledger.rare() && self.settings.counter.is_some();
         // To pass is worth the chance of being inside, less the price where it is not. What costs
         // nothing beyond the quota is held by its ceiling and the load alone.
-        let cost = self.settings.plans[ledger.plan].excess_cost;
-        let (inside, _) = self.inside[ledger.plan][usize::from(r.retry)];
-        let likely = ledger.spread <= FEW || inside * (1.0 + cost) > cost;
+        let cost = self.settings.plans[ledger.plan].over_quota_cost;
+        let (inside, _) = self.inside[ledger.plan][usize::from(r.is_retry)];
+        let likely = ledger.ingress_count <= FEW || inside * (1.0 + cost) > cost;
         let free = cost <= 0.0;
         let room =
             ledger.under_ceiling(units, false) && (free || likely && ledger.has_room(units, false));
@@ -372,8 +373,8 @@
     /// total says.
     pub(crate) fn on_counted(
         &mut self,
-        name: CountName,
-        result: CountResult,
+        name: CounterKey,
+        result: CounterResult,
         t: f64,
     ) -> Option<Counted> {
         let ledger = self.ledgers.get_mut(CustomerId(name.0))?;
@@ -385,20 +386,20 @@
         } = ledger.calls.pop_front()?;
         let mut room = decided;
         match result {
-            CountResult::Total(total) if total.is_finite() => {
+            CounterResult::Total(total) if total.is_finite() => {
                 ledger.settle(total, add, t, self.pace);
                 room = room.or(Some(ledger.has_room(request.units, true)));
                 let inside = ledger.rate <= 0.0 || ledger.level + EPS >= request.units;
-                let (share, of) = &mut self.inside[ledger.plan][usize::from(request.retry)];
+                let (share, of) = &mut self.inside[ledger.plan][usize::from(request.is_retry)];
                 *of = (*of + 1.0).min(TOTALS_KEPT);
                 *share += (f64::from(u8::from(inside)) - *share) / *of;
             }
-            CountResult::NotAdded => ledger.carry = (ledger.carry + add).min(ledger.burst),
+            CounterResult::NotAdded => ledger.carry = (ledger.carry + add).min(ledger.burst),
             _ => {} // It may have been added: taken as added.
         }
         // A refused try leaves the count with the next add, which of a rare customer comes too
         // late.
-        if room == Some(false) && result != CountResult::Unknown && counted && !ledger.rare() {
+        if room == Some(false) && result != CounterResult::Unknown && counted && !ledger.rare() {
             ledger.carry -= request.units;
         }
         if room == Some(true) && decided.is_none() && !counted {
@@ -417,15 +418,15 @@
     /// connection, which tells nothing of the line's length.
     pub(crate) fn counter_heard(
         &mut self,
-        result: CountResult,
+        result: CounterResult,
         took: f64,
         t: f64,
         out: &mut Vec<Action>,
     ) {
-        if t - took < self.resumed || (result == CountResult::Unknown && took < self.wait) {
+        if t - took < self.resumed || (result == CounterResult::Unknown && took < self.wait) {
             return;
         }
-        let took = if let CountResult::Total(_) = result {
+        let took = if let CounterResult::Total(_) = result {
             took
         } else {
             f64::MAX
@@ -442,12 +443,11 @@
         let short = self.pace < if self.short { 1.0 } else { 0.5 };
         if short != self.short {
             self.short = short;
-            let what = if short {
-                "short: fewer than half of the tries ask"
+            out.push(Action::Log(if short {
+                Notice::CounterDegraded
             } else {
-                "asked by all tries"
-            };
-            out.push(Action::Log(format!("counter {what}")));
+                Notice::CounterRecovered
+            }));
         }
     }
 }
--- a/crates/decision/src/roster.rs
+++ b/crates/decision/src/roster.rs
@@ -1,24 +1,24 @@
 //! All servers of a service that discovery names as ready, however few of them the gateway keeps a
 //! state for.
 
-use crate::interface::{ServerEntry, ServerId, ServerState};
+use crate::interface::{EndpointEntry, EndpointId, EndpointState};
 use std::collections::BTreeMap;
 
 /// The servers, and whether they have changed since the ring was taken.
 #[derive(Default)]
 pub(crate) struct Roster {
-    ready: BTreeMap<ServerId, ServerEntry>,
+    ready: BTreeMap<EndpointId, EndpointEntry>,
     changed: bool,
 }
 
 impl Roster {
     /// Takes one entry in: a server that is not ready is not listed.
-    pub(crate) fn update(&mut self, entry: &ServerEntry) {
+    pub(crate) fn update(&mut self, entry: &EndpointEntry) {
         self.changed = true;
-        if entry.state == ServerState::Ready {
-            self.ready.insert(entry.server, *entry);
+        if entry.state == EndpointState::Ready {
+            self.ready.insert(entry.endpoint, *entry);
         } else {
-            self.ready.remove(&entry.server);
+            self.ready.remove(&entry.endpoint);
         }
     }
 
@@ -35,9 +35,9 @@
 
     /// All of them in the order that every gateway agrees on, if they have changed since the last
     /// call.
-    pub(crate) fn take_changed_ring(&mut self) -> Option<Vec<ServerEntry>> {
+    pub(crate) fn take_changed_ring(&mut self) -> Option<Vec<EndpointEntry>> {
         std::mem::take(&mut self.changed).then(|| {
-            let mut ring: Vec<ServerEntry> = self.ready.values().copied().collect();
+            let mut ring: Vec<EndpointEntry> = self.ready.values().copied().collect();
             ring.sort_by_key(|entry| entry.rank);
             ring
         })
--- a/crates/decision/src/service.rs
+++ b/crates/decision/src/service.rs
@@ -5,8 +5,8 @@
 use crate::aperture::LEAST_REACH;
 use crate::average::Average;
 use crate::choice::LOAD_OF_AIM;
+use crate::dispatcher::Context;
 use crate::draw::Draw;
-use crate::gateway::Context;
 use crate::interface::*;
 use crate::quota::{Verdict, EPS};
 use crate::roster::Roster;
@@ -64,8 +64,8 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Server {
-    pub entry: ServerEntry,
+pub(crate) struct Endpoint {
+    pub entry: EndpointEntry,
     pub ready: bool,
     pub part: f64, // Of it, that lies in this gateway's aperture.
     pub out: BTreeMap<(RequestId, u16), (f64, usize)>, // Attempts out: (request, attempt) to (sent, class).
@@ -98,18 +98,18 @@
     pub refusing: f64, // Share of the openings that were refused, and when a refusing server is tried again.
     pub half_open: f64,
     pub draw: Draw, // For what is left of one in the load bound.
-    pub probes: f64,
+    pub health_checks: f64,
 }
 
 pub(crate) struct Attempt {
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     pub sent: f64,
     pub open: bool,
     pub harmless: bool, // Its end proves that it never ran.
 }
 
 pub(crate) struct Request {
-    pub asked: NewRequest,
+    pub asked: IncomingRequest,
     pub end: f64,
     pub waiting: bool, // Waiting for the counter's total.
     pub done: bool,
@@ -130,7 +130,8 @@
     pub settings: Arc<Settings>,
     pub rng: fastrand::Rng,
     pub requests: BTreeMap<RequestId, Request>,
-    pub servers: BTreeMap<ServerId, Server>, // Those within reach: all of the roster, unless it is long.
+    // Those within reach: all of the roster, unless it is long.
+    pub endpoints: BTreeMap<EndpointId, Endpoint>,
     pub roster: Roster,
     pub means: Vec<f64>, // Mean answer time of each class.
     pub flow: Flow,
@@ -149,30 +150,34 @@
             lateness,
             at: t,
             retries: 1.0,
-            probes: 1.0,
+            health_checks: 1.0,
             ..Flow::default()
         };
         Service {
             settings: Arc::clone(settings),
             rng: fastrand::Rng::with_seed(seed),
             requests: BTreeMap::new(),
-            servers: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             roster: Roster::default(),
             // Until answers tell, a class's work is taken as an eighth of its aim.
-            means: settings.classes.iter().map(|c| secs(c.aim) / 8.0).collect(),
+            means: settings
+                .classes
+                .iter()
+                .map(|c| secs(c.latency_objective) / 8.0)
+                .collect(),
             flow,
             alarms: Alarms::default(),
             sweeping: false,
         }
     }
 
-    pub(crate) fn on_request(&mut self, r: &NewRequest, cx: &mut Context) {
+    pub(crate) fn on_request(&mut self, r: &IncomingRequest, cx: &mut Context) {
         let class = &self.settings.classes[r.class];
         // Answered two rounds before the client gives up. Where a late answer is worth nothing, the
         // end is the aim: what is still out then only takes room from requests that can make it.
         let mut end = cx.t + secs(r.time_left) - 2.0 * secs(self.settings.tick);
-        if class.late_worth <= 0.0 && class.aim_stretch <= 0.0 {
-            end = end.min(cx.t + secs(class.aim));
+        if class.late_weight_ratio <= 0.0 && class.objective_per_work <= 0.0 {
+            end = end.min(cx.t + secs(class.latency_objective));
         }
         let (end, waiting, done, streaming) = (end.max(cx.t), true, false, false);
         let request = Request {
@@ -185,7 +190,7 @@
         };
         self.requests.insert(r.request, request);
         self.alarms.set(dur(end), Alarm::End(r.request));
-        self.flow.probes = (self.flow.probes + PROBE_EARN).min(RETRY_MOST);
+        self.flow.health_checks = (self.flow.health_checks + PROBE_EARN).min(RETRY_MOST);
         if !self.sweeping {
             self.sweep(cx);
         }
@@ -210,7 +215,7 @@
             return;
         };
         r.waiting = false;
-        let NewRequest {
+        let IncomingRequest {
             customer,
             units,
             class,
@@ -234,11 +239,11 @@
             return self.refuse(id, cx);
         };
         match best {
-            Some(server) if !overloaded => {
+            Some(endpoint) if !overloaded => {
                 ledger.grant(units, confirmed);
                 ledger.open += 1;
                 self.flow.retries = (self.flow.retries + RETRY_EARN).min(RETRY_MOST);
-                self.send(id, server, cx);
+                self.send(id, endpoint, cx);
             }
             _ => {
                 ledger.carry -= units;
@@ -247,13 +252,16 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, cx: &mut Context) {
-        let (Some(r), Some(s)) = (self.requests.get_mut(&id), self.servers.get_mut(&server)) else {
+    fn send(&mut self, id: RequestId, endpoint: EndpointId, cx: &mut Context) {
+        let (Some(r), Some(s)) = (
+            self.requests.get_mut(&id),
+            self.endpoints.get_mut(&endpoint),
+        ) else {
             return;
         };
         let (class, number) = (r.asked.class, r.attempts.len() as u16);
         r.attempts.push(Attempt {
-            server,
+            endpoint,
             sent: cx.t,
             open: true,
             harmless: false,
@@ -267,12 +275,12 @@
         }
         s.sends.push_back(cx.t);
         s.retry_at = cx.t + TRIAL_AFTER;
-        cx.out.push(Action::Send {
+        cx.out.push(Action::Forward {
             request: id,
-            server,
-            give_up_at: dur(r.end),
+            endpoint,
+            deadline: dur(r.end),
         });
-        let latest = PATIENCE_OF_AIM * secs(self.settings.classes[class].aim);
+        let latest = PATIENCE_OF_AIM * secs(self.settings.classes[class].latency_objective);
         self.alarms.set(
             dur(cx.t + latest.min(PATIENCE * self.means[class])),
             Alarm::Patience(id),
@@ -282,7 +290,7 @@
     pub(crate) fn on_ended(&mut self, e: &AttemptEnd, cx: &mut Context) {
         let harmless = matches!(
             e.outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotStarted
         );
         let Some(r) = self.requests.get_mut(&e.request) else {
             return;
@@ -296,16 +304,16 @@
         };
         (a.open, a.harmless) = (false, harmless);
         let (
-            server,
-            NewRequest {
+            endpoint,
+            IncomingRequest {
                 customer,
                 units,
                 class,
                 ..
             },
-        ) = (a.server, r.asked);
-        self.learn(server, class, e, cx.t, cx.quotas.resumed);
-        self.on_load(server, e.load, cx.t);
+        ) = (a.endpoint, r.asked);
+        self.learn(endpoint, class, e, cx.t, cx.quotas.resumed);
+        self.on_load(endpoint, e.load, cx.t);
         if let Some(l) = cx.quotas.ledgers.get_mut(customer) {
             // Guessed units: the difference rides on the customer's next add.
             let more = e
@@ -329,9 +337,9 @@
         let harmless = r.attempts.last().is_some_and(|a| a.harmless);
         let in_time = cx.t + self.means[r.asked.class] < r.end;
         if in_time && self.flow.retries >= 1.0 {
-            if let Some(server) = self.pick(id, cx.t) {
+            if let Some(endpoint) = self.pick(id, cx.t) {
                 self.flow.retries -= if harmless { 0.5 } else { 1.0 };
-                return self.send(id, server, cx);
+                return self.send(id, endpoint, cx);
             }
         }
         self.refuse(id, cx);
@@ -349,7 +357,7 @@
         let Some(r) = self
             .requests
             .get(&id)
-            .filter(|_| self.settings.limits.cancel)
+            .filter(|_| self.settings.permissions.cancel)
         else {
             return;
         };
@@ -395,33 +403,33 @@
             return;
         };
         let ran = r.attempts.iter().any(|a| !a.harmless);
-        let effect = self.settings.classes[r.asked.class].effect;
+        let idempotency = self.settings.classes[r.asked.class].idempotency;
         let may = !ran
             || matches!(
-                effect,
-                Effect::Safe
-                    | Effect::Keyed {
-                        group: DedupGroup::All,
+                idempotency,
+                Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey {
+                        group: DeduplicationScope::All,
                         ..
                     }
             );
         // Advice: the time in which one such request is refilled, or in which what is out here is
         // answered: without any, clients of a load refusal come back at once; longer, and their
         // next try is late.
-        let (limits, ledger) = (
-            &self.settings.limits,
+        let (permissions, ledger) = (
+            &self.settings.permissions,
             cx.quotas.ledgers.get(r.asked.customer),
         );
         let refill = ledger.map_or(0.0, |l| {
             (r.asked.units - l.level).max(0.0) / l.rate.max(EPS)
         });
-        let retry_in = limits
-            .retry_advice
-            .then(|| dur(refill.max(self.means[r.asked.class])).min(limits.max_retry_advice));
+        let retry_after = permissions
+            .retry_after
+            .then(|| dur(refill.max(self.means[r.asked.class])).min(permissions.max_retry_after));
         cx.out.push(if may {
-            Action::Refuse {
+            Action::Reject {
                 request: id,
-                retry_in,
+                retry_after,
             }
         } else {
             Action::Fail { request: id }
@@ -462,8 +470,8 @@
         };
         let silent = self.ejects()
             && self
-                .servers
-                .get(&last.server)
+                .endpoints
+                .get(&last.endpoint)
                 .is_none_or(|s| s.silent || !s.ready);
         let class = r.asked.class;
         if cx.t + self.means[class] >= r.end {
@@ -472,14 +480,14 @@
         let busy =
             self.flow.lateness.value > COPY_LOAD * LOAD_OF_AIM || self.overloaded(class, 1.0, cx.t);
         let may = self.flow.retries >= 1.0 && (silent || !busy);
-        let limits = &self.settings.limits;
-        let movable = silent && limits.cancel && self.repeatable(r, 4.0, cx.t);
-        if may && limits.duplicates && r.attempts.iter().filter(|a| a.open).count() < 2 {
-            if let Some(server) = self.pick(id, cx.t) {
+        let permissions = &self.settings.permissions;
+        let movable = silent && permissions.cancel && self.repeatable(r, 4.0, cx.t);
+        if may && permissions.hedging && r.attempts.iter().filter(|a| a.open).count() < 2 {
+            if let Some(endpoint) = self.pick(id, cx.t) {
                 self.flow.retries -= 1.0;
-                return self.send(id, server, cx);
+                return self.send(id, endpoint, cx);
             }
-        } else if may && !limits.duplicates && movable {
+        } else if may && !permissions.hedging && movable {
             return cx.out.push(Action::Cancel {
                 request: id,
                 attempt: r.attempts.len() as u16 - 1,
@@ -490,7 +498,7 @@
     }
 
     /// Takes in how an attempt at a server ended; the gateway's own last stall ended at `resumed`.
-    fn learn(&mut self, server: ServerId, class: usize, e: &AttemptEnd, t: f64, resumed: f64) {
+    fn learn(&mut self, endpoint: EndpointId, class: usize, e: &AttemptEnd, t: f64, resumed: f64) {
         let eject = self.ejects();
         // Most ends are answers, which weigh no fault: they need no walk over the servers.
         let fault_tau = if e.outcome == Outcome::Ok {
@@ -498,7 +506,7 @@
         } else {
             self.fault_tau()
         };
-        let Some(s) = self.servers.get_mut(&server) else {
+        let Some(s) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
         let (outcome, took) = (e.outcome, secs(e.elapsed));
@@ -508,7 +516,12 @@
         // attempt gets through. Harm: after a short refusal by all, one server is taken back at a
         // time, until trials succeed.
         let refused = outcome == Outcome::ConnectFailed;
-        if refused || !matches!(outcome, Outcome::Reset | Outcome::Cancelled | Outcome::Moot) {
+        if refused
+            || !matches!(
+                outcome,
+                Outcome::Reset | Outcome::Cancelled | Outcome::NotStarted
+            )
+        {
             if s.breaker == Breaker::Untried || (s.breaker == Breaker::Open && !refused) {
                 self.flow.refusing +=
                     (f64::from(u8::from(refused)) - self.flow.refusing) * CONNECT_SHARE;
@@ -521,7 +534,7 @@
                 Breaker::Closed
             };
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Overloaded) {
             (s.heard, s.silent) = (t, false);
         }
         // Guards against servers that fail fast: they hold little and would draw everything. By
@@ -532,17 +545,20 @@
         if lost
             || matches!(
                 outcome,
-                Outcome::Error | Outcome::Full | Outcome::ConnectFailed | Outcome::Reset
+                Outcome::Error | Outcome::Overloaded | Outcome::ConnectFailed | Outcome::Reset
             )
         {
             (s.faults, s.fault_at) = (s.faults * ((s.fault_at - t) / fault_tau).exp() + 1.0, t);
         }
-        let aim = secs(self.settings.classes[class].aim);
+        let latency_objective = secs(self.settings.classes[class].latency_objective);
         let stalled = t - took < resumed;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) && !(s.silent && eject) && !stalled {
-            self.flow
-                .lateness
-                .add(took / aim, t, LATE_TAU, (1.0 / ANSWERS_AVERAGED, 0.25));
+            self.flow.lateness.add(
+                took / latency_objective,
+                t,
+                LATE_TAU,
+                (1.0 / ANSWERS_AVERAGED, 0.25),
+            );
         }
         if outcome == Outcome::Ok {
             if !stalled {
@@ -563,8 +579,8 @@
         }
     }
 
-    fn on_load(&mut self, server: ServerId, load: Option<LoadReport>, t: f64) {
-        let (Some(s), Some(load)) = (self.servers.get_mut(&server), load) else {
+    fn on_load(&mut self, endpoint: EndpointId, load: Option<LoadReport>, t: f64) {
+        let (Some(s), Some(load)) = (self.endpoints.get_mut(&endpoint), load) else {
             return;
         };
         let good = |v: Option<f64>| v.filter(|v| v.is_finite()).map(|v| v.max(0.0));
@@ -577,15 +593,15 @@
 
     pub(crate) fn on_probed(
         &mut self,
-        server: ServerId,
+        endpoint: EndpointId,
         outcome: Outcome,
         load: Option<LoadReport>,
         t: f64,
     ) {
-        self.on_load(server, load, t);
+        self.on_load(endpoint, load, t);
         if let Some(s) = self
-            .servers
-            .get_mut(&server)
+            .endpoints
+            .get_mut(&endpoint)
             .filter(|_| outcome == Outcome::Ok)
         {
             (s.heard, s.silent) = (t, false);
@@ -596,7 +612,7 @@
     /// has come.
     fn watch(&mut self, cx: &mut Context) {
         for (id, s) in self
-            .servers
+            .endpoints
             .iter_mut()
             .filter(|(_, s)| s.ready && !s.silent)
         {
@@ -606,7 +622,7 @@
             };
             if s.out.values().map(wait).sum::<f64>() > SILENCE {
                 (s.silent, s.retry_at) = (true, cx.t + TRIAL_AFTER);
-                cx.out.push(Action::Log(format!("server {} silent", id.0)));
+                cx.out.push(Action::Log(Notice::EndpointUnresponsive(*id)));
             }
         }
     }
@@ -616,21 +632,21 @@
     fn sweep(&mut self, cx: &mut Context) {
         self.watch(cx);
         let (t, span) = (cx.t, self.span());
-        for s in self.servers.values_mut() {
+        for s in self.endpoints.values_mut() {
             s.draw.renew(t, span, &mut self.rng);
             while s.sends.pop_front_if(|at| *at < t - span).is_some() {}
         }
-        let any = self.settings.reports_on_probe;
-        let every = PROBE_EVERY.max(f64::from(self.settings.gateways) / PROBES_BORNE);
-        let wanted = |s: &Server| s.ready && (s.silent || any) && t >= s.probed + every;
-        while self.settings.limits.probes && self.flow.probes >= 1.0 {
-            let oldest = self.servers.iter_mut().filter(|(_, s)| wanted(s));
+        let any = self.settings.load_reports_on_health_check;
+        let every = PROBE_EVERY.max(f64::from(self.settings.ingress_count) / PROBES_BORNE);
+        let wanted = |s: &Endpoint| s.ready && (s.silent || any) && t >= s.probed + every;
+        while self.settings.permissions.health_checks && self.flow.health_checks >= 1.0 {
+            let oldest = self.endpoints.iter_mut().filter(|(_, s)| wanted(s));
             let Some((&id, s)) = oldest.min_by(|a, b| a.1.probed.total_cmp(&b.1.probed)) else {
                 break;
             };
             s.probed = t;
-            self.flow.probes -= 1.0;
-            cx.out.push(Action::Probe { server: id });
+            self.flow.health_checks -= 1.0;
+            cx.out.push(Action::CheckHealth { endpoint: id });
         }
         self.drop_gone();
         self.sweeping = !self.requests.is_empty();
@@ -640,12 +656,12 @@
     }
 
     fn drop_gone(&mut self) {
-        self.servers.retain(|_, s| s.ready || !s.out.is_empty());
+        self.endpoints.retain(|_, s| s.ready || !s.out.is_empty());
     }
 
     /// A whole list has come: what it does not name is gone.
-    pub(crate) fn replace(&mut self, entries: &[ServerEntry], t: f64) {
-        self.servers.values_mut().for_each(|s| s.ready = false);
+    pub(crate) fn replace(&mut self, entries: &[EndpointEntry], t: f64) {
+        self.endpoints.values_mut().for_each(|s| s.ready = false);
         self.roster.clear();
         entries.iter().for_each(|e| self.update(e, t));
         self.drop_gone();
@@ -653,36 +669,36 @@
 
     /// Rule 3 by construction: from the moment it is told, nothing new goes to a draining or gone
     /// server.
-    pub(crate) fn update(&mut self, e: &ServerEntry, t: f64) {
+    pub(crate) fn update(&mut self, e: &EndpointEntry, t: f64) {
         self.roster.update(e);
-        if self.roster.len() as f64 <= LEAST_REACH || self.servers.contains_key(&e.server) {
+        if self.roster.len() as f64 <= LEAST_REACH || self.endpoints.contains_key(&e.endpoint) {
             self.take_in(*e, t);
         }
     }
 
     /// Takes a server's entry into its state, which is made if there is none.
-    pub(crate) fn take_in(&mut self, entry: ServerEntry, t: f64) {
+    pub(crate) fn take_in(&mut self, entry: EndpointEntry, t: f64) {
         let draw = Draw {
             value: self.rng.f64(),
             at: 0.0,
         };
         // Each gateway probes in an order of its own: else all would know, and take, the same few.
         let probed = -draw.value;
-        let new = || Server {
+        let new = || Endpoint {
             entry,
             draw,
             probed,
             heard: t,
             slowness: 1.0,
-            ..Server::default()
+            ..Endpoint::default()
         };
-        let s = self.servers.entry(entry.server).or_insert_with(new);
+        let s = self.endpoints.entry(entry.endpoint).or_insert_with(new);
         if s.entry.started_at != entry.started_at {
             (s.silent, s.slowness, s.heard, s.breaker) = (false, 1.0, t, Breaker::Untried);
         }
-        (s.entry, s.ready) = (entry, entry.state == ServerState::Ready);
+        (s.entry, s.ready) = (entry, entry.state == EndpointState::Ready);
         if !s.ready && s.out.is_empty() {
-            self.servers.remove(&entry.server);
+            self.endpoints.remove(&entry.endpoint);
         }
     }
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -9,14 +9,14 @@
     Duration::from_millis(n)
 }
 
-pub(crate) fn class(effect: Effect) -> Class {
-    Class {
-        aim: ms(500),
-        aim_stretch: 0.0,
+pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: ms(500),
+        objective_per_work: 0.0,
         deadline: ms(2000),
-        worth: 1.0,
-        late_worth: 0.2,
-        effect,
+        priority_weight: 1.0,
+        late_weight_ratio: 0.2,
+        idempotency,
         streamed: false,
     }
 }
@@ -25,13 +25,13 @@
     Plan {
         rate,
         burst,
-        max_open: 0,
+        max_concurrent: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        excess_worth: 0.0,
-        excess_cost: 1.0,
+        priority_factor: 1.0,
+        over_quota_weight_ratio: 0.0,
+        over_quota_cost: 1.0,
     }
 }
 
@@ -46,56 +46,56 @@
 
 /// Classes: 0 safe, 1 keyed in a cell, 2 unsafe, 3 keyed everywhere. Plans: 0 plain, 1 with a
 /// ceiling, 2 open.
-pub(crate) fn settings(gateways: u32) -> Settings {
+pub(crate) fn settings(ingress_count: u32) -> Settings {
     let keyed = |group| {
-        class(Effect::Keyed {
+        class(Idempotency::IdempotencyKey {
             group,
             window: ms(400),
         })
     };
     Settings {
-        gateways,
-        number: 0,
+        ingress_count,
+        ingress_index: 0,
         zone: 0,
         tick: ms(1),
         classes: vec![
-            class(Effect::Safe),
-            keyed(DedupGroup::Cell),
-            class(Effect::Unsafe),
-            keyed(DedupGroup::All),
+            class(Idempotency::Idempotent),
+            keyed(DeduplicationScope::Cell),
+            class(Idempotency::NonIdempotent),
+            keyed(DeduplicationScope::All),
         ],
         plans: vec![
             plan(5.0, 10.0),
             ceiling_plan(),
             Plan {
-                max_open: 4,
+                max_concurrent: 4,
                 ..plan(0.0, 0.0)
             },
         ],
-        counter: Some(Counter { timeout: ms(60) }),
-        reports_on_probe: false,
-        discovery: Discovery::Push,
-        limits: Limits {
+        counter: Some(CounterSettings { timeout: ms(60) }),
+        load_reports_on_health_check: false,
+        discovery: DiscoveryMode::Push,
+        permissions: Permissions {
             max_attempts: 4,
             cancel: true,
-            duplicates: true,
-            probes: false,
-            retry_advice: true,
-            max_retry_advice: ms(1000),
+            hedging: true,
+            health_checks: false,
+            retry_after: true,
+            max_retry_after: ms(1000),
         },
-        guarantees: Guarantees {
-            cold_share: 0.25,
-            warm_within: ms(10_000),
-            tip_multiple: 2.0,
-            tip_after: ms(2000),
+        endpoint_limits: EndpointLimits {
+            initial_capacity_ratio: 0.25,
+            warm_up_duration: ms(10_000),
+            overload_multiple: 2.0,
+            overload_window: ms(2000),
             drain_grace: ms(500),
         },
     }
 }
 
-pub(crate) fn entry(id: u32, state: ServerState, started_at: Option<Duration>) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(id),
+pub(crate) fn entry(id: u32, state: EndpointState, started_at: Option<Duration>) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: EndpointId(id),
         service: ServiceId(0),
         zone: 0,
         cell: (id % 2) as u16,
@@ -115,7 +115,7 @@
 }
 
 pub(crate) struct Open {
-    pub server: u32,
+    pub endpoint: u32,
     pub sent: Duration,
     pub closed: Option<Outcome>,
 }
@@ -131,8 +131,8 @@
 }
 
 pub(crate) struct PendingCount {
-    pub gateway: usize,
-    pub name: CountName,
+    pub dispatcher: usize,
+    pub name: CounterKey,
     pub add: f64,
     pub lifetime: Duration,
     pub at: Duration,
@@ -142,7 +142,7 @@
 pub(crate) struct World {
     pub now: Duration,
     pub settings: Settings,
-    pub gateways: Vec<Gateway>,
+    pub ingress_count: Vec<Dispatcher>,
     pub requests: BTreeMap<(usize, u64), Track>,
     pub counts: Vec<PendingCount>,
     pub numbers: BTreeMap<u64, (f64, Duration)>,
@@ -153,19 +153,19 @@
     /// Is a ceiling that was passed a failure at once, or just noted in `lowest_ceiling`?
     pub strict: bool,
     pub sends: Vec<(usize, u32, Duration)>,
-    pub logs: Vec<String>,
+    pub notices: Vec<Notice>,
     pub actions: Vec<(usize, Action)>,
     /// Are the requests that come clients' repeats?
-    pub retry: bool,
+    pub is_retry: bool,
     timers: BTreeMap<(Duration, u64), usize>,
     next: u64,
     seed: u64,
 }
 
-fn start(settings: &Settings, g: usize, seed: u64) -> Gateway {
-    Gateway::new(
+fn start(settings: &Settings, g: usize, seed: u64) -> Dispatcher {
+    Dispatcher::new(
         Settings {
-            number: g as u32,
+            ingress_index: g as u32,
             ..settings.clone()
         },
         seed,
@@ -174,19 +174,24 @@
 }
 
 impl World {
-    pub(crate) fn new(settings: Settings, gateways: usize, servers: u32) -> World {
-        World::seeded(settings, gateways, servers, 0)
+    pub(crate) fn new(settings: Settings, ingress_count: usize, endpoints: u32) -> World {
+        World::seeded(settings, ingress_count, endpoints, 0)
     }
 
     /// One whose gateways draw by this seed.
-    pub(crate) fn seeded(settings: Settings, gateways: usize, servers: u32, seed: u64) -> World {
-        let gates = (0..gateways)
+    pub(crate) fn seeded(
+        settings: Settings,
+        ingress_count: usize,
+        endpoints: u32,
+        seed: u64,
+    ) -> World {
+        let gates = (0..ingress_count)
             .map(|g| start(&settings, g, seed + g as u64))
             .collect();
         let mut w = World {
             now: ms(1000),
             settings,
-            gateways: gates,
+            ingress_count: gates,
             requests: BTreeMap::new(),
             counts: Vec::new(),
             numbers: BTreeMap::new(),
@@ -196,52 +201,58 @@
             lowest_ceiling: f64::MAX,
             strict: true,
             sends: Vec::new(),
-            logs: Vec::new(),
+            notices: Vec::new(),
             actions: Vec::new(),
-            retry: false,
+            is_retry: false,
             timers: BTreeMap::new(),
             next: 1,
             seed,
         };
-        let list: Vec<_> = (0..servers)
-            .map(|s| entry(s, ServerState::Ready, None))
+        let list: Vec<_> = (0..endpoints)
+            .map(|s| entry(s, EndpointState::Ready, None))
             .collect();
-        w.tell_all(&ListUpdate::Full(list));
+        w.tell_all(&EndpointListUpdate::Full(list));
         w
     }
 
     /// A gateway is killed and starts again with no memory.
-    pub(crate) fn restart(&mut self, g: usize, servers: u32) {
-        self.gateways[g] = start(&self.settings, g, self.seed + 99 + g as u64);
+    pub(crate) fn restart(&mut self, g: usize, endpoints: u32) {
+        self.ingress_count[g] = start(&self.settings, g, self.seed + 99 + g as u64);
         self.requests.retain(|(gate, _), _| *gate != g);
-        self.counts.retain(|c| c.gateway != g);
+        self.counts.retain(|c| c.dispatcher != g);
         self.timers.retain(|_, gate| *gate != g);
         self.told_out.retain(|(gate, _), _| *gate != g);
-        let list = (0..servers)
-            .map(|s| entry(s, ServerState::Ready, None))
+        let list = (0..endpoints)
+            .map(|s| entry(s, EndpointState::Ready, None))
             .collect();
-        self.tell(g, Event::Servers(ListUpdate::Full(list)));
+        self.tell(
+            g,
+            Event::EndpointListChanged(EndpointListUpdate::Full(list)),
+        );
     }
 
     /// All gateways hear of the list.
-    pub(crate) fn tell_all(&mut self, update: &ListUpdate) {
-        for g in 0..self.gateways.len() {
-            self.tell(g, Event::Servers(update.clone()));
+    pub(crate) fn tell_all(&mut self, update: &EndpointListUpdate) {
+        for g in 0..self.ingress_count.len() {
+            self.tell(g, Event::EndpointListChanged(update.clone()));
         }
     }
 
     pub(crate) fn tell(&mut self, g: usize, event: Event) {
-        if let Event::Servers(ListUpdate::Changes(e) | ListUpdate::Full(e)) = &event {
+        if let Event::EndpointListChanged(
+            EndpointListUpdate::Changes(e) | EndpointListUpdate::Full(e),
+        ) = &event
+        {
             for e in e {
-                self.known.insert(e.server.0);
+                self.known.insert(e.endpoint.0);
                 match e.state {
-                    ServerState::Ready => self.told_out.remove(&(g, e.server.0)),
-                    _ => self.told_out.insert((g, e.server.0), self.now),
+                    EndpointState::Ready => self.told_out.remove(&(g, e.endpoint.0)),
+                    _ => self.told_out.insert((g, e.endpoint.0), self.now),
                 };
             }
         }
         let mut out = Vec::new();
-        self.gateways[g].handle(self.now, event, &mut out);
+        self.ingress_count[g].handle(self.now, event, &mut out);
         for action in out {
             self.check(g, &action);
             self.actions.push((g, action));
@@ -250,19 +261,19 @@
 
     fn check(&mut self, g: usize, action: &Action) {
         match action {
-            Action::Send {
+            Action::Forward {
                 request,
-                server,
-                give_up_at,
-            } => self.check_send(g, request.0, server.0, *give_up_at),
-            Action::Refuse { request, .. } => {
-                let effect = self.requests[&(g, request.0)].class;
+                endpoint,
+                deadline,
+            } => self.check_send(g, request.0, endpoint.0, *deadline),
+            Action::Reject { request, .. } => {
+                let idempotency = self.requests[&(g, request.0)].class;
                 let r = &self.requests[&(g, request.0)];
                 let ran = r.attempts.iter().any(|a| !proves_unrun(a.closed));
-                let may = match self.settings.classes[effect].effect {
-                    Effect::Safe
-                    | Effect::Keyed {
-                        group: DedupGroup::All,
+                let may = match self.settings.classes[idempotency].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey {
+                        group: DeduplicationScope::All,
                         ..
                     } => true,
                     _ => !ran,
@@ -279,15 +290,15 @@
                     );
                 }
             }
-            Action::Count {
-                name,
-                add,
-                lifetime,
+            Action::IncrementCounter {
+                key: name,
+                amount: add,
+                time_to_live: lifetime,
             } => {
                 assert!(add.is_finite() && *add >= 0.0, "adds never go below zero");
                 let (name, add, lifetime) = (*name, *add, *lifetime);
                 self.counts.push(PendingCount {
-                    gateway: g,
+                    dispatcher: g,
                     name,
                     add,
                     lifetime,
@@ -299,21 +310,24 @@
                 self.timers
                     .insert((self.now + (*after).max(self.settings.tick), self.next), g);
             }
-            Action::Log(text) => self.logs.push(text.clone()),
-            Action::Probe { .. } => {
-                assert!(self.settings.limits.probes, "probed without permission")
+            Action::Log(notice) => self.notices.push(*notice),
+            Action::CheckHealth { .. } => {
+                assert!(
+                    self.settings.permissions.health_checks,
+                    "probed without permission"
+                )
             }
-            Action::Subscribe | Action::FetchList => {}
+            Action::Subscribe | Action::FetchEndpointList => {}
         }
     }
 
-    fn check_send(&mut self, g: usize, request: u64, server: u32, give_up_at: Duration) {
+    fn check_send(&mut self, g: usize, request: u64, endpoint: u32, deadline: Duration) {
         assert!(
-            self.known.contains(&server),
+            self.known.contains(&endpoint),
             "sent to a server never listed"
         );
-        let grace = self.settings.guarantees.drain_grace;
-        if let Some(told) = self.told_out.get(&(g, server)) {
+        let grace = self.settings.endpoint_limits.drain_grace;
+        if let Some(told) = self.told_out.get(&(g, endpoint)) {
             assert!(
                 self.now <= *told + grace,
                 "rule 3: sent to a server told draining or gone"
@@ -325,19 +339,20 @@
             .get_mut(&(g, request))
             .expect("sent an unknown request");
         assert!(r.answer.is_none(), "rule 1: sent after the final answer");
-        assert!(give_up_at <= r.deadline, "an attempt outlives its request");
-        if !self.settings.limits.duplicates {
+        assert!(deadline <= r.deadline, "an attempt outlives its request");
+        if !self.settings.permissions.hedging {
             assert!(
                 r.attempts.iter().all(|a| a.closed.is_some()),
                 "two attempts out at once"
             );
         }
         if let Some(first) = r.attempts.iter().find(|a| !proves_unrun(a.closed)) {
-            match self.settings.classes[r.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("rule 2: an unsafe request repeated"),
-                Effect::Keyed { group, window } => {
-                    let same = group == DedupGroup::All || first.server % 2 == server % 2;
+            match self.settings.classes[r.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("rule 2: an unsafe request repeated"),
+                Idempotency::IdempotencyKey { group, window } => {
+                    let same =
+                        group == DeduplicationScope::All || first.endpoint % 2 == endpoint % 2;
                     assert!(
                         same && now <= first.sent + window,
                         "rule 2: a keyed repeat outside its group"
@@ -347,7 +362,7 @@
         }
         let first = r.attempts.is_empty();
         r.attempts.push(Open {
-            server,
+            endpoint,
             sent: now,
             closed: None,
         });
@@ -365,7 +380,7 @@
             let held = level >= -plan.ceiling_slack - 1e-6;
             assert!(held || !self.strict, "rule 5: ceiling passed");
         }
-        self.sends.push((g, server, now));
+        self.sends.push((g, endpoint, now));
     }
 
     pub(crate) fn answer(&mut self, g: usize, request: u64, answer: Answer) {
@@ -418,18 +433,18 @@
             answer: None,
         };
         self.requests.insert((g, id), track);
-        let event = NewRequest {
+        let event = IncomingRequest {
             service: ServiceId(0),
             request: RequestId(id),
             class,
             plan,
             customer: CustomerId(customer_id),
             units,
-            spread: self.gateways.len() as u32,
+            ingress_count: self.ingress_count.len() as u32,
             time_left: left,
-            retry: self.retry,
+            is_retry: self.is_retry,
         };
-        self.tell(g, Event::Request(event));
+        self.tell(g, Event::RequestReceived(event));
         id
     }
 
@@ -439,11 +454,11 @@
             return;
         }
         let chosen = &self.counts[index % self.counts.len()];
-        let (g, name) = (chosen.gateway, chosen.name);
+        let (g, name) = (chosen.dispatcher, chosen.name);
         let first = self
             .counts
             .iter()
-            .position(|c| c.gateway == g && c.name == name)
+            .position(|c| c.dispatcher == g && c.name == name)
             .unwrap();
         let call = self.counts.remove(first);
         let number = self
@@ -457,14 +472,14 @@
             number.0 += call.add;
         }
         let result = match mode {
-            CountMode::Answered => CountResult::Total(number.0),
-            CountMode::LostBefore | CountMode::LostAfter => CountResult::Unknown,
-            CountMode::Refused => CountResult::NotAdded,
+            CountMode::Answered => CounterResult::Total(number.0),
+            CountMode::LostBefore | CountMode::LostAfter => CounterResult::Unknown,
+            CountMode::Refused => CounterResult::NotAdded,
         };
         self.tell(
             g,
-            Event::Counted {
-                name,
+            Event::CounterReply {
+                key: name,
                 result,
                 elapsed: self.now - call.at,
             },
@@ -519,14 +534,14 @@
         let now = self.now;
         let r = self.requests.get_mut(&(g, request)).unwrap();
         r.attempts[n].closed = Some(outcome);
-        let (server, elapsed) = (r.attempts[n].server, now - r.attempts[n].sent);
+        let (endpoint, elapsed) = (r.attempts[n].endpoint, now - r.attempts[n].sent);
         if outcome == Outcome::Ok && r.answer.is_none() {
             r.answer = Some(Answer::Served);
         }
         let end = AttemptEnd {
             request: RequestId(request),
             attempt: n as u16,
-            server: ServerId(server),
+            endpoint: EndpointId(endpoint),
             outcome,
             elapsed,
             finished: r.answer.is_some(),
@@ -546,7 +561,7 @@
         if !open.is_empty() {
             let key = open[index % open.len()];
             self.requests.get_mut(&key).unwrap().answer = Some(Answer::Gone);
-            self.tell(key.0, Event::ClientGone(RequestId(key.1)));
+            self.tell(key.0, Event::ClientDisconnected(RequestId(key.1)));
         }
     }
 
@@ -557,7 +572,7 @@
         {
             self.timers.remove(&(at, seq));
             self.now = self.now.max(at);
-            self.tell(g, Event::Timer(TimerTag(0)));
+            self.tell(g, Event::TimerExpired(TimerTag(0)));
         }
         self.now = until;
     }
@@ -605,6 +620,6 @@
 fn proves_unrun(o: Option<Outcome>) -> bool {
     matches!(
         o,
-        Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        Some(Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotStarted)
     )
 }
--- a/crates/decision/tests/counter.rs
+++ b/crates/decision/tests/counter.rs
@@ -30,7 +30,7 @@
     w.count_all(CountMode::Answered);
     assert_eq!(w.answer_of(0, id), Some(Answer::Refused));
     let advice = w.actions.iter().rev().find_map(|(_, a)| match a {
-        Action::Refuse { retry_in, .. } => Some(*retry_in),
+        Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert!(
@@ -151,7 +151,7 @@
         w.count_all(CountMode::LostBefore);
         w.end(0, Outcome::Ok);
     }
-    assert!(w.logs.iter().any(|l| l.starts_with("counter short")));
+    assert!(w.notices.contains(&Notice::CounterDegraded));
     let mut at_once = 0;
     for k in 50..90 {
         let id = w.request(0, 0, 0, k);
@@ -169,8 +169,10 @@
         w.end(0, Outcome::Ok);
         w.advance(ms(20));
     }
-    let of_counter = w.logs.iter().rfind(|l| l.starts_with("counter"));
-    assert_eq!(of_counter.unwrap(), "counter asked by all tries");
+    let is_of_counter =
+        |notice: &&Notice| matches!(notice, Notice::CounterDegraded | Notice::CounterRecovered);
+    let last_of_counter = w.notices.iter().rfind(is_of_counter);
+    assert_eq!(last_of_counter, Some(&Notice::CounterRecovered));
 }
 
 #[test]
@@ -266,13 +268,13 @@
     let mut w = World::new(settings(3), 3, 5);
     let id = w.request(0, 0, 0, 1);
     w.count_all(CountMode::Answered);
-    let server = ServerId(w.requests[&(0, id)].attempts[0].server);
+    let endpoint = EndpointId(w.requests[&(0, id)].attempts[0].endpoint);
     w.requests.get_mut(&(0, id)).unwrap().attempts[0].closed = Some(Outcome::Ok);
     w.requests.get_mut(&(0, id)).unwrap().answer = Some(Answer::Served);
     let end = AttemptEnd {
         request: RequestId(id),
         attempt: 0,
-        server,
+        endpoint,
         outcome: Outcome::Ok,
         elapsed: ms(9),
         finished: true,
@@ -349,8 +351,8 @@
         let mut s = settings(3);
         (s.plans[1].rate, s.plans[1].burst) = (100.0, 300.0);
         let mut w = World::new(s, 3, 5);
-        for gateway in 0..3 {
-            w.request(gateway, 0, 1, 1);
+        for dispatcher in 0..3 {
+            w.request(dispatcher, 0, 1, 1);
             w.count_all(CountMode::Answered);
         }
         w.advance(ms(2500));
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -237,31 +237,31 @@
 /// A deployment, by what sets it apart.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    gateways: usize,
+    ingress_count: usize,
     counter: bool,
     ceiling: bool,
     settles: bool,
     halls: u16,
     copies: bool,
-    probes: bool,
+    health_checks: bool,
     grace: u64,
 }
 
 /// Few gateways before servers in one hall, no second copies.
 const PLAIN: Row = Row {
-    gateways: 2,
+    ingress_count: 2,
     counter: true,
     ceiling: false,
     settles: false,
     halls: 1,
     copies: false,
-    probes: true,
+    health_checks: true,
     grace: 2000,
 };
 
 /// Few before servers in two halls: units settled afterwards, a ceiling, second copies.
 const SETTLED: Row = Row {
-    gateways: 3,
+    ingress_count: 3,
     ceiling: true,
     settles: true,
     halls: 2,
@@ -274,27 +274,27 @@
     PLAIN,
     SETTLED,
     Row {
-        gateways: 2,
+        ingress_count: 2,
         copies: false,
-        probes: false,
+        health_checks: false,
         ..SETTLED
     },
     Row {
-        gateways: 12,
+        ingress_count: 12,
         ..SETTLED
     },
     Row {
-        gateways: 300,
+        ingress_count: 300,
         ceiling: true,
         ..PLAIN
     },
     // No counter at all.
     Row {
-        gateways: 12,
+        ingress_count: 12,
         counter: false,
         halls: 3,
         copies: true,
-        probes: false,
+        health_checks: false,
         grace: 0,
         ..PLAIN
     },
@@ -302,18 +302,21 @@
 
 impl Row {
     fn settings(self) -> Settings {
-        let mut s = settings(self.gateways as u32);
-        (s.classes[0].aim, s.classes[2].aim) = (ms(400), ms(1000));
-        s.classes[2].worth = 3.0;
+        let mut s = settings(self.ingress_count as u32);
+        (
+            s.classes[0].latency_objective,
+            s.classes[2].latency_objective,
+        ) = (ms(400), ms(1000));
+        s.classes[2].priority_weight = 3.0;
         if !self.counter {
             s.counter = None;
         }
         if !self.ceiling {
             s.plans[1] = plan(10.0, 20.0);
         }
-        s.limits.duplicates = self.copies;
-        s.limits.probes = self.probes;
-        s.guarantees.drain_grace = ms(self.grace);
+        s.permissions.hedging = self.copies;
+        s.permissions.health_checks = self.health_checks;
+        s.endpoint_limits.drain_grace = ms(self.grace);
         s
     }
 }
@@ -325,20 +328,20 @@
 /// the ceiling.
 fn play(row: Row, seed: u64) -> World {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut w = World::seeded(row.settings(), row.gateways, 6, seed);
+    let mut w = World::seeded(row.settings(), row.ingress_count, 6, seed);
     let outcomes = [
         Outcome::Ok,
         Outcome::Ok,
         Outcome::Ok,
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Overloaded,
         Outcome::Timeout,
         Outcome::ConnectFailed,
         Outcome::Reset,
     ];
     for _ in 0..1500 {
-        let (g, class) = (rng.usize(0..row.gateways), rng.usize(0..4));
+        let (g, class) = (rng.usize(0..row.ingress_count), rng.usize(0..4));
         let (plan, customer) = (rng.usize(0..2), rng.u64(0..4));
         let units = if row.settles {
             f64::from(rng.u32(1..=3))
@@ -359,16 +362,24 @@
         match rng.usize(0..60) {
             0 | 1 => {
                 let draw = rng.usize(0..6).saturating_sub(3);
-                let state =
-                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][draw.min(2)];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][draw.min(2)];
                 let mut e = entry(rng.u32(0..6), state, rng.bool().then_some(w.now));
                 e.zone = rng.u16(0..row.halls);
                 let to = if rng.bool() {
-                    0..row.gateways
+                    0..row.ingress_count
                 } else {
                     g..g + 1
                 };
-                to.for_each(|g| w.tell(g, Event::Servers(ListUpdate::Changes(vec![e]))));
+                to.for_each(|g| {
+                    w.tell(
+                        g,
+                        Event::EndpointListChanged(EndpointListUpdate::Changes(vec![e])),
+                    )
+                });
             }
             2 => w.client_gone(rng.usize(0..30)),
             3 => w.restart(g, 6),
@@ -400,7 +411,7 @@
 fn an_unsafe_request_that_may_have_run_is_answered_once_and_never_sent_again() {
     for row in ROWS {
         for outcome in [Outcome::Reset, Outcome::Error, Outcome::Timeout] {
-            let mut w = World::new(row.settings(), row.gateways, 6);
+            let mut w = World::new(row.settings(), row.ingress_count, 6);
             // Of many gateways one may refuse its first few: what goes out from all of them has to
             // fit.
             let mut tries = (1..200).map(|customer| {
--- a/crates/decision/tests/servers.rs
+++ b/crates/decision/tests/endpoints.rs
@@ -21,7 +21,7 @@
                     .enumerate()
                     .map(move |(n, a)| (*key, n, a))
             })
-            .filter(|(_, _, a)| a.closed.is_none() && !dead.contains(&a.server))
+            .filter(|(_, _, a)| a.closed.is_none() && !dead.contains(&a.endpoint))
             .map(|(key, n, _)| (key, n))
             .collect();
         for (key, n) in open {
@@ -31,14 +31,16 @@
 }
 
 #[test]
-fn a_silent_server_is_left_alone_and_logged() {
+fn a_silent_endpoint_is_left_alone_and_logged() {
     let mut w = World::new(settings(1), 1, 5);
     flow(&mut w, 0, 100, &[]);
     let before = w.sends.len();
     flow(&mut w, 0, 200, &[3]);
     let to_dead = w.sends[before..].iter().filter(|s| s.1 == 3).count();
     assert!(to_dead <= 16, "{to_dead} of 800 sends to the silent server");
-    assert!(w.logs.iter().any(|l| l == "server 3 silent"));
+    assert!(w
+        .notices
+        .contains(&Notice::EndpointUnresponsive(EndpointId(3))));
 }
 
 #[test]
@@ -47,7 +49,10 @@
     // served badly.
     let held = |class: usize| {
         let mut s = settings(1);
-        (s.classes[0].aim, s.classes[2].aim) = (ms(400), ms(1000));
+        (
+            s.classes[0].latency_objective,
+            s.classes[2].latency_objective,
+        ) = (ms(400), ms(1000));
         let mut w = World::new(s, 1, 5);
         flow(&mut w, 0, 100, &[]);
         flow(&mut w, 2, 100, &[]);
@@ -67,14 +72,14 @@
 }
 
 #[test]
-fn a_request_stuck_on_a_silent_server_gets_a_second_copy() {
+fn a_request_stuck_on_a_silent_endpoint_gets_a_second_copy() {
     let mut w = World::new(settings(1), 1, 5);
     flow(&mut w, 0, 100, &[]);
     flow(&mut w, 0, 100, &[3]);
     let stuck = w
         .requests
         .values()
-        .filter(|r| r.attempts.first().is_some_and(|a| a.server == 3));
+        .filter(|r| r.attempts.first().is_some_and(|a| a.endpoint == 3));
     let copied = stuck
         .filter(|r| r.attempts.len() > 1 && r.answer == Some(Answer::Served))
         .count();
@@ -84,7 +89,7 @@
 #[test]
 fn where_copies_are_forbidden_a_stuck_request_moves() {
     let mut s = settings(1);
-    s.limits.duplicates = false;
+    s.permissions.hedging = false;
     let mut w = World::new(s, 1, 5);
     flow(&mut w, 0, 100, &[]);
     let mut moved = false;
@@ -104,7 +109,7 @@
 }
 
 #[test]
-fn a_server_that_fails_fast_does_not_draw_everything() {
+fn an_endpoint_that_fails_fast_does_not_draw_everything() {
     let mut w = World::new(settings(1), 1, 5);
     let before = w.sends.len();
     for k in 0..200 {
@@ -112,7 +117,7 @@
             let id = w.request(0, 2, 0, 20_000 + 3 * k + j);
             w.count_all(CountMode::Answered);
             for n in 0..4 {
-                if w.sent(0, id) == n + 1 && w.requests[&(0, id)].attempts[n].server == 2 {
+                if w.sent(0, id) == n + 1 && w.requests[&(0, id)].attempts[n].endpoint == 2 {
                     w.end_attempt(0, id, n, Outcome::ConnectFailed);
                 }
             }
@@ -143,14 +148,14 @@
     let mut w = World::new(settings(1), 1, 5);
     let id = w.request(0, 2, 0, 1);
     w.count_all(CountMode::Answered);
-    w.end(0, Outcome::Full);
-    let servers: Vec<_> = w.requests[&(0, id)]
+    w.end(0, Outcome::Overloaded);
+    let endpoints: Vec<_> = w.requests[&(0, id)]
         .attempts
         .iter()
-        .map(|a| a.server)
+        .map(|a| a.endpoint)
         .collect();
-    assert_eq!(servers.len(), 2);
-    assert_ne!(servers[0], servers[1]);
+    assert_eq!(endpoints.len(), 2);
+    assert_ne!(endpoints[0], endpoints[1]);
 }
 
 #[test]
@@ -159,13 +164,13 @@
     let id = w.request(0, 1, 0, 1);
     w.count_all(CountMode::Answered);
     w.end(0, Outcome::Reset);
-    let servers: Vec<_> = w.requests[&(0, id)]
+    let endpoints: Vec<_> = w.requests[&(0, id)]
         .attempts
         .iter()
-        .map(|a| a.server % 2)
+        .map(|a| a.endpoint % 2)
         .collect();
-    assert_eq!(servers.len(), 2);
-    assert_eq!(servers[0], servers[1]);
+    assert_eq!(endpoints.len(), 2);
+    assert_eq!(endpoints[0], endpoints[1]);
     w.advance(ms(395));
     let before = w.sent(0, id);
     w.advance(ms(55));
@@ -181,13 +186,20 @@
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_removed_server() {
+fn nothing_goes_to_a_draining_or_removed_endpoint() {
     let mut w = World::new(settings(1), 1, 3);
-    let drain = vec![entry(0, ServerState::Draining, None)];
-    w.tell(0, Event::Servers(ListUpdate::Changes(drain)));
+    let drain = vec![entry(0, EndpointState::Draining, None)];
     w.tell(
         0,
-        Event::Servers(ListUpdate::Full(vec![entry(1, ServerState::Ready, None)])),
+        Event::EndpointListChanged(EndpointListUpdate::Changes(drain)),
+    );
+    w.tell(
+        0,
+        Event::EndpointListChanged(EndpointListUpdate::Full(vec![entry(
+            1,
+            EndpointState::Ready,
+            None,
+        )])),
     );
     let before = w.sends.len();
     flow(&mut w, 0, 50, &[]);
@@ -195,15 +207,18 @@
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_its_budget() {
+fn a_cold_endpoint_gets_no_more_than_its_budget() {
     let mut w = World::new(settings(1), 1, 5);
     flow(&mut w, 0, 150, &[]);
     // Said to be large, so that the choice alone would favour it.
-    let cold = ServerEntry {
+    let cold = EndpointEntry {
         weight: 20.0,
-        ..entry(4, ServerState::Ready, Some(w.now))
+        ..entry(4, EndpointState::Ready, Some(w.now))
     };
-    w.tell(0, Event::Servers(ListUpdate::Changes(vec![cold])));
+    w.tell(
+        0,
+        Event::EndpointListChanged(EndpointListUpdate::Changes(vec![cold])),
+    );
     let before = w.sends.len();
     flow(&mut w, 0, 100, &[]);
     let sends = &w.sends[before..];
@@ -260,7 +275,7 @@
 #[test]
 fn discovery_is_asked_where_it_must_be_and_again_after_a_failure() {
     let mut s = settings(1);
-    s.discovery = Discovery::Ask;
+    s.discovery = DiscoveryMode::Poll;
     let mut w = World::new(s, 1, 3);
     let asked = |w: &World| {
         w.actions
@@ -269,7 +284,10 @@
             .count()
     };
     assert_eq!(asked(&w), 1);
-    w.tell(0, Event::Servers(ListUpdate::Failed));
+    w.tell(
+        0,
+        Event::EndpointListChanged(EndpointListUpdate::Unavailable),
+    );
     w.advance(ms(1500));
     assert_eq!(asked(&w), 2);
 }
@@ -279,16 +297,16 @@
     let bad = |change: fn(&mut Settings)| {
         let mut s = settings(1);
         change(&mut s);
-        Gateway::new(s, 1).err()
+        Dispatcher::new(s, 1).err()
     };
     assert_eq!(bad(|s| s.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(bad(|s| s.plans.clear()), Some(SettingsError::NoPlan));
     assert!(bad(|s| s.plans[0].rate = f64::NAN).is_some());
-    assert!(bad(|s| s.guarantees.cold_share = -1.0).is_some());
+    assert!(bad(|s| s.endpoint_limits.initial_capacity_ratio = -1.0).is_some());
 }
 
 #[test]
-fn a_jam_that_makes_every_server_look_silent_is_not_fed() {
+fn a_jam_that_makes_every_endpoint_look_silent_is_not_fed() {
     let mut w = World::new(settings(1), 1, 4);
     flow(&mut w, 0, 100, &[]);
     for k in 0..400 {
--- a/crates/decision/tests/rare_sends.rs
+++ b/crates/decision/tests/infrequent_requests.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 const GATEWAYS: usize = 30;
-const SERVERS: u32 = 60;
+const ENDPOINTS: u32 = 60;
 
 fn few_copies() -> Settings {
     let mut s = settings(GATEWAYS as u32);
-    s.limits.duplicates = false;
-    s.plans[2].max_open = 0;
+    s.permissions.hedging = false;
+    s.plans[2].max_concurrent = 0;
     s
 }
 
@@ -31,7 +31,7 @@
                 .flat_map(|(k, r)| r.attempts.iter().enumerate().map(move |a| (*k, a)));
             let ready = due
                 .filter(|(_, (_, a))| a.closed.is_none())
-                .map(|(k, (n, a))| (k, n, fate(k.0, a.server), a.sent))
+                .map(|(k, (n, a))| (k, n, fate(k.0, a.endpoint), a.sent))
                 .find(|(_, _, (_, after), sent)| now >= *sent + *after);
             let Some((key, n, (outcome, _), _)) = ready else {
                 break;
@@ -50,21 +50,21 @@
 }
 
 /// A server takes connections from some gateways only, another one from others.
-fn linked(g: usize, server: u32) -> bool {
-    (g as u32 * 7 + server * 13).is_multiple_of(5)
+fn linked(g: usize, endpoint: u32) -> bool {
+    (g as u32 * 7 + endpoint * 13).is_multiple_of(5)
 }
 
 #[test]
-fn gateways_keep_to_the_servers_that_take_their_connections() {
-    let mut w = World::new(few_copies(), GATEWAYS, SERVERS);
-    let fate = |g, server| match linked(g, server) {
+fn gateways_keep_to_the_endpoints_that_take_their_connections() {
+    let mut w = World::new(few_copies(), GATEWAYS, ENDPOINTS);
+    let fate = |g, endpoint| match linked(g, endpoint) {
         true => (Outcome::Ok, ms(100)),
         false => (Outcome::ConnectFailed, ms(1)),
     };
     rounds(&mut w, 20, fate);
     let since = w.now;
     rounds(&mut w, 20, fate);
-    let refused = share_since(&w, since, |g, server| !linked(g, server));
+    let refused = share_since(&w, since, |g, endpoint| !linked(g, endpoint));
     assert!(
         refused < 0.14,
         "{refused} of the sends go where no connection is to be had"
@@ -72,16 +72,16 @@
 }
 
 #[test]
-fn when_connections_are_taken_again_all_servers_are_used_again() {
-    let mut w = World::new(few_copies(), GATEWAYS, SERVERS);
-    rounds(&mut w, 20, |g, server| match linked(g, server) {
+fn when_connections_are_taken_again_all_endpoints_are_used_again() {
+    let mut w = World::new(few_copies(), GATEWAYS, ENDPOINTS);
+    rounds(&mut w, 20, |g, endpoint| match linked(g, endpoint) {
         true => (Outcome::Ok, ms(100)),
         false => (Outcome::ConnectFailed, ms(1)),
     });
     rounds(&mut w, 20, |_, _| (Outcome::Ok, ms(100)));
     let since = w.now;
     rounds(&mut w, 10, |_, _| (Outcome::Ok, ms(100)));
-    let reopened = share_since(&w, since, |g, server| !linked(g, server));
+    let reopened = share_since(&w, since, |g, endpoint| !linked(g, endpoint));
     assert!(
         reopened > 0.6,
         "{reopened} of the sends go to the servers that refused before"
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn a_time_out_keeps_a_rarely_visited_server_from_the_next_requests() {
-    let mut w = World::new(few_copies(), GATEWAYS, SERVERS);
-    let jammed = |server: u32| server.is_multiple_of(5);
+fn a_time_out_keeps_a_rarely_visited_endpoint_from_the_next_requests() {
+    let mut w = World::new(few_copies(), GATEWAYS, ENDPOINTS);
+    let jammed = |endpoint: u32| endpoint.is_multiple_of(5);
     rounds(&mut w, 5, |_, _| (Outcome::Ok, ms(100)));
     let since = w.now;
-    rounds(&mut w, 40, |_, server| match jammed(server) {
+    rounds(&mut w, 40, |_, endpoint| match jammed(endpoint) {
         true => (Outcome::Timeout, ms(500)),
         false => (Outcome::Ok, ms(100)),
     });
-    let lost = share_since(&w, since, |_, server| jammed(server));
+    let lost = share_since(&w, since, |_, endpoint| jammed(endpoint));
     assert!(
         lost < 0.12,
         "{lost} of the sends go to the fifth of the servers that times out"
@@ -108,7 +108,10 @@
 /// The last answer of a request: refused, and the advice that came with it.
 fn advice(w: &World, id: u64) -> Option<Duration> {
     let last = w.actions.iter().rev().find_map(|(_, a)| match a {
-        Action::Refuse { request, retry_in } if request.0 == id => Some(*retry_in),
+        Action::Reject {
+            request,
+            retry_after,
+        } if request.0 == id => Some(*retry_after),
         _ => None,
     });
     last.expect("refused")
@@ -170,21 +173,21 @@
 }
 
 #[test]
-fn gateways_do_not_all_probe_and_take_the_same_few_servers() {
+fn gateways_do_not_all_probe_and_take_the_same_few_endpoints() {
     let mut s = few_copies();
-    (s.limits.probes, s.reports_on_probe) = (true, true);
-    let mut w = World::new(s, GATEWAYS, SERVERS);
+    (s.permissions.health_checks, s.load_reports_on_health_check) = (true, true);
+    let mut w = World::new(s, GATEWAYS, ENDPOINTS);
     rounds(&mut w, 5, |_, _| (Outcome::Ok, ms(100)));
     let mut first = std::collections::BTreeMap::new();
     for (g, action) in &w.actions {
-        if let Action::Probe { server } = action {
-            first.entry(*g).or_insert(server.0);
+        if let Action::CheckHealth { endpoint } = action {
+            first.entry(*g).or_insert(endpoint.0);
         }
     }
-    let servers: std::collections::BTreeSet<_> = first.values().collect();
+    let endpoints: std::collections::BTreeSet<_> = first.values().collect();
     assert!(
-        first.len() == GATEWAYS && servers.len() > 15,
-        "{} first probes at {servers:?}",
+        first.len() == GATEWAYS && endpoints.len() > 15,
+        "{} first probes at {endpoints:?}",
         first.len()
     );
 }
@@ -192,7 +195,7 @@
 #[test]
 fn a_bound_of_a_fraction_holds_for_all_gateways_together() {
     let mut s = few_copies();
-    s.gateways = 150;
+    s.ingress_count = 150;
     let mut w = World::new(s, 150, 20);
     let mut held = 0;
     for step in 0..500u64 {
--- a/crates/decision/tests/size_of_fleet.rs
+++ b/crates/decision/tests/many_ingresses.rs
@@ -73,7 +73,7 @@
 fn a_counter_short_of_calls_is_spared_those_whose_total_would_change_nothing() {
     let mut s = settings(MANY as u32);
     s.plans[1] = Plan {
-        excess_cost: 0.0,
+        over_quota_cost: 0.0,
         ..plan(5.0, 10.0)
     };
     let mut w = World::new(s, MANY, 20);
@@ -100,7 +100,7 @@
     let mut next = 0;
     // How many of so many tries pass, each of a customer of its own that others have used so far.
     let mut passed = |w: &mut World, tries: u64, (retry, used): (bool, f64), mode| {
-        w.retry = retry;
+        w.is_retry = retry;
         let mut passed = 0;
         for _ in 0..tries {
             next += 1;
@@ -171,13 +171,13 @@
 }
 
 #[test]
-fn a_cold_server_is_not_pushed_over_by_one_send_from_each_gateway() {
+fn a_cold_endpoint_is_not_pushed_over_by_one_send_from_each_gateway() {
     let s = settings(MANY as u32);
     let mut w = World::new(s, MANY, 20);
     let started = Some(w.now);
-    w.tell_all(&ListUpdate::Changes(vec![entry(
+    w.tell_all(&EndpointListUpdate::Changes(vec![entry(
         77,
-        ServerState::Ready,
+        EndpointState::Ready,
         started,
     )]));
     let from = w.now;
@@ -200,19 +200,20 @@
 }
 
 #[test]
-fn a_stall_of_the_gateway_is_no_silence_of_the_servers() {
+fn a_stall_of_the_gateway_is_no_silence_of_the_endpoints() {
     let mut w = World::new(settings(MANY as u32), 1, 20);
     for k in 0..10 {
         w.request(0, 0, 0, k);
     }
     w.count_all(CountMode::Answered);
     w.now += ms(1000);
-    w.tell(0, Event::Timer(TimerTag(0)));
-    assert!(w.logs.iter().all(|l| !l.contains("silent")), "{:?}", w.logs);
+    w.tell(0, Event::TimerExpired(TimerTag(0)));
+    let is_unresponsive = |notice: &Notice| matches!(notice, Notice::EndpointUnresponsive(_));
+    assert!(!w.notices.iter().any(is_unresponsive), "{:?}", w.notices);
 }
 
 #[test]
-fn hundreds_of_gateways_do_not_fill_idle_servers_in_the_first_second() {
+fn hundreds_of_gateways_do_not_fill_idle_endpoints_in_the_first_second() {
     let mut w = World::new(settings(MANY as u32), MANY, 20);
     for g in 0..MANY {
         for k in 0..20 {
@@ -220,10 +221,10 @@
         }
     }
     w.count_all(CountMode::Answered);
-    let per_server = w.sends.len() / 20;
+    let per_endpoint = w.sends.len() / 20;
     assert!(
-        per_server <= 20,
-        "{per_server} out at each server before any answer"
+        per_endpoint <= 20,
+        "{per_endpoint} out at each server before any answer"
     );
 }
 
@@ -243,20 +244,20 @@
 }
 
 /// Entries of a fleet in which every second server is a quarter smaller.
-fn two_sizes(servers: u32) -> Vec<ServerEntry> {
+fn two_sizes(endpoints: u32) -> Vec<EndpointEntry> {
     let size = |n: u32| if n.is_multiple_of(2) { 2.0 } else { 1.5 };
-    (0..servers)
-        .map(|n| ServerEntry {
+    (0..endpoints)
+        .map(|n| EndpointEntry {
             weight: size(n),
-            ..entry(n, ServerState::Ready, None)
+            ..entry(n, EndpointState::Ready, None)
         })
         .collect()
 }
 
 #[test]
-fn small_servers_carry_their_share_where_each_gateway_has_little_out() {
+fn small_endpoints_carry_their_share_where_each_gateway_has_little_out() {
     let mut w = World::new(settings(100), 100, 60);
-    w.tell_all(&ListUpdate::Full(two_sizes(60)));
+    w.tell_all(&EndpointListUpdate::Full(two_sizes(60)));
     for round in 0..60 {
         for g in 0..100 {
             w.request(g, 0, 2, (round * 100 + g) as u64);
@@ -277,18 +278,18 @@
 }
 
 #[test]
-fn a_gateway_of_many_comes_back_to_a_few_servers_and_leaves_them_when_they_fail() {
+fn a_gateway_of_many_comes_back_to_a_few_endpoints_and_leaves_them_when_they_fail() {
     let mut w = World::new(settings(100), 100, 60);
     let flow = |w: &mut World, bad: &dyn Fn(u32) -> bool| {
         let from = w.sends.len();
         for round in 0..40 {
             w.request(7, 0, 2, round);
             w.count_all(CountMode::Answered);
-            let (_, server, _) = *w.sends.last().unwrap();
+            let (_, endpoint, _) = *w.sends.last().unwrap();
             w.advance(ms(100));
             w.end(
                 0,
-                if bad(server) {
+                if bad(endpoint) {
                     Outcome::ConnectFailed
                 } else {
                     Outcome::Ok
@@ -311,12 +312,12 @@
 }
 
 #[test]
-fn a_number_that_no_gateway_has_is_an_error() {
-    for (gateways, number) in [(0, 0), (3, 3)] {
-        let wrong = Gateway::new(
+fn an_index_that_no_ingress_has_is_an_error() {
+    for (ingress_count, ingress_index) in [(0, 0), (3, 3)] {
+        let wrong = Dispatcher::new(
             Settings {
-                number,
-                ..settings(gateways)
+                ingress_index,
+                ..settings(ingress_count)
             },
             1,
         )
@@ -340,23 +341,25 @@
 
 /// Gateways and servers, of which the last `cold` have just started; work that stays out 200 ms,
 /// every tenth gateway with `busy` times the others' traffic.
-fn with_cold(gateways: usize, servers: u32, cold: u32, busy: usize) -> Cold {
+fn with_cold(ingress_count: usize, endpoints: u32, cold: u32, busy: usize) -> Cold {
     let span = 2000;
-    let mut w = World::new(settings(gateways as u32), gateways, servers);
+    let mut w = World::new(settings(ingress_count as u32), ingress_count, endpoints);
     let started = Some(w.now);
     let list = |n: u32| {
         entry(
             n,
-            ServerState::Ready,
-            started.filter(|_| n >= servers - cold),
+            EndpointState::Ready,
+            started.filter(|_| n >= endpoints - cold),
         )
     };
-    w.tell_all(&ListUpdate::Full((0..servers).map(list).collect()));
+    w.tell_all(&EndpointListUpdate::Full(
+        (0..endpoints).map(list).collect(),
+    ));
     let (mut most, mut total, mut part): (f64, f64, f64) = (0.0, 0.0, 0.0);
     for window in 0..3u32 {
         let from = w.sends.len();
         for step in 0..span / 200 {
-            for g in 0..gateways {
+            for g in 0..ingress_count {
                 for _ in 0..if g.is_multiple_of(10) { busy } else { 1 } {
                     w.request(g, 0, 2, (window as usize * 10_000 + step * 100 + g) as u64);
                 }
@@ -367,26 +370,26 @@
         }
         let sends = &w.sends[from..];
         let got = |n: u32| sends.iter().filter(|s| s.1 == n).count() as f64;
-        let most_now = (servers - cold..servers).map(got).fold(0.0, f64::max);
+        let most_now = (endpoints - cold..endpoints).map(got).fold(0.0, f64::max);
         most = most.max(most_now);
         let (mean, warmth) = (
-            sends.len() as f64 / f64::from(servers),
+            sends.len() as f64 / f64::from(endpoints),
             0.25 + 0.15 * f64::from(window + 1),
         );
         part = part.max(most_now / (2.0 * warmth * mean));
         total += sends.len() as f64;
     }
-    let cold_sends = w.sends.iter().filter(|s| s.1 >= servers - cold).count() as f64;
+    let cold_sends = w.sends.iter().filter(|s| s.1 >= endpoints - cold).count() as f64;
     Cold {
         most,
-        mean: total / (3.0 * f64::from(servers)),
+        mean: total / (3.0 * f64::from(endpoints)),
         share: cold_sends / total,
         part,
     }
 }
 
 #[test]
-fn six_in_ten_cold_servers_carry_their_part_and_are_not_pushed_over() {
+fn six_in_ten_cold_endpoints_carry_their_part_and_are_not_pushed_over() {
     let Cold {
         most,
         mean,
@@ -409,7 +412,7 @@
 }
 
 #[test]
-fn at_full_size_the_busiest_gateways_push_no_cold_server_over_either() {
+fn at_full_size_the_busiest_gateways_push_no_cold_endpoint_over_either() {
     let Cold {
         mean, share, part, ..
     } = with_cold(300, 200, 120, 5);
@@ -426,7 +429,7 @@
 }
 
 #[test]
-fn where_all_servers_are_cold_the_rule_holds_and_work_goes_on() {
+fn where_all_endpoints_are_cold_the_rule_holds_and_work_goes_on() {
     let Cold {
         most, mean, share, ..
     } = with_cold(100, 60, 60, 1);
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -11,7 +11,7 @@
     Count(usize, u8),
     End(usize, u8),
     Advance(u64),
-    Server(usize, u32, u8),
+    Endpoint(usize, u32, u8),
     Gone(usize),
     Restart(usize),
     Junk(usize, u8),
@@ -23,7 +23,7 @@
         6 => (0..50usize, 0..6u8).prop_map(|(i, m)| Step::Count(i, m)),
         5 => (0..50usize, 0..10u8).prop_map(|(i, o)| Step::End(i, o)),
         5 => (1..400u64).prop_map(Step::Advance),
-        1 => (0..3usize, 0..6u32, 0..3u8).prop_map(|(g, s, x)| Step::Server(g, s, x)),
+        1 => (0..3usize, 0..6u32, 0..3u8).prop_map(|(g, s, x)| Step::Endpoint(g, s, x)),
         1 => (0..50usize).prop_map(Step::Gone),
         1 => (0..3usize).prop_map(Step::Restart),
         1 => (0..3usize, 0..6u8).prop_map(|(g, x)| Step::Junk(g, x)),
@@ -35,7 +35,7 @@
     let end = AttemptEnd {
         request: RequestId(u64::MAX),
         attempt: 9,
-        server: ServerId(77),
+        endpoint: EndpointId(77),
         outcome: Outcome::Ok,
         elapsed: ms(1),
         finished: true,
@@ -48,18 +48,18 @@
     };
     let event = match kind {
         0 => Event::AttemptEnded(end),
-        1 => Event::ClientGone(RequestId(u64::MAX)),
-        2 => Event::Counted {
-            name: CountName(5),
-            result: CountResult::Total(nan),
+        1 => Event::ClientDisconnected(RequestId(u64::MAX)),
+        2 => Event::CounterReply {
+            key: CounterKey(5),
+            result: CounterResult::Total(nan),
             elapsed: ms(1),
         },
-        3 => Event::Timer(TimerTag(12345)),
+        3 => Event::TimerExpired(TimerTag(12345)),
         4 => {
-            let (service, server) = (ServiceId(0), ServerId(88));
-            Event::ProbeEnded {
+            let (service, endpoint) = (ServiceId(0), EndpointId(88));
+            Event::HealthCheckEnded {
                 service,
-                server,
+                endpoint,
                 outcome: Outcome::Ok,
                 load: None,
             }
@@ -102,20 +102,26 @@
                     Outcome::Ok,
                     Outcome::Ok,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Overloaded,
                     Outcome::Timeout,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
                     Outcome::Cancelled,
-                    Outcome::Moot,
+                    Outcome::NotStarted,
                 ][usize::from(*o)],
             ),
             Step::Advance(t) => w.advance(ms(*t)),
-            Step::Server(g, s, x) => {
-                let state =
-                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(*x)];
+            Step::Endpoint(g, s, x) => {
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][usize::from(*x)];
                 let e = entry(*s, state, Some(w.now));
-                w.tell(*g, Event::Servers(ListUpdate::Changes(vec![e])));
+                w.tell(
+                    *g,
+                    Event::EndpointListChanged(EndpointListUpdate::Changes(vec![e])),
+                );
             }
             Step::Gone(i) => w.client_gone(*i),
             Step::Restart(g) => w.restart(*g, 5),
@@ -146,7 +152,7 @@
     #[test]
     fn without_second_copies_one_attempt_is_out_at_most(steps in prop::collection::vec(step(), 1..250)) {
         let mut s = settings(3);
-        s.limits.duplicates = false;
+        s.permissions.hedging = false;
         run(&steps, s, false);
     }
 
@@ -166,7 +172,7 @@
         let mut s = settings(3);
         s.counter = None;
         let w = run(&steps, s, false);
-        let counted = w.actions.iter().any(|(_, a)| matches!(a, Action::Count { .. }));
+        let counted = w.actions.iter().any(|(_, a)| matches!(a, Action::IncrementCounter { .. }));
         prop_assert!(!counted);
     }
 }
