--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -1,8 +1,8 @@
 //! Every size, count and time of the ingress, filled once at start and handed down.
 
-use roseyard_admission::Use;
-use roseyard_operator_config::Effective;
-use roseyard_platform_config::Options;
+use roseyard_admission::DescriptorUse;
+use roseyard_operator_config::OperatorSettings;
+use roseyard_platform_config::PlatformSettings;
 use std::time::Duration;
 
 /// What discovery has to tell counts as told after this, heard or not.
@@ -133,7 +133,11 @@
 
 impl Limits {
     /// The limits under the operator's settings, so much memory, and the platform's settings.
-    pub fn new(operator: &Effective, memory_mb: usize, options: &Options) -> Limits {
+    pub fn new(
+        operator: &OperatorSettings,
+        memory_mb: usize,
+        options: &PlatformSettings,
+    ) -> Limits {
         let ms = Duration::from_millis;
         let memory = memory_mb.max(32) << 20;
         let longest = options.longest_deadline();
@@ -175,7 +179,7 @@
             held_bytes: memory / 4,
             requests: options.max_open().unwrap_or(20_000),
             pipelined: 1024,
-            counters: operator.share(Use::Counter).most,
+            counters: operator.share(DescriptorUse::Counter).most,
             counter_bytes: 4 << 20,
             counter_calls: 4096,
             busy_again: ms(500),
@@ -234,14 +238,14 @@
             "\"StopSendingWithinMs\":2000.0",
             &format!("\"StopSendingWithinMs\":{grace}.0"),
         );
-        let operator = Effective::new(&roseyard_operator_config::Machine {
+        let operator = OperatorSettings::new(&roseyard_operator_config::MachineLimits {
             sockets: 1024,
             allowed: 1024,
         });
         Limits::new(
             &operator,
             192,
-            &Options::parse(settings.as_bytes()).unwrap(),
+            &PlatformSettings::parse(settings.as_bytes()).unwrap(),
         )
     }
 }
--- a/crates/ingress/src/program/cli.rs
+++ b/crates/ingress/src/program/cli.rs
@@ -2,8 +2,8 @@
 
 use super::config::Config;
 use clap::{Parser, Subcommand, ValueEnum};
-use roseyard_operator_config::log::{self, Form};
-use roseyard_operator_config::{Effective, File, Machine, Mistakes, Row};
+use roseyard_operator_config::log::{self, LogFormat};
+use roseyard_operator_config::{ConfigErrors, File, MachineLimits, OperatorSettings, SettingRow};
 use std::path::{Path, PathBuf};
 
 /// Shared quotas, routing and repeated attempts for services sold by plan.
@@ -70,9 +70,9 @@
 }
 
 impl MachineArgs {
-    fn machine(&self) -> Machine {
+    fn machine(&self) -> MachineLimits {
         let told = || Config::read().ok().map(|config| config.limits.sockets);
-        Machine {
+        MachineLimits {
             sockets: self.sockets.or_else(told).unwrap_or(1024),
             allowed: crate::transport::allowed(),
         }
@@ -88,12 +88,16 @@
     }
 
     /// Sets up the log for these settings.
-    pub fn start_log(&self, settings: &Effective) {
+    pub fn start_log(&self, settings: &OperatorSettings) {
         let json = self
             .log
             .map_or(settings.log_json, |form| form == LogForm::Json);
         log::init(
-            if json { Form::Json } else { Form::Text },
+            if json {
+                LogFormat::Json
+            } else {
+                LogFormat::Text
+            },
             settings.log_lines,
         );
     }
@@ -127,9 +131,12 @@
 }
 
 /// A file and its settings, or its mistakes drawn with their lines.
-fn checked(path: Option<&Path>, machine: &Machine) -> Result<(File, Vec<Row>), String> {
+fn checked(
+    path: Option<&Path>,
+    machine: &MachineLimits,
+) -> Result<(File, Vec<SettingRow>), String> {
     let named = path.map_or_else(|| "defaults".to_owned(), |path| path.display().to_string());
-    let said = |wrong: Mistakes| {
+    let said = |wrong: ConfigErrors| {
         format!(
             "{named}: {} mistakes\n{}",
             wrong.iter().count(),
@@ -143,15 +150,15 @@
     Ok((file, rows))
 }
 
-fn table(rows: &[Row]) -> String {
-    let wide = |of: fn(&Row) -> &str| {
+fn table(rows: &[SettingRow]) -> String {
+    let wide = |of: fn(&SettingRow) -> &str| {
         rows.iter()
             .map(|r| of(r).chars().count())
             .max()
             .unwrap_or(0)
     };
     let (names, values, sources) = (wide(|r| &r.name), wide(|r| &r.value), wide(|r| &r.source));
-    let line = |r: &Row| {
+    let line = |r: &SettingRow| {
         format!(
             "{:names$}  {:values$}  {:sources$}  {} ({})\n",
             r.name, r.value, r.source, r.about, r.allowed
--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -1,7 +1,7 @@
 //! What the platform tells an ingress at its start.
 
-use crate::protocol::list::List;
-use roseyard_platform_config::Options;
+use crate::protocol::list::EndpointListMessage;
+use roseyard_platform_config::PlatformSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -12,16 +12,16 @@
     discovery: String,
     seed: String,
     #[serde(default)]
-    limits: Machine,
+    limits: MachineLimits,
     #[serde(default)]
     counter: Option<String>,
-    known: List,
-    settings: Options,
+    known: EndpointListMessage,
+    settings: PlatformSettings,
 }
 
 /// The machine's limits.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Machine {
+pub struct MachineLimits {
     /// Memory over which the ingress is killed, in MB.
     #[serde(default = "memory")]
     pub memory_mb: usize,
@@ -38,9 +38,9 @@
     1024
 }
 
-impl Default for Machine {
+impl Default for MachineLimits {
     fn default() -> Self {
-        Machine {
+        MachineLimits {
             memory_mb: memory(),
             sockets: sockets(),
         }
@@ -60,11 +60,11 @@
     /// Seed for random numbers.
     pub seed: u64,
     /// The machine's limits.
-    pub limits: Machine,
+    pub limits: MachineLimits,
     /// The list of servers as this ingress last held it.
-    pub known: List,
+    pub known: EndpointListMessage,
     /// The platform's settings.
-    pub settings: Options,
+    pub settings: PlatformSettings,
 }
 
 impl Config {
--- a/crates/ingress/src/program/files.rs
+++ b/crates/ingress/src/program/files.rs
@@ -77,6 +77,6 @@
 fn write(what: &str, event: &str, path: &Path, bytes: &[u8]) {
     if let Err(e) = replace(path, bytes) {
         let file = path.display();
-        tracing::warn!(event, %file, why = %e, "{what}: {file}: not written: {e}");
+        tracing::warn!(event, %file, error = %e, "{what} not written");
     }
 }
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -9,12 +9,12 @@
 use crate::clock::Clock;
 use crate::limits::Limits;
 use crate::routing::members::Members;
-use crate::routing::{Answer, Core, Front, Io, Party, Start, Terms};
+use crate::routing::{Core, Front, Io, Party, Response, Start, Terms};
 use crate::transport::{allowed, listen, spare, Deadlines, Key, Poller, Ready};
 use cli::Run;
 use config::Config;
-use roseyard_admission::Budget;
-use roseyard_operator_config::{Effective, File, Machine};
+use roseyard_admission::DescriptorBudget;
+use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use standing::Keeper;
@@ -64,7 +64,7 @@
     ready_due: Option<Duration>,
     drain_due: Option<Duration>,
     /// The machine as it was at the start.
-    machine: Machine,
+    machine: MachineLimits,
     keeper: Keeper,
     standing_due: Option<Duration>,
     /// The other ingresses, and who writes down what is known of them, where the operator wants
@@ -78,7 +78,7 @@
     knocking: bool,
     /// Room for a round's news, kept from round to round.
     ready: Vec<Ready>,
-    answers: Vec<((Key, u64), Answer)>,
+    answers: Vec<((Key, u64), Response)>,
 }
 
 /// How far the end of the process has come.
@@ -110,7 +110,11 @@
         if !program.round(wait, || clock.now())? {
             let left = program.core.open_requests();
             program.end();
-            tracing::info!(event = "stopped", left, "stopped, {left} requests open");
+            tracing::info!(
+                event = "shutdown.completed",
+                open_requests = left,
+                "shutdown completed"
+            );
             return Ok(());
         }
     }
@@ -125,7 +129,7 @@
         match listen(at, limits.backlog) {
             Err(Errno::ADDRINUSE) if since.elapsed() < limits.address => {
                 if !std::mem::replace(&mut told, true) {
-                    tracing::warn!(event = "address", %at, "{at} is in use; waiting for it");
+                    tracing::warn!(event = "listen.address_in_use", address = %at, "address in use, retrying");
                 }
                 std::thread::sleep(limits.address_again);
             }
@@ -134,8 +138,8 @@
     }
 }
 
-fn machine(config: &Config) -> Machine {
-    Machine {
+fn machine(config: &Config) -> MachineLimits {
+    MachineLimits {
         sockets: config.limits.sockets,
         allowed: allowed(),
     }
@@ -149,7 +153,7 @@
         let options = &config.settings;
         let limits = Limits::new(&operator, config.limits.memory_mb, options);
         let poller = Poller::new(limits.batch).map_err(|e| format!("epoll: {e}"))?;
-        let budget = Budget::new(operator.sockets, operator.shares)
+        let budget = DescriptorBudget::new(operator.sockets, operator.shares)
             .map_err(|e| format!("descriptors: {e}"))?;
         let mut io = Io {
             poller,
@@ -163,7 +167,7 @@
         let settings = options.settings()?;
         let services = file.services();
         let terms = Terms::new(options, &settings, &limits, services.route_field());
-        let Effective {
+        let OperatorSettings {
             policy,
             standing,
             membership,
@@ -186,7 +190,7 @@
         };
         if let Some(at) = front.address() {
             let name = &config.name;
-            tracing::info!(event = "listening", name, %at, "{name}: listening on {at}");
+            tracing::info!(event = "listening", name, address = %at, "listening");
         }
         let core =
             Core::new(start, &config.known, &mut io).map_err(|e| format!("settings: {e}"))?;
@@ -259,7 +263,7 @@
             Ok((config, operator, file)) => {
                 // The shares fit: they were held against the total just now.
                 if let Err(e) = io.budget.set(operator.sockets, operator.shares) {
-                    tracing::warn!(event = "reload.descriptors", "reload: {e}");
+                    tracing::warn!(event = "reload.descriptors", error = %e, "descriptor limits not reloaded");
                 }
                 self.front.set_policy(operator.policy, io);
                 self.keeper.set(operator.standing);
@@ -274,16 +278,16 @@
                     .map_or_else(|| "none".to_owned(), |c| c.to_string());
                 let discovery = config.discovery;
                 tracing::info!(
-                    event = "reload", %discovery, counter,
-                    "reload: discovery at {discovery}, counter at {counter}"
+                    event = "reload.completed", %discovery, counter,
+                    "configuration reloaded"
                 );
                 self.core.move_to(discovery, config.counter, io);
             }
             Err(wrong) => {
                 tracing::warn!(
-                    event = "reload.wrong",
-                    wrong,
-                    "reload: {wrong}; the settings held stay in force"
+                    event = "reload.rejected",
+                    error = wrong,
+                    "configuration rejected, previous one stays in force"
                 );
             }
         }
@@ -362,7 +366,7 @@
                     .answer(owner, answer, &mut self.core, &mut self.io);
             }
             self.front.flush(&mut self.core, &mut self.io);
-            if !self.core.has_news() {
+            if !self.core.has_pending() {
                 break;
             }
         }
@@ -404,7 +408,11 @@
             self.phase = Phase::Leaving;
             let io = &mut self.io;
             let open = self.core.open_requests();
-            tracing::info!(event = "leaving", open, "leaving: {open} requests open");
+            tracing::info!(
+                event = "shutdown.started",
+                open_requests = open,
+                "shutdown started"
+            );
             io.deadlines.set(
                 &mut self.drain_due,
                 Some(io.now + io.limits.drain_accept),
@@ -424,9 +432,9 @@
             self.front.drain(core, io);
             let clients = self.front.len();
             tracing::info!(
-                event = "draining",
+                event = "shutdown.draining",
                 clients,
-                "draining: no longer accepting, {clients} clients"
+                "draining, listener closed"
             );
             io.deadlines.set(
                 &mut self.drain_due,
@@ -438,9 +446,9 @@
             self.phase = Phase::Stopping;
             let open = core.open_requests();
             tracing::info!(
-                event = "stopping",
-                open,
-                "stopping: {open} requests answered as failed or refused"
+                event = "shutdown.deadline_exceeded",
+                open_requests = open,
+                "drain deadline exceeded, open requests answered"
             );
             core.stop();
             self.front.stop();
@@ -480,7 +488,7 @@
                 self.knocking = true;
             }
             Party::Report => self.front.on_report_due(),
-            Party::Standing => self.on_standing_due(),
+            Party::SnapshotSettings => self.on_standing_due(),
             Party::Members => self.members.iter_mut().for_each(|m| m.on_due(io)),
             Party::Status => self.on_status_due(),
             Party::Ready => self.ready_due = None,
@@ -491,7 +499,7 @@
 
     fn on_standing_due(&mut self) {
         self.standing_due = None;
-        self.keeper.write(self.front.gate(), self.io.now);
+        self.keeper.write(self.front.controller(), self.io.now);
         self.keeper.arm(&mut self.standing_due, &mut self.io);
     }
 
@@ -509,7 +517,7 @@
 
     /// All is done: what is known of clients is kept for the next start.
     pub fn end(&mut self) {
-        self.keeper.finish(self.front.gate(), self.io.now);
+        self.keeper.finish(self.front.controller(), self.io.now);
     }
 
     fn on_signal(&mut self) {
--- a/crates/ingress/src/program/standing.rs
+++ b/crates/ingress/src/program/standing.rs
@@ -3,8 +3,8 @@
 
 use super::files::{unix_ms, Writer};
 use crate::routing::{Io, Party};
-use roseyard_admission::{Gate, Snapshot};
-use roseyard_operator_config::Standing;
+use roseyard_admission::{AdmissionController, Snapshot};
+use roseyard_operator_config::SnapshotSettings;
 use std::fs;
 use std::io::Read;
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 /// The file of standing and who writes it.
 pub(super) struct Keeper {
-    settings: Standing,
+    settings: SnapshotSettings,
     writer: Writer,
 }
 
@@ -34,35 +34,39 @@
 impl Keeper {
     /// Reads what was kept, if there is a file and it is whole; else says why not and goes on
     /// without.
-    pub(super) fn start(settings: Standing, gate: &mut Gate, now: Duration) -> Keeper {
+    pub(super) fn start(
+        settings: SnapshotSettings,
+        controller: &mut AdmissionController,
+        now: Duration,
+    ) -> Keeper {
         if let Some(path) = &settings.file {
             let file = path.display();
             match read(path) {
                 Ok((snapshot, age)) => {
-                    gate.recall(&snapshot, age, now);
+                    controller.restore(&snapshot, age, now);
                     let (clients, customers, age) = (
                         snapshot.clients.len(),
                         snapshot.customers.len(),
                         age.as_secs(),
                     );
                     tracing::info!(
-                        event = "standing.read", %file, clients, customers, age,
-                        "standing: {file}: {clients} clients and {customers} customers, written {age} s ago"
+                        event = "reputation.restored", %file, clients, customers, age_seconds = age,
+                        "client reputations restored"
                     );
                 }
                 Err(why) => {
-                    tracing::warn!(event = "standing.passed-over", %file, why, "standing: {file}: passed over: {why}");
+                    tracing::warn!(event = "reputation.not_restored", %file, error = why, "client reputations not restored");
                 }
             }
         }
         Keeper {
             settings,
-            writer: Writer::new("standing", "standing.write"),
+            writer: Writer::new("reputation snapshot", "reputation.write_failed"),
         }
     }
 
     /// Other settings hold from now on.
-    pub(super) fn set(&mut self, settings: Standing) {
+    pub(super) fn set(&mut self, settings: SnapshotSettings) {
         self.settings = settings;
     }
 
@@ -73,28 +77,32 @@
             .file
             .as_ref()
             .map(|_| io.now + self.settings.every);
-        io.deadlines.set(due, at, Party::Standing);
+        io.deadlines.set(due, at, Party::SnapshotSettings);
     }
 
     /// Writes the file, unless the last writing still goes on.
-    pub(super) fn write(&mut self, gate: &Gate, now: Duration) {
+    pub(super) fn write(&mut self, controller: &AdmissionController, now: Duration) {
         let Some(path) = self.settings.file.clone() else {
             return;
         };
         if self.writer.is_busy() {
             return;
         }
-        let bytes = gate.snapshot(self.settings.most, now).encode(unix_ms());
+        let bytes = controller
+            .snapshot(self.settings.most, now)
+            .encode(unix_ms());
         self.writer.begin(path, bytes);
     }
 
     /// Writes the file for the last time.
-    pub(super) fn finish(&mut self, gate: &Gate, now: Duration) {
+    pub(super) fn finish(&mut self, controller: &AdmissionController, now: Duration) {
         self.writer.wait();
         if let Some(path) = &self.settings.file {
             self.writer.write(
                 path,
-                &gate.snapshot(self.settings.most, now).encode(unix_ms()),
+                &controller
+                    .snapshot(self.settings.most, now)
+                    .encode(unix_ms()),
             );
         }
     }
--- a/crates/ingress/src/program/status.rs
+++ b/crates/ingress/src/program/status.rs
@@ -20,7 +20,7 @@
     pub fn new(path: &Path) -> Keeper {
         Keeper {
             path: path.to_owned(),
-            writer: Writer::new("status", "status.write"),
+            writer: Writer::new("status file", "status.write_failed"),
         }
     }
 
@@ -78,7 +78,7 @@
     .map(String::from)];
     for m in &status.members {
         let heard = format!("{:.1} s", m.age as f64 / 1000.0);
-        let life = format!("{}.{}", m.life.0, m.life.1);
+        let incarnation = format!("{}.{}", m.incarnation.0, m.incarnation.1);
         let (address, zone, stage) = (m.address.clone(), m.zone.clone(), m.stage.clone());
         rows.push([
             m.name.clone(),
@@ -87,7 +87,7 @@
             address,
             zone,
             stage,
-            life,
+            incarnation,
         ]);
     }
     let wide: Vec<usize> = (0..7)
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -19,13 +19,13 @@
     /// Units that it takes from the quota.
     pub units: f64,
     /// Ingresses through which the customer's requests come, and the number of the first.
-    pub spread: u32,
+    pub ingress_count: u32,
     /// The first of them.
     pub first: u32,
     /// The idempotency key.
     pub key: Option<u64>,
     /// The client says that it asks again.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Its route, where one is read.
     pub route: Option<&'a str>,
     /// Where the value of `d` stands in the list of names and values.
@@ -80,7 +80,7 @@
     let id = hex(id).ok_or("invalid request id")?;
     let list = std::str::from_utf8(list).map_err(|_| "invalid list of names and values")?;
     let (mut class, mut plan, mut wait, mut units) = (None, None, None, None);
-    let (mut spread, mut first, mut key, mut again) = (None, None, None, None);
+    let (mut ingress_count, mut first, mut key, mut again) = (None, None, None, None);
     let mut route = None;
     let mut at = 0;
     for item in list.split(',') {
@@ -107,7 +107,7 @@
                 )?;
             }
             "units" => put(&mut units, decimal_number(value), "invalid units")?,
-            "spread" => put(&mut spread, whole(), "invalid spread")?,
+            "spread" => put(&mut ingress_count, whole(), "invalid spread")?,
             "first" => put(&mut first, whole(), "invalid first")?,
             "k" => put(&mut key, hex(value.as_bytes()), "invalid k")?,
             "r" => put(&mut again, whole().filter(|r| *r <= 1), "invalid r")?,
@@ -123,10 +123,10 @@
         plan: plan.ok_or("t is missing")?,
         wait_ms,
         units: units.ok_or("units is missing")?,
-        spread: spread.ok_or("spread is missing")?,
+        ingress_count: ingress_count.ok_or("spread is missing")?,
         first: first.ok_or("first is missing")?,
         key,
-        retry: again == Some(1),
+        is_retry: again == Some(1),
         route,
         deadline,
     })
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -1,6 +1,6 @@
 //! The list of servers as discovery and the configuration word it.
 
-pub use roseyard_request_engine::{List, Target};
+pub use roseyard_request_engine::{EndpointListMessage, EndpointRecord};
 
 /// Finds the lists in what a watch brings. Each is one JSON object, on one line or indented over
 /// several; an empty line tells that nothing has changed.
@@ -48,7 +48,7 @@
 }
 
 /// Decodes one list of a watch, in place.
-pub fn decode(line: &mut [u8]) -> Result<List, String> {
+pub fn decode(line: &mut [u8]) -> Result<EndpointListMessage, String> {
     roseyard_platform_config::decode(line)
 }
 
@@ -59,7 +59,7 @@
 
     const GOOD: &str = r#"{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}"#;
 
-    fn line(entry: &str) -> List {
+    fn line(entry: &str) -> EndpointListMessage {
         let text =
             format!(r#"{{"rev":43,"all":false,"new":[1],"targets":[{GOOD},{entry},{GOOD}]}}"#);
         decode(&mut text.into_bytes()).unwrap()
--- a/crates/ingress/src/routing/attempts.rs
+++ b/crates/ingress/src/routing/attempts.rs
@@ -7,16 +7,16 @@
 use crate::protocol::report::{report, true_units};
 use crate::protocol::resp::{self, Value};
 use crate::transport::{connect, is_fd_shortage, Fill, Key, Ready, Stream};
-use roseyard_admission::Use;
+use roseyard_admission::DescriptorUse;
 use roseyard_decision::*;
-use roseyard_request_engine::{End, Rested};
+use roseyard_request_engine::{AttemptResult, IdleConnectionUse};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// A connection to a server.
 pub(super) struct Link {
     stream: Stream,
-    server: ServerId,
+    endpoint: EndpointId,
     /// Where it leads: the server may have moved since.
     address: SocketAddr,
     state: State,
@@ -37,7 +37,7 @@
 struct Job {
     task: Task,
     begun: Duration,
-    give_up: Duration,
+    deadline: Duration,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -89,7 +89,7 @@
         let known = |kind: &[u8]| text == kind || text.starts_with(&[kind, b" "].concat());
         let outcome = match (known(b"BUSY"), known(b"ERR")) {
             _ if !text.iter().all(|b| (b' '..=b'~').contains(b)) => return Meaning::spoilt(),
-            (true, _) => Outcome::Full,
+            (true, _) => Outcome::Overloaded,
             (_, true) => Outcome::Error,
             // `-SYNTAX` and the like: said of what we wrote, and the server closes.
             _ => return Meaning::spoilt(),
@@ -150,62 +150,82 @@
         &mut self,
         request: Key,
         attempt: u16,
-        server: ServerId,
-        give_up: Duration,
+        endpoint: EndpointId,
+        deadline: Duration,
         io: &mut Io,
     ) {
         let job = Job {
             task: Task::Attempt(request, attempt),
             begun: io.now,
-            give_up,
+            deadline,
         };
-        self.start(server, job, io);
+        self.start(endpoint, job, io);
     }
 
-    pub(super) fn probe(&mut self, server: ServerId, io: &mut Io) {
+    pub(super) fn probe(&mut self, endpoint: EndpointId, io: &mut Io) {
         let job = Job {
             task: Task::Probe,
             begun: io.now,
-            give_up: io.now + io.limits.probe,
+            deadline: io.now + io.limits.probe,
         };
-        self.start(server, job, io);
+        self.start(endpoint, job, io);
     }
 
     /// May this job's first byte be written now?
-    fn timely(&self, server: ServerId, job: &Job, now: Duration) -> bool {
+    fn timely(&self, endpoint: EndpointId, job: &Job, now: Duration) -> bool {
         match job.task {
             Task::Attempt(request, attempt) => {
-                self.life.may_write(request, attempt, job.give_up, now)
+                self.engine.may_write(request, attempt, job.deadline, now)
             }
-            Task::Probe => self.life.takes_work(server) && now < job.give_up,
+            Task::Probe => self.engine.takes_work(endpoint) && now < job.deadline,
         }
     }
 
-    fn start(&mut self, server: ServerId, job: Job, io: &mut Io) {
-        if !self.timely(server, &job, io.now) {
-            return self.ended(job, server, End::of(Outcome::Moot), io.now);
+    fn start(&mut self, endpoint: EndpointId, job: Job, io: &mut Io) {
+        if !self.timely(endpoint, &job, io.now) {
+            return self.on_attempt_ended(
+                job,
+                endpoint,
+                AttemptResult::of(Outcome::NotStarted),
+                io.now,
+            );
         }
         let repeatable = match job.task {
-            Task::Attempt(request, _) => self.life.repeatable(request),
+            Task::Attempt(request, _) => self.engine.is_idempotent(request),
             Task::Probe => true,
         };
-        if let Some(key) = self.rested(server, repeatable, io) {
+        if let Some(key) = self.rested(endpoint, repeatable, io) {
             return self.write(key, job, io);
         }
-        let Some(address) = self.life.address(server) else {
-            return self.ended(job, server, End::of(Outcome::Moot), io.now);
+        let Some(address) = self.engine.address(endpoint) else {
+            return self.on_attempt_ended(
+                job,
+                endpoint,
+                AttemptResult::of(Outcome::NotStarted),
+                io.now,
+            );
         };
-        if !self.take_descriptor(Use::Links, io) {
-            return self.ended(job, server, End::of(Outcome::ConnectFailed), io.now);
+        if !self.take_descriptor(DescriptorUse::Upstream, io) {
+            return self.on_attempt_ended(
+                job,
+                endpoint,
+                AttemptResult::of(Outcome::ConnectFailed),
+                io.now,
+            );
         }
         let Ok(stream) = self.connect(&address, io) else {
-            io.budget.give(Use::Links);
-            return self.ended(job, server, End::of(Outcome::ConnectFailed), io.now);
+            io.budget.give(DescriptorUse::Upstream);
+            return self.on_attempt_ended(
+                job,
+                endpoint,
+                AttemptResult::of(Outcome::ConnectFailed),
+                io.now,
+            );
         };
         let state = State::Connecting(job);
         let key = self.links.insert_with(|_| Link {
             stream,
-            server,
+            endpoint,
             address,
             state,
             used: io.now,
@@ -213,7 +233,7 @@
             due: None,
         });
         if let Some(link) = self.links.get_mut(key) {
-            let at = (io.now + io.limits.connect).min(job.give_up);
+            let at = (io.now + io.limits.connect).min(job.deadline);
             io.deadlines.set(&mut link.due, Some(at), Party::Link(key));
             if io
                 .poller
@@ -243,9 +263,9 @@
     /// likely to be dead by now. Guards against a second answer, noise or an end that follows an
     /// answer: read as the next answer it would be another's value, and a request written before an
     /// end was seen may have run.
-    fn rested(&mut self, server: ServerId, repeatable: bool, io: &mut Io) -> Option<Key> {
+    fn rested(&mut self, endpoint: EndpointId, repeatable: bool, io: &mut Io) -> Option<Key> {
         loop {
-            let pool = &self.pools.get(&server)?.idle;
+            let pool = &self.pools.get(&endpoint)?.idle;
             let rested = |k: &Key| {
                 self.links
                     .get(*k)
@@ -256,23 +276,23 @@
             let link = self.links.get(key)?;
             let rest = io.now.saturating_sub(link.used);
             let choice = if link.stream.quiet() {
-                self.rests.choose(rest, repeatable, io.now)
+                self.idle_risk.choose(rest, repeatable, io.now)
             } else {
-                Rested::Close
+                IdleConnectionUse::Close
             };
             match choice {
-                Rested::Use => {
-                    self.pools.get_mut(&server)?.idle.remove(at);
+                IdleConnectionUse::Reuse => {
+                    self.pools.get_mut(&endpoint)?.idle.remove(at);
                     return Some(key);
                 }
-                Rested::Leave => return None,
-                Rested::Close => self.close_link(key, io),
+                IdleConnectionUse::Leave => return None,
+                IdleConnectionUse::Close => self.close_link(key, io),
             }
         }
     }
 
     /// Takes a descriptor for this use; an idle connection to a server makes room if there is none.
-    pub(super) fn take_descriptor(&mut self, of: Use, io: &mut Io) -> bool {
+    pub(super) fn take_descriptor(&mut self, of: DescriptorUse, io: &mut Io) -> bool {
         io.budget.take(of) || self.evict_idle(io) && io.budget.take(of)
     }
 
@@ -287,7 +307,7 @@
 
     fn occupy(&mut self, job: Job, link: Option<Key>) {
         if let Task::Attempt(request, _) = job.task {
-            self.life.carry(request, link);
+            self.engine.carry(request, link);
         }
     }
 
@@ -301,13 +321,13 @@
         link.state = State::Busy(job);
         link.used = io.now;
         io.deadlines
-            .set(&mut link.due, Some(job.give_up), Party::Link(key));
+            .set(&mut link.due, Some(job.deadline), Party::Link(key));
         match job.task {
             Task::Attempt(request, _) => {
-                let Some(command) = self.life.command(request) else {
+                let Some(command) = self.engine.command(request) else {
                     return;
                 };
-                let wait = (job.give_up - io.now).as_secs_f64() * 1000.0;
+                let wait = (job.deadline - io.now).as_secs_f64() * 1000.0;
                 command.put(wait.round().max(1.0) as u64, link.stream.output());
             }
             Task::Probe => link
@@ -329,7 +349,7 @@
         };
         let sent = matches!(link.state, State::Busy(_)) && link.stream.unwritten() == 0;
         if sent {
-            self.rests.told(link.rest, true, io.now);
+            self.idle_risk.told(link.rest, true, io.now);
         }
         self.break_link(
             key,
@@ -347,10 +367,10 @@
         let Some(link) = self.links.get(key) else {
             return;
         };
-        let (server, job) = (link.server, link.state.job());
+        let (endpoint, job) = (link.endpoint, link.state.job());
         self.close_link(key, io);
         if let Some(job) = job {
-            self.ended(job, server, End::of(outcome), io.now);
+            self.on_attempt_ended(job, endpoint, AttemptResult::of(outcome), io.now);
         }
     }
 
@@ -358,24 +378,34 @@
         let Some(mut link) = self.links.remove(key) else {
             return;
         };
-        io.budget.give(Use::Links);
+        io.budget.give(DescriptorUse::Upstream);
         self.idle.remove(&(link.used, key));
         io.deadlines.set(&mut link.due, None, Party::Link(key));
-        if let Some(pool) = self.pools.get_mut(&link.server) {
+        if let Some(pool) = self.pools.get_mut(&link.endpoint) {
             pool.idle.retain(|k| *k != key);
         }
     }
 
-    fn ended(&mut self, job: Job, server: ServerId, end: End<Vec<u8>>, now: Duration) {
+    fn on_attempt_ended(
+        &mut self,
+        job: Job,
+        endpoint: EndpointId,
+        end: AttemptResult<Vec<u8>>,
+        now: Duration,
+    ) {
         match job.task {
-            Task::Attempt(request, attempt) => self.life.ended(request, attempt, end, now),
-            Task::Probe => self.life.probed(server, end.outcome, end.load),
+            Task::Attempt(request, attempt) => {
+                self.engine.on_attempt_ended(request, attempt, end, now)
+            }
+            Task::Probe => self
+                .engine
+                .on_health_check_ended(endpoint, end.outcome, end.load),
         }
     }
 
     /// Stops waiting on an attempt: its connection goes with it.
     pub(super) fn cancel(&mut self, request: Key, attempt: u16, io: &mut Io) {
-        let Some(key) = self.life.carrier(request) else {
+        let Some(key) = self.engine.carrier(request) else {
             return;
         };
         let Some(link) = self.links.get(key) else {
@@ -393,7 +423,7 @@
                 if written {
                     Outcome::Cancelled
                 } else {
-                    Outcome::Moot
+                    Outcome::NotStarted
                 },
                 io,
             );
@@ -414,15 +444,20 @@
             if link.stream.connected().is_err() || !link.stream.quiet() {
                 return self.break_link(key, Outcome::ConnectFailed, io);
             }
-            let server = link.server;
+            let endpoint = link.endpoint;
             // Guards against a request to a server's old address after it has moved.
             let moved = self
-                .life
-                .address(server)
+                .engine
+                .address(endpoint)
                 .is_some_and(|at| at != link.address);
-            if moved || !self.timely(server, &job, io.now) {
+            if moved || !self.timely(endpoint, &job, io.now) {
                 self.rest(key, io);
-                return self.ended(job, server, End::of(Outcome::Moot), io.now);
+                return self.on_attempt_ended(
+                    job,
+                    endpoint,
+                    AttemptResult::of(Outcome::NotStarted),
+                    io.now,
+                );
             }
             return self.write(key, job, io);
         }
@@ -435,7 +470,7 @@
         let most = io.limits.value_bytes + io.limits.line_bytes;
         let filled = link.stream.fill(most, io.limits.chunk_bytes, ready.ended);
         if !link.stream.input().is_empty() {
-            if let Some(pool) = self.pools.get_mut(&link.server) {
+            if let Some(pool) = self.pools.get_mut(&link.endpoint) {
                 pool.heard = io.now;
             }
             self.on_answer(key, io);
@@ -461,18 +496,18 @@
         let (value, used) = match resp::value(link.stream.input(), &io.limits) {
             Ok(None) => {
                 // Guards against an answer that is shorter than it says, or has no end.
-                let at = (io.now + io.limits.answer_part).min(job.give_up);
+                let at = (io.now + io.limits.answer_part).min(job.deadline);
                 return io.deadlines.set(&mut link.due, Some(at), Party::Link(key));
             }
             Ok(Some(found)) => found,
             Err(wrong) => {
-                let server = link.server.0;
+                let endpoint = link.endpoint.0;
                 let why = wrong.0;
                 tracing::warn!(
-                    event = "server.malformed",
-                    server,
-                    why,
-                    "server {server}: malformed answer: {why}"
+                    event = "endpoint.malformed_reply",
+                    endpoint,
+                    error = why,
+                    "malformed reply from endpoint"
                 );
                 return self.break_link(key, Outcome::Error, io);
             }
@@ -488,29 +523,29 @@
             Task::Probe => Meaning::of_probe(&value),
         };
         if spoilt && !matches!(value, Value::Error(_)) {
-            let server = link.server.0;
+            let endpoint = link.endpoint.0;
             tracing::warn!(
-                event = "server.no-answer",
-                server,
-                "server {server}: no answer to what was asked"
+                event = "endpoint.unexpected_reply",
+                endpoint,
+                "unexpected reply from endpoint"
             );
         }
         if let Value::Error(text) = value {
             let probe = job.task == Task::Probe;
             if !probe && !text.starts_with(b"BUSY") && !text.starts_with(b"ERR failed") {
                 let text = text[..text.len().min(80)].escape_ascii();
-                let server = link.server.0;
-                tracing::warn!(event = "server.error", server, %text, "server {server}: answered -{text}");
+                let endpoint = link.endpoint.0;
+                tracing::warn!(event = "endpoint.error_reply", endpoint, error = %text, "unknown error reply from endpoint");
             }
         }
         link.stream.take(used);
-        let server = link.server;
-        self.rests.told(link.rest, false, io.now);
+        let endpoint = link.endpoint;
+        self.idle_risk.told(link.rest, false, io.now);
         // Whole and alone, or the connection is of no further use.
         let clean = !spoilt && link.stream.input().is_empty();
         // Guards against a request that runs twice: a refusal with more behind it may be another
         // request's.
-        let outcome = if outcome == Outcome::Full && !clean {
+        let outcome = if outcome == Outcome::Overloaded && !clean {
             Outcome::Error
         } else {
             outcome
@@ -520,10 +555,10 @@
         } else {
             self.close_link(key, io);
         }
-        self.ended(
+        self.on_attempt_ended(
             job,
-            server,
-            End {
+            endpoint,
+            AttemptResult {
                 outcome,
                 value: served,
                 true_units,
@@ -538,8 +573,9 @@
         let Some(link) = self.links.get_mut(key) else {
             return;
         };
-        let server = link.server;
-        if !self.life.takes_work(server) || self.life.address(server) != Some(link.address) {
+        let endpoint = link.endpoint;
+        if !self.engine.takes_work(endpoint) || self.engine.address(endpoint) != Some(link.address)
+        {
             return self.close_link(key, io);
         }
         (link.state, link.used) = (State::Idle, io.now);
@@ -549,7 +585,7 @@
             Some(io.now + io.limits.link_idle),
             Party::Link(key),
         );
-        self.pools.entry(server).or_default().idle.push(key);
+        self.pools.entry(endpoint).or_default().idle.push(key);
         self.idle.insert((io.now, key));
     }
 
@@ -559,19 +595,19 @@
             return;
         };
         link.due = None;
-        let (server, unwritten) = (link.server, link.stream.unwritten());
+        let (endpoint, unwritten) = (link.endpoint, link.stream.unwritten());
         match link.state {
             State::Idle => self.close_link(key, io),
             State::Connecting(_) => self.break_link(key, Outcome::ConnectFailed, io),
             // We end it before its last byte: it never runs.
             State::Busy(_) if unwritten > 0 => self.break_link(key, Outcome::ConnectFailed, io),
-            State::Busy(job) if io.now < job.give_up => {
-                let server = server.0;
+            State::Busy(job) if io.now < job.deadline => {
+                let endpoint = endpoint.0;
                 tracing::warn!(
-                    event = "server.malformed",
-                    server,
-                    why = "no end",
-                    "server {server}: malformed answer: no end"
+                    event = "endpoint.malformed_reply",
+                    endpoint,
+                    error = "reply incomplete",
+                    "malformed reply from endpoint"
                 );
                 self.break_link(key, Outcome::Error, io);
             }
@@ -580,7 +616,10 @@
                 // Guards against a machine that vanished: its idle connections are silent too, and
                 // a request written there may have run, while a new connection tells at once that
                 // it never did.
-                let silent = self.pools.get_mut(&server).filter(|p| p.heard < job.begun);
+                let silent = self
+                    .pools
+                    .get_mut(&endpoint)
+                    .filter(|p| p.heard < job.begun);
                 let idle = silent
                     .map(|p| std::mem::take(&mut p.idle))
                     .unwrap_or_default();
--- a/crates/ingress/src/routing/client.rs
+++ b/crates/ingress/src/routing/client.rs
@@ -130,13 +130,14 @@
     }
 
     /// The next time at which it must have moved on.
-    pub(super) fn next_due(&self, patience: Duration, limits: &Limits) -> Option<Duration> {
+    pub(super) fn next_due(&self, idle_timeout_of: Duration, limits: &Limits) -> Option<Duration> {
         if self.phase == Phase::Lingering {
             return Some(self.linger);
         }
         let stall = self.stall.map(|(at, _)| at);
         let part = self.begun.map(|at| at + limits.command_part);
-        let idle = Some(self.used + patience).filter(|_| self.is_idle() && self.begun.is_none());
+        let idle =
+            Some(self.used + idle_timeout_of).filter(|_| self.is_idle() && self.begun.is_none());
         [stall, part, idle].into_iter().flatten().min()
     }
 }
--- a/crates/ingress/src/routing/commands.rs
+++ b/crates/ingress/src/routing/commands.rs
@@ -1,11 +1,11 @@
 //! Commands of the platform's protocol: what a request may name, and what a client's words mean.
 
-use super::core::Ask;
+use super::core::Submission;
 use crate::limits::Limits;
 use crate::protocol::command::{self, Held};
 use crate::transport::Key;
-use roseyard_decision::{Class, CustomerId, Effect, Settings};
-use roseyard_platform_config::Options;
+use roseyard_decision::{CustomerId, Idempotency, RequestClass, Settings};
+use roseyard_platform_config::PlatformSettings;
 use roseyard_request_engine::Directory;
 use std::time::Duration;
 
@@ -37,15 +37,15 @@
 impl Terms {
     /// The terms of these settings.
     pub fn new(
-        options: &Options,
+        options: &PlatformSettings,
         settings: &Settings,
         limits: &Limits,
         route_field: Option<&str>,
     ) -> Terms {
-        let class = |(name, class): (&str, &Class)| ClassTerms {
+        let class = |(name, class): (&str, &RequestClass)| ClassTerms {
             name: name.to_owned(),
-            safe: class.effect == Effect::Safe,
-            keyed: matches!(class.effect, Effect::Keyed { .. }),
+            safe: class.idempotency == Idempotency::Idempotent,
+            keyed: matches!(class.idempotency, Idempotency::IdempotencyKey { .. }),
         };
         Terms {
             classes: options
@@ -59,7 +59,7 @@
                 .into_iter()
                 .map(str::to_owned)
                 .collect(),
-            ingresses: settings.gateways.max(1),
+            ingresses: settings.ingress_count.max(1),
             units: limits.units,
             route_field: route_field.map(str::to_owned),
         }
@@ -69,7 +69,7 @@
 /// A command, as a client may send it.
 pub(super) enum Command {
     /// A request, and the number that its client gave it.
-    Request(Ask, u64),
+    Request(Submission, u64),
     /// Answered at once with this text.
     Reply(&'static str),
     /// It cannot be carried out; what follows can still be told apart.
@@ -118,7 +118,7 @@
     owner: (Key, u64),
     terms: &Terms,
     directory: &Directory,
-) -> Result<(Ask, u64), &'static str> {
+) -> Result<(Submission, u64), &'static str> {
     let r = command::request(words, terms.route_field.as_deref())?;
     let class = terms
         .classes
@@ -136,7 +136,7 @@
         None => directory.default_service().ok_or("route is missing")?,
     };
     let command = Held::new(words, &r);
-    let ask = Ask {
+    let ask = Submission {
         service,
         bytes: command.len(),
         owner,
@@ -144,9 +144,9 @@
         plan,
         customer: CustomerId(r.customer),
         units: r.units,
-        spread: r.spread,
+        ingress_count: r.ingress_count,
         time_left: Duration::from_secs_f64((r.wait_ms / 1000.0).min(3600.0)),
-        retry: r.retry,
+        is_retry: r.is_retry,
         command,
     };
     Ok((ask, r.id))
@@ -168,7 +168,7 @@
     if r.units < 1.0 || r.units > terms.units {
         return Err("units out of range");
     }
-    if r.spread < 1 || r.spread > terms.ingresses || r.first >= terms.ingresses {
+    if r.ingress_count < 1 || r.ingress_count > terms.ingresses || r.first >= terms.ingresses {
         return Err("spread or first out of range");
     }
     if r.wait_ms <= 0.0 {
--- a/crates/ingress/src/routing/core.rs
+++ b/crates/ingress/src/routing/core.rs
@@ -7,10 +7,10 @@
 use super::{Io, Party};
 use crate::clock::Clock;
 use crate::protocol::command::Held;
-use crate::protocol::list::List;
+use crate::protocol::list::EndpointListMessage;
 use crate::transport::{Key, Slots};
 use roseyard_decision::*;
-use roseyard_request_engine::{Bounds, Directory, Engine, Output};
+use roseyard_request_engine::{Directory, EngineLimits, Output, RequestEngine};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 /// Whom an answer is for: a client's connection, and the number of its command there.
 pub(super) type Owner = (Key, u64);
 /// The engine as the daemon uses it.
-pub type Life = Engine<Owner, Held, Vec<u8>>;
+pub type IngressEngine = RequestEngine<Owner, Held, Vec<u8>>;
 /// A request as a front hands it over.
-pub type Ask = roseyard_request_engine::Ask<Owner, Held>;
+pub type Submission = roseyard_request_engine::Submission<Owner, Held>;
 /// A final answer.
-pub type Answer = roseyard_request_engine::Answer<Vec<u8>>;
+pub type Response = roseyard_request_engine::Response<Vec<u8>>;
 
 /// What the core is started with.
 pub struct Start {
@@ -52,12 +52,12 @@
 
 /// The engine with the sockets that carry out what it wants.
 pub struct Core {
-    pub(super) life: Life,
-    answers: Vec<(Owner, Answer)>,
+    pub(super) engine: IngressEngine,
+    answers: Vec<(Owner, Response)>,
     pub(super) links: Slots<Link>,
-    pub(super) pools: HashMap<ServerId, Pool>,
+    pub(super) pools: HashMap<EndpointId, Pool>,
     /// What has been learned of connections that rest.
-    pub(super) rests: roseyard_request_engine::Links,
+    pub(super) idle_risk: roseyard_request_engine::IdleConnectionRisk,
     /// Idle connections to servers by the time of their last use: what goes first is found without
     /// a scan.
     pub(super) idle: BTreeSet<(Duration, Key)>,
@@ -70,7 +70,11 @@
 
 impl Core {
     /// Starts with the list that this ingress last held.
-    pub fn new(start: Start, known: &List, io: &mut Io) -> Result<Core, SettingsError> {
+    pub fn new(
+        start: Start,
+        known: &EndpointListMessage,
+        io: &mut Io,
+    ) -> Result<Core, SettingsError> {
         let mut settings = start.settings;
         // The settings' time-out is the simulator's, where a call that is late is never answered.
         // On sockets the total comes however late, and a late one still tells what the others use:
@@ -87,16 +91,16 @@
         if counter.is_none() {
             settings.counter = None;
         }
-        let bounds = Bounds {
+        let bounds = EngineLimits {
             requests: io.limits.requests,
             bytes: io.limits.held_bytes,
         };
         let mut core = Core {
-            life: Engine::new(settings, start.seed, bounds)?,
+            engine: RequestEngine::new(settings, start.seed, bounds)?,
             answers: Vec::new(),
             links: Slots::default(),
             pools: HashMap::new(),
-            rests: roseyard_request_engine::Links::default(),
+            idle_risk: roseyard_request_engine::IdleConnectionRisk::default(),
             idle: BTreeSet::new(),
             counter,
             watch: Watch::new(start.discovery, start.seed),
@@ -106,7 +110,7 @@
         };
         // Before the list: each server is put into its service at once.
         core.set_directory(&start.directory);
-        core.take_list(known, io);
+        core.apply_endpoint_list(known, io);
         core.watch_open(io);
         core.run(io);
         Ok(core)
@@ -121,46 +125,46 @@
             self.watch_open(io);
         }
         match (&mut self.counter, counter) {
-            (Some(held), Some(address)) => held.move_to(address, io, &mut self.life),
+            (Some(held), Some(address)) => held.move_to(address, io, &mut self.engine),
             (None, None) => {}
             _ => tracing::warn!(
                 event = "reload.counter",
-                "reload: a counter that comes or goes takes effect at the next start"
+                "counter cannot be added or removed before the next start"
             ),
         }
     }
 
     /// Services with their routes and servers.
     pub fn directory(&self) -> &Directory {
-        self.life.directory()
+        self.engine.directory()
     }
 
     /// Another directory is in force from now on. Requests that are out keep the service and server
     /// that they have.
     pub fn set_directory(&mut self, directory: &Directory) {
-        let changes = match self.life.set_directory(directory) {
+        let changes = match self.engine.set_directory(directory) {
             Ok(0) => return,
             Ok(changes) => changes,
             Err(why) => {
                 // What the file's checks have passed fits; what was changed before it holds.
-                tracing::warn!(event = "services.refused", %why, "services: a change was refused: {why}");
+                tracing::warn!(event = "services.change_failed", error = %why, "directory change failed");
                 return;
             }
         };
-        let directory = self.life.directory();
+        let directory = self.engine.directory();
         let (services, routes) = (directory.service_count(), directory.route_count());
         tracing::info!(
-            event = "services",
+            event = "services.changed",
             services,
             routes,
             changes,
-            "services: {services} services, {routes} routes, {changes} changes"
+            "services changed"
         );
     }
 
     /// Every request gets its final answer now, and none is taken in any more.
     pub fn stop(&mut self) {
-        self.life.stop();
+        self.engine.stop();
     }
 
     /// Has discovery answered on this watch?
@@ -170,12 +174,12 @@
 
     /// Version of the list of servers held.
     pub fn list_version(&self) -> u64 {
-        self.life.fleet().rev
+        self.engine.endpoint_registry().rev
     }
 
     /// Requests without a final answer or with an attempt out.
     pub fn open_requests(&self) -> usize {
-        self.life.open()
+        self.engine.open()
     }
 
     /// Connections to servers.
@@ -184,101 +188,120 @@
     }
 
     /// Takes a request in; none if no more can be held, and it is to be refused.
-    pub fn submit(&mut self, ask: Ask) -> Option<Key> {
-        self.life.submit(ask).ok()
+    pub fn submit(&mut self, ask: Submission) -> Option<Key> {
+        self.engine.submit(ask).ok()
     }
 
     /// The client of a request has left.
-    pub fn abandon(&mut self, key: Key) {
-        self.life.abandon(key);
+    pub fn cancel_request(&mut self, key: Key) {
+        self.engine.cancel_request(key);
     }
 
     /// Answers given since the last call.
-    pub fn take_answers(&mut self, into: &mut Vec<(Owner, Answer)>) {
+    pub fn take_answers(&mut self, into: &mut Vec<(Owner, Response)>) {
         into.append(&mut self.answers);
     }
 
     /// Is there news that the module has not heard?
-    pub fn has_news(&self) -> bool {
-        self.life.has_news()
+    pub fn has_pending(&self) -> bool {
+        self.engine.has_pending()
     }
 
     /// The module's timer has come due.
     pub fn on_timer(&mut self) {
         self.timer = None;
-        self.life.on_due();
+        self.engine.on_due();
     }
 
-    pub(super) fn take_list(&mut self, list: &List, io: &mut Io) {
+    pub(super) fn apply_endpoint_list(&mut self, list: &EndpointListMessage, io: &mut Io) {
         let (stale, bad) = self
-            .life
-            .take_list(list, &self.zones, |ms| self.clock.from_unix_ms(ms));
-        for server in stale {
+            .engine
+            .apply_endpoint_list(list, &self.zones, |ms| self.clock.from_unix_ms(ms));
+        for endpoint in stale {
             let idle = self
                 .pools
-                .get_mut(&server)
+                .get_mut(&endpoint)
                 .map(|p| std::mem::take(&mut p.idle))
                 .unwrap_or_default();
             for key in idle {
                 self.close_link(key, io);
             }
-            if self.life.fleet().get(server).is_none() {
-                self.pools.remove(&server);
+            if self.engine.endpoint_registry().get(endpoint).is_none() {
+                self.pools.remove(&endpoint);
             }
         }
-        let (rev, ready) = (list.rev, self.life.fleet().ready());
+        let (rev, ready) = (list.rev, self.engine.endpoint_registry().ready());
         if bad > 0 {
             tracing::warn!(
-                event = "discovery.entries",
-                bad,
-                rev,
-                "discovery: {bad} entries of rev {rev} unreadable"
+                event = "discovery.entries_unreadable",
+                count = bad,
+                revision = rev,
+                "endpoint list entries unreadable"
             );
         }
         tracing::info!(
-            event = "discovery.list",
-            rev,
+            event = "discovery.list_applied",
+            revision = rev,
             ready,
-            "discovery: rev {rev}, {ready} servers ready"
+            "endpoint list applied"
         );
     }
 
     /// Carries out all that is to be done, until there is no more.
     pub fn run(&mut self, io: &mut Io) {
-        while let Some(output) = self.life.poll(io.now) {
+        while let Some(output) = self.engine.poll(io.now) {
             match output {
-                Output::Send {
+                Output::Forward {
                     request,
                     attempt,
-                    server,
-                    give_up,
+                    endpoint,
+                    deadline,
                 } => {
-                    self.send(request, attempt, server, give_up, io);
+                    self.send(request, attempt, endpoint, deadline, io);
                 }
                 Output::Cancel { request, attempt } => self.cancel(request, attempt, io),
-                Output::Answer { owner, answer } => self.answers.push((owner, answer)),
-                Output::Count {
-                    name,
-                    add,
-                    lifetime,
+                Output::Respond { owner, answer } => self.answers.push((owner, answer)),
+                Output::IncrementCounter {
+                    key: name,
+                    amount: add,
+                    time_to_live: lifetime,
                 } => match &mut self.counter {
-                    Some(counter) => counter.call(name, add, lifetime, io, &mut self.life),
-                    None => self
-                        .life
-                        .counted(name, CountResult::NotAdded, Duration::ZERO),
+                    Some(counter) => counter.call(name, add, lifetime, io, &mut self.engine),
+                    None => {
+                        self.engine
+                            .on_counter_reply(name, CounterResult::NotAdded, Duration::ZERO)
+                    }
                 },
-                Output::Probe { server } => self.probe(server, io),
+                Output::CheckHealth { endpoint } => self.probe(endpoint, io),
                 // The watch is always open or being opened.
-                Output::FetchList => {}
-                Output::Log(text) => tracing::info!(event = "module", "module: {text}"),
+                Output::FetchEndpointList => {}
+                Output::Log(notice) => log_notice(notice),
             }
         }
-        if self.life.due() != self.timer {
+        if self.engine.due() != self.timer {
             io.deadlines
-                .set(&mut self.timer, self.life.due(), Party::Module);
+                .set(&mut self.timer, self.engine.due(), Party::Module);
         }
         if let Some(counter) = &mut self.counter {
-            counter.flush(io, &mut self.life);
+            counter.flush(io, &mut self.engine);
+        }
+    }
+}
+
+fn log_notice(notice: Notice) {
+    match notice {
+        Notice::EndpointUnresponsive(EndpointId(endpoint)) => {
+            tracing::info!(
+                event = "endpoint.unresponsive",
+                endpoint,
+                "endpoint unresponsive"
+            );
+        }
+        Notice::CounterDegraded => {
+            tracing::info!(event = "counter.degraded", "counter degraded");
+        }
+        Notice::CounterRecovered => {
+            tracing::info!(event = "counter.recovered", "counter recovered");
         }
     }
 }
--- a/crates/ingress/src/routing/discovery.rs
+++ b/crates/ingress/src/routing/discovery.rs
@@ -194,7 +194,11 @@
         let serial = watch.serial;
         let opened = connected.and_then(|mut stream| {
             io.poller.add(stream.fd(), Party::Watch(serial).token())?;
-            http::put_watch(stream.output(), &address.to_string(), self.life.fleet().rev);
+            http::put_watch(
+                stream.output(),
+                &address.to_string(),
+                self.engine.endpoint_registry().rev,
+            );
             Ok(Call {
                 stream,
                 made: io.now,
@@ -260,12 +264,12 @@
             match list::decode(&mut line) {
                 Ok(list) => {
                     (self.watch.told, self.watch.garbled) = (true, false);
-                    self.take_list(&list, io);
+                    self.apply_endpoint_list(&list, io);
                 }
                 // Guards against a drain that is lost with the line that told it: it is asked for
                 // again, and only what cannot be read then either is passed over.
                 Err(e) => {
-                    tracing::warn!(event = "discovery.line", why = %e, "discovery: unreadable line: {e}");
+                    tracing::warn!(event = "discovery.line_unreadable", error = %e, "endpoint list unreadable");
                     self.watch.garbled = !self.watch.garbled;
                     if self.watch.garbled {
                         state = Err("unreadable line");
@@ -276,9 +280,9 @@
         }
         if let Err(why) = state {
             tracing::warn!(
-                event = "discovery.broke",
-                why,
-                "discovery: {why}; calling again"
+                event = "discovery.watch_closed",
+                reason = why,
+                "discovery watch closed, reconnecting"
             );
             self.watch.call = None;
             let again = io.now + self.watch.back_off(why == TURNED_AWAY, &io.limits);
@@ -313,11 +317,11 @@
             let late = |c: &Call| !c.spoke && io.now < c.made + io.limits.list_elder;
             let elder = self.watch.elder.take().filter(late);
             self.watch.elder = elder.or(Some(call).filter(late));
-            let rev = self.life.fleet().rev;
+            let rev = self.engine.endpoint_registry().rev;
             tracing::warn!(
-                event = "discovery.silent",
-                rev,
-                "discovery: silent; calling again after rev {rev}"
+                event = "discovery.watch_timed_out",
+                revision = rev,
+                "discovery watch timed out, reconnecting"
             );
         }
         self.watch_open(io);
--- a/crates/ingress/src/routing/front/input.rs
+++ b/crates/ingress/src/routing/front/input.rs
@@ -4,7 +4,7 @@
 use crate::protocol::resp;
 use crate::routing::client::{Pending, Phase};
 use crate::routing::commands::{read_command, Command};
-use crate::routing::core::{Ask, Core};
+use crate::routing::core::{Core, Submission};
 use crate::routing::listener::{busy_reply, connection_id};
 use crate::routing::Io;
 use crate::transport::{Fill, Key, Ready};
@@ -177,11 +177,11 @@
         match command {
             Command::Request(ask, id) => self.take_request(key, ask, id, core, io),
             Command::Reply(text) => {
-                self.tell(Event::Greeted(connection_id(key)), io);
+                self.tell(Event::CommandHandled(connection_id(key)), io);
                 self.reply(key, text.as_bytes());
             }
             Command::Wrong(what) => {
-                self.tell(Event::Wrong(connection_id(key)), io);
+                self.tell(Event::ProtocolError(connection_id(key)), io);
                 self.reply(key, format!("-ERR {what}\r\n").as_bytes());
             }
             Command::Quit => {
@@ -194,7 +194,7 @@
     }
 
     /// Hands a request to the core, unless it is to be refused.
-    fn take_request(&mut self, key: Key, ask: Ask, id: u64, core: &mut Core, io: &mut Io) {
+    fn take_request(&mut self, key: Key, ask: Submission, id: u64, core: &mut Core, io: &mut Io) {
         if self.clients.get(key).is_none_or(|client| client.hup) {
             return; // Guards against counting and sending on what nobody waits for.
         }
@@ -207,7 +207,7 @@
         if self.open.contains(&id) {
             // Guards against one client that names another's open request: servers would drop one
             // of them.
-            self.tell(Event::Wrong(connection_id(key)), io);
+            self.tell(Event::ProtocolError(connection_id(key)), io);
             return self.reply(key, b"-ERR request id in use\r\n");
         }
         let submitted = match self.refusal(key, ask.customer.0, io) {
@@ -223,12 +223,12 @@
     /// Asks admission for a request: when to come again, if it is refused.
     fn refusal(&mut self, key: Key, customer: u64, io: &mut Io) -> Option<Duration> {
         let mut refused = None;
-        let event = Event::Asked {
+        let event = Event::RequestReceived {
             conn: connection_id(key),
             customer,
         };
         self.listener.handle(event, io, |action, _| {
-            if let Action::Refuse { after } = action {
+            if let Action::RejectRequest { after } = action {
                 refused = Some(after);
             }
         });
@@ -245,7 +245,7 @@
 
     /// Answers what cannot be read; the connection ends.
     fn refuse_malformed(&mut self, key: Key, what: &str, io: &mut Io) {
-        self.tell(Event::Wrong(connection_id(key)), io);
+        self.tell(Event::ProtocolError(connection_id(key)), io);
         if let Some(client) = self.clients.get_mut(key) {
             client.protocol_error(what);
         }
--- a/crates/ingress/src/routing/front/mod.rs
+++ b/crates/ingress/src/routing/front/mod.rs
@@ -11,7 +11,9 @@
 use super::{Io, Party};
 use crate::limits::Limits;
 use crate::transport::{spare, Key, Slots, Stream};
-use roseyard_admission::{Action, Event, Gate, Policy, Reputation, Use};
+use roseyard_admission::{
+    Action, AdmissionController, AdmissionPolicy, DescriptorUse, Event, Reputation,
+};
 use rustix::fd::OwnedFd;
 use std::collections::HashSet;
 use std::net::{IpAddr, SocketAddr};
@@ -41,7 +43,7 @@
 fn close(key: Key, clients: &mut Slots<Client>, held: &mut usize, io: &mut Io) -> Option<Client> {
     let mut client = clients.remove(key)?;
     io.deadlines.set(&mut client.due, None, Party::Client(key));
-    io.budget.give(Use::Clients);
+    io.budget.give(DescriptorUse::Clients);
     *held -= client.held;
     Some(client)
 }
@@ -56,12 +58,17 @@
 
 /// How long a connection may rest; while the process ends, only as long as a newcomer's first
 /// request may take.
-fn patience(gate: &Gate, key: Key, draining: bool, limits: &Limits) -> Duration {
-    let patience = gate.patience(connection_id(key));
+fn idle_timeout_of(
+    controller: &AdmissionController,
+    key: Key,
+    draining: bool,
+    limits: &Limits,
+) -> Duration {
+    let idle_timeout_of = controller.idle_timeout_of(connection_id(key));
     if draining {
-        patience.min(limits.drain_newcomer)
+        idle_timeout_of.min(limits.drain_newcomer)
     } else {
-        patience
+        idle_timeout_of
     }
 }
 
@@ -70,7 +77,7 @@
     pub fn new(
         listener: OwnedFd,
         terms: Terms,
-        policy: Policy,
+        policy: AdmissionPolicy,
         secret: u64,
         io: &mut Io,
     ) -> rustix::io::Result<Front> {
@@ -154,7 +161,7 @@
         };
         let (listener, clients, held) = (&mut self.listener, &mut self.clients, &mut self.held);
         listener.handle(event, io, |action, io| match action {
-            Action::TurnAway { after, .. } => away = Some(after),
+            Action::RejectConnection { after, .. } => away = Some(after),
             _ => carry_out(action, clients, held, io),
         });
         if let Some(after) = away {
@@ -164,7 +171,7 @@
             return;
         }
         // Servers may have borrowed the descriptor that this place stands for.
-        if !core.take_descriptor(Use::Clients, io) {
+        if !core.take_descriptor(DescriptorUse::Clients, io) {
             self.listener.handle(
                 Event::Closed {
                     conn: connection_id(key),
@@ -174,7 +181,7 @@
                 |_, _| (),
             );
             if let Some(client) = self.clients.remove(key) {
-                turn_away(client.stream, self.listener.gate.policy().advice);
+                turn_away(client.stream, self.listener.controller.policy().retry_after);
             }
             return;
         }
@@ -192,7 +199,7 @@
     /// Closes the connection between requests that is to go first; false if there is none.
     fn make_room(&mut self, io: &mut Io) -> bool {
         let before = self.clients.len();
-        self.tell(Event::Shortage, io);
+        self.tell(Event::DescriptorsExhausted, io);
         self.clients.len() < before
     }
 
@@ -203,20 +210,20 @@
     }
 
     /// Admission goes by other settings from now on.
-    pub fn set_policy(&mut self, policy: Policy, io: &mut Io) {
+    pub fn set_policy(&mut self, policy: AdmissionPolicy, io: &mut Io) {
         for action in self.listener.set_policy(policy, io) {
             carry_out(action, &mut self.clients, &mut self.held, io);
         }
     }
 
     /// Admission, with what is known of clients.
-    pub fn gate(&self) -> &Gate {
-        &self.listener.gate
+    pub fn controller(&self) -> &AdmissionController {
+        &self.listener.controller
     }
 
     /// Admission, to be told what was known before the start.
-    pub fn gate_mut(&mut self) -> &mut Gate {
-        &mut self.listener.gate
+    pub fn gate_mut(&mut self) -> &mut AdmissionController {
+        &mut self.listener.controller
     }
 
     /// It is time to tell what admission did.
@@ -250,7 +257,7 @@
         for pending in client.pending {
             if let Pending::Waiting(request, id) = pending {
                 self.open.remove(&id);
-                core.abandon(request);
+                core.cancel_request(request);
             }
         }
     }
@@ -271,8 +278,8 @@
                 .map(|(key, _)| key);
             let Some(most) = most else { return };
             tracing::warn!(
-                event = "clients.bytes",
-                "clients: too many bytes held; the one that holds most is dropped"
+                event = "clients.memory_limit",
+                "client memory limit reached, closing the largest client"
             );
             self.gone(most, true, core, io);
         }
@@ -284,8 +291,9 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let patience = patience(&self.listener.gate, key, self.draining, &io.limits);
-        let Some(at) = client.next_due(patience, &io.limits) else {
+        let idle_timeout_of =
+            idle_timeout_of(&self.listener.controller, key, self.draining, &io.limits);
+        let Some(at) = client.next_due(idle_timeout_of, &io.limits) else {
             return;
         };
         if client.due.is_none_or(|due| at < due) {
@@ -322,9 +330,10 @@
                 true => (io.now + io.limits.client_stall, unwritten),
                 false => (at, before),
             });
-        let patience = patience(&self.listener.gate, key, self.draining, &io.limits);
+        let idle_timeout_of =
+            idle_timeout_of(&self.listener.controller, key, self.draining, &io.limits);
         if client
-            .next_due(patience, &io.limits)
+            .next_due(idle_timeout_of, &io.limits)
             .is_none_or(|at| at > io.now)
         {
             return self.arm(key, io);
@@ -334,7 +343,7 @@
         if client.phase == Phase::Open && !stalled {
             if client.begun.take().is_some() {
                 client.protocol_error("command not finished in time");
-                self.tell(Event::Wrong(connection_id(key)), io);
+                self.tell(Event::ProtocolError(connection_id(key)), io);
                 return self.touch(key);
             }
             // What has just come is still read.
@@ -344,7 +353,10 @@
             if self.draining {
                 return self.touch(key);
             }
-            fault = self.listener.gate.reputation(connection_id(key), io.now)
+            fault = self
+                .listener
+                .controller
+                .reputation(connection_id(key), io.now)
                 <= Some(Reputation::Silent);
         }
         self.gone(key, fault, core, io);
--- a/crates/ingress/src/routing/front/output.rs
+++ b/crates/ingress/src/routing/front/output.rs
@@ -4,7 +4,7 @@
 use super::Front;
 use crate::protocol::resp;
 use crate::routing::client::{Client, Phase};
-use crate::routing::core::{Answer, Core};
+use crate::routing::core::{Core, Response};
 use crate::routing::listener::{busy_reply, connection_id};
 use crate::routing::Io;
 use crate::transport::Key;
@@ -21,14 +21,14 @@
     pub fn answer(
         &mut self,
         (key, number): (Key, u64),
-        answer: Answer,
+        answer: Response,
         core: &mut Core,
         io: &mut Io,
     ) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let served = matches!(answer, Answer::Served(_));
+        let served = matches!(answer, Response::Served(_));
         if let Some(id) = client.settle(number, answer_bytes(answer)) {
             self.open.remove(&id);
             self.tell(
@@ -109,7 +109,7 @@
             return self.gone(key, false, core, io);
         }
         self.queue(key);
-        self.tell(Event::Ending(connection_id(key)), io);
+        self.tell(Event::HalfClosed(connection_id(key)), io);
     }
 
     /// Commands that waited for answers to go out are read on; an idle connection is reported to
@@ -122,19 +122,19 @@
             self.queue(key);
         }
         if is_idle {
-            self.tell(Event::Rested(connection_id(key)), io);
+            self.tell(Event::BecameIdle(connection_id(key)), io);
         }
     }
 }
 
-fn answer_bytes(answer: Answer) -> Vec<u8> {
+fn answer_bytes(answer: Response) -> Vec<u8> {
     match answer {
-        Answer::Served(value) => {
+        Response::Served(value) => {
             let mut out = Vec::with_capacity(value.len() + 16);
             resp::put_bulk(&mut out, &value);
             out
         }
-        Answer::Refused(after) => busy_reply(after),
-        Answer::Failed => b"-ERR failed\r\n".to_vec(),
+        Response::Rejected(after) => busy_reply(after),
+        Response::Failed => b"-ERR failed\r\n".to_vec(),
     }
 }
--- a/crates/ingress/src/routing/listener.rs
+++ b/crates/ingress/src/routing/listener.rs
@@ -3,7 +3,10 @@
 
 use super::{Io, Party};
 use crate::transport::{accept, is_fd_shortage, listening_at, spare, Key, Stream};
-use roseyard_admission::{Action, ConnectionId, Event, Gate, Policy, Reason, Use, REASONS};
+use roseyard_admission::{
+    Action, AdmissionController, AdmissionPolicy, ConnectionId, DescriptorUse, Event,
+    RejectionReason, REJECTION_REASONS,
+};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use std::net::{IpAddr, SocketAddr};
@@ -30,13 +33,14 @@
 pub(super) struct Listener {
     /// None once it is closed.
     socket: Option<OwnedFd>,
-    pub gate: Gate,
+    pub controller: AdmissionController,
     /// The listener is not watched until this time.
     paused: Option<Duration>,
     /// Room for what is to be done, kept from event to event.
     actions: Vec<Action>,
-    /// What was reported last of [`Gate::counts`] and [`Gate::refused`].
-    reported: ([u64; REASONS.len()], u64),
+    /// What was reported last of [`AdmissionController::counts`] and
+    /// [`AdmissionController::refused`].
+    reported: ([u64; REJECTION_REASONS.len()], u64),
     /// When that is reported again.
     report_due: Option<Duration>,
 }
@@ -44,25 +48,25 @@
 impl Listener {
     pub(super) fn new(
         socket: OwnedFd,
-        policy: Policy,
+        policy: AdmissionPolicy,
         secret: u64,
         io: &mut Io,
     ) -> rustix::io::Result<Listener> {
         io.poller.add_level(&socket, Party::Listener.token())?;
         // Their number is fixed by their tables: taken for the whole of the process's life.
         for of in [
-            Use::Fixed,
-            Use::Counter,
-            Use::Discovery,
-            Use::Files,
-            Use::Spare,
-            Use::Peers,
+            DescriptorUse::Fixed,
+            DescriptorUse::Counter,
+            DescriptorUse::Discovery,
+            DescriptorUse::Files,
+            DescriptorUse::Spare,
+            DescriptorUse::Peers,
         ] {
             while io.budget.used(of) < io.budget.share(of).least && io.budget.take(of) {}
         }
         Ok(Listener {
             socket: Some(socket),
-            gate: Gate::new(policy, secret, io.now),
+            controller: AdmissionController::new(policy, secret, io.now),
             paused: None,
             actions: Vec::new(),
             reported: Default::default(),
@@ -83,16 +87,16 @@
         mut act: impl FnMut(Action, &mut Io),
     ) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.gate.handle(io.now, event, &mut actions);
+        self.controller.handle(io.now, event, &mut actions);
         self.schedule_report(&actions, io);
         actions.drain(..).for_each(|action| act(action, io));
         self.actions = actions;
     }
 
     /// Other settings hold from now on.
-    pub(super) fn set_policy(&mut self, policy: Policy, io: &mut Io) -> Vec<Action> {
+    pub(super) fn set_policy(&mut self, policy: AdmissionPolicy, io: &mut Io) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gate.set_policy(policy, io.now, &mut actions);
+        self.controller.set_policy(policy, io.now, &mut actions);
         self.schedule_report(&actions, io);
         actions
     }
@@ -108,7 +112,7 @@
 
     /// Takes the next connection that waits, unless nothing is to be accepted just now.
     pub(super) fn accept(&mut self, io: &mut Io) -> Accepted {
-        if let Some(until) = self.gate.pause(io.now) {
+        if let Some(until) = self.controller.pause(io.now) {
             self.pause(until, io);
             return Accepted::Nothing;
         }
@@ -121,7 +125,7 @@
             Err(Errno::INTR | Errno::CONNABORTED) => Accepted::Failed,
             Err(e) if is_fd_shortage(e) => Accepted::Shortage,
             Err(e) => {
-                tracing::warn!(event = "clients.accept", why = %e, "clients: accept: {e}");
+                tracing::warn!(event = "clients.accept_failed", error = %e, "accept failed, retrying");
                 self.pause(io.now + io.limits.accept_again, io);
                 Accepted::Nothing
             }
@@ -137,12 +141,12 @@
             .as_ref()
             .map(|socket| accept(socket, io.limits.chunk_bytes))
         {
-            turn_away(stream, self.gate.policy().advice);
+            turn_away(stream, self.controller.policy().retry_after);
         }
         io.spare = spare();
         tracing::warn!(
-            event = "clients.descriptors",
-            "clients: no descriptor left; accepting later"
+            event = "clients.descriptors_exhausted",
+            "descriptors exhausted, accepting paused"
         );
         self.pause(io.now + io.limits.accept_again, io);
     }
@@ -174,7 +178,7 @@
         io.spare = None;
         for _ in 0..io.limits.backlog {
             match accept(&socket, io.limits.chunk_bytes) {
-                Ok((stream, _)) => turn_away(stream, self.gate.policy().advice),
+                Ok((stream, _)) => turn_away(stream, self.controller.policy().retry_after),
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
                 Err(_) => break,
             }
@@ -185,18 +189,18 @@
     /// It is time to report what was done, each limit for itself.
     pub(super) fn on_report_due(&mut self) {
         self.report_due = None;
-        let (counts, refused) = (self.gate.counts(), self.gate.refused());
+        let (counts, refused) = (self.controller.counts(), self.controller.refused());
         let (before, refused_before) = std::mem::replace(&mut self.reported, (counts, refused));
-        let since = |why: Reason| counts[why as usize] - before[why as usize];
-        let changed = REASONS.iter().filter(|why| since(**why) > 0);
+        let since = |why: RejectionReason| counts[why as usize] - before[why as usize];
+        let changed = REJECTION_REASONS.iter().filter(|why| since(**why) > 0);
         let mut words: Vec<String> = changed
             .map(|why| format!("{} {}", why.as_str(), since(*why)))
             .collect();
         if refused > refused_before {
             words.push(format!("refused {}", refused - refused_before));
         }
-        let (held, words) = (self.gate.held(), words.join(", "));
-        tracing::info!(event = "admission", held, %words, "admission: {held} clients held; since the last line: {words}");
+        let (held, words) = (self.controller.held(), words.join(", "));
+        tracing::info!(event = "admission.summary", clients = held, rejected = %words, "admission summary");
     }
 }
 
--- a/crates/ingress/src/routing/members.rs
+++ b/crates/ingress/src/routing/members.rs
@@ -32,8 +32,9 @@
     pub address: String,
     /// When this was written, Unix time in milliseconds.
     pub written: u64,
-    /// The start of this process, by the same clock.
-    pub life: u64,
+    /// The incarnation of this process: its start, in Unix milliseconds.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// How far it trusts itself: 0 is well, 8 the worst.
     pub health: u32,
     /// Who holds its name, while it is refused for that.
@@ -61,8 +62,9 @@
     pub standing: String,
     /// Age of the latest word of its own, in milliseconds.
     pub age: u64,
-    /// Its life and how often it refuted a suspicion in it.
-    pub life: (u64, u32),
+    /// Its incarnation, and how often it refuted a suspicion in it.
+    #[serde(rename = "life")]
+    pub incarnation: (u64, u32),
     /// Its zone.
     pub zone: String,
     /// How far it is by its own word.
@@ -172,8 +174,8 @@
         };
         let (cluster, keys_held) = (&operator.cluster, fingerprints(&keys));
         tracing::info!(
-            event = "membership.listening", %address, cluster, keys = keys_held,
-            "membership: {name} of cluster {cluster} listens on {address}, keys {keys_held}"
+            event = "membership.listening", %name, %address, cluster, keys = keys_held,
+            "membership listening"
         );
         let mut members = Members {
             guard: Guard::new(&operator.cluster, keys, me, NAMES),
@@ -196,14 +198,18 @@
         match keys(operator) {
             Ok(keys) => {
                 let marks = fingerprints(&keys);
-                tracing::info!(event = "membership.keys", marks, "membership: keys {marks}");
+                tracing::info!(
+                    event = "membership.keys_reloaded",
+                    keys = marks,
+                    "membership keys reloaded"
+                );
                 self.guard.set_keys(keys);
             }
             Err(why) => {
                 tracing::warn!(
-                    event = "membership.keys",
-                    why,
-                    "{why}; the keys held stay in force"
+                    event = "membership.keys_rejected",
+                    error = why,
+                    "membership keys rejected, previous ones stay in force"
                 );
             }
         }
@@ -275,25 +281,25 @@
                     let (seen, expected) = (quorum.seen, quorum.expected);
                     if matches!(to, MemberState::Suspect | MemberState::Dead) {
                         tracing::warn!(
-                            event = "membership.changed", %name, was, is, seen, expected,
-                            "membership: {name} {is}, was {was}; {seen} of {expected} answer"
+                            event = "membership.member_changed", member = %name, from = was, to = is, seen, expected,
+                            "member state changed"
                         );
                     } else {
                         tracing::info!(
-                            event = "membership.changed", %name, was, is, seen, expected,
-                            "membership: {name} {is}, was {was}; {seen} of {expected} answer"
+                            event = "membership.member_changed", member = %name, from = was, to = is, seen, expected,
+                            "member state changed"
                         );
                     }
                 }
                 Action::NameConflict { holder: by } => {
                     let name = self.swim.local().name;
                     tracing::warn!(
-                        event = "membership.refused", %name, %by,
-                        "membership: refused: the name {name} is held by a process at {by} that runs; asking again"
+                        event = "membership.name_conflict", %name, holder = %by,
+                        "membership name in use by another process, retrying"
                     );
                 }
                 Action::Joined => {
-                    tracing::info!(event = "membership.joined", "membership: let in");
+                    tracing::info!(event = "membership.joined", "membership joined");
                 }
             }
         }
@@ -328,7 +334,7 @@
                 address: record.address.to_string(),
                 standing: view.state.as_str().into(),
                 age: view.age.map_or(0, |a| a.as_millis() as u64),
-                life: (record.generation, record.incarnation),
+                incarnation: (record.generation, record.incarnation),
                 zone: record.metadata.zone.to_string(),
                 stage: format!("{:?}", record.metadata.stage).to_lowercase(),
             })
@@ -356,7 +362,7 @@
             name: me.name.to_string(),
             address: me.address.to_string(),
             written,
-            life: me.generation,
+            incarnation: me.generation,
             health: self.swim.local_health(),
             held: self.swim.name_conflict().map(|at| at.to_string()),
             seen: quorum.seen,
--- a/crates/ingress/src/routing/mod.rs
+++ b/crates/ingress/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Drives the engine: what comes from sockets is told to it, what it hands over becomes writes.
 //!
 //! [`Core`] knows customers, classes and plans, not the platform's words for them: a front hands it
-//! an [`Ask`] and is handed the [`Answer`]. [`front`] is the platform's.
+//! an [`Submission`] and is handed the [`Response`]. [`front`] is the platform's.
 
 mod attempts;
 mod client;
@@ -13,13 +13,13 @@
 mod listener;
 pub mod members;
 
-pub use self::core::{Answer, Ask, Core, Life, Start};
+pub use self::core::{Core, IngressEngine, Response, Start, Submission};
 pub use commands::{ClassTerms, Terms};
 pub use front::Front;
 
 use crate::limits::Limits;
 use crate::transport::{connect, is_fd_shortage, Deadlines, Key, Poller, Stream};
-use roseyard_admission::Budget;
+use roseyard_admission::DescriptorBudget;
 use rustix::fd::OwnedFd;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// What admission did is told.
     Report,
     /// Standing is written down.
-    Standing,
+    SnapshotSettings,
     /// The other ingresses.
     Members,
     /// What is known of them is written down.
@@ -80,7 +80,7 @@
             | Party::Ready
             | Party::Drain
             | Party::Report
-            | Party::Standing
+            | Party::SnapshotSettings
             | Party::Status => (SIGNAL, 0),
         };
         kind << 56 | rest
@@ -110,7 +110,7 @@
     /// The time of this round.
     pub now: Duration,
     /// Descriptors, by what they are for.
-    pub budget: Budget,
+    pub budget: DescriptorBudget,
     /// Held unused, and let go of when the system has no descriptor left.
     pub spare: Option<OwnedFd>,
     /// Sizes, counts and times.
