--- a/crates/operator-config/src/mistake.rs
+++ b/crates/operator-config/src/error.rs
@@ -8,7 +8,7 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug)]
-pub struct Mistake {
+pub struct ConfigError {
     source: Arc<NamedSource<String>>,
     /// Where it stands, in bytes.
     span: SourceSpan,
@@ -16,13 +16,13 @@
     help: Option<String>,
 }
 
-impl Mistake {
+impl ConfigError {
     pub(crate) fn new(
         source: &Arc<NamedSource<String>>,
         span: SourceSpan,
         what: String,
-    ) -> Mistake {
-        Mistake {
+    ) -> ConfigError {
+        ConfigError {
             source: Arc::clone(source),
             span,
             what,
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(crate) fn help(mut self, help: impl Into<String>) -> Mistake {
+    pub(crate) fn help(mut self, help: impl Into<String>) -> ConfigError {
         self.help = Some(help.into());
         self
     }
@@ -59,7 +59,7 @@
     )
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConfigError {
     /// `FILE:LINE:COLUMN: WHAT`, on one line.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (line, column) = self.place();
@@ -71,9 +71,9 @@
     }
 }
 
-impl std::error::Error for Mistake {}
+impl std::error::Error for ConfigError {}
 
-impl Diagnostic for Mistake {
+impl Diagnostic for ConfigError {
     fn help(&self) -> Option<Box<dyn fmt::Display + '_>> {
         self.help
             .as_ref()
@@ -93,17 +93,17 @@
 
 /// All that is wrong with a file, in its order.
 #[derive(Clone, Debug)]
-pub struct Mistakes(pub(crate) Vec<Mistake>);
+pub struct ConfigErrors(pub(crate) Vec<ConfigError>);
 
-impl Mistakes {
+impl ConfigErrors {
     /// The mistakes.
-    pub fn iter(&self) -> impl Iterator<Item = &Mistake> {
+    pub fn iter(&self) -> impl Iterator<Item = &ConfigError> {
         self.0.iter()
     }
 
     /// Each on a line of its own.
     pub fn lines(&self) -> Vec<String> {
-        self.0.iter().map(Mistake::to_string).collect()
+        self.0.iter().map(ConfigError::to_string).collect()
     }
 
     /// With the lines of the file that they stand on, for a terminal.
@@ -121,13 +121,13 @@
     }
 }
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}", self.lines().join(" | "))
     }
 }
 
-impl std::error::Error for Mistakes {}
+impl std::error::Error for ConfigErrors {}
 
 /// So many words are listed where none is like the one that was written.
 const MOST_LISTED: usize = 64;
--- a/crates/operator-config/src/explain.rs
+++ b/crates/operator-config/src/explain.rs
@@ -1,13 +1,13 @@
 //! The effective settings with their sources, as `roseyard-ingress explain` prints them.
 
-use crate::effective::{Effective, Machine};
 use crate::file::File;
 use crate::schema::{settings, Setting};
-use crate::Mistakes;
+use crate::settings::{MachineLimits, OperatorSettings};
+use crate::ConfigErrors;
 
 /// One setting, as it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct SettingRow {
     /// Section and name, with a dot between.
     pub name: String,
     /// Its value.
@@ -22,9 +22,9 @@
 
 impl File {
     /// Every setting that there is, by section.
-    pub fn explain(&self, machine: &Machine) -> Result<Vec<Row>, Mistakes> {
+    pub fn explain(&self, machine: &MachineLimits) -> Result<Vec<SettingRow>, ConfigErrors> {
         let effective = self.effective(machine)?;
-        let defaults = Effective::new(machine);
+        let defaults = OperatorSettings::new(machine);
         let row = |setting: &Setting| {
             let value = (setting.show)(&effective);
             // A default may follow from another setting that the file gives.
@@ -33,7 +33,7 @@
             } else {
                 "follows from others"
             };
-            Row {
+            SettingRow {
                 name: format!("{}.{}", setting.section, setting.name),
                 source: self.place_of(setting).unwrap_or_else(|| fallback.into()),
                 value,
@@ -41,7 +41,7 @@
                 allowed: setting.kind.allowed(),
             }
         };
-        let mut rows: Vec<Row> = settings().map(row).collect();
+        let mut rows: Vec<SettingRow> = settings().map(row).collect();
         rows.extend(self.services().rows(|span| self.place(span)));
         Ok(rows)
     }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,13 +1,13 @@
 //! Reads the file against the table of settings. Nothing of a file with a mistake takes effect.
 
-use crate::effective::{Effective, Machine, Membership};
-use crate::mistake::{hint, Mistake, Mistakes};
+use crate::error::{hint, ConfigError, ConfigErrors};
 use crate::schema::{settings, Setting, NEEDS};
 use crate::services::{self, Services};
+use crate::settings::{MachineLimits, Membership, OperatorSettings};
 use crate::value::Value;
 use kdl::{KdlDocument, KdlNode};
 use miette::{NamedSource, SourceSpan};
-use roseyard_admission::{Budget, Use};
+use roseyard_admission::{DescriptorBudget, DescriptorUse};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     }
 
     /// Reads and checks a file. The outer error says why it cannot be read at all.
-    pub fn load(path: &Path) -> Result<Result<File, Mistakes>, String> {
+    pub fn load(path: &Path) -> Result<Result<File, ConfigErrors>, String> {
         let named = |e: std::io::Error| format!("{}: {e}", path.display());
         if std::fs::metadata(path).map_err(named)?.len() > MOST_BYTES {
             return Err(format!("{}: longer than 4 MiB", path.display()));
@@ -49,17 +49,17 @@
     }
 
     /// Checks a file's text. All mistakes are found at once.
-    pub fn parse(name: &str, text: &str) -> Result<File, Mistakes> {
+    pub fn parse(name: &str, text: &str) -> Result<File, ConfigErrors> {
         let source = Arc::new(NamedSource::new(name, text.to_owned()));
         let document = KdlDocument::parse_v2(text).map_err(|wrong| {
             let told = |d: &kdl::KdlDiagnostic| {
-                let mistake = Mistake::new(&source, d.span, d.to_string());
+                let mistake = ConfigError::new(&source, d.span, d.to_string());
                 match &d.help {
                     Some(help) => mistake.help(help),
                     None => mistake,
                 }
             };
-            Mistakes(wrong.diagnostics.iter().map(told).collect())
+            ConfigErrors(wrong.diagnostics.iter().map(told).collect())
         })?;
         let mut file = File {
             source: Arc::clone(&source),
@@ -81,15 +81,15 @@
             if let Some((_, span)) = file.given.get(&(*section, *name)).filter(|_| !on) {
                 let what = format!("'{name}' has no effect without '{needed}'");
                 wrong.push(
-                    Mistake::new(&file.source, *span, what).help(format!("set '{needed}' too")),
+                    ConfigError::new(&file.source, *span, what).help(format!("set '{needed}' too")),
                 );
             }
         }
         if wrong.is_empty() {
             Ok(file)
         } else {
-            wrong.sort_by_cached_key(Mistake::place);
-            Err(Mistakes(wrong))
+            wrong.sort_by_cached_key(ConfigError::place);
+            Err(ConfigErrors(wrong))
         }
     }
 
@@ -98,11 +98,11 @@
         section: &'a KdlNode,
         seen: &mut BTreeMap<(&'a str, &'a str), usize>,
         services: &mut services::Reader,
-        wrong: &mut Vec<Mistake>,
+        wrong: &mut Vec<ConfigError>,
     ) {
         let name = section.name();
         let sections = || settings().map(|s| s.section).chain([services::SECTION]);
-        let mistake = |span: SourceSpan, what: String| Mistake::new(&self.source, span, what);
+        let mistake = |span: SourceSpan, what: String| ConfigError::new(&self.source, span, what);
         if !sections().any(|s| s == name.value()) {
             let what = format!("there is no section '{}'", name.value());
             return wrong.push(mistake(name.span(), what).help(hint(name.value(), sections())));
@@ -144,7 +144,7 @@
                         .insert((setting.section, setting.name), (value, node.name().span()));
                 }
                 Err((span, what)) => {
-                    let mistake = Mistake::new(&self.source, span, what);
+                    let mistake = ConfigError::new(&self.source, span, what);
                     let help = format!("'{}' takes {}", setting.name, setting.kind.allowed());
                     wrong.push(mistake.help(help));
                 }
@@ -153,16 +153,16 @@
     }
 
     /// All settings on such a machine. An error if they do not fit it.
-    pub fn effective(&self, machine: &Machine) -> Result<Effective, Mistakes> {
-        let mut effective = Effective::new(machine);
+    pub fn effective(&self, machine: &MachineLimits) -> Result<OperatorSettings, ConfigErrors> {
+        let mut effective = OperatorSettings::new(machine);
         for setting in settings() {
             if let Some((value, _)) = self.given.get(&(setting.section, setting.name)) {
                 (setting.apply)(&mut effective, value);
             }
         }
         // Guards against places for clients that no descriptor stands for.
-        let most = effective.share(Use::Clients).most;
-        effective.policy.places = effective.policy.places.min(most).max(1);
+        let most = effective.share(DescriptorUse::Clients).most;
+        effective.policy.capacity = effective.policy.capacity.min(most).max(1);
         // An answer that may come after the probe's end would be awaited in vain.
         let Membership {
             timeout, period, ..
@@ -174,11 +174,14 @@
                 .unwrap_or((0, 0).into());
             let what = "'timeout' is over half of 'period'".to_string();
             let help = "others are asked once the direct answer has failed, within the same period";
-            return Err(Mistakes(vec![
-                Mistake::new(&self.source, span, what).help(help)
-            ]));
+            return Err(ConfigErrors(vec![ConfigError::new(
+                &self.source,
+                span,
+                what,
+            )
+            .help(help)]));
         }
-        match Budget::new(effective.sockets, effective.shares) {
+        match DescriptorBudget::new(effective.sockets, effective.shares) {
             Ok(_) => Ok(effective),
             Err(few) => {
                 let first = self
@@ -188,7 +191,7 @@
                 let span = first.map_or((0, 0).into(), |(_, (_, span))| *span);
                 let help =
                     "lower 'least' of clients or links, or give the process more descriptors";
-                Err(Mistakes(vec![Mistake::new(
+                Err(ConfigErrors(vec![ConfigError::new(
                     &self.source,
                     span,
                     few.to_string(),
@@ -211,7 +214,9 @@
 
     /// The file's name and the line of a place in it.
     pub(crate) fn place(&self, span: SourceSpan) -> String {
-        let line = Mistake::new(&self.source, span, String::new()).place().0;
+        let line = ConfigError::new(&self.source, span, String::new())
+            .place()
+            .0;
         format!("{}:{line}", self.source.name())
     }
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,10 +2,10 @@
 //! their sources, and the set-up of logs.
 //!
 //! ```
-//! use roseyard_operator_config::{File, Machine};
+//! use roseyard_operator_config::{File, MachineLimits};
 //!
 //! let file = File::parse("roseyard.kdl", "admission { places 400; reserve 0.25 }").unwrap();
-//! let machine = Machine { sockets: 1024, allowed: 20_000 };
+//! let machine = MachineLimits { sockets: 1024, allowed: 20_000 };
 //! let settings = file.effective(&machine).unwrap();
 //! assert_eq!(settings.policy.reserve, 100);
 //! let wrong = File::parse("roseyard.kdl", "admission { resrve 0.25 }").unwrap_err();
@@ -15,17 +15,17 @@
 //! );
 //! ```
 
-mod effective;
+mod error;
 mod explain;
 mod file;
 pub mod log;
-mod mistake;
 mod schema;
 mod services;
+mod settings;
 mod value;
 
-pub use effective::{Effective, Machine, Membership, Standing};
-pub use explain::Row;
+pub use error::{ConfigError, ConfigErrors};
+pub use explain::SettingRow;
 pub use file::File;
-pub use mistake::{Mistake, Mistakes};
 pub use services::Services;
+pub use settings::{MachineLimits, Membership, OperatorSettings, SnapshotSettings};
--- a/crates/operator-config/src/log.rs
+++ b/crates/operator-config/src/log.rs
@@ -12,8 +12,8 @@
 
 /// The form of lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// `roseyard: LEVEL: TEXT`.
+pub enum LogFormat {
+    /// `roseyard: LEVEL: MESSAGE NAME=VALUE ...`.
     Text,
     /// One JSON object a line, with the event's fields.
     Json,
@@ -21,7 +21,7 @@
 
 /// From now on events of the level info and above go to standard error. Does nothing if the process
 /// logs already.
-pub fn init(form: Form, lines_a_second: u32) {
+pub fn init(form: LogFormat, lines_a_second: u32) {
     let start = Instant::now();
     let out = Bounded::new(io::stderr, form, lines_a_second, move || {
         start.elapsed().as_secs()
@@ -30,8 +30,10 @@
         .with_max_level(tracing::Level::INFO)
         .with_writer(out);
     let _ = match form {
-        Form::Text => tracing::subscriber::set_global_default(builder.event_format(Line).finish()),
-        Form::Json => {
+        LogFormat::Text => {
+            tracing::subscriber::set_global_default(builder.event_format(Line).finish())
+        }
+        LogFormat::Json => {
             let json = builder.json().flatten_event(true).with_target(false);
             tracing::subscriber::set_global_default(json.finish())
         }
@@ -47,17 +49,35 @@
     }
 }
 
-/// A line of text: the message tells what the fields tell.
+/// Formats an event as a line of text: its message, then its fields as `name=value`. The field
+/// `event`, a name for programs, stands in JSON alone.
 struct Line;
 
-struct Message<'a>(&'a mut String);
+/// The text of an event while its fields are visited.
+#[derive(Default)]
+struct LineText {
+    message: String,
+    fields: String,
+}
 
-impl Visit for Message<'_> {
+impl LineText {
+    fn record(&mut self, field: &Field, value: fmt::Arguments<'_>) {
+        // Writing to a string cannot fail.
+        let _ = match field.name() {
+            "event" => Ok(()),
+            "message" => self.message.write_fmt(value),
+            name => write!(self.fields, " {name}={value}"),
+        };
+    }
+}
+
+impl Visit for LineText {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        if field.name() == "message" {
-            // A string takes in whatever is written.
-            let _ = write!(self.0, "{value:?}");
-        }
+        self.record(field, format_args!("{value:?}"));
+    }
+
+    fn record_str(&mut self, field: &Field, value: &str) {
+        self.record(field, format_args!("{value}"));
     }
 }
 
@@ -70,9 +90,10 @@
         mut out: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut text = String::new();
-        event.record(&mut Message(&mut text));
-        // Guards against a line that passes for several.
+        let mut text = LineText::default();
+        event.record(&mut text);
+        let text = text.message + &text.fields;
+        // Escaped, as a line feed in a value would make one event look like two.
         writeln!(
             out,
             "roseyard: {}: {}",
@@ -86,7 +107,7 @@
 /// second's first line.
 pub struct Bounded<W, C> {
     make: W,
-    form: Form,
+    form: LogFormat,
     most: u32,
     second: C,
     state: Mutex<State>,
@@ -101,7 +122,7 @@
 
 impl<W, C: Fn() -> u64> Bounded<W, C> {
     /// Writes to what `make` makes; `second` tells the present second.
-    pub fn new(make: W, form: Form, most: u32, second: C) -> Bounded<W, C> {
+    pub fn new(make: W, form: LogFormat, most: u32, second: C) -> Bounded<W, C> {
         Bounded {
             make,
             form,
@@ -139,8 +160,8 @@
             if state.dropped > 0 {
                 let lost = state.dropped;
                 let _ = match self.form {
-                    Form::Text => writeln!((self.make)(), "roseyard: warn: log: {lost} lines dropped"),
-                    Form::Json => writeln!(
+                    LogFormat::Text => writeln!((self.make)(), "roseyard: warn: log: {lost} lines dropped"),
+                    LogFormat::Json => writeln!(
                         (self.make)(),
                         "{{\"level\":\"WARN\",\"event\":\"log.dropped\",\"lines\":{lost},\"message\":\"log: {lost} lines dropped\"}}"
                     ),
--- a/crates/operator-config/src/schema/admission.rs
+++ b/crates/operator-config/src/schema/admission.rs
@@ -3,10 +3,10 @@
 use super::show::{flag, optional, rate, time};
 use super::Setting;
 use crate::value::{Kind, Value};
-use roseyard_admission::{Listed, Policy, Use};
+use roseyard_admission::{AddressList, AdmissionPolicy, DescriptorUse};
 
-fn share_of(places: usize, share: f64) -> usize {
-    (places as f64 * share).round() as usize
+fn share_of(capacity: usize, share: f64) -> usize {
+    (capacity as f64 * share).round() as usize
 }
 
 pub(super) const SETTINGS: &[Setting] = &[
@@ -15,32 +15,32 @@
         name: "places",
         kind: Kind::Count(1, 1 << 20),
         about: "client connections in all; never more than 'descriptors' leaves them",
-        apply: |e, v| e.policy = Policy::of(v.count().min(e.share(Use::Clients).most)),
-        show: |e| e.policy.places.to_string(),
+        apply: |e, v| e.policy = AdmissionPolicy::of(v.count().min(e.share(DescriptorUse::Clients).most)),
+        show: |e| e.policy.capacity.to_string(),
     },
     Setting {
         section: "admission",
         name: "reserve",
-        kind: Kind::Share,
+        kind: Kind::DescriptorShare,
         about: "share of the places on which newcomers may rest, but not have requests open",
-        apply: |e, v| e.policy.reserve = share_of(e.policy.places, v.number()),
+        apply: |e, v| e.policy.reserve = share_of(e.policy.capacity, v.number()),
         show: |e| e.policy.reserve.to_string(),
     },
     Setting {
         section: "admission",
         name: "silent-room",
-        kind: Kind::Share,
+        kind: Kind::DescriptorShare,
         about: "share of the places for connections that have asked nothing yet",
-        apply: |e, v| e.policy.silent_room = share_of(e.policy.places, v.number()).max(1),
-        show: |e| e.policy.silent_room.to_string(),
+        apply: |e, v| e.policy.max_idle_without_request = share_of(e.policy.capacity, v.number()).max(1),
+        show: |e| e.policy.max_idle_without_request.to_string(),
     },
     Setting {
         section: "admission",
         name: "once-room",
-        kind: Kind::Share,
+        kind: Kind::DescriptorShare,
         about: "share of the places for connections that rest and have asked once",
-        apply: |e, v| e.policy.once_room = share_of(e.policy.places, v.number()).max(1),
-        show: |e| e.policy.once_room.to_string(),
+        apply: |e, v| e.policy.max_idle_after_one_request = share_of(e.policy.capacity, v.number()).max(1),
+        show: |e| e.policy.max_idle_after_one_request.to_string(),
     },
     Setting {
         section: "admission",
@@ -87,8 +87,8 @@
         name: "pace-newcomers",
         kind: Kind::Rate,
         about: "requests a second of all newcomers together; further ones are refused with advice",
-        apply: |e, v| e.policy.pace_newcomers = v.rate(),
-        show: |e| rate(e.policy.pace_newcomers),
+        apply: |e, v| e.policy.new_client_request_rate = v.rate(),
+        show: |e| rate(e.policy.new_client_request_rate),
     },
     Setting {
         section: "admission",
@@ -113,7 +113,7 @@
         about: "the operator's own addresses and ranges: no cap holds for them, and they go last",
         apply: |e, v| {
             if let Value::Ranges(ranges) = v {
-                e.policy.listed = Listed::new(ranges.iter().copied());
+                e.policy.listed = AddressList::new(ranges.iter().copied());
             }
         },
         show: |e| match e.policy.listed.len() {
@@ -158,64 +158,64 @@
         name: "vouched",
         kind: Kind::Count(0, 1 << 16),
         about: "connections at a time that a known customer's name lifts above those that asked once",
-        apply: |e, v| e.policy.vouched = v.count() as u32,
-        show: |e| e.policy.vouched.to_string(),
+        apply: |e, v| e.policy.customer_trusted_connections = v.count() as u32,
+        show: |e| e.policy.customer_trusted_connections.to_string(),
     },
     Setting {
         section: "admission",
         name: "remembered",
         kind: Kind::Count(16, 4 << 20),
         about: "addresses remembered without a connection, and as many neighbourhoods and customers",
-        apply: |e, v| e.policy.remembered = v.count(),
-        show: |e| e.policy.remembered.to_string(),
+        apply: |e, v| e.policy.max_remembered = v.count(),
+        show: |e| e.policy.max_remembered.to_string(),
     },
     Setting {
         section: "admission",
         name: "silent",
         kind: Kind::Time(50, 3_600_000),
         about: "a connection that has asked nothing is ended after this",
-        apply: |e, v| e.policy.silent = v.time(),
-        show: |e| time(e.policy.silent),
+        apply: |e, v| e.policy.idle_timeout_without_request = v.time(),
+        show: |e| time(e.policy.idle_timeout_without_request),
     },
     Setting {
         section: "admission",
         name: "once",
         kind: Kind::Time(50, 3_600_000),
         about: "one that has asked once is ended after resting for this",
-        apply: |e, v| e.policy.once = v.time(),
-        show: |e| time(e.policy.once),
+        apply: |e, v| e.policy.idle_timeout_after_one_request = v.time(),
+        show: |e| time(e.policy.idle_timeout_after_one_request),
     },
     Setting {
         section: "admission",
         name: "idle",
         kind: Kind::Time(50, 86_400_000),
         about: "one that comes again is ended after resting for this",
-        apply: |e, v| e.policy.idle = v.time(),
-        show: |e| time(e.policy.idle),
+        apply: |e, v| e.policy.idle_timeout = v.time(),
+        show: |e| time(e.policy.idle_timeout),
     },
     Setting {
         section: "admission",
         name: "guard",
         kind: Kind::Time(0, 86_400_000),
         about: "a known client's connection goes for a newcomer's only after resting for this",
-        apply: |e, v| e.policy.guard = v.time(),
-        show: |e| time(e.policy.guard),
+        apply: |e, v| e.policy.known_client_grace = v.time(),
+        show: |e| time(e.policy.known_client_grace),
     },
     Setting {
         section: "admission",
         name: "breath",
         kind: Kind::Time(0, 10_000),
         about: "no connection goes for a newcomer's before it has had this long to speak",
-        apply: |e, v| e.policy.breath = v.time(),
-        show: |e| time(e.policy.breath),
+        apply: |e, v| e.policy.first_command_grace = v.time(),
+        show: |e| time(e.policy.first_command_grace),
     },
     Setting {
         section: "admission",
         name: "advice",
         kind: Kind::Time(1, 3_600_000),
         about: "when those that are turned away are told to come again",
-        apply: |e, v| e.policy.advice = v.time(),
-        show: |e| time(e.policy.advice),
+        apply: |e, v| e.policy.retry_after = v.time(),
+        show: |e| time(e.policy.retry_after),
     },
     Setting {
         section: "admission",
--- a/crates/operator-config/src/schema/descriptors.rs
+++ b/crates/operator-config/src/schema/descriptors.rs
@@ -2,11 +2,11 @@
 
 use super::show::bounds;
 use super::Setting;
-use crate::effective::{Effective, Machine};
+use crate::settings::{MachineLimits, OperatorSettings};
 use crate::value::{Kind, Value};
-use roseyard_admission::{Policy, Share, Use};
+use roseyard_admission::{AdmissionPolicy, DescriptorShare, DescriptorUse};
 
-fn set_bounds(e: &mut Effective, of: Use, value: &Value) {
+fn set_bounds(e: &mut OperatorSettings, of: DescriptorUse, value: &Value) {
     let share = &mut e.shares[of as usize];
     if let Some(least) = value.named("least") {
         share.least = least as usize;
@@ -24,7 +24,7 @@
         name: "total",
         kind: Kind::Count(48, 1 << 20),
         about: "descriptors of the process; never more than the platform and the system allow",
-        apply: |e, v| *e = Effective::new(&Machine { sockets: v.count(), allowed: e.sockets }),
+        apply: |e, v| *e = OperatorSettings::new(&MachineLimits { sockets: v.count(), allowed: e.sockets }),
         show: |e| e.sockets.to_string(),
     },
     Setting {
@@ -33,25 +33,25 @@
         kind: Kind::Bounds(1 << 20),
         about: "connections of clients: always there, and at most",
         apply: |e, v| {
-            set_bounds(e, Use::Clients, v);
-            e.policy = Policy::of(e.share(Use::Clients).most);
+            set_bounds(e, DescriptorUse::Clients, v);
+            e.policy = AdmissionPolicy::of(e.share(DescriptorUse::Clients).most);
         },
-        show: |e| bounds(e.share(Use::Clients)),
+        show: |e| bounds(e.share(DescriptorUse::Clients)),
     },
     Setting {
         section: "descriptors",
         name: "links",
         kind: Kind::Bounds(1 << 20),
         about: "connections to servers: always there, and at most, borrowed while clients leave them unused",
-        apply: |e, v| set_bounds(e, Use::Links, v),
-        show: |e| bounds(e.share(Use::Links)),
+        apply: |e, v| set_bounds(e, DescriptorUse::Upstream, v),
+        show: |e| bounds(e.share(DescriptorUse::Upstream)),
     },
     Setting {
         section: "descriptors",
         name: "counter",
         kind: Kind::Count(1, 32),
         about: "connections to the counter",
-        apply: |e, v| e.shares[Use::Counter as usize] = Share { least: v.count(), most: v.count() },
-        show: |e| e.share(Use::Counter).most.to_string(),
+        apply: |e, v| e.shares[DescriptorUse::Counter as usize] = DescriptorShare { least: v.count(), most: v.count() },
+        show: |e| e.share(DescriptorUse::Counter).most.to_string(),
     },
 ];
--- a/crates/operator-config/src/schema/mod.rs
+++ b/crates/operator-config/src/schema/mod.rs
@@ -8,7 +8,7 @@
 mod show;
 mod standing;
 
-use crate::effective::Effective;
+use crate::settings::OperatorSettings;
 use crate::value::{Kind, Value};
 
 /// One setting of the file.
@@ -17,8 +17,8 @@
     pub name: &'static str,
     pub kind: Kind,
     pub about: &'static str,
-    pub apply: fn(&mut Effective, &Value),
-    pub show: fn(&Effective) -> String,
+    pub apply: fn(&mut OperatorSettings, &Value),
+    pub show: fn(&OperatorSettings) -> String,
 }
 
 /// Where settings follow from others, the others stand before them.
--- a/crates/operator-config/src/services/check.rs
+++ b/crates/operator-config/src/services/check.rs
@@ -2,10 +2,10 @@
 
 use super::reader::Reader;
 use super::{most_allowed, Services, SECTION};
-use crate::mistake::Mistake;
+use crate::error::ConfigError;
 use miette::SourceSpan;
 use roseyard_request_engine::{
-    Directory, DirectoryBounds, DirectoryChange, DirectoryError, ServerSelector,
+    Directory, DirectoryBounds, DirectoryChange, DirectoryError, EndpointSelector,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 impl Reader<'_> {
     /// Holds the lines against one another. Mistakes are added to `wrong`.
-    pub(crate) fn finish(mut self, wrong: &mut Vec<Mistake>) -> Services {
+    pub(crate) fn finish(mut self, wrong: &mut Vec<ConfigError>) -> Services {
         let Some(section) = self.section else {
             return Services::none();
         };
@@ -25,7 +25,7 @@
         });
         self.check_needs(section);
         self.add_services(&mut directory);
-        self.add_servers(&mut directory);
+        self.add_endpoints(&mut directory);
         self.add_routes(&mut directory);
         self.set_default(&mut directory);
         self.faults.finish(wrong);
@@ -82,7 +82,7 @@
                 }
             }
             // Servers that no line names belong to the default: it needs none of its own.
-            if !line.has_servers && default.as_ref() != Some(name) {
+            if !line.has_endpoints && default.as_ref() != Some(name) {
                 self.faults.add(span, |_| {
                     let help = "add 'servers' with networks, addresses or uids";
                     (
@@ -104,20 +104,20 @@
         }
     }
 
-    fn add_servers(&mut self, directory: &mut Directory) {
-        let mut first: HashMap<&ServerSelector, (&Arc<str>, SourceSpan)> = HashMap::new();
+    fn add_endpoints(&mut self, directory: &mut Directory) {
+        let mut first: HashMap<&EndpointSelector, (&Arc<str>, SourceSpan)> = HashMap::new();
         for line in &self.services {
             let service = &line.service.name;
-            for (servers, span) in &line.servers {
-                if let Some((holder, before)) = first.get(servers) {
-                    let what = format!("'{servers}' belongs to service '{holder}' already");
+            for (endpoints, span) in &line.endpoints {
+                if let Some((holder, before)) = first.get(endpoints) {
+                    let what = format!("'{endpoints}' belongs to service '{holder}' already");
                     self.faults.twice(&what, *span, *before);
                     continue;
                 }
-                first.insert(servers, (service, *span));
-                let (servers, service) = (servers.clone(), Arc::clone(service));
+                first.insert(endpoints, (service, *span));
+                let (endpoints, service) = (endpoints.clone(), Arc::clone(service));
                 // A service beyond the bound is not in the directory: that was named.
-                let _ = directory.apply(DirectoryChange::Assign { servers, service });
+                let _ = directory.apply(DirectoryChange::Assign { endpoints, service });
             }
         }
     }
--- a/crates/operator-config/src/services/faults.rs
+++ b/crates/operator-config/src/services/faults.rs
@@ -2,7 +2,7 @@
 
 use super::reader::Named;
 use super::SECTION;
-use crate::mistake::{hint, Mistake};
+use crate::error::{hint, ConfigError};
 use kdl::KdlEntry;
 use miette::{NamedSource, SourceSpan};
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 /// may hold a mistake on each line.
 pub(super) struct Faults<'a> {
     source: &'a Arc<NamedSource<String>>,
-    found: Vec<Mistake>,
+    found: Vec<ConfigError>,
     /// Those beyond [`MOST_MISTAKES`].
     more: usize,
     /// The place of all of them that is the furthest on in the file.
@@ -47,7 +47,7 @@
             return;
         }
         let (what, help) = say(self);
-        let mistake = Mistake::new(self.source, span, what);
+        let mistake = ConfigError::new(self.source, span, what);
         self.found.push(match help {
             Some(help) => mistake.help(help),
             None => mistake,
@@ -97,14 +97,14 @@
     }
 
     fn line(&self, span: SourceSpan) -> usize {
-        Mistake::new(self.source, span, String::new()).place().0
+        ConfigError::new(self.source, span, String::new()).place().0
     }
 
-    pub(super) fn finish(self, wrong: &mut Vec<Mistake>) {
+    pub(super) fn finish(self, wrong: &mut Vec<ConfigError>) {
         wrong.extend(self.found);
         if let Some(span) = self.last.filter(|_| self.more > 0) {
             let what = format!("and {} mistakes more in '{SECTION}'", self.more);
-            wrong.push(Mistake::new(self.source, span, what));
+            wrong.push(ConfigError::new(self.source, span, what));
         }
     }
 }
--- a/crates/operator-config/src/services/mod.rs
+++ b/crates/operator-config/src/services/mod.rs
@@ -8,7 +8,7 @@
 
 pub(crate) use reader::Reader;
 
-use crate::explain::Row;
+use crate::explain::SettingRow;
 use miette::SourceSpan;
 use roseyard_request_engine::{Directory, MOST_NAME_BYTES};
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     }
 
     /// What is shown of them: settings in full, lines that repeat by their number.
-    pub(crate) fn rows(&self, place: impl Fn(SourceSpan) -> String) -> Vec<Row> {
+    pub(crate) fn rows(&self, place: impl Fn(SourceSpan) -> String) -> Vec<SettingRow> {
         let directory = &self.directory;
         let quoted =
             |text: Option<&str>| text.map_or_else(|| "none".to_owned(), |text| format!("{text:?}"));
@@ -68,16 +68,17 @@
             .default_service()
             .and_then(|id| directory.name(id));
         let selectors = directory.selector_count();
-        let row = |name: &'static str, value: String, about: &'static str, allowed: String| Row {
-            name: format!("{SECTION}.{name}"),
-            value,
-            source: self
-                .places
-                .get(name)
-                .map_or_else(|| "default".to_owned(), |span| place(*span)),
-            about,
-            allowed,
-        };
+        let row =
+            |name: &'static str, value: String, about: &'static str, allowed: String| SettingRow {
+                name: format!("{SECTION}.{name}"),
+                value,
+                source: self
+                    .places
+                    .get(name)
+                    .map_or_else(|| "default".to_owned(), |span| place(*span)),
+                about,
+                allowed,
+            };
         vec![
             row(
                 LINES[0],
--- a/crates/operator-config/src/services/reader.rs
+++ b/crates/operator-config/src/services/reader.rs
@@ -1,16 +1,16 @@
 //! Reads the lines of the section, each on its own.
 
 use super::faults::Faults;
-use super::selector::{selector, BadServers};
+use super::selector::{selector, BadEndpoints};
 use super::{
     field_allowed, is_name, most_allowed, name_allowed, LINES, MOST_FIELD_BYTES, MOST_SERVICES,
     SECTION, SERVICES,
 };
-use crate::mistake::hint;
+use crate::error::hint;
 use crate::value::is_label;
 use kdl::{KdlEntry, KdlNode};
 use miette::{NamedSource, SourceSpan};
-use roseyard_request_engine::ServerSelector;
+use roseyard_request_engine::EndpointSelector;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -23,9 +23,9 @@
 /// A line `service`.
 pub(super) struct ServiceLine {
     pub(super) service: Named,
-    pub(super) servers: Vec<(ServerSelector, SourceSpan)>,
-    /// Has it a line `servers`, readable or not?
-    pub(super) has_servers: bool,
+    pub(super) endpoints: Vec<(EndpointSelector, SourceSpan)>,
+    /// Has it a line `endpoints`, readable or not?
+    pub(super) has_endpoints: bool,
 }
 
 /// A line `route`.
@@ -189,12 +189,12 @@
         else {
             return;
         };
-        let (mut servers, mut has_servers) = (Vec::new(), false);
+        let (mut endpoints, mut has_endpoints) = (Vec::new(), false);
         for line in node.children().map_or(&[][..], |children| children.nodes()) {
             match line.name().value() {
                 "servers" => {
-                    has_servers = true;
-                    self.read_servers(line, &mut servers);
+                    has_endpoints = true;
+                    self.read_endpoints(line, &mut endpoints);
                 }
                 other => self.faults.add(line.name().span(), |_| {
                     (
@@ -207,12 +207,16 @@
         self.declared.insert(Arc::clone(&service.name));
         self.services.push(ServiceLine {
             service,
-            servers,
-            has_servers,
+            endpoints,
+            has_endpoints,
         });
     }
 
-    fn read_servers(&mut self, line: &KdlNode, servers: &mut Vec<(ServerSelector, SourceSpan)>) {
+    fn read_endpoints(
+        &mut self,
+        line: &KdlNode,
+        endpoints: &mut Vec<(EndpointSelector, SourceSpan)>,
+    ) {
         if let Some(children) = line.children() {
             return self.faults.plain(children.span(), || {
                 "'servers' holds values, not settings".to_owned()
@@ -231,8 +235,8 @@
                 continue;
             }
             let text = entry.value().as_string();
-            match text.map_or(Err(BadServers::Malformed), selector) {
-                Ok(selector) => servers.push((selector, entry.span())),
+            match text.map_or(Err(BadEndpoints::Malformed), selector) {
+                Ok(selector) => endpoints.push((selector, entry.span())),
                 Err(bad) => self.faults.not_allowed(entry, "servers", || bad.allowed()),
             }
         }
--- a/crates/operator-config/src/effective.rs
+++ b/crates/operator-config/src/settings.rs
@@ -1,13 +1,13 @@
 //! All settings after defaults, as the program goes by them.
 
-use roseyard_admission::{Policy, Share, Use, USES};
+use roseyard_admission::{AdmissionPolicy, DescriptorShare, DescriptorUse, DESCRIPTOR_USES};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// What the process may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Machine {
+pub struct MachineLimits {
     /// Descriptors by the platform's configuration.
     pub sockets: usize,
     /// Descriptors that the system allows (RLIMIT_NOFILE, the soft limit).
@@ -16,7 +16,7 @@
 
 /// Where standing is kept over a restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct SnapshotSettings {
     /// The file; none to keep nothing.
     pub file: Option<PathBuf>,
     /// How often it is written.
@@ -62,15 +62,15 @@
 
 /// All settings after defaults.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Effective {
+pub struct OperatorSettings {
     /// Descriptors in all.
     pub sockets: usize,
-    /// Descriptors by use, in the order of [`USES`].
-    pub shares: [Share; USES.len()],
+    /// Descriptors by use, in the order of [`DESCRIPTOR_USES`].
+    pub shares: [DescriptorShare; DESCRIPTOR_USES.len()],
     /// Admission of connections.
-    pub policy: Policy,
+    pub policy: AdmissionPolicy,
     /// Standing over a restart.
-    pub standing: Standing,
+    pub standing: SnapshotSettings,
     /// Ingresses that learn of one another.
     pub membership: Membership,
     /// Log lines a second; further ones are counted.
@@ -82,13 +82,13 @@
 /// Descriptors for standard streams, readiness, listener and signals.
 const FIXED: usize = 12;
 
-impl Effective {
+impl OperatorSettings {
     /// The defaults on such a machine. Three quarters of the descriptors that are left are for
     /// clients and a quarter for servers; servers may borrow up to half of them while clients leave
     /// them unused.
-    pub fn new(machine: &Machine) -> Effective {
+    pub fn new(machine: &MachineLimits) -> OperatorSettings {
         let sockets = machine.sockets.min(machine.allowed);
-        let share = |least: usize, most: usize| Share { least, most };
+        let share = |least: usize, most: usize| DescriptorShare { least, most };
         let kept = FIXED + 8 + 2 + 2 + 1;
         let left = sockets.saturating_sub(kept).max(4);
         let shares = [
@@ -101,11 +101,11 @@
             share(1, 1),
             share(0, 0),
         ];
-        Effective {
+        OperatorSettings {
             sockets,
             shares,
-            policy: Policy::of(left - left / 4),
-            standing: Standing {
+            policy: AdmissionPolicy::of(left - left / 4),
+            standing: SnapshotSettings {
                 file: None,
                 every: Duration::from_secs(30),
                 most: 100_000,
@@ -133,7 +133,7 @@
     }
 
     /// What a use of descriptors may hold.
-    pub fn share(&self, of: Use) -> Share {
+    pub fn share(&self, of: DescriptorUse) -> DescriptorShare {
         self.shares[of as usize]
     }
 }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -3,7 +3,8 @@
 //! configuration. Unknown keys are ignored.
 
 use roseyard_decision::{
-    Class, Counter, DedupGroup, Discovery, Effect, Guarantees, Limits, Plan, Settings,
+    CounterSettings, DeduplicationScope, DiscoveryMode, EndpointLimits, Idempotency, Permissions,
+    Plan, RequestClass, Settings,
 };
 use serde::Deserialize;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 /// The settings as the platform words them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Options {
+pub struct PlatformSettings {
     az: u16,
     balancers: u32,
     ceilings: Ceilings,
@@ -132,22 +133,22 @@
     }
 }
 
-fn class(c: &WireClass) -> Result<Class, String> {
+fn class(c: &WireClass) -> Result<RequestClass, String> {
     let group = || match c.group.as_deref().unwrap_or_default() {
-        "all" => Ok(DedupGroup::All),
-        "zone" => Ok(DedupGroup::Zone),
-        "cell" => Ok(DedupGroup::Cell),
+        "all" => Ok(DeduplicationScope::All),
+        "zone" => Ok(DeduplicationScope::Zone),
+        "cell" => Ok(DeduplicationScope::Cell),
         other => Err(format!(
             "Classes[].Group: unknown value '{other}', expected 'all', 'zone' or 'cell'"
         )),
     };
     let effect = match c.effect.as_str() {
-        "read_like" => Effect::Safe,
-        "idempotency_key" => Effect::Keyed {
+        "read_like" => Idempotency::Idempotent,
+        "idempotency_key" => Idempotency::IdempotencyKey {
             group: group()?,
             window: required("Classes[].WindowMs", c.window_ms.unwrap_or_default())?,
         },
-        "non_idempotent" => Effect::Unsafe,
+        "non_idempotent" => Idempotency::NonIdempotent,
         other => {
             let known = "'read_like', 'idempotency_key' or 'non_idempotent'";
             return Err(format!(
@@ -155,20 +156,20 @@
             ));
         }
     };
-    Ok(Class {
-        aim: required("Classes[].TargetMs", c.target_ms)?,
-        aim_stretch: c.aim_stretch,
+    Ok(RequestClass {
+        latency_objective: required("Classes[].TargetMs", c.target_ms)?,
+        objective_per_work: c.aim_stretch,
         deadline: required("Classes[].DeadlineMs", c.deadline_ms)?,
-        worth: c.worth,
-        late_worth: c.late_worth,
-        effect,
+        priority_weight: c.worth,
+        late_weight_ratio: c.late_worth,
+        idempotency: effect,
         streamed: c.stream,
     })
 }
 
-impl Options {
+impl PlatformSettings {
     /// Decodes the settings' text.
-    pub fn parse(text: &[u8]) -> Result<Options, String> {
+    pub fn parse(text: &[u8]) -> Result<PlatformSettings, String> {
         decode(&mut text.to_vec())
     }
 
@@ -249,12 +250,12 @@
     pub fn settings(&self) -> Result<Settings, String> {
         let o = self;
         let discovery = match o.discovery.as_str() {
-            "automatic" => Discovery::Push,
-            "subscribe" => Discovery::Ask,
+            "automatic" => DiscoveryMode::Push,
+            "subscribe" => DiscoveryMode::Poll,
             other => return Err(format!("Discovery: unknown value '{other}'")),
         };
         let counter = match o.domain.shared_counter {
-            true => Some(Counter {
+            true => Some(CounterSettings {
                 timeout: required("Domain.CounterTimeoutMs", o.domain.counter_timeout_ms)?,
             }),
             false => None,
@@ -262,17 +263,17 @@
         let plan = |p: &WirePlan| Plan {
             rate: p.rate,
             burst: p.most_at_once,
-            max_open: p.max_out,
+            max_concurrent: p.max_out,
             ceiling_rate: p.never_over_rate,
             ceiling_burst: p.cap_depth,
             ceiling_slack: p.cap_slack,
-            price: p.value_factor,
-            excess_worth: p.excess_worth,
-            excess_cost: p.beyond_costs,
+            priority_factor: p.value_factor,
+            over_quota_weight_ratio: p.excess_worth,
+            over_quota_cost: p.beyond_costs,
         };
         let settings = Settings {
-            gateways: o.balancers,
-            number: o.me,
+            ingress_count: o.balancers,
+            ingress_index: o.me,
             zone: o.az,
             tick: ms(o.granularity_ms),
             classes: o.classes.iter().map(class).collect::<Result<_, _>>()?,
@@ -280,25 +281,25 @@
             counter,
             // What a server's cores do says nothing of what it holds: such reports are worth no
             // probe.
-            reports_on_probe: o.report.via == "on_probe"
+            load_reports_on_health_check: o.report.via == "on_probe"
                 && o.report
                     .fields
                     .iter()
                     .any(|f| f == "busy_reqs" || f == "pending"),
             discovery,
-            limits: Limits {
+            permissions: Permissions {
                 max_attempts: o.ceilings.max_attempts,
                 cancel: o.ceilings.cancel,
-                duplicates: o.ceilings.may_duplicate,
-                probes: o.ceilings.probes,
-                retry_advice: o.ceilings.retry_after,
-                max_retry_advice: ms(o.ceilings.max_retry_after_ms),
+                hedging: o.ceilings.may_duplicate,
+                health_checks: o.ceilings.probes,
+                retry_after: o.ceilings.retry_after,
+                max_retry_after: ms(o.ceilings.max_retry_after_ms),
             },
-            guarantees: Guarantees {
-                cold_share: o.guarantees.start_capacity,
-                warm_within: ms(o.guarantees.warm_within_ms),
-                tip_multiple: o.guarantees.tip_multiple,
-                tip_after: ms(o.guarantees.tip_after_ms),
+            endpoint_limits: EndpointLimits {
+                initial_capacity_ratio: o.guarantees.start_capacity,
+                warm_up_duration: ms(o.guarantees.warm_within_ms),
+                overload_multiple: o.guarantees.tip_multiple,
+                overload_window: ms(o.guarantees.tip_after_ms),
                 drain_grace: self.drain_grace(),
             },
         };
--- a/crates/request-engine/src/directory.rs
+++ b/crates/request-engine/src/directory.rs
@@ -33,30 +33,30 @@
 
 /// Servers that are assigned to a service together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum ServerSelector {
+pub enum EndpointSelector {
     /// Those whose endpoint lies in this network, unless a longer one or their uid says otherwise.
     Network(IpNet),
     /// The one of this uid, wherever it listens.
     Uid(Arc<str>),
 }
 
-impl ServerSelector {
+impl EndpointSelector {
     /// A selector for a network; bits beyond its prefix are dropped.
-    pub fn network(network: IpNet) -> ServerSelector {
-        ServerSelector::Network(network.trunc())
+    pub fn network(network: IpNet) -> EndpointSelector {
+        EndpointSelector::Network(network.trunc())
     }
 
     /// A selector for a server's uid.
-    pub fn uid(uid: &str) -> ServerSelector {
-        ServerSelector::Uid(uid.into())
+    pub fn uid(uid: &str) -> EndpointSelector {
+        EndpointSelector::Uid(uid.into())
     }
 }
 
-impl fmt::Display for ServerSelector {
+impl fmt::Display for EndpointSelector {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ServerSelector::Network(network) => network.fmt(f),
-            ServerSelector::Uid(uid) => f.write_str(uid),
+            EndpointSelector::Network(network) => network.fmt(f),
+            EndpointSelector::Uid(uid) => f.write_str(uid),
         }
     }
 }
@@ -89,14 +89,14 @@
     /// Servers are assigned to a service, or moved from the one that held them.
     Assign {
         /// The servers.
-        servers: ServerSelector,
+        endpoints: EndpointSelector,
         /// Name of their service.
         service: Arc<str>,
     },
     /// Servers are no longer assigned by this selector.
     Unassign {
         /// The servers.
-        servers: ServerSelector,
+        endpoints: EndpointSelector,
     },
     /// The service of requests without a route and of servers that no selector names.
     SetDefault {
@@ -119,7 +119,7 @@
     /// A service was removed; its id is never used again.
     Removed(ServiceId),
     /// These servers have to be looked up again.
-    Reassigned(ServerSelector),
+    Reassigned(EndpointSelector),
     /// Servers that no selector names have to be looked up again.
     DefaultReassigned,
     /// All servers have to be looked up again.
@@ -142,14 +142,14 @@
         name: Arc<str>,
     },
     /// A service that is still named.
-    #[error("service '{name}' is in use: by {routes} routes, by {servers} networks, addresses or uids of servers{}", if *.default { ", as the default" } else { "" })]
+    #[error("service '{name}' is in use: by {routes} routes, by {endpoints} networks, addresses or uids of servers{}", if *.default { ", as the default" } else { "" })]
     ServiceInUse {
         /// Its name.
         name: Arc<str>,
         /// Routes that name it.
         routes: usize,
         /// Selectors of servers that name it.
-        servers: usize,
+        endpoints: usize,
         /// Is it the default?
         default: bool,
     },
@@ -160,10 +160,10 @@
         route: Arc<str>,
     },
     /// Servers that no service holds by this selector.
-    #[error("no service has a line for the servers '{servers}'")]
-    UnknownServers {
+    #[error("no service has a line for the servers '{endpoints}'")]
+    UnknownEndpoints {
         /// The selector.
-        servers: ServerSelector,
+        endpoints: EndpointSelector,
     },
     /// One service more than the bound.
     #[error("more than {most} services")]
@@ -281,7 +281,7 @@
 
     /// The service of a server: by its uid, else by the longest network that holds its address,
     /// else the default.
-    pub fn service_of_server(&self, uid: &str, address: SocketAddr) -> Option<ServiceId> {
+    pub fn service_of_endpoint(&self, uid: &str, address: SocketAddr) -> Option<ServiceId> {
         if self.single {
             return Some(SINGLE_SERVICE);
         }
@@ -315,8 +315,8 @@
             DirectoryChange::RemoveService { name } => self.remove_service(name),
             DirectoryChange::SetRoute { route, service } => self.set_route(route, service),
             DirectoryChange::RemoveRoute { route } => self.remove_route(route),
-            DirectoryChange::Assign { servers, service } => self.assign(servers, service),
-            DirectoryChange::Unassign { servers } => self.unassign(servers),
+            DirectoryChange::Assign { endpoints, service } => self.assign(endpoints, service),
+            DirectoryChange::Unassign { endpoints } => self.unassign(endpoints),
             DirectoryChange::SetDefault { service } => self.set_default(service),
             DirectoryChange::SetBounds(bounds) => self.set_bounds(bounds),
             DirectoryChange::SetSingle(single) => {
@@ -390,12 +390,12 @@
         let id = self.known(&name)?;
         let default = self.default == Some(id);
         if let Some(service) = self.services.get(&id) {
-            let (routes, servers) = (service.routes, service.selectors);
-            if routes > 0 || servers > 0 || default {
+            let (routes, endpoints) = (service.routes, service.selectors);
+            if routes > 0 || endpoints > 0 || default {
                 return Err(DirectoryError::ServiceInUse {
                     name,
                     routes,
-                    servers,
+                    endpoints,
                     default,
                 });
             }
@@ -434,35 +434,35 @@
 
     fn assign(
         &mut self,
-        servers: ServerSelector,
+        endpoints: EndpointSelector,
         service: Arc<str>,
     ) -> Result<DirectoryEffect, DirectoryError> {
         let id = self.known(&service)?;
-        let before = match &servers {
-            ServerSelector::Network(network) => self.networks.insert(*network, id),
-            ServerSelector::Uid(uid) => self.uids.insert(Arc::clone(uid), id),
+        let before = match &endpoints {
+            EndpointSelector::Network(network) => self.networks.insert(*network, id),
+            EndpointSelector::Uid(uid) => self.uids.insert(Arc::clone(uid), id),
         };
         self.count_selectors(before, Some(id));
         match before == Some(id) {
             true => Ok(DirectoryEffect::Unchanged),
-            false => Ok(DirectoryEffect::Reassigned(servers)),
+            false => Ok(DirectoryEffect::Reassigned(endpoints)),
         }
     }
 
-    fn unassign(&mut self, servers: ServerSelector) -> Result<DirectoryEffect, DirectoryError> {
-        let before = match &servers {
-            ServerSelector::Network(network) => self.networks.remove(*network),
-            ServerSelector::Uid(uid) => {
+    fn unassign(&mut self, endpoints: EndpointSelector) -> Result<DirectoryEffect, DirectoryError> {
+        let before = match &endpoints {
+            EndpointSelector::Network(network) => self.networks.remove(*network),
+            EndpointSelector::Uid(uid) => {
                 let before = self.uids.remove(uid);
                 shrink(&mut self.uids);
                 before
             }
         };
         if before.is_none() {
-            return Err(DirectoryError::UnknownServers { servers });
+            return Err(DirectoryError::UnknownEndpoints { endpoints });
         }
         self.count_selectors(before, None);
-        Ok(DirectoryEffect::Reassigned(servers))
+        Ok(DirectoryEffect::Reassigned(endpoints))
     }
 
     fn set_default(
@@ -524,25 +524,25 @@
     }
 
     /// The selectors with the names of their services.
-    fn selectors(&self) -> impl Iterator<Item = (ServerSelector, &Arc<str>)> {
+    fn selectors(&self) -> impl Iterator<Item = (EndpointSelector, &Arc<str>)> {
         let networks = self
             .networks
             .iter()
-            .map(|(network, id)| (ServerSelector::Network(network), id));
+            .map(|(network, id)| (EndpointSelector::Network(network), id));
         let uids = self
             .uids
             .iter()
-            .map(|(uid, id)| (ServerSelector::Uid(Arc::clone(uid)), *id));
+            .map(|(uid, id)| (EndpointSelector::Uid(Arc::clone(uid)), *id));
         networks
             .chain(uids)
-            .filter_map(|(servers, id)| Some((servers, self.shared_name(id)?)))
+            .filter_map(|(endpoints, id)| Some((endpoints, self.shared_name(id)?)))
     }
 
     /// Name of the service that holds servers by exactly this selector.
-    fn holder(&self, servers: &ServerSelector) -> Option<&Arc<str>> {
-        let id = match servers {
-            ServerSelector::Network(network) => self.networks.get(*network),
-            ServerSelector::Uid(uid) => self.uids.get(uid).copied(),
+    fn holder(&self, endpoints: &EndpointSelector) -> Option<&Arc<str>> {
+        let id = match endpoints {
+            EndpointSelector::Network(network) => self.networks.get(*network),
+            EndpointSelector::Uid(uid) => self.uids.get(uid).copied(),
         };
         id.and_then(|id| self.shared_name(id))
     }
@@ -631,27 +631,28 @@
     }
 
     fn assigned(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let differs = |(servers, service): &(ServerSelector, &Arc<str>)| {
-            self.holder(servers) != Some(service)
+        let differs = |(endpoints, service): &(EndpointSelector, &Arc<str>)| {
+            self.holder(endpoints) != Some(service)
         };
         let mut assigned: Vec<_> = new.selectors().filter(differs).collect();
         assigned.sort_unstable();
-        let change = |(servers, service): (ServerSelector, &Arc<str>)| DirectoryChange::Assign {
-            servers,
-            service: Arc::clone(service),
-        };
+        let change =
+            |(endpoints, service): (EndpointSelector, &Arc<str>)| DirectoryChange::Assign {
+                endpoints,
+                service: Arc::clone(service),
+            };
         assigned.into_iter().map(change).collect()
     }
 
     fn unassigned(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let held = self.selectors().map(|(servers, _)| servers);
+        let held = self.selectors().map(|(endpoints, _)| endpoints);
         let mut removed: Vec<_> = held
-            .filter(|servers| new.holder(servers).is_none())
+            .filter(|endpoints| new.holder(endpoints).is_none())
             .collect();
         removed.sort_unstable();
         removed
             .into_iter()
-            .map(|servers| DirectoryChange::Unassign { servers })
+            .map(|endpoints| DirectoryChange::Unassign { endpoints })
             .collect()
     }
 }
--- a/crates/request-engine/src/fleet.rs
+++ b/crates/request-engine/src/endpoint_registry.rs
@@ -1,38 +1,38 @@
 //! The list of servers as discovery last told it.
 
-use crate::directory::{Directory, DirectoryEffect, ServerSelector};
-use crate::list::{List, Target};
+use crate::directory::{Directory, DirectoryEffect, EndpointSelector};
+use crate::list::{EndpointListMessage, EndpointRecord};
 use ipnet::IpNet;
-use roseyard_decision::{ListUpdate, ServerEntry, ServerId, ServerState, ServiceId};
+use roseyard_decision::{EndpointEntry, EndpointId, EndpointListUpdate, EndpointState, ServiceId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
 /// A server of the list.
-pub struct Server {
+pub struct Endpoint {
     uid: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// What discovery last said of it.
-    pub state: ServerState,
+    pub state: EndpointState,
     started: Option<Duration>,
     /// Version of the latest word on it.
     revision: u64,
     /// What is known of it beside its service.
-    entry: ServerEntry,
+    entry: EndpointEntry,
     /// The service that holds it, if one does.
     service: Option<ServiceId>,
 }
 
-impl Server {
+impl Endpoint {
     /// The service that holds it, if one does.
     pub fn service(&self) -> Option<ServiceId> {
         self.service
     }
 
     /// What the module is to know of it in this service.
-    fn entry_in(&self, service: ServiceId, state: ServerState) -> ServerEntry {
-        ServerEntry {
+    fn entry_in(&self, service: ServiceId, state: EndpointState) -> EndpointEntry {
+        EndpointEntry {
             service,
             state,
             ..self.entry
@@ -49,11 +49,11 @@
 /// Servers by the number that the module knows them by. A name that comes back after it was removed
 /// gets a number of its own. A list of changes costs what it names; a whole list costs its length.
 #[derive(Default)]
-pub struct Fleet {
-    servers: BTreeMap<ServerId, Server>,
-    numbers: HashMap<String, ServerId>,
+pub struct EndpointRegistry {
+    endpoints: BTreeMap<EndpointId, Endpoint>,
+    numbers: HashMap<String, EndpointId>,
     /// Servers by address: more than one may stand at an address, of which one is ready.
-    places: BTreeSet<(SocketAddr, ServerId)>,
+    places: BTreeSet<(SocketAddr, EndpointId)>,
     /// Servers that were told gone, the latest of them; and their names in that order.
     departures: HashMap<String, Departure>,
     departed: VecDeque<String>,
@@ -75,18 +75,18 @@
 }
 
 /// What a list changed.
-pub struct Change {
+pub struct RegistryUpdate {
     /// For the module.
-    pub update: ListUpdate,
+    pub update: EndpointListUpdate,
     /// Servers that drain, are gone, have restarted or have moved: idle connections to them are of
     /// no more use.
-    pub stale: Vec<ServerId>,
+    pub stale: Vec<EndpointId>,
     /// Entries that could not be read.
     pub bad: usize,
 }
 
 /// What the words of a list are read by.
-pub struct Reading<'a, F> {
+pub struct EntryContext<'a, F> {
     /// Names of the zones, by number.
     pub zones: &'a [String],
     /// Which service a server belongs to.
@@ -98,16 +98,16 @@
 /// What a list in work has found so far.
 #[derive(Default)]
 struct Found {
-    entries: Vec<ServerEntry>,
-    stale: Vec<ServerId>,
+    entries: Vec<EndpointEntry>,
+    stale: Vec<EndpointId>,
     /// Told gone, and not told to serve again since.
-    gone: BTreeSet<ServerId>,
+    gone: BTreeSet<EndpointId>,
 }
 
-impl Fleet {
+impl EndpointRegistry {
     /// A server, if the list has named it.
-    pub fn get(&self, id: ServerId) -> Option<&Server> {
-        self.servers.get(&id)
+    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(&id)
     }
 
     /// Servers that are ready.
@@ -116,7 +116,11 @@
     }
 
     /// Takes a list in.
-    pub fn apply<F>(&mut self, list: &List, reading: &Reading<F>) -> Change
+    pub fn apply<F>(
+        &mut self,
+        list: &EndpointListMessage,
+        reading: &EntryContext<F>,
+    ) -> RegistryUpdate
     where
         F: Fn(f64) -> Option<Duration>,
     {
@@ -142,17 +146,17 @@
         self.rev = list.rev;
         let Found { entries, stale, .. } = found;
         let update = if list.all {
-            ListUpdate::Full(entries)
+            EndpointListUpdate::Full(entries)
         } else {
-            ListUpdate::Changes(entries)
+            EndpointListUpdate::Changes(entries)
         };
-        Change { update, stale, bad }
+        RegistryUpdate { update, stale, bad }
     }
 
     /// Guards against an agent that is behind: an older word that a server serves does not bring
     /// back one that was told to leave since, nor the time of its start before the last. One that
     /// has started since counts.
-    fn outdated(&self, target: &Target, revision: u64, started: Option<Duration>) -> bool {
+    fn outdated(&self, target: &EndpointRecord, revision: u64, started: Option<Duration>) -> bool {
         if target.state != "SERVING" {
             return false;
         }
@@ -160,7 +164,7 @@
         let held = self
             .numbers
             .get(&target.uid)
-            .and_then(|id| self.servers.get(id));
+            .and_then(|id| self.endpoints.get(id));
         let departure = self.departures.get(&target.uid);
         held.is_some_and(|s| later(s.revision, s.started))
             || departure.is_some_and(|d| later(d.revision, d.started))
@@ -169,36 +173,36 @@
     /// Takes an entry in; none if it cannot be read.
     fn take<F>(
         &mut self,
-        target: &Target,
+        target: &EndpointRecord,
         revision: u64,
-        reading: &Reading<F>,
+        reading: &EntryContext<F>,
         found: &mut Found,
-    ) -> Option<ServerId>
+    ) -> Option<EndpointId>
     where
         F: Fn(f64) -> Option<Duration>,
     {
         let state = match target.state.as_str() {
-            "SERVING" => ServerState::Ready,
-            "DRAINING" => ServerState::Draining,
-            "DELETED" => ServerState::Gone,
+            "SERVING" => EndpointState::Ready,
+            "DRAINING" => EndpointState::Draining,
+            "DELETED" => EndpointState::Removed,
             _ => return None,
         };
         let held = self
             .numbers
             .get(&target.uid)
-            .and_then(|id| self.servers.get(id));
+            .and_then(|id| self.endpoints.get(id));
         let before = held.map(|s| (s.address, s.started, s.service));
         // Where one that leaves listens is known: word of its leaving counts whatever else cannot
         // be read.
         let known = before
             .map(|(address, ..)| address)
-            .filter(|_| state != ServerState::Ready);
-        let address: SocketAddr = target.endpoint.parse().ok().or(known)?;
+            .filter(|_| state != EndpointState::Ready);
+        let address: SocketAddr = target.address.parse().ok().or(known)?;
         let started = (reading.started)(target.boot_ms);
         let id = self.number(&target.uid);
-        let service = reading.directory.service_of_server(&target.uid, address);
-        let entry = ServerEntry {
-            server: id,
+        let service = reading.directory.service_of_endpoint(&target.uid, address);
+        let entry = EndpointEntry {
+            endpoint: id,
             service: ServiceId::default(),
             zone: reading
                 .zones
@@ -213,10 +217,10 @@
         };
         let uid = target.uid.clone();
         let revision = self
-            .servers
+            .endpoints
             .get(&id)
             .map_or(revision, |s| s.revision.max(revision));
-        let server = Server {
+        let endpoint = Endpoint {
             uid,
             address,
             state,
@@ -225,49 +229,51 @@
             entry,
             service,
         };
-        if state == ServerState::Gone {
+        if state == EndpointState::Removed {
             found.gone.insert(id);
         } else {
             found.gone.remove(&id);
         }
         let same = before.is_none_or(|(at, since, _)| since == started && at == address);
-        if state != ServerState::Ready || !same {
+        if state != EndpointState::Ready || !same {
             found.stale.push(id);
         }
         if let Some(left) = before
             .and_then(|(.., service)| service)
             .filter(|left| Some(*left) != service)
         {
-            found.entries.push(server.entry_in(left, ServerState::Gone));
+            found
+                .entries
+                .push(endpoint.entry_in(left, EndpointState::Removed));
         }
-        if state == ServerState::Ready && before.map(|(at, ..)| at) != Some(address) {
+        if state == EndpointState::Ready && before.map(|(at, ..)| at) != Some(address) {
             self.supersede(id, address, found);
         }
         found
             .entries
-            .extend(service.map(|service| server.entry_in(service, state)));
-        self.put(id, server);
+            .extend(service.map(|service| endpoint.entry_in(service, state)));
+        self.put(id, endpoint);
         Some(id)
     }
 
     /// The number of a name.
-    fn number(&mut self, uid: &str) -> ServerId {
+    fn number(&mut self, uid: &str) -> EndpointId {
         if let Some(id) = self.numbers.get(uid) {
             return *id;
         }
         self.last_number += 1;
-        let id = ServerId(self.last_number);
+        let id = EndpointId(self.last_number);
         self.numbers.insert(uid.to_owned(), id);
         id
     }
 
-    fn put(&mut self, id: ServerId, server: Server) {
-        self.ready += usize::from(server.state == ServerState::Ready);
-        self.places.insert((server.address, id));
-        if let Some(before) = self.servers.insert(id, server) {
-            self.ready -= usize::from(before.state == ServerState::Ready);
+    fn put(&mut self, id: EndpointId, endpoint: Endpoint) {
+        self.ready += usize::from(endpoint.state == EndpointState::Ready);
+        self.places.insert((endpoint.address, id));
+        if let Some(before) = self.endpoints.insert(id, endpoint) {
+            self.ready -= usize::from(before.state == EndpointState::Ready);
             if self
-                .servers
+                .endpoints
                 .get(&id)
                 .is_some_and(|now| now.address != before.address)
             {
@@ -278,21 +284,21 @@
 
     /// Guards against a new server at the address of one that is gone but was not told gone: the
     /// old one's connections, load and health are not the new one's.
-    fn supersede(&mut self, by: ServerId, address: SocketAddr, found: &mut Found) {
+    fn supersede(&mut self, by: EndpointId, address: SocketAddr, found: &mut Found) {
         let at_address = self
             .places
-            .range((address, ServerId(0))..=(address, ServerId(u32::MAX)));
-        let others: Vec<ServerId> = at_address
+            .range((address, EndpointId(0))..=(address, EndpointId(u32::MAX)));
+        let others: Vec<EndpointId> = at_address
             .map(|(_, id)| *id)
             .filter(|id| *id != by)
             .collect();
         for id in others {
-            let Some(old) = self.servers.get(&id) else {
+            let Some(old) = self.endpoints.get(&id) else {
                 continue;
             };
             found.entries.extend(
                 old.service
-                    .map(|service| old.entry_in(service, ServerState::Gone)),
+                    .map(|service| old.entry_in(service, EndpointState::Removed)),
             );
             found.stale.push(id);
             found.gone.insert(id);
@@ -300,27 +306,31 @@
     }
 
     /// A whole list ends what it does not name.
-    fn end_unnamed(&mut self, named: &HashSet<ServerId>, revision: u64, found: &mut Found) {
-        let ended: Vec<ServerId> = self
-            .servers
+    fn end_unnamed(&mut self, named: &HashSet<EndpointId>, revision: u64, found: &mut Found) {
+        let ended: Vec<EndpointId> = self
+            .endpoints
             .keys()
             .copied()
             .filter(|id| !named.contains(id))
             .collect();
         for id in ended {
-            let Some(server) = self.servers.get(&id).filter(|_| !found.gone.contains(&id)) else {
+            let Some(endpoint) = self
+                .endpoints
+                .get(&id)
+                .filter(|_| !found.gone.contains(&id))
+            else {
                 continue;
             };
-            if server.revision <= revision {
+            if endpoint.revision <= revision {
                 found.stale.push(id);
                 found.gone.insert(id);
             } else {
                 // Guards against an agent that is behind, or has nothing yet: what it lacks is
                 // newer than its list, is kept, and is told to the module with the rest.
                 found.entries.extend(
-                    server
+                    endpoint
                         .service
-                        .map(|service| server.entry_in(service, server.state)),
+                        .map(|service| endpoint.entry_in(service, endpoint.state)),
                 );
             }
         }
@@ -328,23 +338,23 @@
 
     /// Forgets a server that is gone, but for its name, which an agent that is behind may still
     /// tell.
-    fn remove(&mut self, id: ServerId, revision: u64) {
-        let Some(server) = self.servers.remove(&id) else {
+    fn remove(&mut self, id: EndpointId, revision: u64) {
+        let Some(endpoint) = self.endpoints.remove(&id) else {
             return;
         };
-        self.ready -= usize::from(server.state == ServerState::Ready);
-        self.places.remove(&(server.address, id));
-        self.numbers.remove(&server.uid);
+        self.ready -= usize::from(endpoint.state == EndpointState::Ready);
+        self.places.remove(&(endpoint.address, id));
+        self.numbers.remove(&endpoint.uid);
         let departure = Departure {
-            revision: server.revision.max(revision),
-            started: server.started,
+            revision: endpoint.revision.max(revision),
+            started: endpoint.started,
         };
         if self
             .departures
-            .insert(server.uid.clone(), departure)
+            .insert(endpoint.uid.clone(), departure)
             .is_none()
         {
-            self.departed.push_back(server.uid);
+            self.departed.push_back(endpoint.uid);
         }
         while self.departed.len() > DEPARTURES_KEPT {
             if let Some(oldest) = self.departed.pop_front() {
@@ -359,46 +369,46 @@
         &mut self,
         effect: &DirectoryEffect,
         directory: &Directory,
-    ) -> Vec<ServerEntry> {
+    ) -> Vec<EndpointEntry> {
         let mut entries = Vec::new();
         for id in self.concerned(effect) {
-            let Some(server) = self.servers.get_mut(&id) else {
+            let Some(endpoint) = self.endpoints.get_mut(&id) else {
                 continue;
             };
-            let service = directory.service_of_server(&server.uid, server.address);
-            let left = std::mem::replace(&mut server.service, service);
+            let service = directory.service_of_endpoint(&endpoint.uid, endpoint.address);
+            let left = std::mem::replace(&mut endpoint.service, service);
             if left == service {
                 continue;
             }
-            entries.extend(left.map(|left| server.entry_in(left, ServerState::Gone)));
-            entries.extend(service.map(|service| server.entry_in(service, server.state)));
+            entries.extend(left.map(|left| endpoint.entry_in(left, EndpointState::Removed)));
+            entries.extend(service.map(|service| endpoint.entry_in(service, endpoint.state)));
         }
         entries
     }
 
     /// The servers that a change of the directory may have moved.
-    fn concerned(&self, effect: &DirectoryEffect) -> Vec<ServerId> {
+    fn concerned(&self, effect: &DirectoryEffect) -> Vec<EndpointId> {
         match effect {
             DirectoryEffect::Unchanged
             | DirectoryEffect::Added(_)
             | DirectoryEffect::Removed(_) => Vec::new(),
-            DirectoryEffect::Reassigned(ServerSelector::Uid(uid)) => {
+            DirectoryEffect::Reassigned(EndpointSelector::Uid(uid)) => {
                 self.numbers.get(&**uid).copied().into_iter().collect()
             }
-            DirectoryEffect::Reassigned(ServerSelector::Network(network)) => {
+            DirectoryEffect::Reassigned(EndpointSelector::Network(network)) => {
                 self.in_network(*network)
             }
             DirectoryEffect::DefaultReassigned | DirectoryEffect::AllReassigned => {
-                self.servers.keys().copied().collect()
+                self.endpoints.keys().copied().collect()
             }
         }
     }
 
-    fn in_network(&self, network: IpNet) -> Vec<ServerId> {
-        let first = (SocketAddr::new(network.network(), 0), ServerId(0));
+    fn in_network(&self, network: IpNet) -> Vec<EndpointId> {
+        let first = (SocketAddr::new(network.network(), 0), EndpointId(0));
         let last = (
             SocketAddr::new(last_address(network), u16::MAX),
-            ServerId(u32::MAX),
+            EndpointId(u32::MAX),
         );
         self.places.range(first..=last).map(|(_, id)| *id).collect()
     }
--- a/crates/request-engine/src/engine.rs
+++ b/crates/request-engine/src/engine.rs
@@ -1,8 +1,8 @@
 //! Requests and the module: events go in, outputs come out.
 
 use crate::directory::{Directory, DirectoryChange, DirectoryError};
-use crate::fleet::{Change, Fleet, Reading};
-use crate::list::List;
+use crate::endpoint_registry::{EndpointRegistry, EntryContext, RegistryUpdate};
+use crate::list::EndpointListMessage;
 use crate::slots::{Key, Slots};
 use roseyard_decision::*;
 use std::collections::VecDeque;
@@ -12,7 +12,7 @@
 /// A request as a front hands it over. `O` names whom the answer is for, `C` is what goes to a
 /// server.
 #[derive(Clone, Debug)]
-pub struct Ask<O, C> {
+pub struct Submission<O, C> {
     /// Whom the answer is for.
     pub owner: O,
     /// The service whose servers may answer it.
@@ -26,11 +26,11 @@
     /// Units that it takes from the quota.
     pub units: f64,
     /// Ingresses of the customer.
-    pub spread: u32,
+    pub ingress_count: u32,
     /// Time until the client gives up.
     pub time_left: Duration,
     /// The client says that it asks again.
-    pub retry: bool,
+    pub is_retry: bool,
     /// What goes to a server.
     pub command: C,
     /// Bytes that holding it costs.
@@ -39,18 +39,18 @@
 
 /// A final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer<V> {
+pub enum Response<V> {
     /// The value that a server gave.
     Served(V),
     /// Refused; come again after this time.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Failed; whether it ran is not known.
     Failed,
 }
 
 /// How an attempt has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End<V> {
+pub struct AttemptResult<V> {
     /// What it was.
     pub outcome: Outcome,
     /// The value, where it was served.
@@ -61,10 +61,10 @@
     pub load: Option<LoadReport>,
 }
 
-impl<V> End<V> {
+impl<V> AttemptResult<V> {
     /// An end with nothing but its outcome.
-    pub fn of(outcome: Outcome) -> End<V> {
-        End {
+    pub fn of(outcome: Outcome) -> AttemptResult<V> {
+        AttemptResult {
             outcome,
             value: None,
             true_units: None,
@@ -76,16 +76,17 @@
 /// What is to be carried out, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<O, V> {
-    /// Begin an attempt; its end is told with [`Engine::ended`], whatever becomes of it.
-    Send {
+    /// Begin an attempt; its end is told with [`RequestEngine::on_attempt_ended`], whatever becomes
+    /// of it.
+    Forward {
         /// The request.
         request: Key,
         /// Number of the attempt, from 0.
         attempt: u16,
         /// Where to.
-        server: ServerId,
+        endpoint: EndpointId,
         /// When it is given up.
-        give_up: Duration,
+        deadline: Duration,
     },
     /// Stop waiting on an attempt; its end is told too.
     Cancel {
@@ -95,36 +96,36 @@
         attempt: u16,
     },
     /// A final answer.
-    Answer {
+    Respond {
         /// Whom it is for.
         owner: O,
         /// It.
-        answer: Answer<V>,
+        answer: Response<V>,
     },
-    /// Make a call to the counter; its end is told with [`Engine::counted`], for one name in the
-    /// order of calls.
-    Count {
+    /// Make a call to the counter; its end is told with [`RequestEngine::on_counter_reply`], for
+    /// one name in the order of calls.
+    IncrementCounter {
         /// The name.
-        name: CountName,
+        key: CounterKey,
         /// The amount.
-        add: f64,
+        amount: f64,
         /// Life of a new name.
-        lifetime: Duration,
+        time_to_live: Duration,
     },
-    /// Probe a server; the end is told with [`Engine::probed`].
-    Probe {
+    /// Probe a server; the end is told with [`RequestEngine::on_health_check_ended`].
+    CheckHealth {
         /// The server.
-        server: ServerId,
+        endpoint: EndpointId,
     },
     /// Ask discovery for the list, or for its changes from now on.
-    FetchList,
-    /// A line for the operators.
-    Log(String),
+    FetchEndpointList,
+    /// Write a line to the operators' log.
+    Log(Notice),
 }
 
 /// What an engine may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct EngineLimits {
     /// Requests.
     pub requests: usize,
     /// Bytes of all of them.
@@ -133,13 +134,13 @@
 
 /// No more can be held, or the engine is stopped; the request was not taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct AtCapacity;
 
 /// The attempt that is out.
 #[derive(Clone, Copy)]
 struct Out {
     attempt: u16,
-    server: ServerId,
+    endpoint: EndpointId,
     begun: Duration,
 }
 
@@ -148,7 +149,7 @@
     command: C,
     bytes: usize,
     /// What its class's requests do when they run twice.
-    effect: Effect,
+    idempotency: Idempotency,
     out: Option<Out>,
     /// The driver's own name for what carries the attempt.
     carrier: Option<Key>,
@@ -162,42 +163,42 @@
 }
 
 /// Requests, attempts and servers around the module.
-pub struct Engine<O, C, V> {
-    gateway: Gateway,
+pub struct RequestEngine<O, C, V> {
+    dispatcher: Dispatcher,
     /// What each class's requests do when they run twice.
-    effects: Vec<Effect>,
+    idempotency_by_class: Vec<Idempotency>,
     events: VecDeque<Event>,
     outputs: VecDeque<Output<O, V>>,
     actions: Vec<Action>,
     requests: Slots<Request<O, C>>,
     held: usize,
-    bounds: Bounds,
-    fleet: Fleet,
+    bounds: EngineLimits,
+    endpoint_registry: EndpointRegistry,
     directory: Directory,
     due: Option<Duration>,
     stopped: bool,
 }
 
-impl<O, C, V> Engine<O, C, V> {
+impl<O, C, V> RequestEngine<O, C, V> {
     /// An engine with nothing to do yet.
     pub fn new(
         mut settings: Settings,
         seed: u64,
-        bounds: Bounds,
-    ) -> Result<Engine<O, C, V>, SettingsError> {
+        bounds: EngineLimits,
+    ) -> Result<RequestEngine<O, C, V>, SettingsError> {
         // One outstanding attempt a request, whatever the platform would allow.
-        settings.limits.duplicates = false;
-        let effects = settings.classes.iter().map(|c| c.effect).collect();
-        Ok(Engine {
-            effects,
-            gateway: Gateway::new(settings, seed)?,
+        settings.permissions.hedging = false;
+        let idempotency_by_class = settings.classes.iter().map(|c| c.idempotency).collect();
+        Ok(RequestEngine {
+            idempotency_by_class,
+            dispatcher: Dispatcher::new(settings, seed)?,
             events: VecDeque::new(),
             outputs: VecDeque::new(),
             actions: Vec::new(),
             requests: Slots::default(),
             held: 0,
             bounds,
-            fleet: Fleet::default(),
+            endpoint_registry: EndpointRegistry::default(),
             directory: Directory::single(),
             due: None,
             stopped: false,
@@ -210,13 +211,13 @@
     }
 
     /// The list of servers as it was last told.
-    pub fn fleet(&self) -> &Fleet {
-        &self.fleet
+    pub fn endpoint_registry(&self) -> &EndpointRegistry {
+        &self.endpoint_registry
     }
 
     /// Where a server listens, if the list has named it.
-    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.fleet.get(server).map(|s| s.address)
+    pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
+        self.endpoint_registry.get(endpoint).map(|s| s.address)
     }
 
     /// What goes to a server for a request.
@@ -225,39 +226,39 @@
     }
 
     /// May a request be sent twice, whatever became of it the first time?
-    pub fn repeatable(&self, request: Key) -> bool {
+    pub fn is_idempotent(&self, request: Key) -> bool {
         self.requests
             .get(request)
-            .is_some_and(|r| r.effect == Effect::Safe)
+            .is_some_and(|r| r.idempotency == Idempotency::Idempotent)
     }
 
-    /// When [`Engine::on_due`] wants to be called next.
+    /// When [`RequestEngine::on_due`] wants to be called next.
     pub fn due(&self) -> Option<Duration> {
         self.due
     }
 
-    /// Is there something that [`Engine::poll`] would hand over or tell the module?
-    pub fn has_news(&self) -> bool {
+    /// Is there something that [`RequestEngine::poll`] would hand over or tell the module?
+    pub fn has_pending(&self) -> bool {
         !self.events.is_empty() || !self.outputs.is_empty()
     }
 
-    /// Takes a request in. Its answer comes as an [`Output::Answer`].
-    pub fn submit(&mut self, ask: Ask<O, C>) -> Result<Key, Full> {
+    /// Takes a request in. Its answer comes as an [`Output::Respond`].
+    pub fn submit(&mut self, ask: Submission<O, C>) -> Result<Key, AtCapacity> {
         let full = self.requests.len() >= self.bounds.requests
             || self.held + ask.bytes > self.bounds.bytes;
         if full || self.stopped {
-            return Err(Full);
+            return Err(AtCapacity);
         }
         self.held += ask.bytes;
         let key = self.requests.insert_with(|_| Request {
             owner: Some(ask.owner),
             command: ask.command,
             bytes: ask.bytes,
-            effect: self
-                .effects
+            idempotency: self
+                .idempotency_by_class
                 .get(ask.class)
                 .copied()
-                .unwrap_or(Effect::Unsafe),
+                .unwrap_or(Idempotency::NonIdempotent),
             out: None,
             carrier: None,
             attempts: 0,
@@ -266,27 +267,28 @@
             until: None,
             finished: false,
         });
-        self.events.push_back(Event::Request(NewRequest {
-            request: RequestId(key.pack()),
-            service: ask.service,
-            class: ask.class,
-            plan: ask.plan,
-            customer: ask.customer,
-            units: ask.units,
-            spread: ask.spread,
-            time_left: ask.time_left,
-            retry: ask.retry,
-        }));
+        self.events
+            .push_back(Event::RequestReceived(IncomingRequest {
+                request: RequestId(key.pack()),
+                service: ask.service,
+                class: ask.class,
+                plan: ask.plan,
+                customer: ask.customer,
+                units: ask.units,
+                ingress_count: ask.ingress_count,
+                time_left: ask.time_left,
+                is_retry: ask.is_retry,
+            }));
         Ok(key)
     }
 
     /// The owner of a request has left: it is owed nothing any more, and an attempt that is out is
     /// called off.
-    pub fn abandon(&mut self, request: Key) {
+    pub fn cancel_request(&mut self, request: Key) {
         if let Some(held) = self.requests.get_mut(request).filter(|r| !r.finished) {
             (held.finished, held.owner) = (true, None);
             self.events
-                .push_back(Event::ClientGone(RequestId(request.pack())));
+                .push_back(Event::ClientDisconnected(RequestId(request.pack())));
         }
     }
 
@@ -294,21 +296,21 @@
     /// server that drains or is gone, for a request that is over, too late, and where an earlier
     /// attempt may have run and its repeat would no longer be dropped; also after a wait for a
     /// connection.
-    pub fn may_write(&self, request: Key, attempt: u16, give_up: Duration, now: Duration) -> bool {
+    pub fn may_write(&self, request: Key, attempt: u16, deadline: Duration, now: Duration) -> bool {
         let Some(held) = self.requests.get(request).filter(|r| !r.finished) else {
             return false;
         };
-        let end = held.until.map_or(give_up, |until| until.min(give_up));
+        let end = held.until.map_or(deadline, |until| until.min(deadline));
         held.out
-            .is_some_and(|o| o.attempt == attempt && self.takes_work(o.server))
+            .is_some_and(|o| o.attempt == attempt && self.takes_work(o.endpoint))
             && now < end
     }
 
     /// Does this server take new work?
-    pub fn takes_work(&self, server: ServerId) -> bool {
-        self.fleet
-            .get(server)
-            .is_some_and(|s| s.state == ServerState::Ready)
+    pub fn takes_work(&self, endpoint: EndpointId) -> bool {
+        self.endpoint_registry
+            .get(endpoint)
+            .is_some_and(|s| s.state == EndpointState::Ready)
     }
 
     /// Notes what carries the attempt that is out.
@@ -326,7 +328,13 @@
     /// An attempt has ended. An end that was told before, or of an attempt that is not the one out,
     /// is passed over: guards against counting one attempt twice, and against an answer to
     /// another's request.
-    pub fn ended(&mut self, request: Key, attempt: u16, end: End<V>, now: Duration) {
+    pub fn on_attempt_ended(
+        &mut self,
+        request: Key,
+        attempt: u16,
+        end: AttemptResult<V>,
+        now: Duration,
+    ) {
         let Some(held) = self.requests.get_mut(request) else {
             return;
         };
@@ -336,17 +344,17 @@
         held.carrier = None;
         if !matches!(
             end.outcome,
-            Outcome::ConnectFailed | Outcome::Full | Outcome::Moot
+            Outcome::ConnectFailed | Outcome::Overloaded | Outcome::NotStarted
         ) {
             held.may_have_run = true;
-            let until = match held.effect {
-                Effect::Safe => None,
-                Effect::Keyed { window, .. } => Some(out.begun + window),
-                Effect::Unsafe => Some(Duration::ZERO),
+            let until = match held.idempotency {
+                Idempotency::Idempotent => None,
+                Idempotency::IdempotencyKey { window, .. } => Some(out.begun + window),
+                Idempotency::NonIdempotent => Some(Duration::ZERO),
             };
             held.until = held.until.or(until);
         }
-        held.arrived |= !matches!(end.outcome, Outcome::ConnectFailed | Outcome::Moot);
+        held.arrived |= !matches!(end.outcome, Outcome::ConnectFailed | Outcome::NotStarted);
         // Guards against a quota that is counted twice for a client that has left and comes again:
         // what has never reached a server has taken nothing.
         let unsent = held.finished && !held.arrived;
@@ -359,7 +367,7 @@
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: RequestId(request.pack()),
             attempt,
-            server: out.server,
+            endpoint: out.endpoint,
             outcome: end.outcome,
             elapsed: now.saturating_sub(out.begun),
             finished,
@@ -367,27 +375,36 @@
             load: end.load,
         }));
         if let Some(value) = served {
-            self.answer(request, Answer::Served(value));
+            self.answer(request, Response::Served(value));
         }
     }
 
     /// A probe has ended.
-    pub fn probed(&mut self, server: ServerId, outcome: Outcome, load: Option<LoadReport>) {
-        let Some(service) = self.fleet.get(server).and_then(|s| s.service()) else {
+    pub fn on_health_check_ended(
+        &mut self,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        load: Option<LoadReport>,
+    ) {
+        let Some(service) = self
+            .endpoint_registry
+            .get(endpoint)
+            .and_then(|s| s.service())
+        else {
             return;
         };
-        self.events.push_back(Event::ProbeEnded {
+        self.events.push_back(Event::HealthCheckEnded {
             service,
-            server,
+            endpoint,
             outcome,
             load,
         });
     }
 
     /// A call to the counter has ended.
-    pub fn counted(&mut self, name: CountName, result: CountResult, elapsed: Duration) {
-        self.events.push_back(Event::Counted {
-            name,
+    pub fn on_counter_reply(&mut self, name: CounterKey, result: CounterResult, elapsed: Duration) {
+        self.events.push_back(Event::CounterReply {
+            key: name,
             result,
             elapsed,
         });
@@ -396,19 +413,19 @@
     /// Discovery has told a list or its changes; `started` turns a Unix time in milliseconds into
     /// one of the engine's, none for long ago. Hands back the servers whose idle connections are of
     /// no more use, and how many entries could not be read.
-    pub fn take_list(
+    pub fn apply_endpoint_list(
         &mut self,
-        list: &List,
+        list: &EndpointListMessage,
         zones: &[String],
         started: impl Fn(f64) -> Option<Duration>,
-    ) -> (Vec<ServerId>, usize) {
-        let reading = Reading {
+    ) -> (Vec<EndpointId>, usize) {
+        let reading = EntryContext {
             zones,
             directory: &self.directory,
             started,
         };
-        let Change { update, stale, bad } = self.fleet.apply(list, &reading);
-        self.events.push_back(Event::Servers(update));
+        let RegistryUpdate { update, stale, bad } = self.endpoint_registry.apply(list, &reading);
+        self.events.push_back(Event::EndpointListChanged(update));
         (stale, bad)
     }
 
@@ -432,19 +449,23 @@
     /// Changes the directory, at the cost of the change: requests that are out stay with the
     /// service and server that they have. An error changes nothing.
     pub fn change_directory(&mut self, change: DirectoryChange) -> Result<(), DirectoryError> {
-        let effect = self.directory.apply(change)?;
-        let entries = self.fleet.reassign(&effect, &self.directory);
+        let idempotency = self.directory.apply(change)?;
+        let entries = self
+            .endpoint_registry
+            .reassign(&idempotency, &self.directory);
         if !entries.is_empty() {
             self.events
-                .push_back(Event::Servers(ListUpdate::Changes(entries)));
+                .push_back(Event::EndpointListChanged(EndpointListUpdate::Changes(
+                    entries,
+                )));
         }
         Ok(())
     }
 
-    /// The time that [`Engine::due`] told has come.
+    /// The time that [`RequestEngine::due`] told has come.
     pub fn on_due(&mut self) {
         if self.due.take().is_some() {
-            self.events.push_back(Event::Timer(TimerTag(0)));
+            self.events.push_back(Event::TimerExpired(TimerTag(0)));
         }
     }
 
@@ -464,12 +485,12 @@
             };
             let may_have_run = held.may_have_run || held.out.is_some();
             let answer = if may_have_run {
-                Answer::Failed
+                Response::Failed
             } else {
-                Answer::Refused(None)
+                Response::Rejected(None)
             };
             self.events
-                .push_back(Event::ClientGone(RequestId(key.pack())));
+                .push_back(Event::ClientDisconnected(RequestId(key.pack())));
             self.answer(key, answer);
         }
     }
@@ -481,16 +502,16 @@
                 return Some(output);
             }
             let event = self.events.pop_front()?;
-            let ended = match &event {
-                Event::ClientGone(id) => Some(*id),
+            let on_attempt_ended = match &event {
+                Event::ClientDisconnected(id) => Some(*id),
                 Event::AttemptEnded(end) => Some(end.request),
                 _ => None,
             };
             let mut actions = std::mem::take(&mut self.actions);
-            self.gateway.handle(now, event, &mut actions);
+            self.dispatcher.handle(now, event, &mut actions);
             actions.drain(..).for_each(|action| self.take(action, now));
             self.actions = actions;
-            if let Some(id) = ended {
+            if let Some(id) = on_attempt_ended {
                 self.forget(Key::unpack(id.0));
             }
         }
@@ -498,10 +519,10 @@
 
     fn take(&mut self, action: Action, now: Duration) {
         let output = match action {
-            Action::Send {
+            Action::Forward {
                 request,
-                server,
-                give_up_at,
+                endpoint,
+                deadline,
             } => {
                 let request = Key::unpack(request.0);
                 let Some(held) = self.requests.get_mut(request) else {
@@ -516,32 +537,37 @@
                 held.attempts += 1;
                 held.out = Some(Out {
                     attempt,
-                    server,
+                    endpoint,
                     begun: now,
                 });
-                Output::Send {
+                Output::Forward {
                     request,
                     attempt,
-                    server,
-                    give_up: give_up_at,
+                    endpoint,
+                    deadline: deadline,
                 }
             }
-            Action::Refuse { request, retry_in } => {
-                return self.answer(Key::unpack(request.0), Answer::Refused(retry_in));
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                return self.answer(Key::unpack(request.0), Response::Rejected(retry_after));
+            }
+            Action::Fail { request } => {
+                return self.answer(Key::unpack(request.0), Response::Failed)
             }
-            Action::Fail { request } => return self.answer(Key::unpack(request.0), Answer::Failed),
             Action::Cancel { request, attempt } => Output::Cancel {
                 request: Key::unpack(request.0),
                 attempt,
             },
-            Action::Count {
-                name,
-                add,
-                lifetime,
-            } => Output::Count {
-                name,
-                add,
-                lifetime,
+            Action::IncrementCounter {
+                key: name,
+                amount: add,
+                time_to_live: lifetime,
+            } => Output::IncrementCounter {
+                key: name,
+                amount: add,
+                time_to_live: lifetime,
             },
             // Timers cannot be taken back, and the module sets a new one when the earliest fires.
             Action::SetTimer { after, .. } => {
@@ -549,21 +575,21 @@
                 self.due = Some(self.due.map_or(at, |due| due.min(at)));
                 return;
             }
-            Action::Probe { server } => Output::Probe { server },
-            Action::Subscribe | Action::FetchList => Output::FetchList,
-            Action::Log(text) => Output::Log(text),
+            Action::CheckHealth { endpoint } => Output::CheckHealth { endpoint },
+            Action::Subscribe | Action::FetchEndpointList => Output::FetchEndpointList,
+            Action::Log(notice) => Output::Log(notice),
         };
         self.outputs.push_back(output);
     }
 
     /// Gives a request its final answer, once.
-    fn answer(&mut self, request: Key, answer: Answer<V>) {
+    fn answer(&mut self, request: Key, answer: Response<V>) {
         let Some(held) = self.requests.get_mut(request).filter(|r| !r.finished) else {
             return;
         };
         held.finished = true;
         if let Some(owner) = held.owner.take() {
-            self.outputs.push_back(Output::Answer { owner, answer });
+            self.outputs.push_back(Output::Respond { owner, answer });
         }
         self.forget(request);
     }
--- a/crates/request-engine/src/links.rs
+++ b/crates/request-engine/src/links.rs
@@ -32,9 +32,9 @@
 
 /// What is to be done with a connection that has rested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rested {
+pub enum IdleConnectionUse {
     /// Write to it.
-    Use,
+    Reuse,
     /// Leave it to requests that may be sent twice.
     Leave,
     /// Close it, and each that has rested longer.
@@ -44,7 +44,7 @@
 /// What has been learned of connections that rest. A fixed number of figures, whatever the number
 /// of servers.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
+pub struct IdleConnectionRisk {
     /// On new connections, then by rest.
     seen: [Seen; RESTS + 1],
     at: Duration,
@@ -56,7 +56,7 @@
     1 + (doublings as usize).min(RESTS - 1)
 }
 
-impl Links {
+impl IdleConnectionRisk {
     /// What is left by now of what was known when something was last told.
     fn fade(&self, now: Duration) -> f64 {
         (-now.saturating_sub(self.at).as_secs_f64() / FADES).exp()
@@ -92,12 +92,14 @@
 
     /// What to do with a connection that has rested so long, for a request that may be sent twice
     /// or not.
-    pub fn choose(&self, rest: Duration, repeatable: bool, now: Duration) -> Rested {
+    pub fn choose(&self, rest: Duration, is_idempotent: bool, now: Duration) -> IdleConnectionUse {
         let (new, risk) = self.risks(rest, now);
         match risk - new {
-            more if more <= BEAR_ONCE || repeatable && more <= BEAR_REPEATABLE => Rested::Use,
-            more if more <= BEAR_REPEATABLE => Rested::Leave,
-            _ => Rested::Close,
+            more if more <= BEAR_ONCE || is_idempotent && more <= BEAR_REPEATABLE => {
+                IdleConnectionUse::Reuse
+            }
+            more if more <= BEAR_REPEATABLE => IdleConnectionUse::Leave,
+            _ => IdleConnectionUse::Close,
         }
     }
 }
--- a/crates/request-engine/src/list.rs
+++ b/crates/request-engine/src/list.rs
@@ -6,13 +6,13 @@
 /// One list, or the changes since another.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Wire")]
-pub struct List {
+pub struct EndpointListMessage {
     /// Its version.
     pub rev: u64,
     /// Is it the whole list?
     pub all: bool,
     /// Its entries.
-    pub targets: Vec<Target>,
+    pub targets: Vec<EndpointRecord>,
     /// How many entries more it had that could not be read.
     pub unreadable: usize,
 }
@@ -31,7 +31,7 @@
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Entry {
-    Whole(Target),
+    Whole(EndpointRecord),
     /// Of one that leaves, nothing but its name is needed.
     Leaving {
         uid: String,
@@ -48,17 +48,19 @@
     Deleted,
 }
 
-impl From<Wire> for List {
-    fn from(wire: Wire) -> List {
-        let mut list = List {
+impl From<Wire> for EndpointListMessage {
+    fn from(wire: Wire) -> EndpointListMessage {
+        let mut list = EndpointListMessage {
             rev: wire.rev,
             all: wire.all,
-            ..List::default()
+            ..EndpointListMessage::default()
         };
         for entry in wire.targets {
             match entry {
                 Entry::Whole(target) => list.targets.push(target),
-                Entry::Leaving { uid, state } => list.targets.push(Target::leaving(uid, &state)),
+                Entry::Leaving { uid, state } => {
+                    list.targets.push(EndpointRecord::leaving(uid, &state))
+                }
                 Entry::Unreadable(_) => list.unreadable += 1,
             }
         }
@@ -68,11 +70,12 @@
 
 /// One server.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Target {
+pub struct EndpointRecord {
     /// Its name, the same at every ingress.
     pub uid: String,
     /// Where it listens for this ingress.
-    pub endpoint: String,
+    #[serde(rename = "endpoint")]
+    pub address: String,
     /// Its zone.
     #[serde(default)]
     pub az: String,
@@ -89,16 +92,16 @@
     pub boot_ms: f64,
 }
 
-impl Target {
-    fn leaving(uid: String, state: &Leaving) -> Target {
+impl EndpointRecord {
+    fn leaving(uid: String, state: &Leaving) -> EndpointRecord {
         let state = match state {
             Leaving::Draining => "DRAINING",
             Leaving::Deleted => "DELETED",
         };
-        let (endpoint, az, state) = (String::new(), String::new(), state.to_owned());
-        Target {
+        let (address, az, state) = (String::new(), String::new(), state.to_owned());
+        EndpointRecord {
             uid,
-            endpoint,
+            address,
             az,
             pod_group: 0,
             state,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,12 +2,12 @@
 
 use crate::codec::{decode, Closed, Entry, Record, Reply};
 use roseyard_decision::*;
-use roseyard_platform_config::{ms, Options};
+use roseyard_platform_config::{ms, PlatformSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 struct Instance {
-    gateway: Gateway,
+    dispatcher: Dispatcher,
     fields: Vec<String>,
 }
 
@@ -22,12 +22,12 @@
     Ok(match code {
         0 => Outcome::Ok,
         13 => Outcome::Error,
-        8 => Outcome::Full,
+        8 => Outcome::Overloaded,
         4 => Outcome::Timeout,
         14 => Outcome::ConnectFailed,
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
-        9 => Outcome::Moot,
+        9 => Outcome::NotStarted,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
@@ -50,15 +50,15 @@
     Some(load)
 }
 
-fn entry(e: &Entry) -> Result<ServerEntry, String> {
+fn entry(e: &Entry) -> Result<EndpointEntry, String> {
     let state = match e.state {
-        1 => ServerState::Ready,
-        2 => ServerState::Draining,
-        0 => ServerState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
+        0 => EndpointState::Removed,
         other => return Err(format!("unknown server state {other}")),
     };
-    Ok(ServerEntry {
-        server: ServerId(e.worker),
+    Ok(EndpointEntry {
+        endpoint: EndpointId(e.worker),
         service: ServiceId::default(),
         zone: u16::from(e.campus),
         cell: e.stripe,
@@ -73,7 +73,7 @@
     Ok(Event::AttemptEnded(AttemptEnd {
         request: RequestId(c.req),
         attempt: c.n,
-        server: ServerId(c.worker),
+        endpoint: EndpointId(c.worker),
         outcome: outcome(c.code)?,
         elapsed: ms(c.duration_ms),
         finished: c.done,
@@ -88,26 +88,27 @@
 
 fn encode(reply: &mut Reply, i: u16, action: Action) {
     match action {
-        Action::Send {
+        Action::Forward {
             request,
-            server,
-            give_up_at,
-        } => reply.forward(i, request.0, to_ms(give_up_at), server.0),
-        Action::Refuse { request, retry_in } => {
-            reply.reject(i, request.0, retry_in.map_or(0.0, to_ms))
-        }
+            endpoint,
+            deadline,
+        } => reply.forward(i, request.0, to_ms(deadline), endpoint.0),
+        Action::Reject {
+            request,
+            retry_after,
+        } => reply.reject(i, request.0, retry_after.map_or(0.0, to_ms)),
         Action::Fail { request } => reply.abort(i, request.0),
         Action::Cancel { request, attempt } => reply.retract(i, request.0, attempt),
-        Action::Count {
-            name,
-            add,
-            lifetime,
+        Action::IncrementCounter {
+            key: name,
+            amount: add,
+            time_to_live: lifetime,
         } => reply.count(i, add as f32, to_ms(lifetime), name.0),
         Action::SetTimer { after, tag } => reply.wake_at(i, to_ms(after), tag.0),
-        Action::Probe { server } => reply.touch(i, server.0),
+        Action::CheckHealth { endpoint } => reply.touch(i, endpoint.0),
         Action::Subscribe => reply.track(i, true),
-        Action::FetchList => reply.fetch(i),
-        Action::Log(text) => reply.trace(i, &text),
+        Action::FetchEndpointList => reply.fetch(i),
+        Action::Log(notice) => reply.trace(i, &notice.to_string()),
     }
 }
 
@@ -137,11 +138,11 @@
             }
             Record::Create { i, salt, options } => {
                 let wrong = |e| format!("Create for instance {i}: {e}");
-                let options = Options::parse(&options).map_err(wrong)?;
-                let gateway = Gateway::new(options.settings().map_err(wrong)?, salt)
+                let options = PlatformSettings::parse(&options).map_err(wrong)?;
+                let dispatcher = Dispatcher::new(options.settings().map_err(wrong)?, salt)
                     .map_err(|e| wrong(format!("settings: {e}")))?;
                 let fields = options.report_fields().to_vec();
-                self.instances.insert(i, Instance { gateway, fields });
+                self.instances.insert(i, Instance { dispatcher, fields });
                 return Ok(());
             }
             Record::Shutdown { i } => {
@@ -158,22 +159,22 @@
                     attempt: n,
                 },
             ),
-            Record::Wakeup { i, tag } => (i, Event::Timer(TimerTag(tag))),
+            Record::Wakeup { i, tag } => (i, Event::TimerExpired(TimerTag(tag))),
             Record::WorkItem(w) => (
                 w.i,
-                Event::Request(NewRequest {
+                Event::RequestReceived(IncomingRequest {
                     request: RequestId(w.req),
                     service: ServiceId::default(),
                     class: usize::from(w.band),
                     plan: usize::from(w.grade),
                     customer: CustomerId(w.key),
                     units: f64::from(w.units),
-                    spread: w.doors as u32,
+                    ingress_count: w.doors as u32,
                     time_left: ms(w.left_ms),
-                    retry: w.marks & 2 != 0,
+                    is_retry: w.marks & 2 != 0,
                 }),
             ),
-            Record::Aborted { i, req } => (i, Event::ClientGone(RequestId(req))),
+            Record::Aborted { i, req } => (i, Event::ClientDisconnected(RequestId(req))),
             Record::Added {
                 i,
                 value,
@@ -182,15 +183,15 @@
                 duration_ms,
             } => {
                 let result = match code {
-                    0 => CountResult::Total(f64::from(value)),
-                    8 | 14 => CountResult::NotAdded,
-                    4 => CountResult::Unknown,
+                    0 => CounterResult::Total(f64::from(value)),
+                    8 | 14 => CounterResult::NotAdded,
+                    4 => CounterResult::Unknown,
                     other => return Err(format!("Added: unknown outcome {other}")),
                 };
                 (
                     i,
-                    Event::Counted {
-                        name: CountName(name),
+                    Event::CounterReply {
+                        key: CounterKey(name),
                         result,
                         elapsed: ms(duration_ms),
                     },
@@ -208,9 +209,9 @@
                 let service = ServiceId::default();
                 (
                     i,
-                    Event::ProbeEnded {
+                    Event::HealthCheckEnded {
                         service,
-                        server: ServerId(worker),
+                        endpoint: EndpointId(worker),
                         outcome,
                         load,
                     },
@@ -219,7 +220,7 @@
         };
         let mut actions = Vec::new();
         if let Some(instance) = self.instances.get_mut(&i) {
-            instance.gateway.handle(now, event, &mut actions);
+            instance.dispatcher.handle(now, event, &mut actions);
         }
         for action in actions {
             encode(reply, i, action);
@@ -233,7 +234,7 @@
 
     fn list(&self, form: u8, table: u32) -> Result<Event, String> {
         if form == 3 {
-            return Ok(Event::Servers(ListUpdate::Failed));
+            return Ok(Event::EndpointListChanged(EndpointListUpdate::Unavailable));
         }
         let items = self
             .tables
@@ -241,8 +242,12 @@
             .ok_or(format!("Membership: no list numbered {table}"))?;
         let entries = items.iter().map(entry).collect::<Result<Vec<_>, _>>()?;
         match form {
-            0 => Ok(Event::Servers(ListUpdate::Changes(entries))),
-            1 | 2 => Ok(Event::Servers(ListUpdate::Full(entries))),
+            0 => Ok(Event::EndpointListChanged(EndpointListUpdate::Changes(
+                entries,
+            ))),
+            1 | 2 => Ok(Event::EndpointListChanged(EndpointListUpdate::Full(
+                entries,
+            ))),
             other => Err(format!("Membership: unknown form {other}")),
         }
     }
--- a/crates/testbed/src/daemon.rs
+++ b/crates/testbed/src/daemon.rs
@@ -113,9 +113,9 @@
             started,
             _folder: folder,
         };
-        let line = wait_for(&mut log, "listening on ")?;
+        let line = wait_for(&mut log, "info: listening name=")?;
         let address = line
-            .split_once("listening on ")
+            .split_once(" address=")
             .and_then(|(_, at)| at.trim().parse().ok());
         daemon.address =
             address.ok_or_else(|| io::Error::other("the daemon did not say where it listens"))?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -208,7 +208,7 @@
     Ok(())
 }
 
-fn run_faults(options: &scale::daemon::Options, json: bool) -> io::Result<()> {
+fn run_faults(options: &scale::daemon::DaemonOptions, json: bool) -> io::Result<()> {
     let findings = scale::daemon::faults::run(options)?;
     if json {
         println!(
@@ -224,8 +224,8 @@
     }
 }
 
-fn daemon_options(args: &ScaleArgs, run: &Run) -> io::Result<scale::daemon::Options> {
-    Ok(scale::daemon::Options {
+fn daemon_options(args: &ScaleArgs, run: &Run) -> io::Result<scale::daemon::DaemonOptions> {
+    Ok(scale::daemon::DaemonOptions {
         daemon: beside(args.daemon.as_deref())?,
         before: args
             .daemon_before
--- a/crates/testbed/src/rig.rs
+++ b/crates/testbed/src/rig.rs
@@ -261,11 +261,11 @@
             word.parse::<SocketAddr>()
                 .map_err(|e| io::Error::other(format!("{line}: {e}")))
         };
-        let ours = format!("{}: listening on ", member.name);
+        let ours = format!("info: listening name={} address=", member.name);
         member.clients = Some(at(member.log.wait(mark, &ours, PATIENCE)?, &ours)?);
         let listens = at(
-            member.log.wait(mark, " listens on ", PATIENCE)?,
-            " listens on ",
+            member.log.wait(mark, "membership listening ", PATIENCE)?,
+            " address=",
         )?;
         member.listens = Some(listens);
         self.net.listens(n, listens);
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -3,7 +3,7 @@
 use super::measure::{resident_bytes, timed};
 use super::report::{Figure, RoleReport};
 use super::Run;
-use roseyard_admission::{ConnectionId, Event, Gate, Policy, Rate};
+use roseyard_admission::{AdmissionController, AdmissionPolicy, ConnectionId, Event, Rate};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
@@ -20,20 +20,20 @@
     for &size in &run.sizes {
         run.progress(&format!("admission: {size} addresses"));
         let before = resident_bytes();
-        let mut gate = gate(size);
+        let mut controller = controller(size);
         memory.push(
             size,
             &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
         );
         tables.push(
             size,
-            &[gate.cache_sizes().bytes as f64 / f64::from(1 << 20)],
+            &[controller.cache_sizes().bytes as f64 / f64::from(1 << 20)],
         );
         let samples: Vec<f64> = (0..run.repeats as u64)
-            .map(|n| decide(&mut gate, size as u64, n))
+            .map(|n| decide(&mut controller, size as u64, n))
             .collect();
         decision.push(size, &samples);
-        held.push(gate);
+        held.push(controller);
     }
     run.report(
         "admission",
@@ -47,26 +47,29 @@
     IpAddr::V4(Ipv4Addr::from_bits(0x0a00_0000 + number as u32))
 }
 
-fn gate(addresses: usize) -> Gate {
+fn controller(addresses: usize) -> AdmissionController {
     let rate = Some(Rate {
         per_second: 1e6,
         burst: 1e6,
     });
-    let policy = Policy {
+    let policy = AdmissionPolicy {
         by_address: true,
         per_client: Some(1 << 20),
         per_neighbourhood: Some(1 << 20),
         rate_client: rate,
         rate_neighbourhood: rate,
-        remembered: addresses,
-        once_room: OPEN,
-        silent_room: OPEN,
-        ..Policy::of(OPEN)
+        max_remembered: addresses,
+        max_idle_after_one_request: OPEN,
+        max_idle_without_request: OPEN,
+        ..AdmissionPolicy::of(OPEN)
     };
-    let (mut gate, mut out) = (Gate::new(policy, 7, Duration::ZERO), Vec::new());
+    let (mut controller, mut out) = (
+        AdmissionController::new(policy, 7, Duration::ZERO),
+        Vec::new(),
+    );
     for number in 0..addresses as u64 {
         let conn = ConnectionId(number << 32);
-        gate.handle(
+        controller.handle(
             Duration::ZERO,
             Event::Connected {
                 conn,
@@ -74,7 +77,7 @@
             },
             &mut out,
         );
-        gate.handle(
+        controller.handle(
             Duration::ZERO,
             Event::Closed { conn, fault: false },
             &mut out,
@@ -82,7 +85,7 @@
         out.clear();
     }
     for number in 0..OPEN as u64 {
-        gate.handle(
+        controller.handle(
             Duration::ZERO,
             Event::Connected {
                 conn: ConnectionId(number),
@@ -91,10 +94,10 @@
             &mut out,
         );
     }
-    gate
+    controller
 }
 
-fn decide(gate: &mut Gate, addresses: u64, round: u64) -> f64 {
+fn decide(controller: &mut AdmissionController, addresses: u64, round: u64) -> f64 {
     let mut out = Vec::new();
     let (_, took) = timed(|| {
         for n in 0..DECISIONS {
@@ -102,7 +105,7 @@
             let now = Duration::from_millis(20 * serial);
             // Slots are used in turn: the next one is the longest rested.
             let conn = ConnectionId((serial << 32) + serial % OPEN as u64 + OPEN as u64);
-            gate.handle(
+            controller.handle(
                 now,
                 Event::Connected {
                     conn,
@@ -110,7 +113,7 @@
                 },
                 &mut out,
             );
-            gate.handle(now, Event::Closed { conn, fault: false }, &mut out);
+            controller.handle(now, Event::Closed { conn, fault: false }, &mut out);
             out.clear();
         }
     });
--- a/crates/testbed/src/scale/daemon.rs
+++ b/crates/testbed/src/scale/daemon.rs
@@ -66,7 +66,7 @@
 
 /// What is run.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct DaemonOptions {
     /// The daemon's program.
     pub daemon: PathBuf,
     /// An earlier version of it, measured in turn with the other.
@@ -89,7 +89,7 @@
     pub run: Run,
 }
 
-impl Options {
+impl DaemonOptions {
     fn conduct(&self) -> Conduct {
         Conduct {
             work: Duration::ZERO,
@@ -254,7 +254,7 @@
 }
 
 /// Measures each case; the versions take turns at each size.
-pub fn run(options: &Options) -> io::Result<Vec<RoleReport>> {
+pub fn run(options: &DaemonOptions) -> io::Result<Vec<RoleReport>> {
     let mut reports: Vec<(Series, RoleReport)> = Vec::new();
     for case in cases(options) {
         options.run.progress(&format!("{case:?}"));
@@ -307,7 +307,7 @@
 }
 
 /// Each size for each version and division, and all tenants at the greatest size.
-fn cases(options: &Options) -> Vec<Case> {
+fn cases(options: &DaemonOptions) -> Vec<Case> {
     let versions = options.before.iter().map(|_| true).chain([false]);
     let versions: Vec<bool> = versions.collect();
     let mut cases = Vec::new();
@@ -348,7 +348,7 @@
 }
 
 /// One run of a case, with a daemon and a platform of its own.
-fn sample(options: &Options, case: &Case, seed: u64) -> io::Result<Sample> {
+fn sample(options: &DaemonOptions, case: &Case, seed: u64) -> io::Result<Sample> {
     let layout = case.layout();
     let runtimes = Runtimes::start()?;
     let platform =
@@ -405,7 +405,7 @@
 }
 
 fn under_load(
-    options: &Options,
+    options: &DaemonOptions,
     runtimes: &Runtimes,
     platform: &Platform,
     process: &Process,
@@ -480,7 +480,7 @@
 }
 
 /// What a request takes straight from the client to a server: what the machine itself adds.
-fn direct(options: &Options) -> io::Result<String> {
+fn direct(options: &DaemonOptions) -> io::Result<String> {
     let layout = Layout::unnamed(1);
     let runtimes = Runtimes::start()?;
     let platform =
