--- a/crates/testbed/src/scale/daemon/faults.rs
+++ b/crates/testbed/src/scale/daemon/faults.rs
@@ -4,7 +4,7 @@
 use super::load::Load;
 use super::platform::{Behaviour, Conduct, Platform};
 use super::process::Process;
-use super::{Options, Runtimes, FULL, INGRESSES, SETTLE};
+use super::{DaemonOptions, Runtimes, FULL, INGRESSES, SETTLE};
 use crate::judge::{judge, Event, What};
 use crate::usual::Outcome;
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
@@ -135,7 +135,7 @@
     }
 
     /// Plays it on a daemon of its own.
-    pub fn play(self, options: &Options) -> io::Result<Vec<Finding>> {
+    pub fn play(self, options: &DaemonOptions) -> io::Result<Vec<Finding>> {
         match self {
             Fault::Start => start(options),
             Fault::ServersDie => servers_die(options),
@@ -159,7 +159,7 @@
 }
 
 /// Plays all faults.
-pub fn run(options: &Options) -> io::Result<Vec<Finding>> {
+pub fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let mut findings = Vec::new();
     for fault in Fault::ALL {
         options.run.progress(fault.name());
@@ -169,18 +169,18 @@
 }
 
 impl Stage {
-    fn start(options: &Options) -> io::Result<Stage> {
+    fn start(options: &DaemonOptions) -> io::Result<Stage> {
         Stage::start_among(INGRESSES, options)
     }
 
     /// The same with settings that name so many ingresses.
-    fn start_among(ingresses: u32, options: &Options) -> io::Result<Stage> {
+    fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<Stage> {
         let layout = Layout::long_tail(SERVERS, SERVICES, LARGEST, ROUTES);
         Stage::start_with(options, layout, ingresses)
     }
 
     /// The same once services have been in use for a while.
-    fn start_warm(options: &Options) -> io::Result<Stage> {
+    fn start_warm(options: &DaemonOptions) -> io::Result<Stage> {
         let stage = Stage::start(options)?;
         stage.wait_both(
             stage.play(&stage.victim, WARM_UP),
@@ -189,7 +189,7 @@
         Ok(stage)
     }
 
-    fn start_with(options: &Options, layout: Layout, ingresses: u32) -> io::Result<Stage> {
+    fn start_with(options: &DaemonOptions, layout: Layout, ingresses: u32) -> io::Result<Stage> {
         let runtimes = Runtimes::start()?;
         let conduct = Conduct {
             work: WORK,
@@ -238,7 +238,7 @@
     }
 
     /// Plays a load for a stretch beside what follows; what becomes of it is of no interest.
-    fn play_beside(&self, options: &Options, load: &Load) {
+    fn play_beside(&self, options: &DaemonOptions, load: &Load) {
         drop(self.play(load, self.stretch(options)));
     }
 
@@ -292,13 +292,13 @@
         sent
     }
 
-    fn stretch(&self, options: &Options) -> Duration {
+    fn stretch(&self, options: &DaemonOptions) -> Duration {
         Duration::from_secs(options.run.seconds)
     }
 
     /// What the others get without and with a fault, in turn, as often as a sample repeats; `fault`
     /// puts it on and off.
-    fn compare(&self, options: &Options, mut fault: impl FnMut(bool)) -> Compared {
+    fn compare(&self, options: &DaemonOptions, mut fault: impl FnMut(bool)) -> Compared {
         let mut compared = Compared::default();
         let length = self.stretch(options);
         for pair in 0..options.run.repeats as u64 {
@@ -363,7 +363,7 @@
     }
 }
 
-fn servers_die(options: &Options) -> io::Result<Vec<Finding>> {
+fn servers_die(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let stage = Stage::start_warm(options)?;
     let compared = stage.compare(options, |on| {
         let behaviour = if on {
@@ -382,7 +382,7 @@
     Ok(compared.findings(Fault::ServersDie))
 }
 
-fn servers_drain(options: &Options) -> io::Result<Vec<Finding>> {
+fn servers_drain(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ServersDrain;
     let stage = Stage::start_warm(options)?;
     let (mut late, mut mark) = (0, 0);
@@ -408,7 +408,7 @@
 
 /// All servers of the service die and are told gone. Then they come back: every second one has just
 /// started.
-fn comes_back_cold(options: &Options) -> io::Result<Vec<Finding>> {
+fn comes_back_cold(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ComesBackCold;
     let stage = Stage::start_warm(options)?;
     let is_cold = |number: usize| number.is_multiple_of(2);
@@ -457,7 +457,7 @@
     Ok(findings)
 }
 
-fn flood(options: &Options) -> io::Result<Vec<Finding>> {
+fn flood(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let stage = Stage::start_warm(options)?;
     let flood = stage.victim.with_rate(FLOOD_RATE);
     let compared = stage.compare(options, |on| {
@@ -469,14 +469,14 @@
 }
 
 /// What is asked from the first moment on: no service was ever used.
-fn start(options: &Options) -> io::Result<Vec<Finding>> {
+fn start(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     [INGRESSES, INGRESSES_IN_PROPORTION]
         .into_iter()
         .map(|ingresses| start_among(ingresses, options))
         .collect()
 }
 
-fn start_among(ingresses: u32, options: &Options) -> io::Result<Finding> {
+fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<Finding> {
     let stage = Stage::start_among(ingresses, options)?;
     let all = Load::of(
         &stage.layout,
@@ -497,7 +497,7 @@
     ))
 }
 
-fn routes_move(options: &Options) -> io::Result<Vec<Finding>> {
+fn routes_move(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let stage = Stage::start_warm(options)?;
     // What may be sent on twice is moved away from a server that answers late, whatever becomes of
     // routes.
@@ -522,7 +522,7 @@
             stage.layout.operator_file()
         };
         let line = stage.process.reload(&file)?;
-        taken += u32::from(!line.contains("stay in force"));
+        taken += u32::from(!line.contains("stays in force"));
     }
     let outcome = stage.wait(playing);
     let verdict = judge(&stage.events()[mark..]);
@@ -552,7 +552,7 @@
     ])
 }
 
-fn churn(options: &Options) -> io::Result<Vec<Finding>> {
+fn churn(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let stage = Stage::start_with(
         options,
         Layout::long_tail(CHURN_SERVICES * 2, CHURN_SERVICES, LARGEST, CHURN_SERVICES),
@@ -571,7 +571,7 @@
         let line = stage
             .process
             .reload(&stage.layout.operator_file_of(&format!("g{generation}-")))?;
-        refused_reloads += u32::from(line.contains("stay in force"));
+        refused_reloads += u32::from(line.contains("stays in force"));
         stage.wait(stage.play(&all.with_seed(all.seed + u64::from(generation)), SETTLE));
         if generation == CHURN_FIRST {
             first_kib = stage.process.daemon.rss_kib()?;
--- a/crates/testbed/src/scale/daemon/process.rs
+++ b/crates/testbed/src/scale/daemon/process.rs
@@ -71,7 +71,7 @@
                 .log
                 .recv_timeout(READY_MOST)
                 .map_err(io::Error::other)?;
-            if line.contains("reload") {
+            if line.contains("configuration re") {
                 return Ok(line);
             }
         }
--- a/crates/testbed/src/scale/decision.rs
+++ b/crates/testbed/src/scale/decision.rs
@@ -31,7 +31,7 @@
         let listing = Arc::new(Listing::new(size, run.services));
         let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
         let list = roseyard_ingress::protocol::list::decode(&mut listing.whole());
-        hollow.take_list(&list.expect("a list of the lab's own"), &mut world);
+        hollow.apply_endpoint_list(&list.expect("a list of the lab's own"), &mut world);
         let sample = samples(run, &mut hollow, Demand::ByServers, &mut world);
         memory.push(
             size,
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -3,10 +3,12 @@
 
 use super::listing::Listing;
 use crate::site;
-use roseyard_decision::{CountName, CountResult, CustomerId, Outcome, ServerId, Settings};
+use roseyard_decision::{CounterKey, CounterResult, CustomerId, EndpointId, Outcome, Settings};
 use roseyard_ingress::protocol::{http, list};
-use roseyard_platform_config::Options;
-use roseyard_request_engine::{Answer, Ask, Bounds, End, Engine, Key, Output};
+use roseyard_platform_config::PlatformSettings;
+use roseyard_request_engine::{
+    AttemptResult, EngineLimits, Key, Output, RequestEngine, Response, Submission,
+};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +22,11 @@
 const REQUEST_BYTES: usize = 200;
 
 /// The platform's settings for one of so many ingresses.
-pub fn options(ingresses: usize, number: usize) -> Options {
+pub fn options(ingresses: usize, number: usize) -> PlatformSettings {
     let mut settings = site::settings();
     settings["Balancers"] = ingresses.into();
     settings["Me"] = number.into();
-    Options::parse(settings.to_string().as_bytes()).expect("the lab's settings are whole")
+    PlatformSettings::parse(settings.to_string().as_bytes()).expect("the lab's settings are whole")
 }
 
 /// What has gone in and out of an ingress, and what became of its requests.
@@ -97,7 +99,7 @@
 /// What is around the ingresses: the counter's totals, the servers, and what the servers have seen.
 pub struct World {
     rng: fastrand::Rng,
-    totals: HashMap<CountName, f64>,
+    totals: HashMap<CounterKey, f64>,
     /// Servers that listen no more.
     pub down: HashSet<usize>,
     /// Regions that cannot reach each other, if any.
@@ -133,7 +135,7 @@
         (exponential(&mut self.rng, MEAN_SERVICE_TIME), Outcome::Ok)
     }
 
-    fn add(&mut self, name: CountName, amount: f64) -> f64 {
+    fn add(&mut self, name: CounterKey, amount: f64) -> f64 {
         let total = self.totals.entry(name).or_default();
         *total += amount;
         *total
@@ -166,7 +168,7 @@
 
 enum Pending {
     Counted {
-        name: CountName,
+        name: CounterKey,
         total: f64,
         made: Duration,
     },
@@ -176,7 +178,7 @@
         outcome: Outcome,
     },
     Probed {
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
     },
 }
@@ -184,12 +186,12 @@
 /// One ingress without sockets.
 pub struct Hollow {
     /// The engine.
-    pub engine: Engine<(), (), ()>,
+    pub engine: RequestEngine<(), (), ()>,
     /// What has gone in and out.
     pub traffic: Traffic,
     listing: Arc<Listing>,
     number: usize,
-    spread: u32,
+    ingress_count: u32,
     now: Duration,
     pending: BTreeMap<(Duration, u64), Pending>,
     serial: u64,
@@ -205,16 +207,16 @@
         let settings: Settings = options(ingresses, number)
             .settings()
             .expect("the lab's settings are whole");
-        let bounds = Bounds {
+        let bounds = EngineLimits {
             requests: 200_000,
             bytes: 64 << 20,
         };
         let seed = seed
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
             .wrapping_add(number as u64);
-        let spread = settings.gateways;
+        let ingress_count = settings.ingress_count;
         let mut engine =
-            Engine::new(settings, seed, bounds).expect("the lab's settings can be served");
+            RequestEngine::new(settings, seed, bounds).expect("the lab's settings can be served");
         if let Some(directory) = listing.directory() {
             engine
                 .set_directory(&directory)
@@ -225,7 +227,7 @@
             traffic: Traffic::default(),
             listing: Arc::clone(listing),
             number,
-            spread,
+            ingress_count,
             now: Duration::ZERO,
             pending: BTreeMap::new(),
             serial: 0,
@@ -248,17 +250,21 @@
         lists.take(b"\n", &mut found);
         for mut text in found {
             let decoded = list::decode(&mut text).expect("a line of the lab's own");
-            self.take_list(&decoded, world);
+            self.apply_endpoint_list(&decoded, world);
         }
     }
 
     /// Takes in a list that is decoded already.
-    pub fn take_list(&mut self, decoded: &roseyard_request_engine::List, world: &mut World) {
+    pub fn apply_endpoint_list(
+        &mut self,
+        decoded: &roseyard_request_engine::EndpointListMessage,
+        world: &mut World,
+    ) {
         // Unix times of the lab begin with its virtual time, one hour in.
         let started = |ms: f64| {
             (ms > 0.0).then(|| Duration::from_millis((ms as u64).saturating_sub(UNIX_MS)))
         };
-        self.engine.take_list(decoded, &[], started);
+        self.engine.apply_endpoint_list(decoded, &[], started);
         self.carry_out(world);
     }
 
@@ -276,16 +282,16 @@
             self.traffic.refused += 1;
             return;
         };
-        let ask = Ask {
+        let ask = Submission {
             service,
             owner: (),
             class: 0,
             plan: 0,
             customer: CustomerId(tenant),
             units: 1.0,
-            spread: self.spread,
+            ingress_count: self.ingress_count,
             time_left: TIME_LEFT,
-            retry: false,
+            is_retry: false,
             command: (),
             bytes: REQUEST_BYTES,
         };
@@ -331,9 +337,9 @@
     fn finish(&mut self, pending: Pending, world: &mut World) {
         match pending {
             Pending::Counted { name, total, made } => {
-                self.engine.counted(
+                self.engine.on_counter_reply(
                     name,
-                    CountResult::Total(total),
+                    CounterResult::Total(total),
                     self.now.saturating_sub(made),
                 );
             }
@@ -343,17 +349,19 @@
                 outcome,
             } => {
                 let value = (outcome == Outcome::Ok).then_some(());
-                self.engine.ended(
+                self.engine.on_attempt_ended(
                     request,
                     attempt,
-                    End {
+                    AttemptResult {
                         value,
-                        ..End::of(outcome)
+                        ..AttemptResult::of(outcome)
                     },
                     self.now,
                 );
             }
-            Pending::Probed { server, outcome } => self.engine.probed(server, outcome, None),
+            Pending::Probed { server, outcome } => {
+                self.engine.on_health_check_ended(server, outcome, None)
+            }
         }
         self.carry_out(world);
     }
@@ -361,13 +369,13 @@
     fn carry_out(&mut self, world: &mut World) {
         while let Some(output) = self.engine.poll(self.now) {
             match output {
-                Output::Send {
+                Output::Forward {
                     request,
                     attempt,
-                    server,
+                    endpoint,
                     ..
                 } => {
-                    let (takes, outcome) = self.arrive(server, world);
+                    let (takes, outcome) = self.arrive(endpoint, world);
                     self.traffic.attempts += 1;
                     self.traffic.failed_attempts += u64::from(outcome == Outcome::ConnectFailed);
                     self.later(
@@ -379,40 +387,50 @@
                         },
                     );
                 }
-                Output::Count {
-                    name,
-                    add,
-                    lifetime,
+                Output::IncrementCounter {
+                    key: name,
+                    amount: add,
+                    time_to_live: lifetime,
                 } => self.call_counter(name, add, lifetime, world),
-                Output::Probe { server } => {
-                    let (takes, outcome) = self.arrive(server, world);
+                Output::CheckHealth { endpoint } => {
+                    let (takes, outcome) = self.arrive(endpoint, world);
                     self.traffic.probes += 1;
-                    self.later(takes, Pending::Probed { server, outcome });
+                    self.later(
+                        takes,
+                        Pending::Probed {
+                            server: endpoint,
+                            outcome,
+                        },
+                    );
                 }
                 Output::Cancel { request, attempt } => {
-                    self.engine
-                        .ended(request, attempt, End::of(Outcome::Cancelled), self.now);
+                    self.engine.on_attempt_ended(
+                        request,
+                        attempt,
+                        AttemptResult::of(Outcome::Cancelled),
+                        self.now,
+                    );
                 }
-                Output::Answer {
-                    answer: Answer::Served(()),
+                Output::Respond {
+                    answer: Response::Served(()),
                     ..
                 } => self.traffic.served += 1,
-                Output::Answer {
-                    answer: Answer::Refused(_),
+                Output::Respond {
+                    answer: Response::Rejected(_),
                     ..
                 } => self.traffic.refused += 1,
-                Output::Answer {
-                    answer: Answer::Failed,
+                Output::Respond {
+                    answer: Response::Failed,
                     ..
                 } => self.traffic.failed += 1,
-                Output::FetchList | Output::Log(_) => {}
+                Output::FetchEndpointList | Output::Log(_) => {}
             }
         }
     }
 
-    fn arrive(&mut self, server: ServerId, world: &mut World) -> (Duration, Outcome) {
+    fn arrive(&mut self, server: EndpointId, world: &mut World) -> (Duration, Outcome) {
         let Some(address) = self.engine.address(server) else {
-            return (REFUSED_AFTER, Outcome::Moot);
+            return (REFUSED_AFTER, Outcome::NotStarted);
         };
         let server = self.listing.server_at(address);
         world.attempt(Arrival {
@@ -422,7 +440,7 @@
         })
     }
 
-    fn call_counter(&mut self, name: CountName, add: f64, lifetime: Duration, world: &mut World) {
+    fn call_counter(&mut self, name: CounterKey, add: f64, lifetime: Duration, world: &mut World) {
         self.scratch.clear();
         http::put_tally(
             &mut self.scratch,
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -49,7 +49,7 @@
             if repeat > 0 {
                 hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
             }
-            let (_, took) = timed(|| hollow.take_list(&decoded, &mut world));
+            let (_, took) = timed(|| hollow.apply_endpoint_list(&decoded, &mut world));
             applies.push(millis(took));
         }
         decode.push(size, &decodes);
@@ -69,11 +69,11 @@
 
 /// The limits of an ingress of the full size.
 pub(super) fn limits() -> Limits {
-    let machine = roseyard_operator_config::Machine {
+    let machine = roseyard_operator_config::MachineLimits {
         sockets: 1024,
         allowed: 1024,
     };
-    let operator = roseyard_operator_config::Effective::new(&machine);
+    let operator = roseyard_operator_config::OperatorSettings::new(&machine);
     Limits::new(
         &operator,
         192,
@@ -81,7 +81,7 @@
     )
 }
 
-fn found(line: &[u8]) -> roseyard_request_engine::List {
+fn found(line: &[u8]) -> roseyard_request_engine::EndpointListMessage {
     let (mut lists, mut found) = (list::Lists::default(), Vec::new());
     lists.take(line, &mut found);
     lists.take(b"\n", &mut found);
@@ -97,7 +97,7 @@
 fn deltas(run: &Run, listing: &Listing, hollow: &mut Hollow, world: &mut World) -> (Vec<f64>, f64) {
     let mut rng = fastrand::Rng::with_seed(run.seed);
     let (mut samples, mut bytes, mut lines) = (Vec::new(), 0, 0);
-    let mut revision = hollow.engine.fleet().rev;
+    let mut revision = hollow.engine.endpoint_registry().rev;
     let mut generations = vec![0u32; listing.servers()];
     for _ in 0..run.repeats {
         let mut sample = Duration::ZERO;
--- a/crates/testbed/src/scale/listing.rs
+++ b/crates/testbed/src/scale/listing.rs
@@ -3,7 +3,7 @@
 
 use super::daemon::layout::Layout;
 use super::targets;
-use roseyard_request_engine::{Directory, DirectoryBounds, DirectoryChange, ServerSelector};
+use roseyard_request_engine::{Directory, DirectoryBounds, DirectoryChange, EndpointSelector};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
@@ -186,8 +186,8 @@
             });
             for network in service.network_names() {
                 let network = network.parse().expect("a network of the layout");
-                let (servers, service) = (ServerSelector::network(network), Arc::clone(name));
-                apply(DirectoryChange::Assign { servers, service });
+                let (endpoints, service) = (EndpointSelector::network(network), Arc::clone(name));
+                apply(DirectoryChange::Assign { endpoints, service });
             }
         }
         for route in 0..self.layout.routes as usize {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -32,7 +32,7 @@
     /// The choice of a server.
     Decision,
     /// The list of servers.
-    List,
+    EndpointListMessage,
     /// Tenants' quotas.
     Quotas,
     /// Which ingresses there are.
@@ -77,7 +77,7 @@
         run: decision::run,
     },
     Entry {
-        role: Role::List,
+        role: Role::EndpointListMessage,
         varied: "servers",
         allowed: 1..=targets::SERVERS,
         sizes: &[17, 170, 1_000, 4_000, 16_000, 54_000],
@@ -223,7 +223,12 @@
 }
 
 /// The roles whose servers may be divided into services.
-pub const BY_SERVICE: &[Role] = &[Role::Decision, Role::List, Role::Quotas, Role::Events];
+pub const BY_SERVICE: &[Role] = &[
+    Role::Decision,
+    Role::EndpointListMessage,
+    Role::Quotas,
+    Role::Events,
+];
 
 impl std::error::Error for BadSizes {}
 
