--- a/crates/ingress/src/main.rs
+++ b/crates/ingress/src/main.rs
@@ -1,14 +1,14 @@
 //! `roseyard-ingress`: one ingress process.
 
 use clap::Parser;
-use roseyard_ingress::program::cli::{main as obey, Cli};
+use roseyard_ingress::program::cli::{self, Cli};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match obey(Cli::parse()) {
+    match cli::main(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("roseyard: error: {e}");
+        Err(error) => {
+            eprintln!("roseyard: error: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ingress/src/program/cli.rs
+++ b/crates/ingress/src/program/cli.rs
@@ -1,29 +1,38 @@
-//! The command line.
+//! The command line and its commands.
 
 use super::config::Config;
+use super::status_file::{self, StatusError};
+use super::ProgramError;
 use clap::{Parser, Subcommand, ValueEnum};
 use roseyard_operator_config::log::{self, LogFormat};
 use roseyard_operator_config::{ConfigErrors, File, MachineLimits, OperatorSettings, SettingRow};
 use std::path::{Path, PathBuf};
 
+/// Descriptors that are assumed where neither the command line nor a configuration says how many.
+const DEFAULT_SOCKETS: usize = 1024;
+
 /// Shared quotas, routing and repeated attempts for services sold by plan.
 #[derive(Debug, Parser)]
 #[command(name = "roseyard-ingress", version, disable_help_subcommand = true)]
 pub struct Cli {
+    /// The command; without one, an ingress is run.
     #[command(subcommand)]
-    command: Option<Command>,
+    pub command: Option<Command>,
+    /// The options of a run without a command.
     #[command(flatten)]
-    run: Run,
+    pub run: RunOptions,
 }
 
+/// A command of the program.
 #[derive(Debug, Subcommand)]
-enum Command {
+pub enum Command {
     /// Run an ingress (what is done without a subcommand too).
-    Run(Run),
+    Run(RunOptions),
     /// Check an operator's file; says every mistake with its place.
     Check {
         /// The file.
         file: PathBuf,
+        /// The machine that the file is checked for.
         #[command(flatten)]
         machine: MachineArgs,
     },
@@ -39,6 +48,7 @@
     Explain {
         /// The file; without one, the defaults.
         file: Option<PathBuf>,
+        /// The machine that the file is checked for.
         #[command(flatten)]
         machine: MachineArgs,
     },
@@ -46,154 +56,158 @@
 
 /// How an ingress is run.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Run {
+pub struct RunOptions {
     /// The operator's file (KDL); without one, defaults hold. Read again on SIGHUP.
     #[arg(long, value_name = "FILE", env = "ROSEYARD_SETTINGS")]
-    settings: Option<PathBuf>,
+    pub settings: Option<PathBuf>,
     /// The form of log lines; goes before the file's.
     #[arg(long, value_enum)]
-    log: Option<LogForm>,
+    pub log: Option<LogForm>,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, ValueEnum)]
-enum LogForm {
+/// The form of log lines, as an argument: lines of text, or one JSON object a line.
+// Doc comments on the values would turn up in the help text.
+#[allow(missing_docs)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
+pub enum LogForm {
     Text,
     Json,
 }
 
+/// The machine that an operator's file is checked for.
 #[derive(Clone, Debug, clap::Args)]
-struct MachineArgs {
+pub struct MachineArgs {
     /// Descriptors that the platform gives; by default those of the configuration that LB_CONFIG
     /// names, or 1024.
     #[arg(long, value_name = "N")]
-    sockets: Option<usize>,
+    pub sockets: Option<usize>,
+}
+
+/// A command that could not be carried out. Its text goes to the operator as it is.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// The ingress could not be run.
+    #[error(transparent)]
+    Program(#[from] ProgramError),
+    /// The status file cannot be shown.
+    #[error(transparent)]
+    Status(#[from] StatusError),
+    /// The operator's file cannot be read.
+    #[error("{0}")]
+    Unreadable(String),
+    /// The operator's file has errors: their number and a report that shows each in its line.
+    #[error("{file}: {count} mistakes\n{report}")]
+    Invalid {
+        /// The file, or what stands for it.
+        file: String,
+        /// Number of errors.
+        count: usize,
+        /// The report.
+        report: String,
+    },
 }
 
 impl MachineArgs {
     fn machine(&self) -> MachineLimits {
-        let told = || Config::read().ok().map(|config| config.limits.sockets);
+        let configured = || Config::read().ok().map(|config| config.limits.sockets);
         MachineLimits {
-            sockets: self.sockets.or_else(told).unwrap_or(1024),
+            sockets: self.sockets.or_else(configured).unwrap_or(DEFAULT_SOCKETS),
             allowed: crate::transport::allowed(),
         }
     }
 }
 
-impl Run {
-    /// Reads the operator's file, if there is one.
-    pub fn file(&self) -> Result<File, String> {
-        self.settings
-            .as_deref()
-            .map_or_else(|| Ok(File::none()), File::read)
+impl RunOptions {
+    /// Reads the operator's file; without one, the defaults.
+    pub fn operator_file(&self) -> Result<File, ProgramError> {
+        let Some(path) = &self.settings else {
+            return Ok(File::none());
+        };
+        File::read(path).map_err(|error| ProgramError::OperatorFile(error.to_string()))
     }
 
-    /// Sets up the log for these settings.
+    /// Sets up the log. The command line goes before the operator's file.
     pub fn start_log(&self, settings: &OperatorSettings) {
-        let json = self
-            .log
-            .map_or(settings.log_json, |form| form == LogForm::Json);
-        log::init(
-            if json {
-                LogFormat::Json
-            } else {
-                LogFormat::Text
-            },
-            settings.log_lines,
-        );
+        let format = match self.log {
+            Some(LogForm::Json) => LogFormat::Json,
+            Some(LogForm::Text) => LogFormat::Text,
+            None if settings.log_json => LogFormat::Json,
+            None => LogFormat::Text,
+        };
+        log::init(format, settings.log_lines);
     }
 }
 
-/// Does what the command line says.
-pub fn main(cli: Cli) -> Result<(), String> {
+/// Carries out a command.
+pub fn main(cli: Cli) -> Result<(), CommandError> {
     match cli.command {
-        None => super::run(&cli.run),
-        Some(Command::Run(run)) => super::run(&run),
-        Some(Command::Status { file, json }) => {
-            print!("{}", super::status::show(&file, json)?);
-            Ok(())
-        }
-        Some(Command::Check { file, machine }) => {
-            let (checked, rows) = checked(Some(&file), &machine.machine())?;
-            println!("{}: in order, {} settings hold", file.display(), rows.len());
-            println!("{}", checked.services());
-            Ok(())
-        }
-        Some(Command::Explain { file, machine }) => {
-            let machine = machine.machine();
-            print!("{}", table(&checked(file.as_deref(), &machine)?.1));
-            println!(
-                "sockets of the platform {}, allowed by the system {}",
-                machine.sockets, machine.allowed
-            );
-            Ok(())
-        }
+        None => super::run(&cli.run)?,
+        Some(Command::Run(options)) => super::run(&options)?,
+        Some(Command::Status { file, json }) => print!("{}", status_file::show(&file, json)?),
+        Some(Command::Check { file, machine }) => check(&file, &machine.machine())?,
+        Some(Command::Explain { file, machine }) => explain(file.as_deref(), &machine.machine())?,
     }
+    Ok(())
 }
 
-/// A file and its settings, or its mistakes drawn with their lines.
-fn checked(
-    path: Option<&Path>,
-    machine: &MachineLimits,
-) -> Result<(File, Vec<SettingRow>), String> {
-    let named = path.map_or_else(|| "defaults".to_owned(), |path| path.display().to_string());
-    let said = |wrong: ConfigErrors| {
-        format!(
-            "{named}: {} mistakes\n{}",
-            wrong.iter().count(),
-            wrong.report()
-        )
-    };
-    let file = path
-        .map_or_else(|| Ok(Ok(File::none())), File::load)?
-        .map_err(said)?;
-    let rows = file.explain(machine).map_err(said)?;
-    Ok((file, rows))
+fn check(path: &Path, machine: &MachineLimits) -> Result<(), CommandError> {
+    let checked = CheckedFile::load(Some(path), machine)?;
+    println!(
+        "{}: in order, {} settings hold",
+        path.display(),
+        checked.rows.len()
+    );
+    println!("{}", checked.file.services());
+    Ok(())
+}
+
+fn explain(path: Option<&Path>, machine: &MachineLimits) -> Result<(), CommandError> {
+    let checked = CheckedFile::load(path, machine)?;
+    print!("{}", table(&checked.rows));
+    println!(
+        "sockets of the platform {}, allowed by the system {}",
+        machine.sockets, machine.allowed
+    );
+    Ok(())
+}
+
+/// An operator's file without errors, and the settings that it results in.
+struct CheckedFile {
+    file: File,
+    rows: Vec<SettingRow>,
+}
+
+impl CheckedFile {
+    /// Loads and checks a file; without a path, the defaults.
+    fn load(path: Option<&Path>, machine: &MachineLimits) -> Result<CheckedFile, CommandError> {
+        let name = path.map_or_else(|| "defaults".to_owned(), |path| path.display().to_string());
+        let invalid = |errors: ConfigErrors| CommandError::Invalid {
+            file: name.clone(),
+            count: errors.iter().count(),
+            report: errors.report(),
+        };
+        let file = path
+            .map_or_else(|| Ok(Ok(File::none())), File::load)
+            .map_err(|error| CommandError::Unreadable(error.to_string()))?
+            .map_err(invalid)?;
+        let rows = file.explain(machine).map_err(invalid)?;
+        Ok(CheckedFile { file, rows })
+    }
 }
 
 fn table(rows: &[SettingRow]) -> String {
-    let wide = |of: fn(&SettingRow) -> &str| {
-        rows.iter()
-            .map(|r| of(r).chars().count())
-            .max()
-            .unwrap_or(0)
+    let width = |column: fn(&SettingRow) -> &str| {
+        let lengths = rows.iter().map(|row| column(row).chars().count());
+        lengths.max().unwrap_or(0)
     };
-    let (names, values, sources) = (wide(|r| &r.name), wide(|r| &r.value), wide(|r| &r.source));
-    let line = |r: &SettingRow| {
+    let names = width(|row| &row.name);
+    let values = width(|row| &row.value);
+    let sources = width(|row| &row.source);
+    let line = |row: &SettingRow| {
         format!(
             "{:names$}  {:values$}  {:sources$}  {} ({})\n",
-            r.name, r.value, r.source, r.about, r.allowed
+            row.name, row.value, row.source, row.about, row.allowed
         )
     };
     rows.iter().map(line).collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_deploy_line_without_a_subcommand_runs_and_a_wrong_word_is_told() {
-        use clap::CommandFactory;
-        Cli::command().debug_assert();
-        let parse = |words: &[&str]| Cli::try_parse_from([&["roseyard-ingress"], words].concat());
-        assert!(parse(&[]).unwrap().command.is_none());
-        let Some(Command::Run(run)) = parse(&["run", "--settings", "a.kdl", "--log", "json"])
-            .unwrap()
-            .command
-        else {
-            panic!("not run")
-        };
-        assert_eq!(
-            (run.settings.as_deref(), run.log),
-            (Some(Path::new("a.kdl")), Some(LogForm::Json))
-        );
-        assert!(parse(&["--log", "xml"])
-            .unwrap_err()
-            .to_string()
-            .contains("text"));
-        assert!(parse(&["chek", "a"])
-            .unwrap_err()
-            .to_string()
-            .contains("check"));
-    }
-}
--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -1,48 +1,91 @@
-//! What the platform tells an ingress at its start.
+//! The platform's configuration file, which `LB_CONFIG` names.
 
 use crate::protocol::list::EndpointListMessage;
 use roseyard_platform_config::PlatformSettings;
 use serde::Deserialize;
+use std::io;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 
+/// Variables of the environment that are read.
+const FILE_VARIABLE: &str = "LB_CONFIG";
+const NAME_VARIABLE: &str = "LB_NAME";
+const LISTEN_VARIABLE: &str = "LB_LISTEN";
+const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
+
+/// A configuration that cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigurationError {
+    /// No file is named.
+    #[error("LB_CONFIG is not set")]
+    NoFile,
+    /// The file cannot be read.
+    #[error("{}: {error}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The system's answer.
+        error: io::Error,
+    },
+    /// The file's content is wrong.
+    #[error("{}: {error}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        error: InvalidConfiguration,
+    },
+}
+
+/// What is wrong with the text of a configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfiguration {
+    /// It is no JSON of the expected form; the text names the field.
+    #[error("{0}")]
+    Json(String),
+    /// A field or variable holds no address.
+    #[error("{field}: '{text}' is not an address")]
+    Address {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        text: String,
+    },
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: '{0}' is not hex")]
+    Seed(String),
+}
+
+/// The file as the platform writes it.
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     name: String,
     listen: String,
     discovery: String,
     seed: String,
     #[serde(default)]
-    limits: MachineLimits,
+    limits: ResourceLimits,
     #[serde(default)]
     counter: Option<String>,
     known: EndpointListMessage,
     settings: PlatformSettings,
 }
 
-/// The machine's limits.
+/// What the platform gives one ingress.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct MachineLimits {
-    /// Memory over which the ingress is killed, in MB.
-    #[serde(default = "memory")]
+#[serde(default)]
+pub struct ResourceLimits {
+    /// Memory in MB over which the process is killed; 192 by default.
     pub memory_mb: usize,
-    /// Descriptors that a process may hold.
-    #[serde(default = "sockets")]
+    /// Descriptors that the process may hold; 1024 by default.
     pub sockets: usize,
 }
 
-fn memory() -> usize {
-    192
-}
-
-fn sockets() -> usize {
-    1024
-}
-
-impl Default for MachineLimits {
+impl Default for ResourceLimits {
     fn default() -> Self {
-        MachineLimits {
-            memory_mb: memory(),
-            sockets: sockets(),
+        ResourceLimits {
+            memory_mb: 192,
+            sockets: 1024,
         }
     }
 }
@@ -53,59 +96,66 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// The counter's address; none where the platform has no counter.
     pub counter: Option<SocketAddr>,
-    /// Seed for random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// The machine's limits.
-    pub limits: MachineLimits,
-    /// The list of servers as this ingress last held it.
+    /// What the process may use.
+    pub limits: ResourceLimits,
+    /// The endpoint list that this ingress held last; always a full one.
     pub known: EndpointListMessage,
     /// The platform's settings.
     pub settings: PlatformSettings,
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names; `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` go before
-    /// it.
-    pub fn read() -> Result<Config, String> {
-        let path = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set".to_owned())?;
-        let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-        Config::parse(text, |name| std::env::var(name).ok()).map_err(|e| format!("{path}: {e}"))
+    /// Reads the file. `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` override it.
+    pub fn read() -> Result<Config, ConfigurationError> {
+        Config::read_with(|name| std::env::var(name).ok())
     }
 
-    /// Reads the file again. What it says of discovery holds over `LB_DISCOVERY`, which tells of
-    /// the start and is old by now; name and listener stay as they were started.
-    pub fn reread() -> Result<Config, String> {
-        let path = std::env::var("LB_CONFIG").map_err(|_| "LB_CONFIG is not set".to_owned())?;
-        let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-        Config::parse(text, |name| {
-            std::env::var(name).ok().filter(|_| name != "LB_DISCOVERY")
+    /// Reads the file again after a reload. `LB_DISCOVERY` dates from the start and no longer
+    /// overrides the file; the caller ignores name and listener.
+    pub fn reread() -> Result<Config, ConfigurationError> {
+        Config::read_with(|name| {
+            std::env::var(name)
+                .ok()
+                .filter(|_| name != DISCOVERY_VARIABLE)
         })
-        .map_err(|e| format!("{path}: {e}"))
     }
 
-    /// Decodes a configuration; `env` gives what goes before it.
+    fn read_with(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigurationError> {
+        let path = std::env::var(FILE_VARIABLE).map_err(|_| ConfigurationError::NoFile)?;
+        let path = PathBuf::from(path);
+        let text = match std::fs::read(&path) {
+            Ok(text) => text,
+            Err(error) => return Err(ConfigurationError::Unreadable { path, error }),
+        };
+        Config::parse(text, variable).map_err(|error| ConfigurationError::Invalid { path, error })
+    }
+
+    /// Decodes a configuration; values that `variable` returns override it.
     pub fn parse(
         mut text: Vec<u8>,
-        env: impl Fn(&str) -> Option<String>,
-    ) -> Result<Config, String> {
-        let raw: Raw = roseyard_platform_config::decode(&mut text)?;
-        let address = |name: &str, text: String| -> Result<SocketAddr, String> {
-            text.parse()
-                .map_err(|_| format!("{name}: '{text}' is not an address"))
-        };
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, InvalidConfiguration> {
+        let raw: RawConfig = roseyard_platform_config::decode(&mut text)
+            .map_err(|error| InvalidConfiguration::Json(error.to_string()))?;
         let mut known = raw.known;
         known.all = true;
+        let listen = variable(LISTEN_VARIABLE).unwrap_or(raw.listen);
+        let discovery = variable(DISCOVERY_VARIABLE).unwrap_or(raw.discovery);
         Ok(Config {
-            name: env("LB_NAME").unwrap_or(raw.name),
-            listen: address("listen", env("LB_LISTEN").unwrap_or(raw.listen))?,
-            discovery: address("discovery", env("LB_DISCOVERY").unwrap_or(raw.discovery))?,
-            counter: raw.counter.map(|c| address("counter", c)).transpose()?,
-            seed: u64::from_str_radix(&raw.seed, 16)
-                .map_err(|_| format!("seed: '{}' is not hex", raw.seed))?,
+            name: variable(NAME_VARIABLE).unwrap_or(raw.name),
+            listen: address("listen", listen)?,
+            discovery: address("discovery", discovery)?,
+            counter: raw
+                .counter
+                .map(|text| address("counter", text))
+                .transpose()?,
+            seed: seed(raw.seed)?,
             limits: raw.limits,
             known,
             settings: raw.settings,
@@ -113,40 +163,11 @@
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn text(seed: &str, listen: &str) -> Vec<u8> {
-        let settings = include_str!("../../tests/settings.json");
-        format!(
-            r#"{{"name":"n3","listen":"{listen}","discovery":"127.0.0.1:8500","seed":"{seed}","peers":[],
-            "limits":{{"cores":1.0,"memory_mb":128,"sockets":512}},"counter":"127.0.0.1:6400",
-            "known":{{"rev":41,"targets":[]}},"settings":{settings}}}"#
-        )
-        .into_bytes()
-    }
-
-    #[test]
-    fn a_configuration_is_read_and_the_environment_goes_before_it() {
-        let config = Config::parse(text("8c1f30d27a5be964", "127.0.0.1:6379"), |_| None).unwrap();
-        assert_eq!(
-            (config.name.as_str(), config.seed),
-            ("n3", 0x8c1f_30d2_7a5b_e964)
-        );
-        assert_eq!((config.limits.memory_mb, config.limits.sockets), (128, 512));
-        assert!(config.known.all, "the list last held is a whole one");
-        assert_eq!(config.settings.plan_names(), ["seedling"]);
-        let env = |name: &str| (name == "LB_LISTEN").then(|| "127.0.0.2:1".to_owned());
-        let config = Config::parse(text("1", "127.0.0.1:6379"), env).unwrap();
-        assert_eq!(config.listen.to_string(), "127.0.0.2:1");
-    }
+fn address(field: &'static str, text: String) -> Result<SocketAddr, InvalidConfiguration> {
+    text.parse()
+        .map_err(|_| InvalidConfiguration::Address { field, text })
+}
 
-    #[test]
-    fn what_is_wrong_is_named() {
-        let wrong = |text| Config::parse(text, |_| None).err().unwrap();
-        assert!(wrong(text("xyz", "127.0.0.1:1")).contains("seed"));
-        assert!(wrong(text("1", "localhost")).contains("listen: 'localhost'"));
-        assert!(wrong(b"{}".to_vec()).contains("name"));
-    }
+fn seed(text: String) -> Result<u64, InvalidConfiguration> {
+    u64::from_str_radix(&text, 16).map_err(|_| InvalidConfiguration::Seed(text))
 }
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -1,304 +1,112 @@
-//! Configuration, start, signals, log and the loop.
+//! The program: configuration, start, event loop, reload and shutdown.
+//!
+//! - [`cli`]: the command line and its commands.
+//! - [`config`]: the platform's configuration file.
+//! - `start`: builds an [`Program`] from both files.
+//! - `event_loop`: one round: wait, read, decide, write.
+//! - `reload`: SIGHUP. `shutdown`: SIGTERM and SIGINT, in four phases.
+//! - `snapshot_store`, `status_file`: files that are written while the program runs.
 
 pub mod cli;
 pub mod config;
-mod files;
-mod standing;
-pub mod status;
+mod error;
+mod event_loop;
+mod file_writer;
+mod reload;
+mod shutdown;
+mod signals;
+mod snapshot_store;
+mod start;
+pub mod status_file;
+mod status_table;
+
+pub use error::ProgramError;
+pub use signals::Signals;
 
 use crate::clock::Clock;
-use crate::limits::Limits;
 use crate::routing::members::Members;
-use crate::routing::{Core, Front, Io, Party, Response, Start, Terms};
-use crate::transport::{allowed, listen, spare, Deadlines, Key, Poller, Ready};
-use cli::Run;
+use crate::routing::{Core, Front, Io, Response};
+use crate::transport::{Key, Ready};
+use cli::RunOptions;
 use config::Config;
-use roseyard_admission::DescriptorBudget;
-use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
-use rustix::fd::OwnedFd;
-use rustix::io::Errno;
-use standing::Keeper;
-use std::io::Read;
+use roseyard_operator_config::MachineLimits;
+use shutdown::ShutdownPhase;
+use snapshot_store::SnapshotStore;
+use status_file::StatusFile;
 use std::net::SocketAddr;
-use std::os::unix::net::UnixStream;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-/// The signals that the program answers to, from its first moment on: what comes before the loop
-/// waits in the pipe. Guards against a SIGHUP that finds no handler, which would end the process.
-pub struct Signals {
-    pipe: UnixStream,
-    reload: Arc<AtomicBool>,
-    leave: Arc<AtomicBool>,
-}
-
-impl Signals {
-    /// From now on SIGHUP, SIGTERM and SIGINT are taken note of.
-    pub fn watch() -> std::io::Result<Signals> {
-        use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-        let (pipe, sender) = UnixStream::pair()?;
-        pipe.set_nonblocking(true)?;
-        let (reload, leave) = (Arc::default(), Arc::default());
-        for (signal, flag) in [(SIGHUP, &reload), (SIGTERM, &leave), (SIGINT, &leave)] {
-            // The flag is up before the pipe tells.
-            signal_hook::flag::register(signal, Arc::clone(flag))?;
-            signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
-        }
-        Ok(Signals {
-            pipe,
-            reload,
-            leave,
-        })
-    }
-}
-
-/// An ingress between two rounds.
+/// An ingress between two rounds of its event loop.
 pub struct Program {
     io: Io,
     core: Core,
     front: Front,
+    /// None until [`Program::handle_signals`]; tests run without.
     signals: Option<Signals>,
-    phase: Phase,
-    /// When `PING` is answered at the latest, and when the drain's next step is due.
+    shutdown: ShutdownPhase,
+    /// When the next phase of the shutdown is due.
+    shutdown_due: Option<Duration>,
+    /// When requests are served even if discovery has said nothing.
     ready_due: Option<Duration>,
-    drain_due: Option<Duration>,
-    /// The machine as it was at the start.
+    /// The machine's limits at the start, which hold until the process ends.
     machine: MachineLimits,
-    keeper: Keeper,
-    standing_due: Option<Duration>,
-    /// The other ingresses, and who writes down what is known of them, where the operator wants
-    /// that.
+    snapshots: SnapshotStore,
+    snapshot_due: Option<Duration>,
+    /// The other ingresses, where membership is on.
     members: Option<Members>,
-    status: Option<status::Keeper>,
+    /// The file that shows how they are seen, where the operator wants one.
+    status_file: Option<StatusFile>,
     status_due: Option<Duration>,
     /// How the program was started; its file is read again on SIGHUP.
-    run: Option<Run>,
+    run_options: Option<RunOptions>,
     /// Connections wait at the listener.
-    knocking: bool,
-    /// Room for a round's news, kept from round to round.
-    ready: Vec<Ready>,
-    answers: Vec<((Key, u64), Response)>,
+    accept_pending: bool,
+    /// Buffers of a round, kept for their capacity.
+    ready_events: Vec<Ready>,
+    responses: Vec<((Key, u64), Response)>,
 }
 
-/// How far the end of the process has come.
-#[derive(Clone, Copy, PartialEq)]
-enum Phase {
-    Serving,
-    /// SIGTERM has come; connections are still accepted.
-    Leaving,
-    /// Nothing new is accepted; what is held is finished.
-    Draining,
-    /// Everything has been answered; answers go out.
-    Stopping,
-    /// The time is over.
-    Over,
+/// What a program holds, for tests and for the last log line.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OpenCounts {
+    /// Requests without a final response or with an attempt in flight.
+    pub requests: usize,
+    /// Connections to endpoints.
+    pub upstream_connections: usize,
+    /// Connections of clients.
+    pub clients: usize,
 }
 
 /// Runs an ingress until SIGTERM or SIGINT has been served.
-pub fn run(run: &Run) -> Result<(), String> {
-    let signals = Signals::watch().map_err(|e| format!("signals: {e}"))?;
+pub fn run(options: &RunOptions) -> Result<(), ProgramError> {
+    let signals = Signals::watch().map_err(ProgramError::Signals)?;
     let clock = Clock::start();
     let config = Config::read()?;
-    let file = run.file()?;
-    let machine = machine(&config);
-    run.start_log(&file.effective(&machine).map_err(|e| e.to_string())?);
+    let file = options.operator_file()?;
+    let settings = file
+        .effective(&start::machine_limits(&config))
+        .map_err(|error| ProgramError::OperatorFile(error.to_string()))?;
+    options.start_log(&settings);
     let mut program = Program::start(&config, &file, clock)?;
-    program.heed(signals, run.clone())?;
-    loop {
-        let wait = program.next_due().map(|at| at.saturating_sub(clock.now()));
-        if !program.round(wait, || clock.now())? {
-            let left = program.core.open_requests();
-            program.end();
-            tracing::info!(
-                event = "shutdown.completed",
-                open_requests = left,
-                "shutdown completed"
-            );
-            return Ok(());
-        }
-    }
-}
-
-/// Listens there. Guards against a start that fails because the process before it has not let go of
-/// the address yet.
-fn take_address(at: &SocketAddr, limits: &Limits) -> Result<OwnedFd, String> {
-    let since = Instant::now();
-    let mut told = false;
-    loop {
-        match listen(at, limits.backlog) {
-            Err(Errno::ADDRINUSE) if since.elapsed() < limits.address => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::warn!(event = "listen.address_in_use", address = %at, "address in use, retrying");
-                }
-                std::thread::sleep(limits.address_again);
-            }
-            done => return done.map_err(|e| format!("listen on {at}: {e}")),
-        }
-    }
-}
-
-fn machine(config: &Config) -> MachineLimits {
-    MachineLimits {
-        sockets: config.limits.sockets,
-        allowed: allowed(),
-    }
+    program.handle_signals(signals, options.clone())?;
+    while program.round(program.time_to_wait(clock.now()), || clock.now())? {}
+    let open_requests = program.open().requests;
+    program.end();
+    tracing::info!(
+        event = "shutdown.completed",
+        open_requests,
+        "shutdown completed"
+    );
+    Ok(())
 }
 
 impl Program {
-    /// Listens, and opens the watch on discovery.
-    pub fn start(config: &Config, file: &File, clock: Clock) -> Result<Program, String> {
-        let machine = machine(config);
-        let operator = file.effective(&machine).map_err(|e| e.to_string())?;
-        let options = &config.settings;
-        let limits = Limits::new(&operator, config.limits.memory_mb, options);
-        let poller = Poller::new(limits.batch).map_err(|e| format!("epoll: {e}"))?;
-        let budget = DescriptorBudget::new(operator.sockets, operator.shares)
-            .map_err(|e| format!("descriptors: {e}"))?;
-        let mut io = Io {
-            poller,
-            deadlines: Deadlines::default(),
-            now: clock.now(),
-            budget,
-            spare: spare(),
-            limits,
-        };
-        let listener = take_address(&config.listen, &limits)?;
-        let settings = options.settings()?;
-        let services = file.services();
-        let terms = Terms::new(options, &settings, &limits, services.route_field());
-        let OperatorSettings {
-            policy,
-            standing,
-            membership,
-            ..
-        } = operator;
-        // What others choose must not collide in tables: mixed so that the module's numbers tell
-        // nothing of it.
-        let secret = config.seed.rotate_left(23) ^ 0x61c8_8646_80b5_83eb;
-        let mut front = Front::new(listener, terms, policy, secret, &mut io)
-            .map_err(|e| format!("listen: {e}"))?;
-        let keeper = Keeper::start(standing, front.gate_mut(), io.now);
-        let start = Start {
-            settings,
-            seed: config.seed,
-            zones: options.zone_names().to_vec(),
-            directory: services.directory().clone(),
-            clock,
-            discovery: config.discovery,
-            counter: config.counter,
-        };
-        if let Some(at) = front.address() {
-            let name = &config.name;
-            tracing::info!(event = "listening", name, address = %at, "listening");
-        }
-        let core =
-            Core::new(start, &config.known, &mut io).map_err(|e| format!("settings: {e}"))?;
-        let mut ready_due = None;
-        let at = io.now + io.limits.ready;
-        io.deadlines.set(&mut ready_due, Some(at), Party::Ready);
-        let mut standing_due = None;
-        keeper.arm(&mut standing_due, &mut io);
-        let members = Members::start(
-            &membership,
-            &config.name,
-            files::unix_ms(),
-            config.seed ^ 0x5eed,
-            &mut io,
-        )?;
-        let status = membership
-            .status
-            .as_deref()
-            .filter(|_| members.is_some())
-            .map(status::Keeper::new);
-        let mut status_due = None;
-        if status.is_some() {
-            io.deadlines
-                .set(&mut status_due, Some(io.now), Party::Status);
-        }
-        Ok(Program {
-            members,
-            status,
-            status_due,
-            machine,
-            keeper,
-            standing_due,
-            run: None,
-            knocking: false,
-            io,
-            core,
-            front,
-            signals: None,
-            phase: Phase::Serving,
-            ready_due,
-            drain_due: None,
-            ready: Vec::new(),
-            answers: Vec::new(),
-        })
-    }
-
-    /// From now on SIGHUP rereads the configuration and the operator's file, and SIGTERM and SIGINT
-    /// begin the drain.
-    pub fn heed(&mut self, signals: Signals, run: Run) -> Result<(), String> {
-        self.run = Some(run);
-        let token = Party::Signal.token();
-        self.io
-            .poller
-            .add_level(&signals.pipe, token)
-            .map_err(|e| format!("signals: {e}"))?;
-        self.signals = Some(signals);
-        Ok(())
-    }
-
-    /// Configuration and operator's file were read again: discovery and counter move to their
-    /// addresses at once, admission, services and routes go by the file, all else stays as it was
-    /// started. If either cannot be read or does not fit, neither changes anything.
-    pub fn reload(&mut self, read: Result<(Config, File), String>) {
-        let fits = |(config, file): (Config, File)| {
-            let operator = file.effective(&self.machine).map_err(|e| e.to_string())?;
-            Ok::<_, String>((config, operator, file))
-        };
-        let io = &mut self.io;
-        match read.and_then(fits) {
-            Ok((config, operator, file)) => {
-                // The shares fit: they were held against the total just now.
-                if let Err(e) = io.budget.set(operator.sockets, operator.shares) {
-                    tracing::warn!(event = "reload.descriptors", error = %e, "descriptor limits not reloaded");
-                }
-                self.front.set_policy(operator.policy, io);
-                self.keeper.set(operator.standing);
-                self.keeper.arm(&mut self.standing_due, io);
-                if let Some(members) = &mut self.members {
-                    members.set(&operator.membership);
-                }
-                self.front.set_route_field(file.services().route_field());
-                self.core.set_directory(file.services().directory());
-                let counter = config
-                    .counter
-                    .map_or_else(|| "none".to_owned(), |c| c.to_string());
-                let discovery = config.discovery;
-                tracing::info!(
-                    event = "reload.completed", %discovery, counter,
-                    "configuration reloaded"
-                );
-                self.core.move_to(discovery, config.counter, io);
-            }
-            Err(wrong) => {
-                tracing::warn!(
-                    event = "reload.rejected",
-                    error = wrong,
-                    "configuration rejected, previous one stays in force"
-                );
-            }
-        }
-    }
-
-    /// Where clients connect.
+    /// Where clients connect; none once the listener is closed.
     pub fn address(&self) -> Option<SocketAddr> {
         self.front.address()
     }
 
-    /// Version of the list of servers held.
+    /// Revision of the endpoint list in force.
     pub fn list_version(&self) -> u64 {
         self.core.list_version()
     }
@@ -308,236 +116,27 @@
         self.io.deadlines.next()
     }
 
-    /// Requests held, connections to servers, and clients.
-    pub fn open(&self) -> (usize, usize, usize) {
-        (
-            self.core.open_requests(),
-            self.core.open_links(),
-            self.front.len(),
-        )
-    }
-
-    /// Requests open by their clients' numbers, and bytes held for clients' connections.
-    pub fn clients_hold(&self) -> (usize, usize) {
-        self.front.held()
+    /// How long the event loop may wait at this time; none: until something happens.
+    fn time_to_wait(&self, now: Duration) -> Option<Duration> {
+        self.next_due().map(|due| due.saturating_sub(now))
     }
 
-    /// Waits, takes in what came, tells the module, writes what is to go out; `now` is read after
-    /// the wait. False once all is done.
-    pub fn round(
-        &mut self,
-        wait: Option<Duration>,
-        now: impl FnOnce() -> Duration,
-    ) -> Result<bool, String> {
-        let wait = if self.front.has_more() {
-            Some(Duration::ZERO)
-        } else {
-            wait
-        };
-        let mut ready = std::mem::take(&mut self.ready);
-        let mut answers = std::mem::take(&mut self.answers);
-        self.io
-            .poller
-            .wait(wait, &mut ready)
-            .map_err(|e| format!("epoll: {e}"))?;
-        self.io.now = now();
-        // Guards against requests that are decided by a list when word of a later one is there:
-        // discovery first.
-        let watched = |event: &Ready| matches!(Party::of_token(event.token), Party::Watch(_));
-        ready
-            .iter()
-            .filter(|e| watched(e))
-            .for_each(|e| self.on_ready(*e));
-        self.serve_once_told();
-        self.front.resume(&mut self.core, &mut self.io);
-        for event in ready.drain(..).filter(|e| !watched(e)) {
-            self.on_ready(event);
-        }
-        // Answers that have come are taken in before the time-outs that they beat.
-        while let Some(party) = self.io.deadlines.pop(self.io.now) {
-            self.on_due(party);
-        }
-        self.serve_once_told();
-        loop {
-            self.core.run(&mut self.io);
-            self.core.take_answers(&mut answers);
-            for (owner, answer) in answers.drain(..) {
-                self.front
-                    .answer(owner, answer, &mut self.core, &mut self.io);
-            }
-            self.front.flush(&mut self.core, &mut self.io);
-            if !self.core.has_pending() {
-                break;
-            }
-        }
-        self.front.keep_spare(&mut self.io);
-        // After what is held has gone on. Guards against newcomers that take the descriptors which
-        // this round's ended attempts gave back, and leave the further attempts of requests that
-        // are held with none.
-        if std::mem::take(&mut self.knocking) {
-            self.front
-                .accept(self.io.limits.round_accepts, &mut self.core, &mut self.io);
-        }
-        (self.ready, self.answers) = (ready, answers);
-        let over = match self.phase {
-            Phase::Serving | Phase::Leaving => false,
-            Phase::Draining => self.front.is_empty() && self.core.open_requests() == 0,
-            Phase::Stopping => self.front.is_empty(),
-            Phase::Over => true,
-        };
-        Ok(!over)
-    }
-
-    /// `PING` is answered, and requests are served, once discovery has spoken or has had its time.
-    fn serve_once_told(&mut self) {
-        if !self.front.ready && (self.core.told() || self.ready_due.is_none()) {
-            self.front.ready = true;
-            self.io
-                .deadlines
-                .set(&mut self.ready_due, None, Party::Ready);
-            tracing::info!(event = "ready", "ready");
-            if let Some(members) = &mut self.members {
-                members.serving(&mut self.io);
-            }
-        }
-    }
-
-    /// Begins the end: accepts for a while, then finishes what is held.
-    pub fn leave(&mut self) {
-        if self.phase == Phase::Serving {
-            self.phase = Phase::Leaving;
-            let io = &mut self.io;
-            let open = self.core.open_requests();
-            tracing::info!(
-                event = "shutdown.started",
-                open_requests = open,
-                "shutdown started"
-            );
-            io.deadlines.set(
-                &mut self.drain_due,
-                Some(io.now + io.limits.drain_accept),
-                Party::Drain,
-            );
-            if let Some(members) = &mut self.members {
-                members.leave(io);
-            }
-        }
-    }
-
-    fn on_drain_due(&mut self) {
-        self.drain_due = None;
-        let (core, io) = (&mut self.core, &mut self.io);
-        if self.phase == Phase::Leaving {
-            self.phase = Phase::Draining;
-            self.front.drain(core, io);
-            let clients = self.front.len();
-            tracing::info!(
-                event = "shutdown.draining",
-                clients,
-                "draining, listener closed"
-            );
-            io.deadlines.set(
-                &mut self.drain_due,
-                Some(io.now + io.limits.drain),
-                Party::Drain,
-            );
-        } else if self.phase == Phase::Draining {
-            // Guards against requests that a server which hangs leaves without an answer.
-            self.phase = Phase::Stopping;
-            let open = core.open_requests();
-            tracing::info!(
-                event = "shutdown.deadline_exceeded",
-                open_requests = open,
-                "drain deadline exceeded, open requests answered"
-            );
-            core.stop();
-            self.front.stop();
-            io.deadlines.set(
-                &mut self.drain_due,
-                Some(io.now + io.limits.last_linger),
-                Party::Drain,
-            );
-        } else {
-            self.phase = Phase::Over;
-        }
-    }
-
-    fn on_ready(&mut self, event: Ready) {
-        let (core, io) = (&mut self.core, &mut self.io);
-        match Party::of_token(event.token) {
-            Party::Client(key) => self.front.on_client(key, event, core, io),
-            Party::Link(key) => core.on_link(key, event, io),
-            Party::Counter(n, serial) => core.on_counter((n, serial), event, io),
-            Party::Watch(serial) => core.on_watch(serial, event, io),
-            Party::Listener => self.knocking = true,
-            Party::Members => self.members.iter_mut().for_each(|m| m.on_ready(io)),
-            _ => self.on_signal(),
-        }
-    }
-
-    fn on_due(&mut self, party: Party) {
-        let (core, io) = (&mut self.core, &mut self.io);
-        match party {
-            Party::Module => core.on_timer(),
-            Party::Client(key) => self.front.on_client_due(key, core, io),
-            Party::Link(key) => core.on_link_due(key, io),
-            Party::Counter(n, _) => core.on_counter_due(n, io),
-            Party::Watch(_) => core.on_watch_due(io),
-            Party::Listener => {
-                self.front.on_listener_due(io);
-                self.knocking = true;
-            }
-            Party::Report => self.front.on_report_due(),
-            Party::SnapshotSettings => self.on_standing_due(),
-            Party::Members => self.members.iter_mut().for_each(|m| m.on_due(io)),
-            Party::Status => self.on_status_due(),
-            Party::Ready => self.ready_due = None,
-            Party::Drain => self.on_drain_due(),
-            Party::Signal => {}
+    /// What is open now.
+    pub fn open(&self) -> OpenCounts {
+        OpenCounts {
+            requests: self.core.open_requests(),
+            upstream_connections: self.core.open_links(),
+            clients: self.front.len(),
         }
     }
 
-    fn on_standing_due(&mut self) {
-        self.standing_due = None;
-        self.keeper.write(self.front.controller(), self.io.now);
-        self.keeper.arm(&mut self.standing_due, &mut self.io);
-    }
-
-    /// What is known of the others is written each second.
-    fn on_status_due(&mut self) {
-        self.status_due = None;
-        if let (Some(status), Some(members)) = (&mut self.status, &self.members) {
-            status.write(members, self.io.now);
-            let at = self.io.now + Duration::from_secs(1);
-            self.io
-                .deadlines
-                .set(&mut self.status_due, Some(at), Party::Status);
-        }
+    /// Requests open by their clients' numbers, and bytes held for clients' connections.
+    pub fn clients_hold(&self) -> (usize, usize) {
+        self.front.held()
     }
 
-    /// All is done: what is known of clients is kept for the next start.
+    /// Writes the snapshot of clients for the next start. Call once, after the last round.
     pub fn end(&mut self) {
-        self.keeper.finish(self.front.controller(), self.io.now);
-    }
-
-    fn on_signal(&mut self) {
-        let mut bytes = [0; 16];
-        let Some(signals) = &mut self.signals else {
-            return;
-        };
-        while matches!(signals.pipe.read(&mut bytes), Ok(n) if n > 0) {}
-        let reload = signals.reload.swap(false, Ordering::SeqCst);
-        let leave = signals.leave.swap(false, Ordering::SeqCst);
-        // Also while it leaves: what it still holds is counted and sent on by the new addresses.
-        if reload {
-            let file = self
-                .run
-                .as_ref()
-                .map_or_else(|| Ok(File::none()), Run::file);
-            self.reload(Config::reread().and_then(|config| Ok((config, file?))));
-        }
-        if leave {
-            self.leave();
-        }
+        self.snapshots.finish(self.front.controller(), self.io.now);
     }
 }
--- /dev/null
+++ b/crates/ingress/src/program/reload.rs
@@ -0,0 +1,90 @@
+//! Reload: SIGHUP reads both files again.
+//!
+//! Discovery and the counter move to the new addresses at once; admission, membership keys, services
+//! and routes follow the operator's file; all else stays as it was started. If either file cannot be
+//! read or does not fit, nothing changes.
+
+use super::config::Config;
+use super::{cli::RunOptions, Program, ProgramError};
+use roseyard_operator_config::{File, OperatorSettings};
+
+/// Both files, checked against each other and the machine.
+struct NewConfiguration {
+    config: Config,
+    operator: OperatorSettings,
+    file: File,
+}
+
+impl Program {
+    /// Reads both files again and applies them.
+    pub(super) fn reload_files(&mut self) {
+        let file = self
+            .run_options
+            .as_ref()
+            .map_or_else(|| Ok(File::none()), RunOptions::operator_file);
+        self.reload(
+            Config::reread()
+                .map_err(ProgramError::from)
+                .and_then(|config| Ok((config, file?))),
+        );
+    }
+
+    /// Applies a configuration that was read, or logs why it is rejected.
+    pub fn reload(&mut self, read: Result<(Config, File), ProgramError>) {
+        match read.and_then(|(config, file)| self.check(config, file)) {
+            Ok(new) => self.apply(new),
+            Err(error) => tracing::warn!(
+                event = "reload.rejected",
+                %error,
+                "configuration rejected, previous one stays in force"
+            ),
+        }
+    }
+
+    fn check(&self, config: Config, file: File) -> Result<NewConfiguration, ProgramError> {
+        let operator = file
+            .effective(&self.machine)
+            .map_err(|error| ProgramError::OperatorFile(error.to_string()))?;
+        Ok(NewConfiguration {
+            config,
+            operator,
+            file,
+        })
+    }
+
+    fn apply(&mut self, new: NewConfiguration) {
+        let NewConfiguration {
+            config,
+            operator,
+            file,
+        } = new;
+        let io = &mut self.io;
+        // Cannot fail: the shares were checked against the total just now.
+        if let Err(error) = io.budget.set(operator.sockets, operator.shares) {
+            tracing::warn!(
+                event = "reload.descriptors",
+                %error,
+                "descriptor limits not reloaded"
+            );
+        }
+        self.front.set_policy(operator.policy, io);
+        self.snapshots.set(operator.standing);
+        self.snapshots.schedule(&mut self.snapshot_due, io);
+        if let Some(members) = &mut self.members {
+            members.set(&operator.membership);
+        }
+        self.front.set_route_field(file.services().route_field());
+        self.core.set_directory(file.services().directory());
+        let counter = config
+            .counter
+            .map_or_else(|| "none".to_owned(), |address| address.to_string());
+        let discovery = config.discovery;
+        tracing::info!(
+            event = "reload.completed",
+            %discovery,
+            counter,
+            "configuration reloaded"
+        );
+        self.core.move_to(discovery, config.counter, io);
+    }
+}
--- /dev/null
+++ b/crates/ingress/src/program/status_file.rs
@@ -0,0 +1,77 @@
+//! The status file: how this ingress sees the others, for `roseyard-ingress status`.
+
+use super::file_writer::{unix_ms, FileWriter};
+use super::status_table;
+use crate::routing::members::{Members, Status};
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// A longer file is not read.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+
+/// Writes the status file.
+pub struct StatusFile {
+    path: PathBuf,
+    writer: FileWriter,
+}
+
+/// A status file that cannot be shown.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {reason}", path.display())]
+pub struct StatusError {
+    path: PathBuf,
+    reason: StatusErrorReason,
+}
+
+/// Why a status file cannot be shown.
+#[derive(Debug, thiserror::Error)]
+enum StatusErrorReason {
+    #[error(transparent)]
+    Unreadable(#[from] io::Error),
+    #[error("longer than 4 MiB")]
+    TooLong,
+    #[error("no status: {0}")]
+    Invalid(#[from] simd_json::Error),
+}
+
+impl StatusFile {
+    /// A writer of this file.
+    pub fn new(path: &Path) -> StatusFile {
+        StatusFile {
+            path: path.to_owned(),
+            writer: FileWriter::new("status file", "status.write_failed"),
+        }
+    }
+
+    /// Starts writing the present view, unless the last write is still running.
+    pub fn write(&mut self, members: &Members, now: Duration) {
+        if self.writer.is_busy() {
+            return;
+        }
+        if let Ok(text) = simd_json::to_string_pretty(&members.status(unix_ms(), now)) {
+            self.writer.start(self.path.clone(), text.into_bytes());
+        }
+    }
+}
+
+/// The content of a status file: its JSON as it stands, or a table.
+pub fn show(path: &Path, json: bool) -> Result<String, StatusError> {
+    read(path, json).map_err(|reason| StatusError {
+        path: path.to_owned(),
+        reason,
+    })
+}
+
+fn read(path: &Path, json: bool) -> Result<String, StatusErrorReason> {
+    if fs::metadata(path)?.len() > MAX_FILE_BYTES {
+        return Err(StatusErrorReason::TooLong);
+    }
+    let text = fs::read_to_string(path)?;
+    if json {
+        return Ok(text);
+    }
+    let status: Status = simd_json::from_slice(&mut text.into_bytes())?;
+    Ok(status_table::format(&status, unix_ms()))
+}
--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -34,7 +34,7 @@
         probe.text().contains("+PONG")
     });
     probe.hang_up();
-    site.until("nobody is connected", |s| s.program.open().2 == 0);
+    site.until("nobody is connected", |s| s.program.open().clients == 0);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -102,7 +102,7 @@
                 site.expect(&mut usual, "+PONG\r\n");
             }
         }
-        let (_, _, clients) = site.program.open();
+        let clients = site.program.open().clients;
         assert!(
             clients <= 30,
             "{shape:?}: {clients} held under 64 descriptors"
@@ -131,7 +131,11 @@
         }
     }
     assert!(told > 9_000, "{told} were told when to come again");
-    assert!(site.program.open().2 <= 6, "{:?}", site.program.open());
+    assert!(
+        site.program.open().clients <= 6,
+        "{:?}",
+        site.program.open()
+    );
     served_once(&mut site, &mut usual, 2);
 }
 
@@ -156,7 +160,7 @@
             end.send(PING);
             site.expect(end, "+PONG\r\n");
         }
-        assert_eq!(site.program.open().2, 30, "the cap is full");
+        assert_eq!(site.program.open().clients, 30, "the cap is full");
         let mut known = End::from([127, 0, 0, 9], site.program.address().unwrap());
         served_once(&mut site, &mut known, 9);
         // Another hundred come: with the snapshot it is known at once, without it after it has come
@@ -195,7 +199,7 @@
         served_once(&mut site, &mut known, id);
     }
     known.hang_up();
-    site.until("its end", |s| s.program.open().2 == 0);
+    site.until("its end", |s| s.program.open().clients == 0);
     // Their requests wait for their totals for as long as the test's clock stands still.
     site.counter.counting = Counting::Silent;
     let mut newcomers: Vec<End> = (0..30).map(|n| End::from([127, 64, 0, n], to)).collect();
@@ -203,10 +207,10 @@
     for (n, end) in newcomers.iter_mut().enumerate() {
         // Customers of their own, so that no quota refuses them.
         end.send(request_of(500 + n as u64, "API.READ", 100 + n as u64, LOAD));
-        let held = site.program.open().0;
+        let held = site.program.open().requests;
         site.until("it is held or refused", |s| {
             end.read();
-            s.program.open().0 > held || !end.input.is_empty()
+            s.program.open().requests > held || !end.input.is_empty()
         });
         refused += usize::from(end.text() == "-BUSY 500\r\n");
     }
@@ -214,13 +218,13 @@
         refused, 3,
         "that many may connect but not have requests open"
     );
-    assert_eq!(site.program.open().2, 30);
+    assert_eq!(site.program.open().clients, 30);
     // The listener took a breath when all that rested had just come.
     site.advance(10);
     let mut known = End::from([127, 0, 0, 9], to);
     known.send(PING);
     site.expect(&mut known, "+PONG\r\n");
-    assert_eq!(site.program.open().2, 30, "one that rested made room");
+    assert_eq!(site.program.open().clients, 30, "one that rested made room");
 }
 
 #[test]
@@ -256,12 +260,12 @@
     let (s, c, _) = site.arrival();
     let wrong = roseyard_operator_config::File::parse("roseyard.kdl", "admission { plcaes 3 }")
         .unwrap_err();
-    site.program.reload(Err(wrong.to_string()));
-    assert_eq!(site.program.open().2, 8);
+    site.program.reload(Err(rejected(wrong)));
+    assert_eq!(site.program.open().clients, 8);
     site.program.reload(Ok((parsed(), file(3))));
     site.advance(1);
     assert_eq!(
-        site.program.open().2,
+        site.program.open().clients,
         3,
         "those that rested longest are gone"
     );
--- a/crates/ingress/tests/common/mod.rs
+++ b/crates/ingress/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use roseyard_ingress::clock::Clock;
 use roseyard_ingress::limits::Limits;
-use roseyard_ingress::program::{config::Config, Program};
+use roseyard_ingress::program::{config::Config, Program, ProgramError};
 use roseyard_ingress::protocol::resp;
 use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
 use roseyard_platform_config::PlatformSettings;
@@ -369,6 +369,11 @@
 }
 
 /// An operator's file that is in order.
+/// A configuration that cannot be read, as the program sees it at a reload.
+pub(crate) fn rejected(error: impl std::fmt::Display) -> ProgramError {
+    ProgramError::OperatorFile(error.to_string())
+}
+
 pub(crate) fn operator(text: &str) -> File {
     File::parse("roseyard.kdl", text).unwrap()
 }
@@ -556,8 +561,9 @@
         let old = std::mem::replace(&mut self.counter, Counter::new());
         self.discovery = Party::new();
         let text = config(&self.counter.party, &self.discovery, &self.endpoints, 1024);
+        let read = Config::parse(text.into(), |_| None).map_err(rejected);
         self.program
-            .reload(Config::parse(text.into(), |_| None).map(|config| (config, File::none())));
+            .reload(read.map(|config| (config, File::none())));
         old
     }
 
@@ -656,7 +662,7 @@
 /// The only client leaves, and the ingress has seen it.
 pub(crate) fn leaves(site: &mut Site, client: End) {
     drop(client);
-    site.until("the client has gone", |s| s.program.open().2 == 0);
+    site.until("the client has gone", |s| s.program.open().clients == 0);
 }
 
 /// Has the counter calls that it has not answered?
--- a/crates/ingress/tests/crossings.rs
+++ b/crates/ingress/tests/crossings.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::*;
+use roseyard_ingress::program::OpenCounts;
 use std::time::Duration;
 
 /// Another client's request of the same customer is served, and the count is this with it.
@@ -30,7 +31,11 @@
         nothing_is_sent_on(&mut site, "counter");
         site.counter.counting = Counting::Answers;
         site.round();
-        assert_eq!(site.program.open(), (0, 0, 0), "what it held is released");
+        assert_eq!(
+            site.program.open(),
+            OpenCounts::default(),
+            "what it held is released"
+        );
         // What was added for it is taken off again with the customer's next add.
         counted_with_the_next(&mut site, 1.0, &format!("answered: {answered}"));
     }
@@ -42,11 +47,17 @@
     site.endpoints[0].fill_up();
     let mut client = site.client();
     client.send(load(1));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
+    site.until("the connection is begun", |s| {
+        s.program.open().upstream_connections == 1
+    });
     leaves(&mut site, client);
     site.endpoints[0].empty();
     nothing_is_sent_on(&mut site, "link");
-    assert_eq!(site.program.open(), (0, 0, 0), "its connection goes too");
+    assert_eq!(
+        site.program.open(),
+        OpenCounts::default(),
+        "its connection goes too"
+    );
     // Nothing has reached a server: the customer's next request is the first that counts.
     counted_with_the_next(&mut site, 1.0, "no server was reached");
 }
@@ -62,7 +73,9 @@
             // The further attempt waits for its connection when the client leaves.
             site.endpoints[1 - s].fill_up();
             site.endpoints[s].ends[c].send("-BUSY\r\n");
-            site.until("the further attempt", |s| s.program.open().1 == 2);
+            site.until("the further attempt", |s| {
+                s.program.open().upstream_connections == 2
+            });
             leaves(&mut site, client);
             site.endpoints[1 - s].empty();
         } else {
@@ -71,7 +84,10 @@
             drop(client);
         }
         nothing_is_sent_on(&mut site, "further attempt");
-        assert_eq!((site.program.open().0, site.program.open().2), (0, 0));
+        assert_eq!(
+            (site.program.open().requests, site.program.open().clients),
+            (0, 0)
+        );
         counted_with_the_next(&mut site, 2.0, "the first attempt has reached a server");
     }
 }
@@ -85,7 +101,7 @@
     for id in 0..1100 {
         client.send(load_of(1000 + id, id));
     }
-    site.until("reading is paused", |s| s.program.open().0 == 1024);
+    site.until("reading is paused", |s| s.program.open().requests == 1024);
     for _ in 0..5 {
         site.round();
     }
@@ -96,7 +112,7 @@
     // Now the totals come, and all inside their quotas.
     site.counter.counting = Counting::Answers;
     nothing_is_sent_on(&mut site, "reading paused");
-    assert_eq!(site.program.open(), (0, 0, 0));
+    assert_eq!(site.program.open(), OpenCounts::default());
     assert_eq!(site.program.clients_hold(), (0, 0));
 }
 
@@ -112,7 +128,7 @@
         site.round();
     }
     assert_eq!(
-        site.program.open().0,
+        site.program.open().requests,
         1,
         "the second waits unread behind the first"
     );
@@ -121,7 +137,7 @@
         !site.endpoints[s].ends[c].open
     });
     nothing_is_sent_on(&mut site, "pipeline");
-    assert_eq!(site.program.open(), (0, 0, 0));
+    assert_eq!(site.program.open(), OpenCounts::default());
 }
 
 #[test]
@@ -129,7 +145,7 @@
     for requests in [3, 800] {
         let mut site = Site::new(1);
         let mut client = site.client();
-        site.until("it is taken in", |s| s.program.open().2 == 1);
+        site.until("it is taken in", |s| s.program.open().clients == 1);
         // All of it and the end are there before the ingress wakes.
         client.send(
             (0..requests)
@@ -139,7 +155,7 @@
         client.hang_up();
         drop(client);
         nothing_is_sent_on(&mut site, "much");
-        assert_eq!(site.program.open(), (0, 0, 0));
+        assert_eq!(site.program.open(), OpenCounts::default());
         assert_eq!(
             site.counter.calls.len(),
             0,
@@ -152,7 +168,7 @@
 
 /// The accepting is over: what is held is finished from here on.
 fn drain(site: &mut Site) {
-    site.program.leave();
+    site.program.shut_down();
     site.advance(601);
 }
 
@@ -204,7 +220,7 @@
 #[test]
 fn a_newcomer_in_the_backlog_at_the_drain_is_heard_before_its_connection_ends() {
     let mut site = Site::new(1);
-    site.program.leave();
+    site.program.shut_down();
     let (mut asks, mut silent) = (site.client(), site.client());
     // Both are still in the listener's queue.
     site.advance(601);
@@ -232,7 +248,7 @@
         }
         held.push(client);
     }
-    site.program.leave();
+    site.program.shut_down();
     let mut late: Vec<End> = (0..5).map(|_| site.client()).collect();
     site.advance(601);
     for client in &mut late {
@@ -252,14 +268,16 @@
                 site.counter.counting = Counting::Silent;
                 client.send(load(1));
                 site.until("the call", |s| counter_waits(s));
-                site.program.leave();
+                site.program.shut_down();
                 site.counter.counting = Counting::Answers;
             }
             "link" => {
                 site.endpoints.iter_mut().for_each(Party::fill_up);
                 client.send(load(1));
-                site.until("the connection is begun", |s| s.program.open().1 == 1);
-                site.program.leave();
+                site.until("the connection is begun", |s| {
+                    s.program.open().upstream_connections == 1
+                });
+                site.program.shut_down();
                 site.round();
                 site.endpoints.iter_mut().for_each(Party::empty);
             }
@@ -318,7 +336,7 @@
         let (s, c, _) = site.arrival();
         let value = "v".repeat(60_000);
         site.endpoints[s].ends[c].send(served(&value));
-        site.until("the answer is taken in", |s| s.program.open().0 == 0);
+        site.until("the answer is taken in", |s| s.program.open().requests == 0);
         for _ in 0..5 {
             site.round();
         }
@@ -873,7 +891,11 @@
     let (mut site, client, s) = amid_the_write();
     leaves(&mut site, client);
     nothing_is_sent_on(&mut site, "amid the write");
-    assert_eq!(site.program.open(), (0, 0, 0), "its connection goes too");
+    assert_eq!(
+        site.program.open(),
+        OpenCounts::default(),
+        "its connection goes too"
+    );
     assert!(!site.endpoints[s].ends[0].open && site.endpoints[s].ends[0].input.len() < BODY);
     counted_with_the_next(&mut site, 1.0, "no request has reached a server whole");
 }
@@ -913,7 +935,7 @@
     let (s, c, _) = site.arrival();
     site.endpoints[s].ends[c].send("*3\r\n$60000\r\n");
     let begun = site.now;
-    while site.program.open().0 > 0 {
+    while site.program.open().requests > 0 {
         site.endpoints[s].ends[c].send("x");
         site.advance(100);
         assert!(
@@ -1004,7 +1026,9 @@
         // It may have run: the further attempt is decided within the window, and its connection
         // comes up later.
         site.endpoints[s].ends[c].send("-ERR failed\r\n");
-        site.until("the further attempt", |s| s.program.open().1 == 2);
+        site.until("the further attempt", |s| {
+            s.program.open().upstream_connections == 2
+        });
         site.now += Duration::from_millis(if late { 60 } else { 20 });
         site.endpoints[1 - s].empty();
         if late {
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -128,7 +128,7 @@
         round(&mut site);
     }
     assert!(
-        site.program.open().2 < IDLE + NEWCOMERS,
+        site.program.open().clients < IDLE + NEWCOMERS,
         "there were more clients than descriptors"
     );
     shortage.lend(|| site.discovery.revive());
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -105,7 +105,7 @@
             prop_assert_eq!(client.text(), text);
         }
         prop_assert!(model.iter().all(Option::is_some));
-        prop_assert_eq!(site.program.open().0, 0);
+        prop_assert_eq!(site.program.open().requests, 0);
     }
 }
 
--- a/crates/ingress/tests/services.rs
+++ b/crates/ingress/tests/services.rs
@@ -44,8 +44,8 @@
 /// The ingress reads this file of the operator's again.
 fn reload(site: &mut Site, file: &str) {
     let text = config(&site.counter.party, &site.discovery, &site.endpoints, 1024);
-    let file = File::parse("roseyard.kdl", file).map_err(|wrong| wrong.to_string());
-    let config = Config::parse(text.into(), |_| None);
+    let file = File::parse("roseyard.kdl", file).map_err(rejected);
+    let config = Config::parse(text.into(), |_| None).map_err(rejected);
     site.program
         .reload(config.and_then(|config| Ok((config, file?))));
 }
@@ -101,7 +101,7 @@
         client.send(command);
         site.expect(&mut client, said);
     }
-    assert_eq!(site.program.open().0, 0);
+    assert_eq!(site.program.open().requests, 0);
     assert!(
         site.counter.calls.is_empty(),
         "counted: {:?}",
@@ -208,7 +208,7 @@
         for (id, client) in &mut self.clients {
             site.expect(client, &format!("$4\r\n{id:04}\r\n"));
         }
-        assert_eq!(site.program.open().0, 0, "nothing is held any more");
+        assert_eq!(site.program.open().requests, 0, "nothing is held any more");
         site.advance(5000);
         assert!(
             site.endpoints
--- a/crates/ingress/tests/sockets.rs
+++ b/crates/ingress/tests/sockets.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use common::*;
+use roseyard_ingress::program::OpenCounts;
 use roseyard_ingress::protocol::resp;
 use std::time::Duration;
 
@@ -21,7 +22,7 @@
     assert_eq!(words[3], SUBMIT.replace("d=3000", "d=1000"));
     site.endpoints[s].ends[c].send(served("kept"));
     site.expect(&mut client, "$4\r\nkept\r\n");
-    assert_eq!(site.program.open().0, 0, "nothing is held any more");
+    assert_eq!(site.program.open().requests, 0, "nothing is held any more");
 }
 
 #[test]
@@ -34,7 +35,7 @@
     assert_ne!(first.1, second.1, "no attempt is written behind another");
     assert_eq!((&first.2[2][15..], &second.2[2][15..]), ("1", "2"));
     site.endpoints[0].ends[second.1].send(served("two"));
-    site.until("the second answer", |s| s.program.open().0 == 1);
+    site.until("the second answer", |s| s.program.open().requests == 1);
     client.read();
     assert_eq!(
         client.text(),
@@ -159,7 +160,7 @@
         "nothing more is answered"
     );
     site.advance(10_001);
-    site.until("it is dropped", |s| s.program.open().2 == 0);
+    site.until("it is dropped", |s| s.program.open().clients == 0);
 }
 
 #[test]
@@ -272,7 +273,7 @@
     client.end_sending();
     site.ended(&mut client);
     assert!(!client.broken, "an end, no reset");
-    site.until("it is gone", |s| s.program.open().2 == 0);
+    site.until("it is gone", |s| s.program.open().clients == 0);
 }
 
 #[test]
@@ -294,7 +295,7 @@
     other.send(load(7));
     assert_eq!(site.line(&mut other), "-ERR request id in use\r\n");
     drop(other);
-    site.until("the other has gone", |s| s.program.open().2 == 1);
+    site.until("the other has gone", |s| s.program.open().clients == 1);
     site.endpoints[0].ends[c].send(served("v"));
     site.expect(&mut first, "$1\r\nv\r\n");
     assert_eq!(site.program.clients_hold(), (0, 0), "the id is free again");
@@ -308,11 +309,11 @@
     usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
     site.expect(&mut usual, "+PONG\r\n+PONG\r\n");
     site.until("all are read", |s| {
-        s.program.open().2 == 3 && s.program.clients_hold().1 > 0
+        s.program.open().clients == 3 && s.program.clients_hold().1 > 0
     });
     site.advance(2100);
     site.round();
-    assert_eq!(site.program.open().2, 3);
+    assert_eq!(site.program.open().clients, 3);
     site.advance(101);
     site.ended(&mut silent);
     assert_eq!(
@@ -354,7 +355,11 @@
             client
         })
         .collect();
-    assert!(site.program.open().2 <= 24, "{:?}", site.program.open());
+    assert!(
+        site.program.open().clients <= 24,
+        "{:?}",
+        site.program.open()
+    );
     usual.send(load(1));
     let (_, c, _) = site.arrival();
     site.endpoints[0].ends[c].send(served("v"));
@@ -398,7 +403,7 @@
         assert!(site.program.clients_hold().1 <= 4 << 20);
     }
     assert!(
-        site.program.open().2 < 100,
+        site.program.open().clients < 100,
         "those that held most were dropped"
     );
     usual.send(load(1));
@@ -615,10 +620,12 @@
     site.endpoints[0].fill_up();
     let mut client = site.client();
     client.send(request("API.WRITE", 1, SUBMIT));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
+    site.until("the connection is begun", |s| {
+        s.program.open().upstream_connections == 1
+    });
     site.advance(251);
     assert!(site.line(&mut client).starts_with("-BUSY "));
-    assert_eq!(site.program.open().1, 0);
+    assert_eq!(site.program.open().upstream_connections, 0);
 }
 
 #[test]
@@ -627,7 +634,9 @@
     site.endpoints[0].fill_up();
     let mut client = site.client();
     client.send(request("API.WRITE", 1, SUBMIT));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
+    site.until("the connection is begun", |s| {
+        s.program.open().upstream_connections == 1
+    });
     site.tell(42, &[(0, "DRAINING")]);
     site.until("the list", |s| s.program.list_version() == 42);
     // Room at the listener: the connection comes up.
@@ -643,7 +652,9 @@
     site.endpoints[0].fill_up();
     let (mut client, mut other) = (site.client(), site.client());
     client.send(request("API.WRITE", 1, SUBMIT));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
+    site.until("the connection is begun", |s| {
+        s.program.open().upstream_connections == 1
+    });
     let mut old = std::mem::replace(&mut site.endpoints[0], Party::new());
     site.tell(42, &[(0, "SERVING")]);
     site.until("the list", |s| s.program.list_version() == 42);
@@ -680,7 +691,11 @@
     site.advance(1001);
     site.expect(&mut client, "-ERR failed\r\n");
     site.until("the attempt is abandoned", |s| !s.endpoints[0].ends[c].open);
-    assert_eq!(site.program.open(), (0, 0, 1));
+    let open = OpenCounts {
+        clients: 1,
+        ..OpenCounts::default()
+    };
+    assert_eq!(site.program.open(), open);
 }
 
 #[test]
@@ -691,7 +706,7 @@
     let (_, c, _) = site.arrival();
     drop(client);
     site.until("the attempt is abandoned", |s| !s.endpoints[0].ends[c].open);
-    assert_eq!(site.program.open(), (0, 0, 0));
+    assert_eq!(site.program.open(), OpenCounts::default());
 }
 
 #[test]
@@ -1021,7 +1036,7 @@
         site.expect(&mut client, "+PONG\r\n");
         clients.push(client);
     }
-    let (_, _, held) = site.program.open();
+    let held = site.program.open().clients;
     assert!((1..40).contains(&held), "{held} held");
     site.ended(&mut clients[0]);
 }
@@ -1035,7 +1050,7 @@
     let mut idle = site.client();
     idle.send("*1\r\n$4\r\nPING\r\n");
     site.expect(&mut idle, "+PONG\r\n");
-    site.program.leave();
+    site.program.shut_down();
     let mut late = site.client();
     late.send(load(2));
     let (_, c2, _) = site.arrival();
@@ -1123,7 +1138,7 @@
 #[test]
 fn a_configuration_that_cannot_be_read_changes_nothing() {
     let mut site = Site::new(1);
-    site.program.reload(Err("half a file".into()));
+    site.program.reload(Err(rejected("half a file")));
     let mut client = site.client();
     client.send(load(1));
     let (_, c, _) = site.arrival();
@@ -1265,7 +1280,7 @@
             "spoilt" => site.endpoints[s].ends[c].send("*3\r\n:1\r\n$-1\r\n$-1\r\n"),
             "error" => site.endpoints[s].ends[c].send("-ERR failed used=37\r\n"),
             "sigterm" => {
-                site.program.leave();
+                site.program.shut_down();
                 site.advance(10);
                 site.endpoints[s].ends.clear();
             }
--- a/crates/ingress/tests/terms.rs
+++ b/crates/ingress/tests/terms.rs
@@ -73,7 +73,7 @@
             Connection::PausedByAnswers => End::narrow(site.program.address().unwrap()),
             _ => site.client(),
         };
-        site.until("the client is taken in", |s| s.program.open().2 == 1);
+        site.until("the client is taken in", |s| s.program.open().clients == 1);
         let mut case = AboutToSend {
             site,
             client,
@@ -107,11 +107,11 @@
     /// Goes on until all requests wait for what is awaited.
     fn wait(&mut self, requests: usize) {
         let site = &mut self.site;
-        site.until("the requests", |s| s.program.open().0 == requests);
+        site.until("the requests", |s| s.program.open().requests == requests);
         match self.awaited {
             Awaited::Counter => site.until("the calls", |s| counter_waits(s)),
             Awaited::Link => site.until("the connections are begun", |s| {
-                s.program.open().1 == requests
+                s.program.open().upstream_connections == requests
             }),
             Awaited::Refusal => {
                 let mut out: Vec<_> = (0..requests).map(|_| site.arrival()).collect();
@@ -138,7 +138,7 @@
         }
         assert!(rest.is_empty(), "{} bytes could not be sent", rest.len());
         assert_eq!(
-            self.site.program.open().0,
+            self.site.program.open().requests,
             1,
             "nothing behind the pause is taken in"
         );
@@ -158,7 +158,7 @@
             self.site.round();
         }
         assert_eq!(
-            self.site.program.open().0,
+            self.site.program.open().requests,
             1,
             "nothing behind the pause is taken in"
         );
@@ -176,7 +176,7 @@
         }
         // No time passes until then.
         self.site
-            .until("the client has gone", |s| s.program.open().2 == 0);
+            .until("the client has gone", |s| s.program.open().clients == 0);
     }
 
     /// What was awaited comes.
@@ -210,9 +210,9 @@
             continue;
         }
         nothing_is_sent_on(&mut case.site, &what);
-        let (requests, _, clients) = case.site.program.open();
+        let open = case.site.program.open();
         assert_eq!(
-            (requests, clients),
+            (open.requests, open.clients),
             (0, 0),
             "{what}: what it held is released"
         );
@@ -622,7 +622,7 @@
             }
         }
         assert!(
-            telling.site.program.open().2 < 64,
+            telling.site.program.open().clients < 64,
             "{fault:?}: no more clients than descriptors"
         );
         telling.recover(fault);
