--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -1,187 +1,258 @@
 //! The platform's requests: `API.READ` and `API.WRITE`.
+//!
+//! The platform's field names (`c`, `t`, `d`, `units`, `spread`, `first`, `k`, `r`) are mapped here,
+//! and nowhere else.
 
 use super::resp::{decimal, put_array, put_bulk, put_bulk_of};
 use roseyard_request_engine::MOST_NAME_BYTES;
 
-/// A request as a client words it; every field is there and can be read.
+/// Customers have numbers below this.
+const CUSTOMERS: u64 = 1 << 33;
+/// Most words of a request.
+const MAX_WORDS: usize = 5;
+/// The word that holds the list of names and values.
+const LIST_WORD: usize = 3;
+
+/// A request as a client sends it; every required field is there and readable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request<'a> {
     /// The customer's number.
     pub customer: u64,
-    /// The request's number.
+    /// The request's number, chosen by the client.
     pub id: u64,
-    /// Name of the class.
+    /// Name of the class (`c`).
     pub class: &'a str,
-    /// Name of the customer's plan.
+    /// Name of the customer's plan (`t`).
     pub plan: &'a str,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits, in milliseconds (`d`).
     pub wait_ms: f64,
-    /// Units that it takes from the quota.
+    /// Units that it takes from the quota (`units`).
     pub units: f64,
-    /// Ingresses through which the customer's requests come, and the number of the first.
+    /// Number of ingresses through which the customer's requests come (`spread`).
     pub ingress_count: u32,
-    /// The first of them.
-    pub first: u32,
-    /// The idempotency key.
-    pub key: Option<u64>,
-    /// The client says that it asks again.
+    /// Number of the first of them (`first`).
+    pub first_ingress: u32,
+    /// The idempotency key (`k`).
+    pub idempotency_key: Option<u64>,
+    /// The client says that it sends the request again (`r=1`).
     pub is_retry: bool,
-    /// Its route, where one is read.
+    /// Its route, where the operator names a field for it.
     pub route: Option<&'a str>,
-    /// Where the value of `d` stands in the list of names and values.
-    deadline: (usize, usize),
+    /// Where the value of `d` stands in the list, to be replaced for the endpoint.
+    wait_span: Span,
 }
 
-/// What is wrong with a request; framing is intact.
-pub type Wrong = &'static str;
+/// What is wrong with a command whose framing is intact. The text goes to the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct InvalidCommand(pub &'static str);
 
 /// Is this word the name of a request's command?
 pub fn is_request(word: &[u8]) -> bool {
     is_read(word) || word.eq_ignore_ascii_case(b"API.WRITE")
 }
 
-/// Is it the one for classes that may safely be repeated?
+/// Is it the one for classes that are idempotent?
 pub fn is_read(word: &[u8]) -> bool {
     word.eq_ignore_ascii_case(b"API.READ")
 }
 
-/// 16 hex digits. Guards against what the standard parser takes beside them: a sign, fewer digits.
+/// 16 hex digits. The standard parser alone would take a sign or fewer digits too.
 fn hex(word: &[u8]) -> Option<u64> {
-    let good = word.len() == 16 && word.iter().all(u8::is_ascii_hexdigit);
-    u64::from_str_radix(std::str::from_utf8(word).ok().filter(|_| good)?, 16).ok()
+    if word.len() != 16 || !word.iter().all(u8::is_ascii_hexdigit) {
+        return None;
+    }
+    u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()
 }
 
-/// A plain decimal number. Guards against signs, exponents, `nan` and `inf`, which the standard
-/// parser takes and which would reach the count of a customer.
+/// A plain decimal number. The standard parser alone would take signs, exponents, `nan` and `inf`
+/// too, which must not reach a customer's count.
 fn decimal_number(text: &str) -> Option<f64> {
     let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |t: &str| (1..=12).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| digits(whole) && digits(part))
 }
 
-/// Puts a field's value down, once.
-fn put<T>(place: &mut Option<T>, value: Option<T>, wrong: Wrong) -> Result<(), Wrong> {
-    match (&place, &value) {
-        (None, Some(_)) => *place = value,
-        _ => return Err(wrong),
+/// Sets a field's value; an error if it is missing, unreadable or set already.
+fn set_once<T>(
+    field: &mut Option<T>,
+    value: Option<T>,
+    error: &'static str,
+) -> Result<(), InvalidCommand> {
+    if field.is_some() || value.is_none() {
+        return Err(InvalidCommand(error));
     }
+    *field = value;
     Ok(())
 }
 
-/// Reads a request's words; `route_field` is the name whose value is the request's route, as it
-/// stands.
-pub fn request<'a>(words: &[&'a [u8]], route_field: Option<&str>) -> Result<Request<'a>, Wrong> {
-    let (4 | 5, [_, customer, id, list, ..]) = (words.len(), words) else {
-        return Err("wrong number of arguments");
-    };
-    let customer = hex(customer)
-        .filter(|c| *c < 1 << 33)
-        .ok_or("invalid customer")?;
-    let id = hex(id).ok_or("invalid request id")?;
-    let list = std::str::from_utf8(list).map_err(|_| "invalid list of names and values")?;
-    let (mut class, mut plan, mut wait, mut units) = (None, None, None, None);
-    let (mut ingress_count, mut first, mut key, mut again) = (None, None, None, None);
-    let mut route = None;
-    let mut at = 0;
-    for item in list.split(',') {
-        let (name, value) = item.split_once('=').ok_or("expected name=value")?;
-        let whole = || {
-            value
-                .parse::<u32>()
-                .ok()
-                .filter(|_| value.bytes().all(|b| b.is_ascii_digit()))
-        };
-        if route_field == Some(name) {
-            let bounded = (1..=MOST_NAME_BYTES).contains(&value.len());
-            put(&mut route, Some(value).filter(|_| bounded), "invalid route")?;
+/// A plain decimal number without a sign.
+fn whole_number(text: &str) -> Option<u32> {
+    let number = text.parse().ok();
+    number.filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()))
+}
+
+/// Where a value stands in the list of names and values, in bytes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Span {
+    start: usize,
+    end: usize,
+}
+
+/// The fields of the list of names and values that were read so far.
+#[derive(Default)]
+struct Fields<'a> {
+    class: Option<&'a str>,
+    plan: Option<&'a str>,
+    wait_ms: Option<f64>,
+    wait_span: Option<Span>,
+    units: Option<f64>,
+    ingress_count: Option<u32>,
+    first_ingress: Option<u32>,
+    idempotency_key: Option<u64>,
+    retry: Option<u32>,
+    route: Option<&'a str>,
+}
+
+impl<'a> Fields<'a> {
+    /// Reads `name=value` items; unknown names are skipped.
+    fn read(list: &'a str, route_field: Option<&str>) -> Result<Fields<'a>, InvalidCommand> {
+        let mut fields = Fields::default();
+        let mut start = 0;
+        for item in list.split(',') {
+            let end = start + item.len();
+            let (name, value) = item
+                .split_once('=')
+                .ok_or(InvalidCommand("expected name=value"))?;
+            if route_field == Some(name) {
+                let is_bounded = (1..=MOST_NAME_BYTES).contains(&value.len());
+                let route = Some(value).filter(|_| is_bounded);
+                set_once(&mut fields.route, route, "invalid route")?;
+            }
+            let value_span = Span {
+                start: end - value.len(),
+                end,
+            };
+            fields.set(name, value, value_span)?;
+            start = end + 1;
         }
+        Ok(fields)
+    }
+
+    fn set(&mut self, name: &str, value: &'a str, span: Span) -> Result<(), InvalidCommand> {
         match name {
-            "c" => put(&mut class, Some(value), "invalid c")?,
-            "t" => put(&mut plan, Some(value), "invalid t")?,
+            "c" => set_once(&mut self.class, Some(value), "invalid c"),
+            "t" => set_once(&mut self.plan, Some(value), "invalid t"),
             "d" => {
-                let place = (at + 2, at + item.len());
-                put(
-                    &mut wait,
-                    decimal_number(value).map(|ms| (ms, place)),
-                    "invalid d",
-                )?;
+                self.wait_span = Some(span);
+                set_once(&mut self.wait_ms, decimal_number(value), "invalid d")
             }
-            "units" => put(&mut units, decimal_number(value), "invalid units")?,
-            "spread" => put(&mut ingress_count, whole(), "invalid spread")?,
-            "first" => put(&mut first, whole(), "invalid first")?,
-            "k" => put(&mut key, hex(value.as_bytes()), "invalid k")?,
-            "r" => put(&mut again, whole().filter(|r| *r <= 1), "invalid r")?,
-            _ => {}
+            "units" => set_once(&mut self.units, decimal_number(value), "invalid units"),
+            "spread" => {
+                let count = whole_number(value);
+                set_once(&mut self.ingress_count, count, "invalid spread")
+            }
+            "first" => set_once(
+                &mut self.first_ingress,
+                whole_number(value),
+                "invalid first",
+            ),
+            "k" => set_once(
+                &mut self.idempotency_key,
+                hex(value.as_bytes()),
+                "invalid k",
+            ),
+            "r" => {
+                let flag = whole_number(value).filter(|flag| *flag <= 1);
+                set_once(&mut self.retry, flag, "invalid r")
+            }
+            _ => Ok(()),
         }
-        at += item.len() + 1;
     }
-    let (wait_ms, deadline) = wait.ok_or("d is missing")?;
+}
+
+/// Reads a request's words; `route_field` is the name whose value is the request's route, as it
+/// stands.
+pub fn request<'a>(
+    words: &[&'a [u8]],
+    route_field: Option<&str>,
+) -> Result<Request<'a>, InvalidCommand> {
+    let (4 | 5, [_, customer, id, list, ..]) = (words.len(), words) else {
+        return Err(InvalidCommand("wrong number of arguments"));
+    };
+    let customer = hex(customer)
+        .filter(|customer| *customer < CUSTOMERS)
+        .ok_or(InvalidCommand("invalid customer"))?;
+    let id = hex(id).ok_or(InvalidCommand("invalid request id"))?;
+    let list = std::str::from_utf8(list)
+        .map_err(|_| InvalidCommand("invalid list of names and values"))?;
+    let fields = Fields::read(list, route_field)?;
+    let missing = InvalidCommand;
     Ok(Request {
         customer,
         id,
-        class: class.ok_or("c is missing")?,
-        plan: plan.ok_or("t is missing")?,
-        wait_ms,
-        units: units.ok_or("units is missing")?,
-        ingress_count: ingress_count.ok_or("spread is missing")?,
-        first: first.ok_or("first is missing")?,
-        key,
-        is_retry: again == Some(1),
-        route,
-        deadline,
+        wait_ms: fields.wait_ms.ok_or(missing("d is missing"))?,
+        wait_span: fields.wait_span.ok_or(missing("d is missing"))?,
+        class: fields.class.ok_or(missing("c is missing"))?,
+        plan: fields.plan.ok_or(missing("t is missing"))?,
+        units: fields.units.ok_or(missing("units is missing"))?,
+        ingress_count: fields.ingress_count.ok_or(missing("spread is missing"))?,
+        first_ingress: fields.first_ingress.ok_or(missing("first is missing"))?,
+        idempotency_key: fields.idempotency_key,
+        is_retry: fields.retry == Some(1),
+        route: fields.route,
     })
 }
 
-/// A request's words, held for its attempts.
+/// The words of a request, kept for its attempts.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct RequestCommand {
     bytes: Box<[u8]>,
-    ends: [u32; 5],
-    count: usize,
-    deadline: (usize, usize),
+    /// Where each word ends.
+    ends: [u32; MAX_WORDS],
+    word_count: usize,
+    wait_span: Span,
 }
 
-impl Held {
+impl RequestCommand {
     /// Keeps the words of a request that was read.
-    pub fn new(words: &[&[u8]], request: &Request) -> Held {
-        let mut bytes = Vec::with_capacity(words.iter().map(|w| w.len()).sum());
-        let mut ends = [0; 5];
+    pub fn new(words: &[&[u8]], request: &Request) -> RequestCommand {
+        let mut bytes = Vec::with_capacity(words.iter().map(|word| word.len()).sum());
+        let mut ends = [0; MAX_WORDS];
         for (word, end) in words.iter().zip(&mut ends) {
             bytes.extend_from_slice(word);
             *end = bytes.len() as u32;
         }
-        let count = words.len().min(ends.len());
-        Held {
+        RequestCommand {
             bytes: bytes.into_boxed_slice(),
             ends,
-            count,
-            deadline: request.deadline,
+            word_count: words.len().min(MAX_WORDS),
+            wait_span: request.wait_span,
         }
     }
 
-    /// Bytes held.
+    /// Bytes kept.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Holds it nothing? Never, for a request that was read.
+    /// Are no bytes kept? Never for a request that was read.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Appends the command for a server: unchanged, but that `d` tells how long this ingress waits.
+    /// Appends the command for an endpoint: unchanged, except that `d` says how long this ingress
+    /// waits, in milliseconds.
     pub fn put(&self, wait_ms: u64, out: &mut Vec<u8>) {
-        put_array(out, self.count);
+        put_array(out, self.word_count);
         let mut start = 0;
-        for (n, end) in self.ends[..self.count].iter().enumerate() {
+        for (position, end) in self.ends[..self.word_count].iter().enumerate() {
             let word = &self.bytes[start..*end as usize];
             start = *end as usize;
-            if n == 3 {
-                let (from, to) = self.deadline;
-                put_bulk_of(
-                    out,
-                    &[&word[..from], decimal(wait_ms, &mut [0; 20]), &word[to..]],
-                );
+            if position == LIST_WORD {
+                let before = &word[..self.wait_span.start];
+                let after = &word[self.wait_span.end..];
+                put_bulk_of(out, &[before, decimal(wait_ms, &mut [0; 20]), after]);
             } else {
                 put_bulk(out, word);
             }
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -1,49 +1,55 @@
-//! The list of servers as discovery and the configuration word it.
+//! The endpoint lists that discovery's watch brings.
 
 pub use roseyard_request_engine::{EndpointListMessage, EndpointRecord};
 
-/// Finds the lists in what a watch brings. Each is one JSON object, on one line or indented over
-/// several; an empty line tells that nothing has changed.
+/// Splits the bytes of a watch into lists. Each is one JSON object, on one line or indented over
+/// several; an empty line says that nothing has changed.
 #[derive(Default)]
-pub struct Lists {
+pub struct ListSplitter {
     held: Vec<u8>,
-    /// Braces and brackets open, and whether the last byte stands in a text, or behind a backslash
-    /// there.
+    /// Braces and brackets that are open.
     depth: usize,
-    text: bool,
-    escaped: bool,
+    /// The last byte stands in a string.
+    in_string: bool,
+    /// The last byte is a backslash in a string.
+    is_escaped: bool,
 }
 
-impl Lists {
+impl ListSplitter {
     /// Bytes of a list whose rest is still to come.
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// Takes bytes in; lists, empty lines and what can be neither go to `found`.
+    /// Takes bytes; complete lists, empty lines and lines that can be neither go to `found`.
     pub fn take(&mut self, bytes: &[u8], found: &mut Vec<Vec<u8>>) {
         for byte in bytes {
-            if *byte == b'\n' && self.ends() {
+            if *byte == b'\n' && self.is_complete() {
                 found.push(std::mem::take(self).held);
                 continue;
             }
             self.held.push(*byte);
-            match *byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' if self.text => self.escaped = true,
-                b'"' => self.text = !self.text,
-                b'{' | b'[' if !self.text => self.depth += 1,
-                b'}' | b']' if !self.text => self.depth = self.depth.saturating_sub(1),
-                _ => {}
-            }
+            self.track_structure(*byte);
+        }
+    }
+
+    fn track_structure(&mut self, byte: u8) {
+        match byte {
+            _ if self.is_escaped => self.is_escaped = false,
+            b'\\' if self.in_string => self.is_escaped = true,
+            b'"' => self.in_string = !self.in_string,
+            b'{' | b'[' if !self.in_string => self.depth += 1,
+            b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
+            _ => {}
         }
     }
 
-    /// Does the end of this line end what is held? It is whole, or nothing, or was cut: no text
-    /// goes over a line, and no list has an empty one.
-    fn ends(&self) -> bool {
-        let line = self.held.rsplit(|b| *b == b'\n').next().unwrap_or_default();
-        self.depth == 0 || self.text || line.trim_ascii().is_empty()
+    /// Does the end of a line complete what is held? So it does for a whole list, for an empty line,
+    /// and for one that was cut: no string goes over a line end, and no list has an empty line.
+    fn is_complete(&self) -> bool {
+        let line = self.held.rsplit(|byte| *byte == b'\n').next();
+        let is_empty = line.unwrap_or_default().trim_ascii().is_empty();
+        self.depth == 0 || self.in_string || is_empty
     }
 }
 
@@ -51,110 +57,3 @@
 pub fn decode(line: &mut [u8]) -> Result<EndpointListMessage, String> {
     roseyard_platform_config::decode(line)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const GOOD: &str = r#"{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}"#;
-
-    fn line(entry: &str) -> EndpointListMessage {
-        let text =
-            format!(r#"{{"rev":43,"all":false,"new":[1],"targets":[{GOOD},{entry},{GOOD}]}}"#);
-        decode(&mut text.into_bytes()).unwrap()
-    }
-
-    #[test]
-    fn an_entry_with_an_odd_field_leaves_the_others_and_word_of_a_drain() {
-        for odd in [
-            "null",
-            "3",
-            r#"{"uid":5}"#,
-            r#"{"uid":"s","endpoint":"x","state":"SERVING","boot_ms":"y"}"#,
-        ] {
-            let list = line(odd);
-            assert_eq!((list.targets.len(), list.unreadable), (2, 1), "{odd}");
-        }
-        let list = line(r#"{"uid":"s-2","state":"DRAINING","capacity_hint":"big","pod_group":-1}"#);
-        assert_eq!((list.targets.len(), list.unreadable), (3, 0));
-        assert_eq!(
-            (list.targets[1].uid.as_str(), list.targets[1].state.as_str()),
-            ("s-2", "DRAINING")
-        );
-    }
-
-    fn found(parts: &[&str]) -> Vec<String> {
-        let (mut lists, mut found) = (Lists::default(), Vec::new());
-        parts
-            .iter()
-            .for_each(|part| lists.take(part.as_bytes(), &mut found));
-        found
-            .into_iter()
-            .map(|f| String::from_utf8(f).unwrap())
-            .collect()
-    }
-
-    #[test]
-    fn what_was_cut_is_handed_over_as_it_is_and_takes_no_list_with_it() {
-        for cut in [
-            "{\"rev\":4,\"all\"\n\n",
-            "{\"rev\":4,\n  \"all\"\n  \n",
-            "{\"a\":\"x\n",
-            "no list\n",
-            "}\n",
-            "]]\n",
-        ] {
-            let all = found(&[cut, "{\"rev\":1}\n", "\n"]);
-            assert_eq!(all.len(), 3, "{cut:?}: {all:?}");
-            assert_eq!(all[1..], ["{\"rev\":1}", ""], "{cut:?}");
-        }
-    }
-
-    proptest! {
-        #[test]
-        fn lists_are_found_however_they_are_indented_and_their_bytes_come(
-            names in proptest::collection::vec("[a-z{}\\[\\]\\\\\"\n ]{0,6}", 0..6),
-            indented in proptest::collection::vec(any::<bool>(), 6),
-            cuts in proptest::collection::vec(1usize..9, 1..60),
-        ) {
-            let mut text = String::new();
-            for (name, indented) in names.iter().zip(indented) {
-                let value = serde_json::json!({"rev": 3, "targets": [{"uid": name}, {}, []]});
-                let line = if indented { format!("{value:#}") } else { value.to_string() };
-                text += &format!("{line}\n\n");
-            }
-            let (mut rest, mut parts, mut cuts) = (&text[..], Vec::new(), cuts.iter().cycle());
-            while !rest.is_empty() {
-                let (part, after) = rest.split_at(rest.len().min(*cuts.next().unwrap()));
-                parts.push(part);
-                rest = after;
-            }
-            let all = found(&parts);
-            prop_assert_eq!(all.len(), 2 * names.len());
-            for (pair, name) in all.chunks(2).zip(&names) {
-                let value: serde_json::Value = serde_json::from_str(&pair[0]).unwrap();
-                prop_assert_eq!(value["targets"][0]["uid"].as_str(), Some(name.as_str()));
-                prop_assert_eq!(&pair[1], "");
-            }
-        }
-
-        #[test]
-        fn any_value_in_any_field_of_an_entry_loses_no_other_entry(
-            field in 0usize..7,
-            value in prop_oneof![
-                Just("null".to_owned()), Just("[]".to_owned()), Just("{}".to_owned()), Just("true".to_owned()),
-                any::<i64>().prop_map(|n| n.to_string()), (-1e300..1e300).prop_map(|x: f64| format!("{x:e}")),
-                "[a-zA-Z0-9:. -]{0,12}".prop_map(|s| format!("{s:?}")),
-            ],
-        ) {
-            let name = ["uid", "endpoint", "az", "pod_group", "state", "capacity_hint", "boot_ms"][field];
-            let mut entry: Vec<String> = GOOD.trim_matches(['{', '}']).split(',').map(str::to_owned).collect();
-            let at = entry.iter().position(|e| e.starts_with(&format!("\"{name}\""))).unwrap();
-            entry[at] = format!("\"{name}\":{value}");
-            let list = line(&format!("{{{}}}", entry.join(",")));
-            prop_assert_eq!(list.targets.len() + list.unreadable, 3);
-            prop_assert!(list.targets.len() >= 2);
-        }
-    }
-}
--- a/crates/ingress/src/protocol/report.rs
+++ b/crates/ingress/src/protocol/report.rs
@@ -1,22 +1,20 @@
-//! Load reports, `inflight=7,queue=2,util=0.61`, and figures on use, `used=37,cost=4`.
+//! Load reports, `inflight=7,queue=2,util=0.61`, and usage figures, `used=37,cost=4`.
+//!
+//! The platform's field names are mapped here, and nowhere else.
 
 use roseyard_decision::LoadReport;
 use std::time::Duration;
 
-/// Reads a report; fields that are unknown or no numbers are passed over. None if nothing was
-/// found.
+/// Reads a load report. Unknown fields, and values that are no number of 0 or above, are skipped;
+/// none if nothing is left.
 pub fn report(text: &[u8]) -> Option<LoadReport> {
     let text = std::str::from_utf8(text).ok()?;
     let mut load = LoadReport::default();
-    for (name, value) in text
+    let fields = text
         .split(',')
-        .filter_map(|item| item.trim().split_once('='))
-    {
-        let Some(value) = value
-            .parse::<f64>()
-            .ok()
-            .filter(|v| v.is_finite() && *v >= 0.0)
-        else {
+        .filter_map(|item| item.trim().split_once('='));
+    for (name, value) in fields {
+        let Some(value) = non_negative(value) else {
             continue;
         };
         match name {
@@ -32,66 +30,22 @@
     (load != LoadReport::default()).then_some(load)
 }
 
-/// Reads the true units out of an answer's figures on use. None if they are not told, told twice,
-/// or no number above 0 up to the most that a request may count: then the guess stays.
-pub fn true_units(figures: &[u8], most: f64) -> Option<f64> {
+fn non_negative(text: &str) -> Option<f64> {
+    let number = text.parse::<f64>().ok()?;
+    (number.is_finite() && number >= 0.0).then_some(number)
+}
+
+/// Reads the true units of a request (`cost`) from a reply's usage figures. None if they are
+/// missing, stand there twice, or are not above 0 and at most `max_units`: the estimate then holds.
+pub fn true_units(figures: &[u8], max_units: f64) -> Option<f64> {
     let text = std::str::from_utf8(figures).ok()?;
-    let mut told = text
+    let mut costs = text
         .split(',')
         .filter_map(|item| item.trim().strip_prefix("cost="));
-    let (first, second) = (told.next()?, told.next());
-    let units = first.parse::<f64>().ok().filter(|u| *u > 0.0 && *u <= most);
-    units.filter(|_| second.is_none())
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn true_units_are_read_where_they_are_a_count_that_a_request_may_have() {
-        assert_eq!(true_units(b"used=37,cost=4", 8.0), Some(4.0));
-        assert_eq!(true_units(b"cost=0.5", 8.0), Some(0.5));
-        for odd in [
-            "used=37",
-            "",
-            "cost=",
-            "cost=-1",
-            "cost=0",
-            "cost=9",
-            "cost=nan",
-            "cost=inf",
-            "cost=1,cost=2",
-            "xcost=3",
-        ] {
-            assert_eq!(true_units(odd.as_bytes(), 8.0), None, "{odd}");
-        }
-        assert_eq!(true_units(b"cost=1\xff", 8.0), None);
-    }
-
-    proptest! {
-        #[test]
-        fn any_figures_give_no_units_or_some_that_a_request_may_have(
-            noise in proptest::collection::vec(any::<u8>(), 0..24), cost in any::<f64>(), at in 0usize..24,
-        ) {
-            let mut text = noise;
-            let at = at.min(text.len());
-            text.splice(at..at, format!(",cost={cost},").bytes());
-            prop_assert!(true_units(&text, 8.0).is_none_or(|u| u > 0.0 && u <= 8.0));
-        }
-    }
-
-    #[test]
-    fn known_fields_are_read_and_the_rest_is_passed_over() {
-        let load = report(b"inflight=7,queue=2,util=0.61,eps=3,odd").unwrap();
-        assert_eq!(
-            (load.in_flight, load.queued, load.utilisation),
-            (Some(7.0), Some(2.0), Some(0.61))
-        );
-        assert_eq!(report(b"cpu_share=0.5").unwrap().utilisation, Some(0.5));
-        assert_eq!(report(b"util=nan,queue=-1"), None);
-        assert_eq!(report(b"failed"), None);
-        assert_eq!(report(b"\xff"), None);
+    let first = costs.next()?;
+    if costs.next().is_some() {
+        return None;
     }
+    let units = first.parse::<f64>().ok()?;
+    (units > 0.0 && units <= max_units).then_some(units)
 }
--- a/crates/ingress/src/routing/commands.rs
+++ b/crates/ingress/src/routing/commands.rs
@@ -2,7 +2,7 @@
 
 use super::core::Submission;
 use crate::limits::Limits;
-use crate::protocol::command::{self, Held};
+use crate::protocol::command::{self, RequestCommand};
 use crate::transport::Key;
 use roseyard_decision::{CustomerId, Idempotency, RequestClass, Settings};
 use roseyard_platform_config::PlatformSettings;
@@ -119,7 +119,7 @@
     terms: &Terms,
     directory: &Directory,
 ) -> Result<(Submission, u64), &'static str> {
-    let r = command::request(words, terms.route_field.as_deref())?;
+    let r = command::request(words, terms.route_field.as_deref()).map_err(|error| error.0)?;
     let class = terms
         .classes
         .iter()
@@ -135,7 +135,7 @@
         Some(route) => directory.service_of_route(route).ok_or("unknown route")?,
         None => directory.default_service().ok_or("route is missing")?,
     };
-    let command = Held::new(words, &r);
+    let command = RequestCommand::new(words, &r);
     let ask = Submission {
         service,
         bytes: command.len(),
@@ -162,13 +162,16 @@
     if class.safe != command::is_read(words[0]) {
         return Err("this class goes with the other command");
     }
-    if class.keyed && r.key.is_none() {
+    if class.keyed && r.idempotency_key.is_none() {
         return Err("k is missing");
     }
     if r.units < 1.0 || r.units > terms.units {
         return Err("units out of range");
     }
-    if r.ingress_count < 1 || r.ingress_count > terms.ingresses || r.first >= terms.ingresses {
+    if r.ingress_count < 1
+        || r.ingress_count > terms.ingresses
+        || r.first_ingress >= terms.ingresses
+    {
         return Err("spread or first out of range");
     }
     if r.wait_ms <= 0.0 {
--- a/crates/ingress/src/routing/core.rs
+++ b/crates/ingress/src/routing/core.rs
@@ -6,7 +6,7 @@
 use super::discovery::Watch;
 use super::{Io, Party};
 use crate::clock::Clock;
-use crate::protocol::command::Held;
+use crate::protocol::command::RequestCommand;
 use crate::protocol::list::EndpointListMessage;
 use crate::transport::{Key, Slots};
 use roseyard_decision::*;
@@ -18,9 +18,9 @@
 /// Whom an answer is for: a client's connection, and the number of its command there.
 pub(super) type Owner = (Key, u64);
 /// The engine as the daemon uses it.
-pub type IngressEngine = RequestEngine<Owner, Held, Vec<u8>>;
+pub type IngressEngine = RequestEngine<Owner, RequestCommand, Vec<u8>>;
 /// A request as a front hands it over.
-pub type Submission = roseyard_request_engine::Submission<Owner, Held>;
+pub type Submission = roseyard_request_engine::Submission<Owner, RequestCommand>;
 /// A final answer.
 pub type Response = roseyard_request_engine::Response<Vec<u8>>;
 
--- a/crates/ingress/src/routing/discovery.rs
+++ b/crates/ingress/src/routing/discovery.rs
@@ -5,7 +5,7 @@
 use super::{Io, Party};
 use crate::limits::Limits;
 use crate::protocol::http::{self, Body, Head};
-use crate::protocol::list::{self, Lists};
+use crate::protocol::list::{self, ListSplitter};
 use crate::transport::{Fill, Ready, Stream};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,7 +24,7 @@
     body: Option<Body>,
     /// It has brought a line.
     spoke: bool,
-    lists: Lists,
+    lists: ListSplitter,
     /// Since when a list has been on its way.
     list_begun: Option<Duration>,
 }
@@ -206,7 +206,7 @@
                 up: false,
                 body: None,
                 spoke: false,
-                lists: Lists::default(),
+                lists: ListSplitter::default(),
                 list_begun: None,
             })
         });
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use proptest::prelude::*;
-use roseyard_ingress::protocol::command::{self, Held};
+use roseyard_ingress::protocol::command::{self, RequestCommand};
 use roseyard_ingress::protocol::{http, list, report, resp};
 use roseyard_ingress::transport::{Deadlines, Key, Slots};
 use std::collections::BTreeMap;
@@ -154,7 +154,7 @@
         let request = command::request(&words, None).unwrap();
         prop_assert_eq!((request.customer, request.wait_ms), (0xb4d6_5521, f64::from(said)));
         let mut bytes = Vec::new();
-        Held::new(&words, &request).put(wait, &mut bytes);
+        RequestCommand::new(&words, &request).put(wait, &mut bytes);
         sent[3] = list(&wait.to_string());
         prop_assert_eq!(self::words(&bytes), sent);
     }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -245,7 +245,7 @@
     /// Takes in a line of the watch, as its bytes come.
     pub fn take_line(&mut self, line: &[u8], world: &mut World) {
         self.traffic.list_bytes_in += line.len() as u64 + 1;
-        let (mut lists, mut found) = (list::Lists::default(), Vec::new());
+        let (mut lists, mut found) = (list::ListSplitter::default(), Vec::new());
         lists.take(line, &mut found);
         lists.take(b"\n", &mut found);
         for mut text in found {
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -82,7 +82,7 @@
 }
 
 fn found(line: &[u8]) -> roseyard_request_engine::EndpointListMessage {
-    let (mut lists, mut found) = (list::Lists::default(), Vec::new());
+    let (mut lists, mut found) = (list::ListSplitter::default(), Vec::new());
     lists.take(line, &mut found);
     lists.take(b"\n", &mut found);
     list::decode(&mut found[0]).expect("a line of the lab's own")
