--- a/crates/ingress/src/transport/datagrams.rs
+++ b/crates/ingress/src/transport/datagrams.rs
@@ -10,32 +10,31 @@
 }
 
 impl Datagrams {
-    /// One that listens there.
+    /// A socket that listens on this address.
     pub fn bind(at: SocketAddr) -> io::Result<Datagrams> {
         let socket = UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
         Ok(Datagrams { socket })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// The next datagram: how long it was, cut to the space, and where it came from. None while
-    /// none waits.
-    pub fn receive(&self, space: &mut [u8]) -> Option<(usize, SocketAddr)> {
+    /// The next datagram: its length, cut to the buffer's, and its sender. None while none waits.
+    pub fn receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
-            match self.socket.recv_from(space) {
-                Ok(got) => return Some(got),
-                // Word that an earlier one did not arrive: nothing to do with those that wait.
-                Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => continue,
+            match self.socket.recv_from(buffer) {
+                Ok(received) => return Some(received),
+                // Reports that an earlier datagram did not arrive; others may wait behind it.
+                Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
                 Err(_) => return None,
             }
         }
     }
 
-    /// Sends one; false if the system did not take it.
+    /// Sends a datagram; false if the system did not take it.
     pub fn send(&self, bytes: &[u8], to: SocketAddr) -> bool {
         self.socket.send_to(bytes, to).is_ok()
     }
--- a/crates/ingress/src/transport/deadlines.rs
+++ b/crates/ingress/src/transport/deadlines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Deadlines by time; each is named by what it is for.
+/// Deadlines in order of time, each with what it is for.
 pub struct Deadlines<D> {
     due: BTreeSet<(Duration, D)>,
 }
@@ -17,14 +17,14 @@
 }
 
 impl<D: Ord + Copy> Deadlines<D> {
-    /// Moves what stands at `slot` to `at`; the owner keeps the slot, so that a deadline can be
-    /// taken back.
-    pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, what: D) {
+    /// Moves the deadline of `purpose` from where `slot` says to `at`, or cancels it. The owner keeps
+    /// the slot, so that a deadline can be moved without a search.
+    pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, purpose: D) {
         if let Some(old) = slot.take() {
-            self.due.remove(&(old, what));
+            self.due.remove(&(old, purpose));
         }
         if let Some(at) = at {
-            self.due.insert((at, what));
+            self.due.insert((at, purpose));
         }
         *slot = at;
     }
@@ -37,6 +37,6 @@
     /// Takes out the earliest deadline if it is due. Its owner's slot still shows it.
     pub fn pop(&mut self, now: Duration) -> Option<D> {
         self.due.first().filter(|(at, _)| *at <= now)?;
-        self.due.pop_first().map(|(_, what)| what)
+        self.due.pop_first().map(|(_, purpose)| purpose)
     }
 }
--- a/crates/ingress/src/transport/poller.rs
+++ b/crates/ingress/src/transport/poller.rs
@@ -26,7 +26,7 @@
 }
 
 impl Poller {
-    /// Takes in up to `batch` events a wait.
+    /// A poller that returns up to `batch` events a wait.
     pub fn new(batch: usize) -> io::Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Poller {
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Registers a socket; closing it takes it out again.
+    /// Registers a socket, edge-triggered; closing it removes it.
     pub fn add(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         use epoll::EventFlags as F;
         epoll::add(
@@ -46,7 +46,7 @@
         )
     }
 
-    /// Registers a listener or pipe: told again and again while something waits there.
+    /// Registers a listener or pipe, level-triggered: an event a wait while something is there.
     pub fn add_level(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         epoll::add(
             &self.epoll,
@@ -56,12 +56,12 @@
         )
     }
 
-    /// Takes a source out that stays open.
+    /// Removes a source that stays open.
     pub fn remove(&self, source: impl AsFd) -> io::Result<()> {
         epoll::delete(&self.epoll, source)
     }
 
-    /// Waits until something is ready or the time is over.
+    /// Waits until something is ready or the timeout is over; none: without a limit.
     pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
         use epoll::EventFlags as F;
         let timeout = timeout.map(|d| Timespec {
@@ -72,7 +72,7 @@
         let spare = rustix::buffer::spare_capacity(&mut self.events);
         match epoll::wait(&self.epoll, spare, timeout.as_ref()) {
             Err(io::Errno::INTR) => return Ok(()),
-            done => done?,
+            result => result?,
         };
         ready.extend(self.events.iter().map(|e| {
             let (flags, data) = (e.flags, e.data);
--- a/crates/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -7,12 +7,12 @@
 };
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// What came of reading.
+/// How reading ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fill {
-    /// All there was has been read.
+    /// Everything that had arrived was read.
     Drained,
-    /// As much as was allowed has been read; more may wait.
+    /// The limit was reached; more may wait.
     Limited,
     /// The other side has ended its sending.
     Ended,
@@ -29,7 +29,7 @@
     written: usize,
 }
 
-/// A descriptor that stands for nothing: let go of when the system has none left.
+/// A descriptor without a use, to be closed when the system has none left.
 pub fn spare() -> Option<OwnedFd> {
     use rustix::event::{eventfd, EventfdFlags};
     eventfd(0, EventfdFlags::CLOEXEC).ok()
@@ -43,7 +43,7 @@
         .map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
 
-/// Did this call fail for want of descriptors or memory of the system?
+/// Did this call fail because the system has no descriptor or memory left?
 pub fn is_fd_shortage(error: Errno) -> bool {
     matches!(
         error,
@@ -79,7 +79,7 @@
     net::getsockname(listener).ok()?.try_into().ok()
 }
 
-/// Takes the next connection that waits at a listener, and where it comes from.
+/// Accepts the next connection that waits at a listener, with its peer address.
 pub fn accept(listener: impl AsFd, chunk: usize) -> io::Result<(Stream, IpAddr)> {
     let (fd, peer) = net::acceptfrom_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
     let peer = peer
@@ -91,7 +91,7 @@
     ))
 }
 
-/// Begins a connection; it is up, or has failed, once it is writable.
+/// Starts a connection; it is established, or has failed, once it is writable.
 pub fn connect(to: &SocketAddr, chunk: usize) -> io::Result<Stream> {
     let fd = socket(to)?;
     match net::connect(&fd, to) {
@@ -117,7 +117,7 @@
         self.fd.as_fd()
     }
 
-    /// How a connection that was begun has turned out.
+    /// The result of a connection that was started.
     pub fn connected(&self) -> Result<(), Errno> {
         sockopt::socket_error(&self.fd)?
     }
@@ -136,9 +136,8 @@
         }
     }
 
-    /// Reads until nothing waits or `limit` bytes are held. `ended` says that an end was told of:
-    /// only then is a short read followed by another, as readiness is told anew for whatever comes
-    /// later.
+    /// Reads until nothing waits or `limit` bytes are held. `ended` says that the poller has reported
+    /// an end: only then is a short read followed by another, as an event comes for later bytes.
     pub fn fill(&mut self, limit: usize, chunk: usize, ended: bool) -> Fill {
         loop {
             if self.input.len() - self.taken >= limit {
@@ -151,10 +150,10 @@
             if self.input.capacity() - self.input.len() < chunk / 2 {
                 self.input.reserve(chunk);
             }
-            let room = self.input.capacity() - self.input.len();
+            let free = self.input.capacity() - self.input.len();
             match io::read(&self.fd, rustix::buffer::spare_capacity(&mut self.input)) {
                 Ok(0) => return Fill::Ended,
-                Ok(n) if n < room && !ended => return Fill::Drained,
+                Ok(n) if n < free && !ended => return Fill::Drained,
                 Ok(_) | Err(Errno::INTR) => {}
                 Err(Errno::AGAIN) => return Fill::Drained,
                 Err(_) => return Fill::Broken,
@@ -162,33 +161,33 @@
         }
     }
 
-    /// Is nothing to be read, not even an end? What has come since the last readiness shows here.
+    /// Is there nothing to read, not even an end? Sees what has come since the last event too.
     pub fn quiet(&self) -> bool {
         let mut byte = [0; 1];
         let seen = net::recv(&self.fd, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
         self.input().is_empty() && matches!(seen, Err(Errno::AGAIN))
     }
 
-    /// Throws away what waits, up to `limit` bytes, without holding any of it: TCP discards what is
-    /// read with TRUNC inside the kernel, so that a value of 60 MB costs neither memory nor copies.
+    /// Discards what waits, up to `limit` bytes, and returns how many were discarded. TCP drops what
+    /// is read with TRUNC inside the kernel, so a large value costs neither memory nor copies.
     pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (Fill, usize) {
         self.input = Vec::new();
         self.taken = 0;
-        let mut thrown = 0;
-        while thrown < limit {
+        let mut discarded = 0;
+        while discarded < limit {
             match net::recv(
                 &self.fd,
                 &mut *scratch,
                 RecvFlags::TRUNC | RecvFlags::DONTWAIT,
             ) {
-                Ok((_, 0)) => return (Fill::Ended, thrown),
-                Ok((_, n)) => thrown += n,
+                Ok((_, 0)) => return (Fill::Ended, discarded),
+                Ok((_, n)) => discarded += n,
                 Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) => return (Fill::Drained, thrown),
-                Err(_) => return (Fill::Broken, thrown),
+                Err(Errno::AGAIN) => return (Fill::Drained, discarded),
+                Err(_) => return (Fill::Broken, discarded),
             }
         }
-        (Fill::Limited, thrown)
+        (Fill::Limited, discarded)
     }
 
     /// Bytes are appended here and go out with the next `flush`.
