--- a/crates/decision/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -1,11 +1,12 @@
 //! Which server of a service a request goes to, and whether there is room for it.
 
-use crate::alarms::secs;
 use crate::aperture::{self, LEAST_ENDPOINTS, LEAST_REACH};
 use crate::dispatcher::Context;
-use crate::interface::*;
-use crate::quota::{EPS, FORGET_AFTER};
+use crate::quota::FORGET_AFTER;
 use crate::service::*;
+use crate::util::seconds;
+use crate::util::EPSILON as EPS;
+use crate::{ids::*, settings::*};
 
 /// Share of the aim that the mean answer may take before new work is refused: at half one in ten is
 /// late.
@@ -45,7 +46,7 @@
         let mine = density((&self.settings.classes[class], &self.means[class])) / top;
         // Old lateness fades: a gateway that is seldom asked would go on refusing its few.
         let lateness = self.flow.lateness.value
-            * ((self.flow.lateness.at + 1.0 - t).min(0.0) / LATE_TAU).exp();
+            * ((self.flow.lateness.updated_at + 1.0 - t).min(0.0) / LATE_TAU).exp();
         let share = LOAD_OF_AIM * mine.max(LEAST_CLASS);
         let floor = LEAST_OUT * live().count() as f64 * self.in_all()
             / f64::from(self.settings.ingress_count);
@@ -55,7 +56,7 @@
             1.5 * floor
         };
         let ease = (share / lateness.max(EPS)).min(1.0);
-        let bound = rate * secs(self.settings.classes[class].latency_objective) * share * ease;
+        let bound = rate * seconds(self.settings.classes[class].latency_objective) * share * ease;
         // It swings by about its root: while answers are quick a few more do no harm, else a draw
         // decides. Of many gateways one's own swing tells nothing of the servers: refused for it,
         // customers come again.
@@ -124,7 +125,7 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::IdempotencyKey { window, .. } => {
-                t + rounds * secs(self.settings.tick) < first + secs(window)
+                t + rounds * seconds(self.settings.tick) < first + seconds(window)
             }
         }
     }
@@ -147,9 +148,9 @@
         let age = s
             .entry
             .started_at
-            .map_or(f64::MAX, |at| (t - secs(at)).max(0.0));
+            .map_or(f64::MAX, |at| (t - seconds(at)).max(0.0));
         (g.initial_capacity_ratio
-            + (1.0 - g.initial_capacity_ratio) * age / secs(g.warm_up_duration).max(EPS))
+            + (1.0 - g.initial_capacity_ratio) * age / seconds(g.warm_up_duration).max(EPS))
         .min(1.0)
     }
 
@@ -176,9 +177,9 @@
             sent += s.sends.len() as f64;
         }
         let answer = self.means[r.asked.class]
-            .max(secs(self.settings.classes[r.asked.class].latency_objective) / 8.0);
-        let idle =
-            LEAST_OUT * endpoints * self.in_all() * secs(endpoint_limits.overload_window) / answer;
+            .max(seconds(self.settings.classes[r.asked.class].latency_objective) / 8.0);
+        let idle = LEAST_OUT * endpoints * self.in_all() * seconds(endpoint_limits.overload_window)
+            / answer;
         let sent = f64::max(sent, idle / f64::from(self.settings.ingress_count));
         let multiple = endpoint_limits.overload_multiple.max(1.0);
         let share = sent * (0.5 * multiple / warm).min(TIP_USED * multiple / full);
@@ -187,11 +188,11 @@
         let eject = self.ejects();
         let fault_tau = self.fault_tau();
         let unseen = self.unseen();
-        let fading = |s: &Endpoint| (s.load.value, ((s.load.at - t) / REPORT_TAU).exp());
+        let fading = |s: &Endpoint| (s.load.value, ((s.load.updated_at - t) / REPORT_TAU).exp());
         let reports = self
             .endpoints
             .values()
-            .filter(|s| s.ready && s.load.at > 0.0)
+            .filter(|s| s.ready && s.load.updated_at > 0.0)
             .map(fading);
         let (sum, weights) = reports.fold((0.0, EPS), |(a, b), (load, w)| (a + load * w, b + w));
         let usual = sum / weights;
@@ -250,7 +251,7 @@
 
     /// So long each server's sends are remembered: rule 4's span.
     pub(crate) fn span(&self) -> f64 {
-        secs(self.settings.endpoint_limits.overload_window).max(0.5)
+        seconds(self.settings.endpoint_limits.overload_window).max(0.5)
     }
 
     /// A failure fades over some seconds, and not before this gateway would come by again a few
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -10,10 +10,10 @@
 //! service: a service without requests is never woken, and a change of the list touches the servers
 //! that it names.
 
-use crate::alarms::secs;
-use crate::interface::*;
 use crate::quota::{Quotas, STALL};
 use crate::service::Service;
+use crate::util::seconds;
+use crate::{action::*, event::*, ids::*, settings::*};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -137,8 +137,8 @@
     fn advance(&mut self, now: Duration) {
         let before = self.clock;
         self.clock = before.max(now);
-        if secs(self.clock - before) > STALL && !self.requests.is_empty() {
-            self.quotas.resumed = secs(self.clock);
+        if seconds(self.clock - before) > STALL && !self.requests.is_empty() {
+            self.quotas.resumed = seconds(self.clock);
         }
     }
 
@@ -171,7 +171,7 @@
                 if let Some(scheduled) = self.services.get_mut(&service) {
                     scheduled
                         .service
-                        .on_probed(endpoint, outcome, load, secs(self.clock));
+                        .on_probed(endpoint, outcome, load, seconds(self.clock));
                 }
             }
             Event::TimerExpired(_) => self.timer = None,
@@ -208,9 +208,9 @@
         elapsed: Duration,
         out: &mut Vec<Action>,
     ) {
-        let t = secs(self.clock);
+        let t = seconds(self.clock);
         let undecided = self.quotas.on_counted(name, result, t);
-        self.quotas.counter_heard(result, secs(elapsed), t, out);
+        self.quotas.counter_heard(result, seconds(elapsed), t, out);
         let Some(Counted { request, room }) = undecided else {
             return;
         };
@@ -233,7 +233,7 @@
     }
 
     fn on_change(&mut self, entry: &EndpointEntry) {
-        let t = secs(self.clock);
+        let t = seconds(self.clock);
         self.ensure(entry.service)
             .service
             .update(&with_a_size(*entry), t);
@@ -241,7 +241,7 @@
     }
 
     fn on_whole_list(&mut self, entries: Vec<EndpointEntry>) {
-        let t = secs(self.clock);
+        let t = seconds(self.clock);
         let mut named: BTreeMap<ServiceId, Vec<EndpointEntry>> = BTreeMap::new();
         for entry in entries {
             named
@@ -265,7 +265,7 @@
         let (settings, clock) = (&self.settings, self.clock);
         let seed = self.seed.wrapping_add(u64::from(id.0));
         self.services.entry(id).or_insert_with(|| Scheduled {
-            service: Service::new(settings, seed, secs(clock)),
+            service: Service::new(settings, seed, seconds(clock)),
             due: None,
             endpoints: 0,
         })
@@ -316,7 +316,7 @@
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
         };
-        let t = secs(self.clock);
+        let t = seconds(self.clock);
         let (requests, endpoints) = (self.requests.len(), self.endpoints);
         let (quotas, over) = (&mut self.quotas, &mut self.over);
         act(
@@ -330,7 +330,7 @@
                 over,
             },
         );
-        let due = scheduled.service.alarms.first();
+        let due = scheduled.service.timers.first_due();
         if due != scheduled.due {
             if let Some(before) = std::mem::replace(&mut scheduled.due, due) {
                 self.due.remove(&(before, id));
@@ -347,8 +347,8 @@
         let clock = self.clock;
         while let Some((_, service)) = self.due.first().copied().filter(|(at, _)| *at <= clock) {
             self.with(service, out, |service, cx| {
-                while let Some(alarm) = service.alarms.pop(clock) {
-                    service.on_alarm(alarm, cx);
+                while let Some(timer) = service.timers.pop_due(clock) {
+                    service.on_timer(timer, cx);
                 }
             });
         }
--- a/crates/decision/src/ledgers.rs
+++ b/crates/decision/src/ledgers.rs
@@ -1,6 +1,6 @@
 //! The table of customers' ledgers. One that has rested is dropped: many customers come just once.
 
-use crate::interface::CustomerId;
+use crate::ids::CustomerId;
 use crate::quota::{Ledger, FORGET_AFTER};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -97,17 +97,27 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod alarms;
+mod action;
 mod aperture;
-mod average;
 mod choice;
 mod dispatcher;
-mod draw;
-mod interface;
+mod event;
+mod ids;
 mod ledgers;
 mod quota;
 mod roster;
 mod service;
+mod settings;
+mod util;
 
+pub use action::{Action, Notice};
 pub use dispatcher::Dispatcher;
-pub use interface::*;
+pub use event::{
+    AttemptEnd, CounterResult, EndpointEntry, EndpointListUpdate, EndpointState, Event,
+    IncomingRequest, LoadReport, Outcome,
+};
+pub use ids::{CounterKey, CustomerId, EndpointId, RequestId, ServiceId, TimerTag};
+pub use settings::{
+    CounterSettings, DeduplicationScope, DiscoveryMode, EndpointLimits, Idempotency, Permissions,
+    Plan, RequestClass, Settings, SettingsError,
+};
--- a/crates/decision/src/quota.rs
+++ b/crates/decision/src/quota.rs
@@ -1,10 +1,10 @@
 //! Customers' quotas, over all gateways and services: what may pass, with the counter's totals and
 //! without.
 
-use crate::alarms::{dur, secs};
 use crate::dispatcher::Counted;
-use crate::interface::*;
 use crate::ledgers::Ledgers;
+use crate::util::{duration, seconds};
+use crate::{action::*, event::*, ids::*, settings::*};
 use fastrand::Rng;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 const SLACK_USED: f64 = 0.8; // Of the ceiling's slack; the rest covers rounding on the counter.
 pub(crate) const FORGET_AFTER: f64 = 30.0; // Idle ledgers are dropped: many customers come just once.
 pub(crate) const STALL: f64 = 0.25; // A gap so long between events, while requests are swept, is our own.
-pub(crate) const EPS: f64 = 1e-6;
+use crate::util::EPSILON as EPS;
 
 /// What this gateway knows of one customer's quota: the bucket as the totals on the counter show
 /// it.
@@ -261,9 +261,12 @@
         let latency_objective = settings
             .classes
             .iter()
-            .map(|c| secs(c.latency_objective))
+            .map(|c| seconds(c.latency_objective))
             .fold(f64::MAX, f64::min);
-        let timeout = settings.counter.as_ref().map_or(0.0, |c| secs(c.timeout));
+        let timeout = settings
+            .counter
+            .as_ref()
+            .map_or(0.0, |c| seconds(c.timeout));
         let wait = (latency_objective * WAIT_OF_AIM).min(timeout);
         let inside = vec![INSIDE.map(|share| (share, GUESS_WEIGHS)); settings.plans.len()];
         let (settings, ledgers) = (Arc::clone(settings), Ledgers::default());
@@ -335,7 +338,7 @@
         out.push(Action::IncrementCounter {
             key: CounterKey(r.customer.0),
             amount: add,
-            time_to_live: dur(ledger.window),
+            time_to_live: duration(ledger.window),
         });
         Verdict::Wait(self.wait)
     }
--- a/crates/decision/src/roster.rs
+++ b/crates/decision/src/roster.rs
@@ -1,7 +1,8 @@
 //! All servers of a service that discovery names as ready, however few of them the gateway keeps a
 //! state for.
 
-use crate::interface::{EndpointEntry, EndpointId, EndpointState};
+use crate::event::{EndpointEntry, EndpointState};
+use crate::ids::EndpointId;
 use std::collections::BTreeMap;
 
 /// The servers, and whether they have changed since the ring was taken.
--- a/crates/decision/src/service.rs
+++ b/crates/decision/src/service.rs
@@ -1,20 +1,22 @@
 //! One service: its requests from their coming to their answer, and its servers by what their
 //! answers tell.
 
-use crate::alarms::{dur, secs, Alarms};
 use crate::aperture::LEAST_REACH;
-use crate::average::Average;
 use crate::choice::LOAD_OF_AIM;
 use crate::dispatcher::Context;
-use crate::draw::Draw;
-use crate::interface::*;
-use crate::quota::{Verdict, EPS};
+use crate::quota::Verdict;
 use crate::roster::Roster;
+use crate::util::ewma::{Ewma, SampleWeight};
+use crate::util::held_random::HeldSample;
+use crate::util::timer_queue::TimerQueue;
+use crate::util::EPSILON as EPS;
+use crate::util::{duration, seconds};
+use crate::{action::*, event::*, ids::*, settings::*};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 /// Mean answers of waiting, summed over what is out, until a server counts as silent: for
-/// exponential work a false alarm has a chance of about exp(-9). It then gets a trial so often,
+/// exponential work a false timer has a chance of about exp(-9). It then gets a trial so often,
 /// with what may be copied.
 const SILENCE: f64 = 9.0;
 const TRIAL_AFTER: f64 = 2.0;
@@ -72,7 +74,7 @@
     pub heard: f64,
     pub slowness: f64, // Answer time relative to the fleet's for the same class.
     pub answers: f64,
-    pub load: Average, // As its reports tell it.
+    pub load: Ewma, // As its reports tell it.
     pub breaker: Breaker,
     pub faults: f64, // Failures that came back at once, fading.
     pub fault_at: f64,
@@ -82,7 +84,7 @@
     /// Sends within the cold budget's span, newest last, and the span's draw for what is left of
     /// one.
     pub sends: VecDeque<f64>,
-    pub draw: Draw,
+    pub draw: HeldSample,
 }
 
 /// What the answers of a service tell, and the budgets that requests earn for further attempts and
@@ -92,12 +94,12 @@
     pub rate: f64, // Aims answered a second (each answer counts its class's), the peak remembered, and when.
     pub peak: f64,
     pub at: f64,
-    pub lateness: Average, // Answer time as a share of the aim.
+    pub lateness: Ewma, // Answer time as a share of the aim.
     pub answers: f64,
     pub retries: f64,
     pub refusing: f64, // Share of the openings that were refused, and when a refusing server is tried again.
     pub half_open: f64,
-    pub draw: Draw, // For what is left of one in the load bound.
+    pub draw: HeldSample, // For what is left of one in the load bound.
     pub health_checks: f64,
 }
 
@@ -118,7 +120,7 @@
 }
 
 #[derive(Clone, Copy)]
-pub(crate) enum Alarm {
+pub(crate) enum Timer {
     Decide(RequestId),
     Patience(RequestId),
     End(RequestId),
@@ -135,16 +137,16 @@
     pub roster: Roster,
     pub means: Vec<f64>, // Mean answer time of each class.
     pub flow: Flow,
-    pub alarms: Alarms<Alarm>,
+    pub timers: TimerQueue<Timer>,
     sweeping: bool,
 }
 
 impl Service {
     pub(crate) fn new(settings: &Arc<Settings>, seed: u64, t: f64) -> Service {
         // Not quick until answers say so: at the start all gateways would fill the servers at once.
-        let lateness = Average {
+        let lateness = Ewma {
             value: LOAD_OF_AIM,
-            at: t,
+            updated_at: t,
         };
         let flow = Flow {
             lateness,
@@ -163,10 +165,10 @@
             means: settings
                 .classes
                 .iter()
-                .map(|c| secs(c.latency_objective) / 8.0)
+                .map(|c| seconds(c.latency_objective) / 8.0)
                 .collect(),
             flow,
-            alarms: Alarms::default(),
+            timers: TimerQueue::default(),
             sweeping: false,
         }
     }
@@ -175,9 +177,9 @@
         let class = &self.settings.classes[r.class];
         // Answered two rounds before the client gives up. Where a late answer is worth nothing, the
         // end is the aim: what is still out then only takes room from requests that can make it.
-        let mut end = cx.t + secs(r.time_left) - 2.0 * secs(self.settings.tick);
+        let mut end = cx.t + seconds(r.time_left) - 2.0 * seconds(self.settings.tick);
         if class.late_weight_ratio <= 0.0 && class.objective_per_work <= 0.0 {
-            end = end.min(cx.t + secs(class.latency_objective));
+            end = end.min(cx.t + seconds(class.latency_objective));
         }
         let (end, waiting, done, streaming) = (end.max(cx.t), true, false, false);
         let request = Request {
@@ -189,13 +191,15 @@
             attempts: Vec::new(),
         };
         self.requests.insert(r.request, request);
-        self.alarms.set(dur(end), Alarm::End(r.request));
+        self.timers.set(duration(end), Timer::End(r.request));
         self.flow.health_checks = (self.flow.health_checks + PROBE_EARN).min(RETRY_MOST);
         if !self.sweeping {
             self.sweep(cx);
         }
         match cx.quotas.enter(r, &mut self.rng, cx.t, cx.out) {
-            Verdict::Wait(wait) => self.alarms.set(dur(cx.t + wait), Alarm::Decide(r.request)),
+            Verdict::Wait(wait) => self
+                .timers
+                .set(duration(cx.t + wait), Timer::Decide(r.request)),
             Verdict::Alone => self.decide_alone(r.request, true, cx),
             Verdict::TooManyOpen => self.refuse(r.request, cx),
         }
@@ -278,12 +282,12 @@
         cx.out.push(Action::Forward {
             request: id,
             endpoint,
-            deadline: dur(r.end),
+            deadline: duration(r.end),
         });
-        let latest = PATIENCE_OF_AIM * secs(self.settings.classes[class].latency_objective);
-        self.alarms.set(
-            dur(cx.t + latest.min(PATIENCE * self.means[class])),
-            Alarm::Patience(id),
+        let latest = PATIENCE_OF_AIM * seconds(self.settings.classes[class].latency_objective);
+        self.timers.set(
+            duration(cx.t + latest.min(PATIENCE * self.means[class])),
+            Timer::Patience(id),
         );
     }
 
@@ -423,9 +427,9 @@
         let refill = ledger.map_or(0.0, |l| {
             (r.asked.units - l.level).max(0.0) / l.rate.max(EPS)
         });
-        let retry_after = permissions
-            .retry_after
-            .then(|| dur(refill.max(self.means[r.asked.class])).min(permissions.max_retry_after));
+        let retry_after = permissions.retry_after.then(|| {
+            duration(refill.max(self.means[r.asked.class])).min(permissions.max_retry_after)
+        });
         cx.out.push(if may {
             Action::Reject {
                 request: id,
@@ -437,14 +441,14 @@
         self.close(id, cx);
     }
 
-    pub(crate) fn on_alarm(&mut self, alarm: Alarm, cx: &mut Context) {
-        match alarm {
-            Alarm::Decide(id) => {
+    pub(crate) fn on_timer(&mut self, timer: Timer, cx: &mut Context) {
+        match timer {
+            Timer::Decide(id) => {
                 if self.requests.get(&id).is_some_and(|r| r.waiting && !r.done) {
                     self.decide_alone(id, false, cx);
                 }
             }
-            Alarm::End(id) => match self.requests.get(&id).filter(|r| !r.done && !r.streaming) {
+            Timer::End(id) => match self.requests.get(&id).filter(|r| !r.done && !r.streaming) {
                 Some(r) if r.attempts.is_empty() => self.refuse(id, cx),
                 Some(_) => {
                     cx.out.push(Action::Fail { request: id });
@@ -452,8 +456,8 @@
                 }
                 None => {}
             },
-            Alarm::Patience(id) => self.lost_patience(id, cx),
-            Alarm::Sweep => self.sweep(cx),
+            Timer::Patience(id) => self.lost_patience(id, cx),
+            Timer::Sweep => self.sweep(cx),
         }
     }
 
@@ -493,8 +497,8 @@
                 attempt: r.attempts.len() as u16 - 1,
             });
         }
-        self.alarms
-            .set(dur(cx.t + self.means[class]), Alarm::Patience(id));
+        self.timers
+            .set(duration(cx.t + self.means[class]), Timer::Patience(id));
     }
 
     /// Takes in how an attempt at a server ended; the gateway's own last stall ended at `resumed`.
@@ -509,7 +513,7 @@
         let Some(s) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        let (outcome, took) = (e.outcome, secs(e.elapsed));
+        let (outcome, took) = (e.outcome, seconds(e.elapsed));
         s.out.remove(&(e.request, e.attempt));
         // Guards against servers that take no new connections, from all of us or from some, and
         // against dead ones still listed. Who comes by once in many seconds must remember until an
@@ -550,14 +554,17 @@
         {
             (s.faults, s.fault_at) = (s.faults * ((s.fault_at - t) / fault_tau).exp() + 1.0, t);
         }
-        let latency_objective = secs(self.settings.classes[class].latency_objective);
+        let latency_objective = seconds(self.settings.classes[class].latency_objective);
         let stalled = t - took < resumed;
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) && !(s.silent && eject) && !stalled {
             self.flow.lateness.add(
                 took / latency_objective,
                 t,
                 LATE_TAU,
-                (1.0 / ANSWERS_AVERAGED, 0.25),
+                SampleWeight {
+                    min: 1.0 / ANSWERS_AVERAGED,
+                    max: 0.25,
+                },
             );
         }
         if outcome == Outcome::Ok {
@@ -588,7 +595,15 @@
         // Single reports are stale: gateways that follow them run from server to server together.
         // Their mean tells a server that is slow or short of cores for all of us. Where they come
         // seldom each counts.
-        s.load.add(held, t, REPORT_TAU, (REPORT_SHARE, 1.0));
+        s.load.add(
+            held,
+            t,
+            REPORT_TAU,
+            SampleWeight {
+                min: REPORT_SHARE,
+                max: 1.0,
+            },
+        );
     }
 
     pub(crate) fn on_probed(
@@ -651,7 +666,7 @@
         self.drop_gone();
         self.sweeping = !self.requests.is_empty();
         if self.sweeping {
-            self.alarms.set(dur(t + SWEEP_EVERY), Alarm::Sweep);
+            self.timers.set(duration(t + SWEEP_EVERY), Timer::Sweep);
         }
     }
 
@@ -678,9 +693,9 @@
 
     /// Takes a server's entry into its state, which is made if there is none.
     pub(crate) fn take_in(&mut self, entry: EndpointEntry, t: f64) {
-        let draw = Draw {
+        let draw = HeldSample {
             value: self.rng.f64(),
-            at: 0.0,
+            drawn_at: 0.0,
         };
         // Each gateway probes in an order of its own: else all would know, and take, the same few.
         let probed = -draw.value;
