--- a/crates/decision/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -2,7 +2,6 @@
 
 use crate::aperture::{self, LEAST_ENDPOINTS, LEAST_REACH};
 use crate::dispatcher::Context;
-use crate::quota::FORGET_AFTER;
 use crate::service::*;
 use crate::util::seconds;
 use crate::util::EPSILON as EPS;
@@ -262,7 +261,7 @@
             (n + s.part, sum + s.sends.len() as f64)
         });
         (FAULT_VISITS * self.span() * endpoints / f64::max(sends, 1.0))
-            .clamp(FAULT_TAU, FORGET_AFTER)
+            .clamp(FAULT_TAU, FAULT_TAU_MOST)
     }
 
     /// Which servers are within reach, and which part of each is in the aperture: laid anew after a
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -10,7 +10,7 @@
 //! service: a service without requests is never woken, and a change of the list touches the servers
 //! that it names.
 
-use crate::quota::{Quotas, STALL};
+use crate::quota::{CounterDecision, CustomerQuotas};
 use crate::service::Service;
 use crate::util::seconds;
 use crate::{action::*, event::*, ids::*, settings::*};
@@ -20,13 +20,16 @@
 
 /// Discovery is asked again so long after a call that failed.
 const SUBSCRIBE_AGAIN: Duration = Duration::from_secs(1);
+/// A gap so long between events, while services have maintenance to do, is our own stall.
+const STALL_SECONDS: f64 = 0.25;
 /// Least size of a server, relative to the others.
 const LEAST_SIZE: f64 = 0.05;
 
 /// What stands around a service while it takes an event in; the time is in seconds.
 pub(crate) struct Context<'a> {
     pub t: f64,
-    pub quotas: &'a mut Quotas,
+    pub resumed_at: f64,
+    pub quotas: &'a mut CustomerQuotas,
     pub out: &'a mut Vec<Action>,
     /// Requests and servers of all services.
     pub requests: usize,
@@ -35,12 +38,6 @@
     pub over: &'a mut Vec<RequestId>,
 }
 
-/// A request whose call to the counter has ended, and whether there is room by its total.
-pub(crate) struct Counted {
-    pub request: RequestId,
-    pub room: Option<bool>,
-}
-
 /// A service and when it is to be woken.
 struct Scheduled {
     service: Service,
@@ -78,7 +75,9 @@
 pub struct Dispatcher {
     settings: Arc<Settings>,
     seed: u64,
-    quotas: Quotas,
+    quotas: CustomerQuotas,
+    /// When the last stall of this ingress ended, in seconds.
+    resumed_at: f64,
     services: BTreeMap<ServiceId, Scheduled>,
     /// The service of each request of which something is still to come.
     requests: HashMap<RequestId, ServiceId>,
@@ -98,7 +97,8 @@
         settings.check()?;
         let settings = Arc::new(settings);
         Ok(Dispatcher {
-            quotas: Quotas::new(&settings),
+            quotas: CustomerQuotas::new(&settings),
+            resumed_at: 0.0,
             settings,
             seed,
             services: BTreeMap::new(),
@@ -137,8 +137,8 @@
     fn advance(&mut self, now: Duration) {
         let before = self.clock;
         self.clock = before.max(now);
-        if seconds(self.clock - before) > STALL && !self.requests.is_empty() {
-            self.quotas.resumed = seconds(self.clock);
+        if seconds(self.clock - before) > STALL_SECONDS && !self.requests.is_empty() {
+            self.resumed_at = seconds(self.clock);
         }
     }
 
@@ -209,9 +209,19 @@
         out: &mut Vec<Action>,
     ) {
         let t = seconds(self.clock);
-        let undecided = self.quotas.on_counted(name, result, t);
-        self.quotas.counter_heard(result, seconds(elapsed), t, out);
-        let Some(Counted { request, room }) = undecided else {
+        let undecided = self.quotas.on_counter_reply(name, result, t);
+        self.quotas.sampling.record_counter_latency(
+            result,
+            seconds(elapsed),
+            t,
+            self.resumed_at,
+            out,
+        );
+        let Some(CounterDecision {
+            request,
+            is_within_quota: room,
+        }) = undecided
+        else {
             return;
         };
         self.with_request(request, out, |service, cx| match room {
@@ -318,11 +328,13 @@
         };
         let t = seconds(self.clock);
         let (requests, endpoints) = (self.requests.len(), self.endpoints);
+        let resumed_at = self.resumed_at;
         let (quotas, over) = (&mut self.quotas, &mut self.over);
         act(
             &mut scheduled.service,
             &mut Context {
                 t,
+                resumed_at,
                 quotas,
                 out,
                 requests,
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -103,7 +103,6 @@
 mod dispatcher;
 mod event;
 mod ids;
-mod ledgers;
 mod quota;
 mod roster;
 mod service;
--- a/crates/decision/src/service.rs
+++ b/crates/decision/src/service.rs
@@ -38,6 +38,7 @@
 /// A failure that came back at once weighs as this many requests held, fading over these seconds.
 pub(crate) const FAULT_LOAD: f64 = 3.0;
 pub(crate) const FAULT_TAU: f64 = 4.0;
+pub(crate) const FAULT_TAU_MOST: f64 = 30.0;
 pub(crate) const FAULT_VISITS: f64 = 2.0;
 /// How much each opening of a connection counts in their mean; from this share refused on, a server
 /// that never answered here is taken to refuse too. One of them is tried again each TRIAL_AFTER.
@@ -196,12 +197,12 @@
         if !self.sweeping {
             self.sweep(cx);
         }
-        match cx.quotas.enter(r, &mut self.rng, cx.t, cx.out) {
-            Verdict::Wait(wait) => self
+        match cx.quotas.admit(r, &mut self.rng, cx.t, cx.out) {
+            Verdict::AwaitCounter { wait_seconds } => self
                 .timers
-                .set(duration(cx.t + wait), Timer::Decide(r.request)),
-            Verdict::Alone => self.decide_alone(r.request, true, cx),
-            Verdict::TooManyOpen => self.refuse(r.request, cx),
+                .set(duration(cx.t + wait_seconds), Timer::Decide(r.request)),
+            Verdict::DecideLocally => self.decide_alone(r.request, true, cx),
+            Verdict::ConcurrencyLimit => self.refuse(r.request, cx),
         }
     }
 
@@ -210,7 +211,7 @@
         let Some(r) = self.requests.get(&id) else {
             return;
         };
-        let room = cx.quotas.decide_alone(&r.asked, owed, cx.t);
+        let room = cx.quotas.decide_locally(&r.asked, owed, cx.t);
         self.decided(id, room, false, cx);
     }
 
@@ -227,8 +228,8 @@
         } = r.asked;
         if r.done {
             // Ended while it waited: nothing was sent on, so its units go back.
-            if let Some(l) = cx.quotas.ledgers.get_mut(customer).filter(|_| room) {
-                l.carry -= units;
+            if let Some(l) = cx.quotas.get_mut(customer).filter(|_| room) {
+                l.refund(units);
             }
             return self.forget(id, cx);
         }
@@ -239,18 +240,17 @@
             .draw
             .renew(cx.t, PATIENCE * self.means[class], &mut self.rng);
         let overloaded = self.overloaded(class, self.flow.draw.value, cx.t) && !self.is_alone(cx);
-        let Some(ledger) = cx.quotas.ledgers.get_mut(customer).filter(|_| room) else {
+        let Some(ledger) = cx.quotas.get_mut(customer).filter(|_| room) else {
             return self.refuse(id, cx);
         };
         match best {
             Some(endpoint) if !overloaded => {
-                ledger.grant(units, confirmed);
-                ledger.open += 1;
+                ledger.start_request(units, confirmed);
                 self.flow.retries = (self.flow.retries + RETRY_EARN).min(RETRY_MOST);
                 self.send(id, endpoint, cx);
             }
             _ => {
-                ledger.carry -= units;
+                ledger.refund(units);
                 self.refuse(id, cx);
             }
         }
@@ -316,15 +316,15 @@
                 ..
             },
         ) = (a.endpoint, r.asked);
-        self.learn(endpoint, class, e, cx.t, cx.quotas.resumed);
+        self.learn(endpoint, class, e, cx.t, cx.resumed_at);
         self.on_load(endpoint, e.load, cx.t);
-        if let Some(l) = cx.quotas.ledgers.get_mut(customer) {
+        if let Some(l) = cx.quotas.get_mut(customer) {
             // Guessed units: the difference rides on the customer's next add.
             let more = e
                 .true_units
                 .filter(|u| u.is_finite())
                 .map_or(0.0, |u| u.max(0.0) - units);
-            (l.level, l.carry) = (l.level - more, l.carry + more);
+            l.correct_estimate(more);
         }
         if e.finished || e.outcome == Outcome::Ok {
             return self.close(e.request, cx);
@@ -383,11 +383,10 @@
         r.done = true;
         if let Some(l) = cx
             .quotas
-            .ledgers
             .get_mut(r.asked.customer)
             .filter(|_| !r.attempts.is_empty())
         {
-            l.open = l.open.saturating_sub(1);
+            l.end_request();
         }
         self.cancel_others(id, None, cx);
         self.forget(id, cx);
@@ -420,13 +419,8 @@
         // Advice: the time in which one such request is refilled, or in which what is out here is
         // answered: without any, clients of a load refusal come back at once; longer, and their
         // next try is late.
-        let (permissions, ledger) = (
-            &self.settings.permissions,
-            cx.quotas.ledgers.get(r.asked.customer),
-        );
-        let refill = ledger.map_or(0.0, |l| {
-            (r.asked.units - l.level).max(0.0) / l.rate.max(EPS)
-        });
+        let (permissions, ledger) = (&self.settings.permissions, cx.quotas.get(r.asked.customer));
+        let refill = ledger.map_or(0.0, |l| l.bucket.seconds_until_available(r.asked.units));
         let retry_after = permissions.retry_after.then(|| {
             duration(refill.max(self.means[r.asked.class])).min(permissions.max_retry_after)
         });
@@ -631,7 +625,7 @@
             .iter_mut()
             .filter(|(_, s)| s.ready && !s.silent)
         {
-            let since = s.heard.max(cx.quotas.resumed);
+            let since = s.heard.max(cx.resumed_at);
             let wait = |(sent, class): &(f64, usize)| {
                 (cx.t - sent.max(since)) / self.means[*class].max(EPS)
             };
