--- a/crates/decision/src/roster.rs
+++ b/crates/decision/src/balancer/endpoint_ring.rs
@@ -1,19 +1,19 @@
-//! All servers of a service that discovery names as ready, however few of them the gateway keeps a
+//! All ready endpoints of a service by discovery's list, however few of them the ingress keeps
 //! state for.
 
 use crate::event::{EndpointEntry, EndpointState};
 use crate::ids::EndpointId;
 use std::collections::BTreeMap;
 
-/// The servers, and whether they have changed since the ring was taken.
+/// The listed endpoints, and whether they have changed since the ring was last taken.
 #[derive(Default)]
-pub(crate) struct Roster {
+pub(crate) struct EndpointRing {
     ready: BTreeMap<EndpointId, EndpointEntry>,
     changed: bool,
 }
 
-impl Roster {
-    /// Takes one entry in: a server that is not ready is not listed.
+impl EndpointRing {
+    /// Takes in one entry: an endpoint that is not ready is not listed.
     pub(crate) fn update(&mut self, entry: &EndpointEntry) {
         self.changed = true;
         if entry.state == EndpointState::Ready {
@@ -23,20 +23,19 @@
         }
     }
 
-    /// Forgets all of them: a whole list follows.
+    /// Removes all entries: a complete list follows.
     pub(crate) fn clear(&mut self) {
         self.changed = true;
         self.ready.clear();
     }
 
-    /// How many there are.
     pub(crate) fn len(&self) -> usize {
         self.ready.len()
     }
 
-    /// All of them in the order that every gateway agrees on, if they have changed since the last
+    /// All entries in the order that every ingress agrees on, if they have changed since the last
     /// call.
-    pub(crate) fn take_changed_ring(&mut self) -> Option<Vec<EndpointEntry>> {
+    pub(crate) fn take_changed(&mut self) -> Option<Vec<EndpointEntry>> {
         std::mem::take(&mut self.changed).then(|| {
             let mut ring: Vec<EndpointEntry> = self.ready.values().copied().collect();
             ring.sort_by_key(|entry| entry.rank);
--- /dev/null
+++ b/crates/decision/src/balancer/mod.rs
@@ -0,0 +1,180 @@
+//! The load balancer of a service: finds the eligible endpoints, scores them, chooses one.
+
+pub(crate) mod endpoint_ring;
+pub(crate) mod endpoint_table;
+pub(crate) mod score;
+pub(crate) mod slow_start;
+pub(crate) mod subset;
+
+use self::endpoint_table::EndpointTable;
+use self::score::Scorer;
+use self::slow_start::{warm_up_ratio, BudgetInput, SlowStartBudget};
+use crate::endpoint::{AttemptKey, Endpoint};
+use crate::health::circuit_breaker::ConnectFailures;
+use crate::health::outlier;
+use crate::ids::EndpointId;
+use crate::load_shedding::ServiceLoad;
+use crate::settings::Settings;
+use fastrand::Rng;
+use std::sync::Arc;
+
+/// Endpoints outside of the subset are used where those inside fail: each counts as this part of
+/// one ...
+const OUTSIDE_SUBSET_WEIGHT: f64 = 0.01;
+/// ... and all of them as so many inside at most.
+const OUTSIDE_SUBSET_TOTAL: f64 = 2.0;
+
+/// What the choice of an endpoint depends on, besides the endpoints. Times are in seconds.
+pub(crate) struct ChoiceInput {
+    pub now: f64,
+    pub class: usize,
+    /// Mean latency of the class.
+    pub mean_latency: f64,
+    pub is_first_attempt: bool,
+    /// Whether the request may be tried at an ejected endpoint.
+    pub may_be_trial: bool,
+}
+
+/// An eligible endpoint.
+struct Candidate {
+    endpoint: EndpointId,
+    /// Only chosen where no other endpoint is left.
+    is_second_choice: bool,
+    score: f64,
+}
+
+impl Candidate {
+    fn is_better_than(&self, other: &Candidate) -> bool {
+        (self.is_second_choice, self.score) < (other.is_second_choice, other.score)
+    }
+}
+
+/// The endpoints of a service and the choice between them.
+pub(crate) struct LoadBalancer {
+    settings: Arc<Settings>,
+    pub table: EndpointTable,
+    connect_failures: ConnectFailures,
+}
+
+impl LoadBalancer {
+    pub(crate) fn new(settings: &Arc<Settings>) -> LoadBalancer {
+        LoadBalancer {
+            settings: Arc::clone(settings),
+            table: EndpointTable::default(),
+            connect_failures: ConnectFailures::default(),
+        }
+    }
+
+    /// The endpoint with the lowest score among those that `is_allowed`, or an ejected one whose
+    /// trial is due; none if no endpoint may get the request.
+    pub(crate) fn choose(
+        &self,
+        input: &ChoiceInput,
+        is_allowed: impl Fn(EndpointId, &Endpoint) -> bool,
+        rng: &mut Rng,
+    ) -> Option<EndpointId> {
+        let endpoints = &self.table.endpoints;
+        let min_weight =
+            OUTSIDE_SUBSET_WEIGHT.min(OUTSIDE_SUBSET_TOTAL / endpoints.len().max(1) as f64);
+        let budget = self.slow_start_budget(input, min_weight);
+        let scorer = Scorer::new(endpoints, &self.settings, input.now);
+        let ejection_allowed = outlier::ejection_allowed(endpoints);
+        let mut trial = None;
+        let mut best: Option<Candidate> = None;
+        for (&id, endpoint) in endpoints {
+            if !endpoint.ready || !is_allowed(id, endpoint) {
+                continue;
+            }
+            if endpoint.is_ejected(ejection_allowed) {
+                if input.may_be_trial && input.now >= endpoint.next_trial_at {
+                    trial = trial.or(Some(id));
+                }
+                continue;
+            }
+            let limits = &self.settings.endpoint_limits;
+            let warm_up_ratio = warm_up_ratio(endpoint, limits, input.now);
+            let weight = endpoint.subset_weight.max(min_weight);
+            if !budget.admits(endpoint, weight, warm_up_ratio) {
+                continue;
+            }
+            let capacity = endpoint.entry.weight * warm_up_ratio * weight;
+            let candidate = Candidate {
+                endpoint: id,
+                is_second_choice: self.is_second_choice(endpoint, input),
+                score: scorer.score(endpoint, capacity, rng),
+            };
+            if best
+                .as_ref()
+                .is_none_or(|best| candidate.is_better_than(best))
+            {
+                best = Some(candidate);
+            }
+        }
+        trial.or(best.map(|candidate| candidate.endpoint))
+    }
+
+    /// Whether the endpoint is expected to refuse the connection. Once in a while those that are
+    /// come first instead, to learn whether they accept connections again.
+    fn is_second_choice(&self, endpoint: &Endpoint, input: &ChoiceInput) -> bool {
+        let failures = &self.connect_failures;
+        let is_trial = failures.is_half_open(input.now) && input.is_first_attempt;
+        failures.is_refusal_expected(endpoint.circuit_breaker) != is_trial
+    }
+
+    fn slow_start_budget(&self, input: &ChoiceInput, min_subset_weight: f64) -> SlowStartBudget {
+        SlowStartBudget::new(
+            &self.table.endpoints,
+            &BudgetInput {
+                settings: &self.settings,
+                class: input.class,
+                mean_latency: input.mean_latency,
+                min_subset_weight,
+                listed_per_known: self.table.listed_per_known(),
+                now: input.now,
+            },
+        )
+    }
+
+    /// An attempt goes out to the endpoint; false if the endpoint is not known.
+    pub(crate) fn record_forward(
+        &mut self,
+        endpoint: EndpointId,
+        key: AttemptKey,
+        class: usize,
+        now: f64,
+    ) -> bool {
+        let Some(endpoint) = self.table.endpoints.get_mut(&endpoint) else {
+            return false;
+        };
+        endpoint.record_forward(key, class, now);
+        self.connect_failures
+            .record_forward(endpoint.circuit_breaker, now);
+        outlier::schedule_trial(endpoint, now);
+        true
+    }
+
+    /// The endpoint and the service's failed connections, to record an outcome in.
+    pub(crate) fn endpoint_mut(
+        &mut self,
+        endpoint: EndpointId,
+    ) -> Option<(&mut Endpoint, &mut ConnectFailures)> {
+        let endpoint = self.table.endpoints.get_mut(&endpoint)?;
+        Some((endpoint, &mut self.connect_failures))
+    }
+
+    /// The service's present load, for the concurrency limit.
+    pub(crate) fn load(&self) -> ServiceLoad {
+        let endpoints = &self.table.endpoints;
+        let ejection_allowed = outlier::ejection_allowed(endpoints);
+        let mut load = ServiceLoad {
+            in_flight: 0,
+            live_endpoints: 0,
+            listed_per_known: self.table.listed_per_known(),
+        };
+        for endpoint in endpoints.values().filter(|e| e.is_live(ejection_allowed)) {
+            load.in_flight += endpoint.in_flight.len();
+            load.live_endpoints += 1;
+        }
+        load
+    }
+}
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -1,139 +1,108 @@
-//! One gateway: hands each event to the service that it is for. It decides nothing itself.
+//! One ingress: hands each event to the service that it is for. It decides nothing itself.
 //!
-//! Ordinary path: a request's units go in one add to its customer's count (`Service::on_request`);
-//! the total that comes back is held against the allowance (`Quotas::on_counted`,
-//! `Ledger::settle`); what passes goes to the server of its service that promises most
-//! (`Service::decided`, `Service::pick`). Everything else guards that path.
-//!
-//! A [`Service`] is made when its first server or request comes and dropped with its last.
+//! A [`Service`] is created when its first endpoint or request comes and dropped with its last.
 //! Customers' quotas span services and stand above them. The cost of an event is that of the one
-//! service: a service without requests is never woken, and a change of the list touches the servers
-//! that it names.
+//! service: a service without requests is never woken, and a change of the endpoint list touches
+//! the endpoints that it names.
 
+use crate::action::Action;
+use crate::event::{
+    CounterResult, EndpointEntry, EndpointListUpdate, Event, IncomingRequest, LoadReport, Outcome,
+};
+use crate::ids::{CounterKey, EndpointId, RequestId, ServiceId, TimerTag};
 use crate::quota::{CounterDecision, CustomerQuotas};
-use crate::service::Service;
+use crate::service::{IngressState, QuotaDecision, Service};
+use crate::settings::{DiscoveryMode, Settings, SettingsError};
 use crate::util::seconds;
-use crate::{action::*, event::*, ids::*, settings::*};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Discovery is asked again so long after a call that failed.
-const SUBSCRIBE_AGAIN: Duration = Duration::from_secs(1);
-/// A gap so long between events, while services have maintenance to do, is our own stall.
+/// Pause before discovery is asked again after a call that failed.
+const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
+/// A gap so long between two events, while requests cause timers, is a stall of this ingress.
 const STALL_SECONDS: f64 = 0.25;
-/// Least size of a server, relative to the others.
-const LEAST_SIZE: f64 = 0.05;
-
-/// What stands around a service while it takes an event in; the time is in seconds.
-pub(crate) struct Context<'a> {
-    pub t: f64,
-    pub resumed_at: f64,
-    pub quotas: &'a mut CustomerQuotas,
-    pub out: &'a mut Vec<Action>,
-    /// Requests and servers of all services.
-    pub requests: usize,
-    pub endpoints: usize,
-    /// Requests of which nothing more is to come.
-    pub over: &'a mut Vec<RequestId>,
-}
+/// Least weight of an endpoint.
+const ENDPOINT_WEIGHT_MIN: f64 = 0.05;
+/// Units of a request whose estimate is no number.
+const DEFAULT_UNITS: f64 = 1.0;
 
-/// A service and when it is to be woken.
-struct Scheduled {
+/// A service, and what the dispatcher last saw of it.
+struct ScheduledService {
     service: Service,
     due: Option<Duration>,
-    /// Its servers, as they were last counted.
-    endpoints: usize,
-}
-
-impl Scheduled {
-    /// Its servers: those that are ready, or those that have a state where these are more.
-    fn size(&self) -> usize {
-        self.service.endpoints.len().max(self.service.roster.len())
-    }
-
-    /// Has it neither servers nor requests?
-    fn is_unused(&self) -> bool {
-        self.size() == 0 && self.service.requests.is_empty()
-    }
-}
-
-/// The entry with a size that can be reckoned with: one that is no size counts as 1.
-fn with_a_size(entry: EndpointEntry) -> EndpointEntry {
-    let is_size = entry.weight.is_finite() && entry.weight > 0.0;
-    EndpointEntry {
-        weight: if is_size {
-            entry.weight.max(LEAST_SIZE)
-        } else {
-            1.0
-        },
-        ..entry
-    }
+    endpoint_count: usize,
 }
 
-/// One gateway's decisions. Feed it events, carry out its actions.
+/// The decisions of one ingress: takes events and appends actions.
 pub struct Dispatcher {
     settings: Arc<Settings>,
     seed: u64,
     quotas: CustomerQuotas,
-    /// When the last stall of this ingress ended, in seconds.
-    resumed_at: f64,
-    services: BTreeMap<ServiceId, Scheduled>,
+    services: BTreeMap<ServiceId, ScheduledService>,
     /// The service of each request of which something is still to come.
     requests: HashMap<RequestId, ServiceId>,
-    /// Servers of all services.
-    endpoints: usize,
+    /// Endpoints of all services.
+    endpoint_count: usize,
+    /// When each service is to be woken.
     due: BTreeSet<(Duration, ServiceId)>,
-    subscribe_at: Option<Duration>,
+    resubscribe_at: Option<Duration>,
     timer: Option<Duration>,
     clock: Duration,
+    /// When the last stall of this ingress ended, in seconds.
+    resumed_at: f64,
     started: bool,
-    over: Vec<RequestId>,
+    /// Empty between two events; kept for its capacity.
+    finished_requests: Vec<RequestId>,
 }
 
 impl Dispatcher {
-    /// Checks the settings and starts with no memory.
+    /// Checks the settings and starts without any state. The same seed and events give the same
+    /// actions.
+    ///
+    /// # Errors
+    /// Settings that an ingress cannot run with, as [`Settings::check`] finds them.
     pub fn new(settings: Settings, seed: u64) -> Result<Dispatcher, SettingsError> {
         settings.check()?;
         let settings = Arc::new(settings);
         Ok(Dispatcher {
             quotas: CustomerQuotas::new(&settings),
-            resumed_at: 0.0,
             settings,
             seed,
             services: BTreeMap::new(),
             requests: HashMap::new(),
-            endpoints: 0,
+            endpoint_count: 0,
             due: BTreeSet::new(),
-            subscribe_at: None,
+            resubscribe_at: None,
             timer: None,
             clock: Duration::ZERO,
+            resumed_at: 0.0,
             started: false,
-            over: Vec::new(),
+            finished_requests: Vec::new(),
         })
     }
 
-    /// Services that have servers or requests.
+    /// Number of services that have endpoints or requests.
     pub fn services(&self) -> usize {
         self.services.len()
     }
 
-    /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    /// Takes one event at the time `now` and appends what is to be done. A time before that of an
+    /// earlier event counts as that one's.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.advance(now);
-        if !std::mem::replace(&mut self.started, true)
-            && self.settings.discovery == DiscoveryMode::Poll
-        {
-            out.push(Action::Subscribe);
+        let is_first_event = !std::mem::replace(&mut self.started, true);
+        if is_first_event && self.settings.discovery == DiscoveryMode::Poll {
+            actions.push(Action::Subscribe);
         }
-        self.dispatch(event, out);
-        self.wake_due(out);
-        self.set_timer(out);
+        self.dispatch(event, actions);
+        self.wake_due(actions);
+        self.set_timer(actions);
     }
 
-    /// While there are requests the sweep of their services wakes us all the time: a gap is our own
-    /// stall, and what waited through it proves nothing of servers or counter. Guards against mass
-    /// silence after a stall.
+    /// While there are requests, timers of their services are due all the time: a gap is a stall
+    /// of this ingress. Prevents endpoints and counter from being blamed for what waited through
+    /// it.
     fn advance(&mut self, now: Duration) {
         let before = self.clock;
         self.clock = before.max(now);
@@ -142,49 +111,48 @@
         }
     }
 
-    fn dispatch(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn dispatch(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::RequestReceived(request) => self.on_request(request, out),
+            Event::RequestReceived(request) => self.on_request(request, actions),
             Event::CounterReply {
-                key: name,
+                key,
                 result,
                 elapsed,
-            } => self.on_counted(name, result, elapsed, out),
+            } => self.on_counter_reply(key, result, elapsed, actions),
             Event::AttemptEnded(end) => {
-                self.with_request(end.request, out, |service, cx| service.on_ended(&end, cx));
+                self.with_request(end.request, actions, |service, state| {
+                    service.on_attempt_ended(&end, state);
+                });
             }
             Event::StreamStarted { request, attempt } => {
-                self.with_request(request, out, |service, cx| {
-                    service.on_stream(request, attempt, cx)
+                self.with_request(request, actions, |service, state| {
+                    service.on_stream_started(request, attempt, state);
                 });
             }
             Event::ClientDisconnected(request) => {
-                self.with_request(request, out, |service, cx| service.close(request, cx));
+                self.with_request(request, actions, |service, state| {
+                    service.close(request, state);
+                });
             }
-            Event::EndpointListChanged(update) => self.on_endpoints(update),
+            Event::EndpointListChanged(update) => self.on_endpoint_list(update),
             Event::HealthCheckEnded {
                 service,
                 endpoint,
                 outcome,
                 load,
-            } => {
-                if let Some(scheduled) = self.services.get_mut(&service) {
-                    scheduled
-                        .service
-                        .on_probed(endpoint, outcome, load, seconds(self.clock));
-                }
-            }
+            } => self.on_health_check(service, endpoint, outcome, load.as_ref()),
             Event::TimerExpired(_) => self.timer = None,
         }
     }
 
-    fn on_request(&mut self, mut request: IncomingRequest, out: &mut Vec<Action>) {
+    fn on_request(&mut self, mut request: IncomingRequest, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.request) {
             return;
         }
-        if request.class >= self.settings.classes.len() || request.plan >= self.settings.plans.len()
-        {
-            return out.push(Action::Reject {
+        let has_class = request.class < self.settings.classes.len();
+        let has_plan = request.plan < self.settings.plans.len();
+        if !has_class || !has_plan {
+            return actions.push(Action::Reject {
                 request: request.request,
                 retry_after: None,
             });
@@ -192,114 +160,134 @@
         request.units = if request.units.is_finite() {
             request.units.max(0.0)
         } else {
-            1.0
+            DEFAULT_UNITS
         };
-        self.ensure(request.service);
+        self.get_or_create(request.service);
         self.requests.insert(request.request, request.service);
-        self.with(request.service, out, |service, cx| {
-            service.on_request(&request, cx)
+        self.with_service(request.service, actions, |service, state| {
+            service.on_request(&request, state);
         });
     }
 
-    fn on_counted(
+    fn on_counter_reply(
         &mut self,
-        name: CounterKey,
+        key: CounterKey,
         result: CounterResult,
         elapsed: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let t = seconds(self.clock);
-        let undecided = self.quotas.on_counter_reply(name, result, t);
+        let now = seconds(self.clock);
+        let undecided = self.quotas.on_counter_reply(key, result, now);
         self.quotas.sampling.record_counter_latency(
             result,
             seconds(elapsed),
-            t,
+            now,
             self.resumed_at,
-            out,
+            actions,
         );
         let Some(CounterDecision {
             request,
-            is_within_quota: room,
+            is_within_quota,
         }) = undecided
         else {
             return;
         };
-        self.with_request(request, out, |service, cx| match room {
-            Some(room) => service.decided(request, room, true, cx),
-            None => service.decide_alone(request, false, cx),
+        self.with_request(request, actions, |service, state| match is_within_quota {
+            Some(is_within_quota) => {
+                let decision = QuotaDecision {
+                    is_within_quota,
+                    is_confirmed: true,
+                };
+                service.on_quota_decision(request, decision, state);
+            }
+            None => service.decide_locally(request, false, state),
         });
     }
 
-    fn on_endpoints(&mut self, update: EndpointListUpdate) {
+    fn on_health_check(
+        &mut self,
+        service: ServiceId,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        report: Option<&LoadReport>,
+    ) {
+        let now = seconds(self.clock);
+        if let Some(scheduled) = self.services.get_mut(&service) {
+            scheduled
+                .service
+                .on_health_check(endpoint, outcome, report, now);
+        }
+    }
+
+    fn on_endpoint_list(&mut self, update: EndpointListUpdate) {
         match update {
             EndpointListUpdate::Changes(entries) => {
-                entries.iter().for_each(|entry| self.on_change(entry))
+                for entry in entries {
+                    self.on_changed_entry(entry);
+                }
             }
-            EndpointListUpdate::Full(entries) => self.on_whole_list(entries),
+            EndpointListUpdate::Full(entries) => self.on_full_list(entries),
             EndpointListUpdate::Unavailable => {
-                self.subscribe_at = Some(self.clock + SUBSCRIBE_AGAIN)
+                self.resubscribe_at = Some(self.clock + RESUBSCRIBE_DELAY);
             }
         }
     }
 
-    fn on_change(&mut self, entry: &EndpointEntry) {
-        let t = seconds(self.clock);
-        self.ensure(entry.service)
-            .service
-            .update(&with_a_size(*entry), t);
-        self.count_endpoints(entry.service);
+    fn on_changed_entry(&mut self, entry: EndpointEntry) {
+        let now = seconds(self.clock);
+        let entry = with_valid_weight(entry);
+        self.get_or_create(entry.service)
+            .update_endpoint(&entry, now);
+        self.update_endpoint_count(entry.service);
     }
 
-    fn on_whole_list(&mut self, entries: Vec<EndpointEntry>) {
-        let t = seconds(self.clock);
-        let mut named: BTreeMap<ServiceId, Vec<EndpointEntry>> = BTreeMap::new();
+    fn on_full_list(&mut self, entries: Vec<EndpointEntry>) {
+        let now = seconds(self.clock);
+        let mut by_service: BTreeMap<ServiceId, Vec<EndpointEntry>> = BTreeMap::new();
         for entry in entries {
-            named
-                .entry(entry.service)
-                .or_default()
-                .push(with_a_size(entry));
+            let listed = by_service.entry(entry.service).or_default();
+            listed.push(with_valid_weight(entry));
         }
-        for service in named.keys() {
-            self.ensure(*service);
+        for service in by_service.keys() {
+            self.get_or_create(*service);
         }
         let services: Vec<ServiceId> = self.services.keys().copied().collect();
         for service in services {
-            let entries = named.get(&service).map_or(&[][..], Vec::as_slice);
-            self.ensure(service).service.replace(entries, t);
-            self.count_endpoints(service);
+            let entries = by_service.get(&service).map_or(&[][..], Vec::as_slice);
+            self.get_or_create(service).replace_endpoints(entries, now);
+            self.update_endpoint_count(service);
         }
     }
 
-    /// The service, made if there is none.
-    fn ensure(&mut self, id: ServiceId) -> &mut Scheduled {
-        let (settings, clock) = (&self.settings, self.clock);
+    /// The service, created if there is none.
+    fn get_or_create(&mut self, id: ServiceId) -> &mut Service {
+        let settings = &self.settings;
+        let now = seconds(self.clock);
         let seed = self.seed.wrapping_add(u64::from(id.0));
-        self.services.entry(id).or_insert_with(|| Scheduled {
-            service: Service::new(settings, seed, seconds(clock)),
+        let scheduled = self.services.entry(id).or_insert_with(|| ScheduledService {
+            service: Service::new(settings, seed, now),
             due: None,
-            endpoints: 0,
-        })
+            endpoint_count: 0,
+        });
+        &mut scheduled.service
     }
 
-    /// A service's servers have changed: counts them, and drops it if nothing is left of it.
-    fn count_endpoints(&mut self, id: ServiceId) {
+    /// After a change to a service: counts its endpoints, and drops it if it is unused.
+    fn update_endpoint_count(&mut self, id: ServiceId) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
         };
-        let size = scheduled.size();
-        let before = std::mem::replace(&mut scheduled.endpoints, size);
-        self.endpoints = self.endpoints - before + scheduled.endpoints;
-        if scheduled.is_unused() {
+        let count = scheduled.service.endpoint_count();
+        let before = std::mem::replace(&mut scheduled.endpoint_count, count);
+        self.endpoint_count = self.endpoint_count - before + count;
+        if scheduled.service.is_unused() {
             self.drop_service(id);
         }
     }
 
     fn drop_service(&mut self, id: ServiceId) {
-        if let Some(due) = self
-            .services
-            .remove(&id)
-            .and_then(|scheduled| scheduled.due)
-        {
+        let dropped = self.services.remove(&id);
+        if let Some(due) = dropped.and_then(|scheduled| scheduled.due) {
             self.due.remove(&(due, id));
         }
     }
@@ -307,79 +295,82 @@
     fn with_request(
         &mut self,
         request: RequestId,
-        out: &mut Vec<Action>,
-        act: impl FnOnce(&mut Service, &mut Context),
+        actions: &mut Vec<Action>,
+        act: impl FnOnce(&mut Service, &mut IngressState),
     ) {
         if let Some(&service) = self.requests.get(&request) {
-            self.with(service, out, act);
+            self.with_service(service, actions, act);
         }
     }
 
-    /// Lets a service take something in, and notes what has become of its requests and when it is
-    /// due next.
-    fn with(
+    /// Runs `act` on a service, then removes its finished requests and notes when it is due next.
+    fn with_service(
         &mut self,
         id: ServiceId,
-        out: &mut Vec<Action>,
-        act: impl FnOnce(&mut Service, &mut Context),
+        actions: &mut Vec<Action>,
+        act: impl FnOnce(&mut Service, &mut IngressState),
     ) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
         };
-        let t = seconds(self.clock);
-        let (requests, endpoints) = (self.requests.len(), self.endpoints);
-        let resumed_at = self.resumed_at;
-        let (quotas, over) = (&mut self.quotas, &mut self.over);
-        act(
-            &mut scheduled.service,
-            &mut Context {
-                t,
-                resumed_at,
-                quotas,
-                out,
-                requests,
-                endpoints,
-                over,
-            },
-        );
-        let due = scheduled.service.timers.first_due();
+        let mut state = IngressState {
+            now: seconds(self.clock),
+            resumed_at: self.resumed_at,
+            quotas: &mut self.quotas,
+            actions,
+            request_count: self.requests.len(),
+            endpoint_count: self.endpoint_count,
+            finished_requests: &mut self.finished_requests,
+        };
+        act(&mut scheduled.service, &mut state);
+        let due = scheduled.service.next_timer();
         if due != scheduled.due {
             if let Some(before) = std::mem::replace(&mut scheduled.due, due) {
                 self.due.remove(&(before, id));
             }
             self.due.extend(due.map(|at| (at, id)));
         }
-        for request in self.over.drain(..) {
+        for request in self.finished_requests.drain(..) {
             self.requests.remove(&request);
         }
-        self.count_endpoints(id);
+        self.update_endpoint_count(id);
     }
 
-    fn wake_due(&mut self, out: &mut Vec<Action>) {
+    fn wake_due(&mut self, actions: &mut Vec<Action>) {
         let clock = self.clock;
         while let Some((_, service)) = self.due.first().copied().filter(|(at, _)| *at <= clock) {
-            self.with(service, out, |service, cx| {
-                while let Some(timer) = service.timers.pop_due(clock) {
-                    service.on_timer(timer, cx);
-                }
+            self.with_service(service, actions, |service, state| {
+                service.run_due_timers(clock, state);
             });
         }
-        if self.subscribe_at.take_if(|at| *at <= clock).is_some() {
-            out.push(Action::Subscribe);
+        if self.resubscribe_at.take_if(|at| *at <= clock).is_some() {
+            actions.push(Action::Subscribe);
         }
     }
 
-    fn set_timer(&mut self, out: &mut Vec<Action>) {
-        let first = self.due.first().map(|(at, _)| *at);
-        let Some(due) = first.into_iter().chain(self.subscribe_at).min() else {
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        let first_due = self.due.first().map(|(at, _)| *at);
+        let Some(due) = first_due.into_iter().chain(self.resubscribe_at).min() else {
             return;
         };
         if self.timer.is_none_or(|at| due < at) {
             self.timer = Some(due);
-            out.push(Action::SetTimer {
+            actions.push(Action::SetTimer {
                 after: due.saturating_sub(self.clock),
                 tag: TimerTag(0),
             });
         }
     }
 }
+
+/// The entry with a weight that can be calculated with: one that is not a positive number counts
+/// as 1.
+fn with_valid_weight(entry: EndpointEntry) -> EndpointEntry {
+    let is_valid = entry.weight.is_finite() && entry.weight > 0.0;
+    let weight = if is_valid {
+        entry.weight.max(ENDPOINT_WEIGHT_MIN)
+    } else {
+        1.0
+    };
+    EndpointEntry { weight, ..entry }
+}
--- /dev/null
+++ b/crates/decision/src/latency.rs
@@ -0,0 +1,85 @@
+//! Latency of a service's responses: the mean of each class, and its ratio to the latency
+//! objective.
+
+use crate::settings::Settings;
+use crate::util::ewma::{Ewma, SampleWeight};
+use crate::util::{seconds, EPSILON};
+
+/// Means are taken over so many responses.
+pub(crate) const MEAN_RESPONSES: f64 = 30.0;
+/// Until responses come, a class's mean is taken as its latency objective divided by this.
+pub(crate) const INITIAL_MEAN_DIVISOR: f64 = 8.0;
+const MEAN_MIN_SECONDS: f64 = 1e-3;
+/// One slow response counts at most as so many times the mean.
+const RATIO_TO_MEAN_MAX: f64 = 4.0;
+/// The latency ratio is averaged over so many seconds where responses are few.
+const RATIO_TIME_CONSTANT_SECONDS: f64 = 3.0;
+const RATIO_WEIGHT: SampleWeight = SampleWeight {
+    min: 1.0 / MEAN_RESPONSES,
+    max: 0.25,
+};
+/// An old latency ratio starts to fade after this.
+const RATIO_FRESH_SECONDS: f64 = 1.0;
+
+/// Latency statistics of one service. Times are in seconds.
+pub(crate) struct LatencyStats {
+    mean_by_class: Vec<f64>,
+    response_count: f64,
+    objective_ratio: Ewma,
+}
+
+impl LatencyStats {
+    /// Statistics without a response, at the given ratio of latency to objective.
+    pub(crate) fn new(settings: &Settings, initial_ratio: f64, now: f64) -> LatencyStats {
+        let initial_mean = |objective| seconds(objective) / INITIAL_MEAN_DIVISOR;
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
+        LatencyStats {
+            mean_by_class: objectives.map(initial_mean).collect(),
+            response_count: 0.0,
+            objective_ratio: Ewma {
+                value: initial_ratio,
+                updated_at: now,
+            },
+        }
+    }
+
+    /// Mean latency of a class.
+    pub(crate) fn mean(&self, class: usize) -> f64 {
+        self.mean_by_class[class]
+    }
+
+    /// Mean latency of each class.
+    pub(crate) fn means(&self) -> &[f64] {
+        &self.mean_by_class
+    }
+
+    /// Mean latency as a share of the latency objective.
+    pub(crate) fn objective_ratio(&self) -> f64 {
+        self.objective_ratio.value
+    }
+
+    /// The same, faded if no response has come for a while. Prevents an ingress with few requests
+    /// from rejecting them on an old ratio.
+    pub(crate) fn faded_objective_ratio(&self, now: f64) -> f64 {
+        let stale = (self.objective_ratio.updated_at + RATIO_FRESH_SECONDS - now).min(0.0);
+        self.objective_ratio.value * (stale / RATIO_TIME_CONSTANT_SECONDS).exp()
+    }
+
+    /// Takes in the latency of a response or a timeout as a share of its objective.
+    pub(crate) fn record_objective_ratio(&mut self, ratio: f64, now: f64) {
+        self.objective_ratio
+            .add(ratio, now, RATIO_TIME_CONSTANT_SECONDS, RATIO_WEIGHT);
+    }
+
+    /// Takes in the latency of a response and returns its ratio to the class's new mean. The first
+    /// responses weigh more: endpoints are compared by the mean.
+    pub(crate) fn record_response(&mut self, class: usize, latency: f64) -> f64 {
+        let class_count = self.mean_by_class.len() as f64;
+        let mean = &mut self.mean_by_class[class];
+        let responses = (1.0 + self.response_count / class_count).min(MEAN_RESPONSES);
+        *mean += (latency - *mean) / responses;
+        *mean = mean.max(MEAN_MIN_SECONDS);
+        self.response_count += 1.0;
+        (latency / mean.max(EPSILON)).min(RATIO_TO_MEAN_MAX)
+    }
+}
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -98,13 +98,15 @@
 //! ```
 
 mod action;
-mod aperture;
-mod choice;
+mod balancer;
 mod dispatcher;
+mod endpoint;
 mod event;
+mod health;
 mod ids;
+mod latency;
+mod load_shedding;
 mod quota;
-mod roster;
 mod service;
 mod settings;
 mod util;
--- /dev/null
+++ b/crates/decision/src/load_shedding.rs
@@ -0,0 +1,148 @@
+//! The concurrency limit of a service, by Little's law: requests in flight divided by responses a
+//! second are the mean latency, which is held to a share of the latency objective. Classes that
+//! earn least for their work are rejected first.
+
+use crate::latency::LatencyStats;
+use crate::settings::{RequestClass, Settings};
+use crate::util::held_random::HeldSample;
+use crate::util::{seconds, EPSILON};
+
+/// The share of the latency objective that the mean latency may take before new requests are
+/// rejected: at one half, one in ten is late.
+pub(crate) const OBJECTIVE_RATIO_MAX: f64 = 0.3;
+/// Requests in flight for each endpoint, over all ingresses, that never overload it: its cores stay
+/// idle.
+pub(crate) const IDLE_IN_FLIGHT_PER_ENDPOINT: f64 = 2.0;
+/// Up to so many ingresses, each one's own requests in flight show the load of the endpoints.
+const OBSERVING_INGRESSES_MAX: f64 = 4.0;
+/// The classes that earn least for their work are limited to this share of the limit.
+const LEAST_CLASS_RATIO: f64 = 0.2;
+/// Below this share of the permitted latency all classes get some more requests.
+const QUICK_RATIO: f64 = 0.7;
+const THROUGHPUT_TIME_CONSTANT_SECONDS: f64 = 0.5;
+const PEAK_TIME_CONSTANT_SECONDS: f64 = 6.0;
+/// Factor on the least limit before the first response.
+const LEAST_LIMIT_FACTOR_AT_START: f64 = 1.5;
+/// The limit's fluctuation is at most this part of it, if it is more than what peers have unseen.
+const FLUCTUATION_DIVISOR: f64 = 4.0;
+
+/// A service's present load at this ingress.
+pub(crate) struct ServiceLoad {
+    /// Attempts in flight at endpoints that are not ejected.
+    pub in_flight: usize,
+    /// Endpoints that are ready and not ejected.
+    pub live_endpoints: usize,
+    /// Listed endpoints for each one that has a state.
+    pub listed_per_known: f64,
+}
+
+/// Throughput of one service and the decision to shed load. Times are in seconds.
+#[derive(Default)]
+pub(crate) struct LoadShedder {
+    /// Responses a second, and the peak remembered.
+    throughput: f64,
+    peak_throughput: f64,
+    last_response_at: f64,
+    /// Decides whether a fraction of one request is left under the limit.
+    pub sample: HeldSample,
+}
+
+impl LoadShedder {
+    pub(crate) fn new(now: f64) -> LoadShedder {
+        LoadShedder {
+            last_response_at: now,
+            ..LoadShedder::default()
+        }
+    }
+
+    /// A response has come.
+    pub(crate) fn record_response(&mut self, now: f64) {
+        let elapsed = now - self.last_response_at;
+        let decayed = self.throughput * (-elapsed / THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
+        self.throughput = decayed + 1.0 / THROUGHPUT_TIME_CONSTANT_SECONDS;
+        let peak = self.peak_throughput * (-elapsed / PEAK_TIME_CONSTANT_SECONDS).exp();
+        self.peak_throughput = peak.max(self.throughput);
+        self.last_response_at = now;
+    }
+
+    /// Whether one more request of the class would exceed the limit. `sample`, 0 to 1, decides for
+    /// a fraction of one request.
+    pub(crate) fn is_overloaded(
+        &self,
+        settings: &Settings,
+        latency: &LatencyStats,
+        load: &ServiceLoad,
+        class: usize,
+        sample: f64,
+        now: f64,
+    ) -> bool {
+        let permitted_ratio =
+            OBJECTIVE_RATIO_MAX * relative_value(settings, latency, class).max(LEAST_CLASS_RATIO);
+        let latency_ratio = latency.faded_objective_ratio(now);
+        let slowdown = (permitted_ratio / latency_ratio.max(EPSILON)).min(1.0);
+        let objective = seconds(settings.classes[class].latency_objective);
+        let by_throughput = self.throughput(now) * objective * permitted_ratio * slowdown;
+        let limit = by_throughput.max(self.least_limit(settings, load));
+        // The number in flight fluctuates by about its root: while responses are quick a few more
+        // are harmless, else the sample decides. Of many ingresses, one's own fluctuation says
+        // nothing about the endpoints: customers that are rejected for it retry.
+        let root = limit.sqrt();
+        let unobserved =
+            unobserved_load_ratio(settings.ingress_count) * (slowdown * root).min(limit);
+        let fluctuation = if latency_ratio < QUICK_RATIO * permitted_ratio {
+            2.0 * root + 1.0
+        } else {
+            unobserved.max(root.min(limit / FLUCTUATION_DIVISOR))
+        };
+        load.in_flight as f64 + sample > limit + fluctuation
+    }
+
+    /// Whether so many requests in flight, over all services, are no more than this ingress's part
+    /// of what all endpoints bear while they are idle.
+    pub(crate) fn is_ingress_idle(
+        &self,
+        other_requests: f64,
+        endpoint_count: usize,
+        ingress_count: u32,
+    ) -> bool {
+        let local_part =
+            IDLE_IN_FLIGHT_PER_ENDPOINT * endpoint_count as f64 / f64::from(ingress_count);
+        other_requests + self.sample.value <= local_part
+    }
+
+    /// Responses a second, present or remembered.
+    fn throughput(&self, now: f64) -> f64 {
+        let elapsed = now - self.last_response_at;
+        let present = self.throughput * (-elapsed / THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
+        let peak = self.peak_throughput * (-elapsed / PEAK_TIME_CONSTANT_SECONDS).exp();
+        present.max(peak)
+    }
+
+    /// This ingress's part of what idle endpoints bear.
+    fn least_limit(&self, settings: &Settings, load: &ServiceLoad) -> f64 {
+        let idle = IDLE_IN_FLIGHT_PER_ENDPOINT * load.live_endpoints as f64 * load.listed_per_known
+            / f64::from(settings.ingress_count);
+        if self.peak_throughput > 0.0 {
+            idle
+        } else {
+            LEAST_LIMIT_FACTOR_AT_START * idle
+        }
+    }
+}
+
+/// What a class earns for its work, relative to the class that earns most.
+fn relative_value(settings: &Settings, latency: &LatencyStats, class: usize) -> f64 {
+    let value = |class: &RequestClass, mean: f64| class.priority_weight / mean.max(EPSILON);
+    let values = settings
+        .classes
+        .iter()
+        .zip(latency.means())
+        .map(|(class, mean)| value(class, *mean));
+    let highest = values.fold(EPSILON, f64::max);
+    value(&settings.classes[class], latency.mean(class)) / highest
+}
+
+/// The share of the endpoints' load that an ingress does not see.
+pub(crate) fn unobserved_load_ratio(ingress_count: u32) -> f64 {
+    1.0 - (OBSERVING_INGRESSES_MAX / f64::from(ingress_count)).min(1.0)
+}
