--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -98,7 +98,7 @@
                 .map_err(|_| format!("{name}: '{text}' is not an address"))
         };
         let mut known = raw.known;
-        known.all = true;
+        known.is_full = true;
         Ok(Config {
             name: env("LB_NAME").unwrap_or(raw.name),
             listen: address("listen", env("LB_LISTEN").unwrap_or(raw.listen))?,
@@ -135,7 +135,7 @@
             ("n3", 0x8c1f_30d2_7a5b_e964)
         );
         assert_eq!((config.limits.memory_mb, config.limits.sockets), (128, 512));
-        assert!(config.known.all, "the list last held is a whole one");
+        assert!(config.known.is_full, "the list last held is a whole one");
         assert_eq!(config.settings.plan_names(), ["seedling"]);
         let env = |name: &str| (name == "LB_LISTEN").then(|| "127.0.0.2:1".to_owned());
         let config = Config::parse(text("1", "127.0.0.1:6379"), env).unwrap();
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -1,7 +1,7 @@
 //! The platform's requests: `API.READ` and `API.WRITE`.
 
 use super::resp::{decimal, put_array, put_bulk, put_bulk_of};
-use roseyard_request_engine::MOST_NAME_BYTES;
+use roseyard_request_engine::MAX_NAME_BYTES;
 
 /// A request as a client words it; every field is there and can be read.
 #[derive(Clone, Debug, PartialEq)]
@@ -92,7 +92,7 @@
                 .filter(|_| value.bytes().all(|b| b.is_ascii_digit()))
         };
         if route_field == Some(name) {
-            let bounded = (1..=MOST_NAME_BYTES).contains(&value.len());
+            let bounded = (1..=MAX_NAME_BYTES).contains(&value.len());
             put(&mut route, Some(value).filter(|_| bounded), "invalid route")?;
         }
         match name {
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -74,13 +74,16 @@
             r#"{"uid":"s","endpoint":"x","state":"SERVING","boot_ms":"y"}"#,
         ] {
             let list = line(odd);
-            assert_eq!((list.targets.len(), list.unreadable), (2, 1), "{odd}");
+            assert_eq!((list.endpoints.len(), list.unreadable), (2, 1), "{odd}");
         }
         let list = line(r#"{"uid":"s-2","state":"DRAINING","capacity_hint":"big","pod_group":-1}"#);
-        assert_eq!((list.targets.len(), list.unreadable), (3, 0));
+        assert_eq!((list.endpoints.len(), list.unreadable), (3, 0));
         assert_eq!(
-            (list.targets[1].uid.as_str(), list.targets[1].state.as_str()),
-            ("s-2", "DRAINING")
+            (list.endpoints[1].uid.as_str(), list.endpoints[1].state),
+            (
+                "s-2",
+                roseyard_request_engine::EndpointRecordState::Draining
+            )
         );
     }
 
@@ -153,8 +156,8 @@
             let at = entry.iter().position(|e| e.starts_with(&format!("\"{name}\""))).unwrap();
             entry[at] = format!("\"{name}\":{value}");
             let list = line(&format!("{{{}}}", entry.join(",")));
-            prop_assert_eq!(list.targets.len() + list.unreadable, 3);
-            prop_assert!(list.targets.len() >= 2);
+            prop_assert_eq!(list.endpoints.len() + list.unreadable, 3);
+            prop_assert!(list.endpoints.len() >= 2);
         }
     }
 }
--- a/crates/ingress/src/routing/attempts.rs
+++ b/crates/ingress/src/routing/attempts.rs
@@ -285,7 +285,7 @@
                     self.pools.get_mut(&endpoint)?.idle.remove(at);
                     return Some(key);
                 }
-                IdleConnectionUse::Leave => return None,
+                IdleConnectionUse::LeaveForIdempotent => return None,
                 IdleConnectionUse::Close => self.close_link(key, io),
             }
         }
@@ -307,7 +307,7 @@
 
     fn occupy(&mut self, job: Job, link: Option<Key>) {
         if let Task::Attempt(request, _) = job.task {
-            self.engine.carry(request, link);
+            self.engine.set_carrier(request, link);
         }
     }
 
@@ -349,7 +349,7 @@
         };
         let sent = matches!(link.state, State::Busy(_)) && link.stream.unwritten() == 0;
         if sent {
-            self.idle_risk.told(link.rest, true, io.now);
+            self.idle_risk.record_outcome(link.rest, true, io.now);
         }
         self.break_link(
             key,
@@ -540,7 +540,7 @@
         }
         link.stream.take(used);
         let endpoint = link.endpoint;
-        self.idle_risk.told(link.rest, false, io.now);
+        self.idle_risk.record_outcome(link.rest, false, io.now);
         // Whole and alone, or the connection is of no further use.
         let clean = !spoilt && link.stream.input().is_empty();
         // Guards against a request that runs twice: a refusal with more behind it may be another
--- a/crates/ingress/src/routing/core.rs
+++ b/crates/ingress/src/routing/core.rs
@@ -174,7 +174,7 @@
 
     /// Version of the list of servers held.
     pub fn list_version(&self) -> u64 {
-        self.engine.endpoint_registry().rev
+        self.engine.endpoint_registry().revision()
     }
 
     /// Requests without a final answer or with an attempt out.
@@ -214,10 +214,10 @@
     }
 
     pub(super) fn apply_endpoint_list(&mut self, list: &EndpointListMessage, io: &mut Io) {
-        let (stale, bad) = self
+        let applied = self
             .engine
             .apply_endpoint_list(list, &self.zones, |ms| self.clock.from_unix_ms(ms));
-        for endpoint in stale {
+        for endpoint in applied.stale {
             let idle = self
                 .pools
                 .get_mut(&endpoint)
@@ -230,11 +230,11 @@
                 self.pools.remove(&endpoint);
             }
         }
-        let (rev, ready) = (list.rev, self.engine.endpoint_registry().ready());
-        if bad > 0 {
+        let (rev, ready) = (list.revision, self.engine.endpoint_registry().ready());
+        if applied.unreadable > 0 {
             tracing::warn!(
                 event = "discovery.entries_unreadable",
-                count = bad,
+                count = applied.unreadable,
                 revision = rev,
                 "endpoint list entries unreadable"
             );
@@ -260,7 +260,7 @@
                     self.send(request, attempt, endpoint, deadline, io);
                 }
                 Output::Cancel { request, attempt } => self.cancel(request, attempt, io),
-                Output::Respond { owner, answer } => self.answers.push((owner, answer)),
+                Output::Respond { owner, response } => self.answers.push((owner, response)),
                 Output::IncrementCounter {
                     key: name,
                     amount: add,
--- a/crates/ingress/src/routing/discovery.rs
+++ b/crates/ingress/src/routing/discovery.rs
@@ -197,7 +197,7 @@
             http::put_watch(
                 stream.output(),
                 &address.to_string(),
-                self.engine.endpoint_registry().rev,
+                self.engine.endpoint_registry().revision(),
             );
             Ok(Call {
                 stream,
@@ -317,7 +317,7 @@
             let late = |c: &Call| !c.spoke && io.now < c.made + io.limits.list_elder;
             let elder = self.watch.elder.take().filter(late);
             self.watch.elder = elder.or(Some(call).filter(late));
-            let rev = self.engine.endpoint_registry().rev;
+            let rev = self.engine.endpoint_registry().revision();
             tracing::warn!(
                 event = "discovery.watch_timed_out",
                 revision = rev,
--- a/crates/operator-config/src/services/mod.rs
+++ b/crates/operator-config/src/services/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::explain::SettingRow;
 use miette::SourceSpan;
-use roseyard_request_engine::{Directory, MOST_NAME_BYTES};
+use roseyard_request_engine::{Directory, MAX_NAME_BYTES};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -138,9 +138,9 @@
 }
 
 fn name_allowed() -> String {
-    format!("1 to {MOST_NAME_BYTES} bytes without control characters")
+    format!("1 to {MAX_NAME_BYTES} bytes without control characters")
 }
 
 fn is_name(text: &str) -> bool {
-    (1..=MOST_NAME_BYTES).contains(&text.len()) && !text.chars().any(char::is_control)
+    (1..=MAX_NAME_BYTES).contains(&text.len()) && !text.chars().any(char::is_control)
 }
--- a/crates/operator-config/src/services/selector.rs
+++ b/crates/operator-config/src/services/selector.rs
@@ -2,7 +2,7 @@
 
 use super::is_name;
 use ipnet::IpNet;
-use roseyard_request_engine::{EndpointSelector, MOST_NAME_BYTES};
+use roseyard_request_engine::{EndpointSelector, MAX_NAME_BYTES};
 use std::net::{IpAddr, SocketAddr};
 
 /// Why a word names no servers.
@@ -22,7 +22,7 @@
     pub(super) fn allowed(&self) -> String {
         match self {
             BadEndpoints::Malformed => {
-                format!("networks, addresses, or uids of 1 to {MOST_NAME_BYTES} bytes without '/' or spaces")
+                format!("networks, addresses, or uids of 1 to {MAX_NAME_BYTES} bytes without '/' or spaces")
             }
             BadEndpoints::Port(address) => {
                 format!("addresses without a port; did you mean '{address}'?")
--- /dev/null
+++ b/crates/request-engine/src/directory/apply.rs
@@ -0,0 +1,191 @@
+//! Applying one change to a directory, at the cost of the change.
+
+use super::{
+    Directory, DirectoryBounds, DirectoryChange, DirectoryEffect, DirectoryError, EndpointSelector,
+    Service,
+};
+use crate::hash_table::shrink;
+use roseyard_decision::ServiceId;
+use std::sync::Arc;
+
+impl Directory {
+    /// Applies a change. An error leaves the directory unchanged.
+    pub fn apply(&mut self, change: DirectoryChange) -> Result<DirectoryEffect, DirectoryError> {
+        match change {
+            DirectoryChange::AddService { name } => self.add_service(name),
+            DirectoryChange::RemoveService { name } => self.remove_service(name),
+            DirectoryChange::SetRoute { route, service } => self.set_route(route, service),
+            DirectoryChange::RemoveRoute { route } => self.remove_route(route),
+            DirectoryChange::Assign { endpoints, service } => self.assign(endpoints, service),
+            DirectoryChange::Unassign { endpoints } => self.unassign(endpoints),
+            DirectoryChange::SetDefault { service } => self.set_default(service),
+            DirectoryChange::SetBounds(bounds) => self.set_bounds(bounds),
+            DirectoryChange::SetSingle(is_single) => Ok(self.set_single(is_single)),
+        }
+    }
+
+    fn add_service(&mut self, name: Arc<str>) -> Result<DirectoryEffect, DirectoryError> {
+        if self.ids_by_name.contains_key(&name) {
+            return Err(DirectoryError::ServiceExists { name });
+        }
+        if self.services.len() >= self.bounds.services {
+            return Err(DirectoryError::TooManyServices {
+                max: self.bounds.services,
+            });
+        }
+        let next = self
+            .last_id
+            .checked_add(1)
+            .ok_or(DirectoryError::NoIdLeft)?;
+        self.last_id = next;
+        let id = ServiceId(next);
+        self.ids_by_name.insert(Arc::clone(&name), id);
+        self.services.insert(
+            id,
+            Service {
+                name,
+                route_count: 0,
+                selector_count: 0,
+            },
+        );
+        Ok(DirectoryEffect::Added(id))
+    }
+
+    fn remove_service(&mut self, name: Arc<str>) -> Result<DirectoryEffect, DirectoryError> {
+        let id = self.id_of(&name)?;
+        let is_default = self.default == Some(id);
+        if let Some(service) = self.services.get(&id) {
+            if service.route_count > 0 || service.selector_count > 0 || is_default {
+                return Err(DirectoryError::ServiceInUse {
+                    name,
+                    routes: service.route_count,
+                    endpoints: service.selector_count,
+                    default: is_default,
+                });
+            }
+        }
+        self.services.remove(&id);
+        self.ids_by_name.remove(&name);
+        shrink(&mut self.services);
+        shrink(&mut self.ids_by_name);
+        Ok(DirectoryEffect::Removed(id))
+    }
+
+    fn set_route(
+        &mut self,
+        route: Arc<str>,
+        service: Arc<str>,
+    ) -> Result<DirectoryEffect, DirectoryError> {
+        let id = self.id_of(&service)?;
+        if !self.routes.contains_key(&route) && self.routes.len() >= self.bounds.routes {
+            return Err(DirectoryError::TooManyRoutes {
+                max: self.bounds.routes,
+            });
+        }
+        let previous = self.routes.insert(route, id);
+        self.count_routes(previous, Some(id));
+        Ok(DirectoryEffect::Unchanged)
+    }
+
+    fn remove_route(&mut self, route: Arc<str>) -> Result<DirectoryEffect, DirectoryError> {
+        let Some(previous) = self.routes.remove(&route) else {
+            return Err(DirectoryError::UnknownRoute { route });
+        };
+        shrink(&mut self.routes);
+        self.count_routes(Some(previous), None);
+        Ok(DirectoryEffect::Unchanged)
+    }
+
+    fn assign(
+        &mut self,
+        endpoints: EndpointSelector,
+        service: Arc<str>,
+    ) -> Result<DirectoryEffect, DirectoryError> {
+        let id = self.id_of(&service)?;
+        let previous = match &endpoints {
+            EndpointSelector::Network(network) => self.networks.insert(*network, id),
+            EndpointSelector::Uid(uid) => self.uids.insert(Arc::clone(uid), id),
+        };
+        self.count_selectors(previous, Some(id));
+        if previous == Some(id) {
+            return Ok(DirectoryEffect::Unchanged);
+        }
+        Ok(DirectoryEffect::Reassigned(endpoints))
+    }
+
+    fn unassign(&mut self, endpoints: EndpointSelector) -> Result<DirectoryEffect, DirectoryError> {
+        let previous = match &endpoints {
+            EndpointSelector::Network(network) => self.networks.remove(*network),
+            EndpointSelector::Uid(uid) => {
+                let previous = self.uids.remove(uid);
+                shrink(&mut self.uids);
+                previous
+            }
+        };
+        if previous.is_none() {
+            return Err(DirectoryError::UnknownEndpoints { endpoints });
+        }
+        self.count_selectors(previous, None);
+        Ok(DirectoryEffect::Reassigned(endpoints))
+    }
+
+    fn set_default(
+        &mut self,
+        service: Option<Arc<str>>,
+    ) -> Result<DirectoryEffect, DirectoryError> {
+        let id = service.map(|name| self.id_of(&name)).transpose()?;
+        let previous = std::mem::replace(&mut self.default, id);
+        if previous == id {
+            return Ok(DirectoryEffect::Unchanged);
+        }
+        Ok(DirectoryEffect::DefaultReassigned)
+    }
+
+    fn set_single(&mut self, is_single: bool) -> DirectoryEffect {
+        let previous = std::mem::replace(&mut self.is_single, is_single);
+        if previous == is_single {
+            return DirectoryEffect::Unchanged;
+        }
+        DirectoryEffect::AllReassigned
+    }
+
+    fn set_bounds(&mut self, bounds: DirectoryBounds) -> Result<DirectoryEffect, DirectoryError> {
+        if self.services.len() > bounds.services {
+            return Err(DirectoryError::TooManyServices {
+                max: bounds.services,
+            });
+        }
+        if self.routes.len() > bounds.routes {
+            return Err(DirectoryError::TooManyRoutes { max: bounds.routes });
+        }
+        self.bounds = bounds;
+        Ok(DirectoryEffect::Unchanged)
+    }
+
+    /// The id of a service that has to exist.
+    fn id_of(&self, name: &Arc<str>) -> Result<ServiceId, DirectoryError> {
+        self.id(name).ok_or_else(|| DirectoryError::UnknownService {
+            name: Arc::clone(name),
+        })
+    }
+
+    /// Counts that a route no longer refers to the one service and now refers to the other.
+    fn count_routes(&mut self, previous: Option<ServiceId>, current: Option<ServiceId>) {
+        if let Some(service) = previous.and_then(|id| self.services.get_mut(&id)) {
+            service.route_count -= 1;
+        }
+        if let Some(service) = current.and_then(|id| self.services.get_mut(&id)) {
+            service.route_count += 1;
+        }
+    }
+
+    /// Counts that a selector no longer refers to the one service and now refers to the other.
+    fn count_selectors(&mut self, previous: Option<ServiceId>, current: Option<ServiceId>) {
+        if let Some(service) = previous.and_then(|id| self.services.get_mut(&id)) {
+            service.selector_count -= 1;
+        }
+        if let Some(service) = current.and_then(|id| self.services.get_mut(&id)) {
+            service.selector_count += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/request-engine/src/directory/difference.rs
@@ -0,0 +1,147 @@
+//! The changes that lead from one directory to another.
+
+use super::{Directory, DirectoryBounds, DirectoryChange, EndpointSelector};
+use std::sync::Arc;
+
+impl Directory {
+    /// The changes that lead from this directory to `new`. Services are matched by name. Additions
+    /// go before removals: no endpoint or route that stays is without a service in between.
+    #[must_use]
+    pub fn difference(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let mut changes = Vec::new();
+        let bounds_for_both = self.bounds_for_both(new);
+        if bounds_for_both != self.bounds {
+            changes.push(DirectoryChange::SetBounds(bounds_for_both));
+        }
+        if new.is_single && !self.is_single {
+            changes.push(DirectoryChange::SetSingle(true));
+        }
+        changes.extend(self.added_services(new));
+        changes.extend(self.set_routes(new));
+        changes.extend(self.assigned(new));
+        if self.default_name() != new.default_name() {
+            changes.push(DirectoryChange::SetDefault {
+                service: new.default_name().cloned(),
+            });
+        }
+        if self.is_single && !new.is_single {
+            changes.push(DirectoryChange::SetSingle(false));
+        }
+        changes.extend(self.unassigned(new));
+        changes.extend(self.removed_routes(new));
+        changes.extend(self.removed_services(new));
+        if new.bounds != bounds_for_both {
+            changes.push(DirectoryChange::SetBounds(new.bounds));
+        }
+        changes
+    }
+
+    /// Bounds that suffice while the additions are made and the removals are not.
+    fn bounds_for_both(&self, new: &Directory) -> DirectoryBounds {
+        let added_services = new
+            .ids_by_name
+            .keys()
+            .filter(|name| !self.ids_by_name.contains_key(*name))
+            .count();
+        let added_routes = new
+            .routes
+            .keys()
+            .filter(|route| !self.routes.contains_key(*route))
+            .count();
+        DirectoryBounds {
+            services: self
+                .bounds
+                .services
+                .max(self.services.len() + added_services),
+            routes: self.bounds.routes.max(self.routes.len() + added_routes),
+        }
+    }
+
+    fn added_services(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let mut added: Vec<&Arc<str>> = new
+            .ids_by_name
+            .keys()
+            .filter(|name| !self.ids_by_name.contains_key(*name))
+            .collect();
+        added.sort_unstable();
+        added
+            .into_iter()
+            .map(|name| DirectoryChange::AddService {
+                name: Arc::clone(name),
+            })
+            .collect()
+    }
+
+    fn removed_services(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let mut removed: Vec<&Arc<str>> = self
+            .ids_by_name
+            .keys()
+            .filter(|name| !new.ids_by_name.contains_key(*name))
+            .collect();
+        removed.sort_unstable();
+        removed
+            .into_iter()
+            .map(|name| DirectoryChange::RemoveService {
+                name: Arc::clone(name),
+            })
+            .collect()
+    }
+
+    fn set_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let routes = new
+            .routes
+            .iter()
+            .filter_map(|(route, id)| Some((route, new.shared_name(*id)?)));
+        let current_service = |route| self.routes.get(route).and_then(|id| self.shared_name(*id));
+        let mut set: Vec<_> = routes
+            .filter(|(route, service)| current_service(*route) != Some(service))
+            .collect();
+        set.sort_unstable();
+        let change = |(route, service): (&Arc<str>, &Arc<str>)| DirectoryChange::SetRoute {
+            route: Arc::clone(route),
+            service: Arc::clone(service),
+        };
+        set.into_iter().map(change).collect()
+    }
+
+    fn removed_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let mut removed: Vec<_> = self
+            .routes
+            .keys()
+            .filter(|route| !new.routes.contains_key(*route))
+            .collect();
+        removed.sort_unstable();
+        removed
+            .into_iter()
+            .map(|route| DirectoryChange::RemoveRoute {
+                route: Arc::clone(route),
+            })
+            .collect()
+    }
+
+    fn assigned(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let differs = |(endpoints, service): &(EndpointSelector, &Arc<str>)| {
+            self.service_of_selector(endpoints) != Some(service)
+        };
+        let mut assigned: Vec<_> = new.selectors().filter(differs).collect();
+        assigned.sort_unstable();
+        let change =
+            |(endpoints, service): (EndpointSelector, &Arc<str>)| DirectoryChange::Assign {
+                endpoints,
+                service: Arc::clone(service),
+            };
+        assigned.into_iter().map(change).collect()
+    }
+
+    fn unassigned(&self, new: &Directory) -> Vec<DirectoryChange> {
+        let current = self.selectors().map(|(endpoints, _)| endpoints);
+        let mut removed: Vec<_> = current
+            .filter(|endpoints| new.service_of_selector(endpoints).is_none())
+            .collect();
+        removed.sort_unstable();
+        removed
+            .into_iter()
+            .map(|endpoints| DirectoryChange::Unassign { endpoints })
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/request-engine/src/engine/decisions.rs
@@ -0,0 +1,117 @@
+//! Events to the decision module, and its actions as outputs.
+
+use super::RequestEngine;
+use crate::output::{Output, Response};
+use crate::slots::Key;
+use roseyard_decision::{Action, EndpointId, Event, RequestId, TimerTag};
+use std::time::Duration;
+
+impl<O, C, V> RequestEngine<O, C, V> {
+    /// The next output. None once every event has been decided.
+    pub fn poll(&mut self, now: Duration) -> Option<Output<O, V>> {
+        loop {
+            if let Some(output) = self.outputs.pop_front() {
+                return Some(output);
+            }
+            let event = self.events.pop_front()?;
+            self.decide(event, now);
+        }
+    }
+
+    /// Whether [`RequestEngine::poll`] has an output or an event to decide.
+    pub fn has_pending(&self) -> bool {
+        !self.events.is_empty() || !self.outputs.is_empty()
+    }
+
+    /// When [`RequestEngine::on_due`] has to be called next.
+    pub fn due(&self) -> Option<Duration> {
+        self.due
+    }
+
+    /// The time of [`RequestEngine::due`] has come.
+    pub fn on_due(&mut self) {
+        if self.due.take().is_some() {
+            self.events.push_back(Event::TimerExpired(TimerTag(0)));
+        }
+    }
+
+    fn decide(&mut self, event: Event, now: Duration) {
+        let ended_request = ended_request(&event);
+        let mut actions = std::mem::take(&mut self.actions);
+        self.dispatcher.handle(now, event, &mut actions);
+        for action in actions.drain(..) {
+            self.apply_action(action, now);
+        }
+        self.actions = actions;
+        if let Some(request) = ended_request {
+            self.remove_if_done(Key::unpack(request.0));
+        }
+    }
+
+    fn apply_action(&mut self, action: Action, now: Duration) {
+        match action {
+            Action::Forward {
+                request,
+                endpoint,
+                deadline,
+            } => self.forward(Key::unpack(request.0), endpoint, deadline, now),
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.respond(Key::unpack(request.0), Response::Rejected(retry_after)),
+            Action::Fail { request } => self.respond(Key::unpack(request.0), Response::Failed),
+            Action::Cancel { request, attempt } => self.outputs.push_back(Output::Cancel {
+                request: Key::unpack(request.0),
+                attempt,
+            }),
+            Action::IncrementCounter {
+                key,
+                amount,
+                time_to_live,
+            } => self.outputs.push_back(Output::IncrementCounter {
+                key,
+                amount,
+                time_to_live,
+            }),
+            Action::SetTimer { after, .. } => self.set_timer(now + after),
+            Action::CheckHealth { endpoint } => {
+                self.outputs.push_back(Output::CheckHealth { endpoint });
+            }
+            Action::Subscribe | Action::FetchEndpointList => {
+                self.outputs.push_back(Output::FetchEndpointList);
+            }
+            Action::Log(notice) => self.outputs.push_back(Output::Log(notice)),
+        }
+    }
+
+    /// Starts an attempt, unless the request is gone or has one in flight.
+    fn forward(&mut self, request: Key, endpoint: EndpointId, deadline: Duration, now: Duration) {
+        let attempt = self
+            .requests
+            .get_mut(request)
+            .and_then(|request| request.start_attempt(endpoint, now));
+        if let Some(attempt) = attempt {
+            self.outputs.push_back(Output::Forward {
+                request,
+                attempt,
+                endpoint,
+                deadline,
+            });
+        }
+    }
+
+    /// Keeps the earliest timer. The decision module never takes a timer back, and sets a new one
+    /// when the earliest expires.
+    fn set_timer(&mut self, at: Duration) {
+        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+    }
+}
+
+/// The request that an event may end.
+fn ended_request(event: &Event) -> Option<RequestId> {
+    match event {
+        Event::ClientDisconnected(request) => Some(*request),
+        Event::AttemptEnded(end) => Some(end.request),
+        _ => None,
+    }
+}
--- a/crates/request-engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,36 +1,40 @@
-//! One request's life around the decision module: taken in, counted, attempted, answered exactly
-//! once.
+//! One request from its submission to its final response, around the decision module: no I/O and no
+//! clock.
 //!
-//! [`RequestEngine`] wraps the module's [`roseyard_decision::Dispatcher`] and keeps what every
-//! front needs beside it: which requests are held, the one attempt that is out for each, which
-//! servers there are and what they take. It performs no I/O and reads no clock. Whoever drives it
-//! tells what has happened and carries out what [`RequestEngine::poll`] hands over; the daemon does
-//! so on epoll. The rules that hold for all of them stand here:
+//! [`RequestEngine`] wraps the [`roseyard_decision::Dispatcher`] and keeps the state that every
+//! frontend needs beside it: the requests, the attempt in flight of each, and the endpoints with
+//! their states. Its driver reports what has happened and does what [`RequestEngine::poll`] returns.
+//! The engine enforces these rules for every driver:
 //!
-//! - one attempt of a request at a time, and an end is taken once, by the attempt's number;
-//! - nothing is written to a server that drains or is gone, for a request that is over, or too late
-//!   ([`RequestEngine::may_write`]); whether the connection at hand still leads to
-//!   [`RequestEngine::address`] is for its owner to see;
-//! - a request has exactly one final answer, also when its owner leaves and when the engine is
-//!   stopped.
+//! - a request has at most one attempt in flight, and the end of an attempt counts once;
+//! - nothing is written to an endpoint that drains or is gone, for a request that is finished, or
+//!   after the deadline ([`RequestEngine::may_write`]); whether a connection still leads to
+//!   [`RequestEngine::address`] is checked by its owner;
+//! - a request has exactly one final response, also when the engine is stopped; it has none if its
+//!   owner disconnects.
 
+mod attempt;
 mod directory;
+mod endpoint_list_message;
 mod endpoint_registry;
 mod engine;
-mod links;
-mod list;
-mod networks;
+mod hash_table;
+mod idle_connection_risk;
+mod network_table;
+mod output;
+mod request;
 mod slots;
-mod tables;
+mod submission;
 
+pub use attempt::AttemptResult;
 pub use directory::{
     Directory, DirectoryBounds, DirectoryChange, DirectoryEffect, DirectoryError, EndpointSelector,
-    MOST_NAME_BYTES, SINGLE_SERVICE,
+    MAX_NAME_BYTES, SINGLE_SERVICE,
 };
-pub use endpoint_registry::{Endpoint, EndpointRegistry, EntryContext, RegistryUpdate};
-pub use engine::{
-    AtCapacity, AttemptResult, EngineLimits, Output, RequestEngine, Response, Submission,
-};
-pub use links::{IdleConnectionRisk, IdleConnectionUse};
-pub use list::{EndpointListMessage, EndpointRecord};
+pub use endpoint_list_message::{EndpointListMessage, EndpointRecord, EndpointRecordState};
+pub use endpoint_registry::{Endpoint, EndpointRegistry, RecordResolver, RegistryUpdate};
+pub use engine::{AppliedEndpointList, EngineLimits, RequestEngine};
+pub use idle_connection_risk::{IdleConnectionRisk, IdleConnectionUse, ResetRisk};
+pub use output::{Output, Response};
 pub use slots::{Key, Slots};
+pub use submission::{AtCapacity, Submission};
--- a/crates/request-engine/tests/common/mod.rs
+++ b/crates/request-engine/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use roseyard_decision::*;
 use std::time::Duration;
 
-/// How long servers drop repeats of a keyed request.
+/// How long endpoints recognise repeats by their idempotency key.
 pub(crate) const WINDOW: Duration = Duration::from_secs(8);
 
 pub(crate) fn ms(n: u64) -> Duration {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Classes: 0 safe, 1 keyed in a cell, 2 unsafe.
+/// Classes: 0 idempotent, 1 with an idempotency key in a cell, 2 non-idempotent.
 pub(crate) fn settings() -> Settings {
     let keyed = Idempotency::IdempotencyKey {
         group: DeduplicationScope::Cell,
@@ -53,7 +53,7 @@
         counter: Some(CounterSettings { timeout: ms(50) }),
         load_reports_on_health_check: true,
         discovery: DiscoveryMode::Push,
-        // The engine must not have two attempts out even where the platform would allow it.
+        // The engine has one attempt in flight, also where the platform allows hedging.
         permissions: Permissions {
             max_attempts: 4,
             cancel: true,
--- a/crates/request-engine/tests/directory.rs
+++ b/crates/request-engine/tests/directory.rs
@@ -1,5 +1,5 @@
-//! The directory of services against a naive model, through a churn of services, and its costs at
-//! two sizes.
+//! The directory of services against a simple model, under a churn of services, and its costs at two
+//! sizes.
 
 use ipnet::IpNet;
 use proptest::prelude::*;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Told with every failure by the runner; another seed plays other changes.
+/// Seed of the random changes; the runner prints it with every failure.
 const SEED: u64 = 20_261_202;
 const BOUNDS: DirectoryBounds = DirectoryBounds {
     services: 4,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The same directory in the plainest words: everything is walked, services are their names.
+/// The same directory without indexes: every lookup walks everything, and services are their names.
 #[derive(Clone, Default)]
 struct Model {
     single: bool,
@@ -95,57 +95,59 @@
         self.services.iter().any(|held| held == name)
     }
 
-    /// Is the change taken? It takes effect if so.
+    /// Applies the change and returns true, unless it is invalid.
     fn apply(&mut self, change: &DirectoryChange) -> bool {
         let bounds = self.bounds.unwrap();
         match change {
             DirectoryChange::AddService { name } => {
-                let taken = !self.has(name) && self.services.len() < bounds.services;
-                if taken {
+                let is_valid = !self.has(name) && self.services.len() < bounds.services;
+                if is_valid {
                     self.services.push(name.to_string());
                 }
-                taken
+                is_valid
             }
             DirectoryChange::RemoveService { name } => {
                 let named = |held: &String| **held == **name;
                 let used = self.routes.values().any(named)
                     || self.selectors.values().any(named)
                     || self.default.iter().any(named);
-                let taken = self.has(name) && !used;
-                self.services.retain(|held| !taken || **held != **name);
-                taken
+                let is_valid = self.has(name) && !used;
+                self.services.retain(|held| !is_valid || **held != **name);
+                is_valid
             }
             DirectoryChange::SetRoute { route, service } => {
-                let room = self.routes.contains_key(&**route) || self.routes.len() < bounds.routes;
-                let taken = self.has(service) && room;
-                if taken {
+                let has_capacity =
+                    self.routes.contains_key(&**route) || self.routes.len() < bounds.routes;
+                let is_valid = self.has(service) && has_capacity;
+                if is_valid {
                     self.routes.insert(route.to_string(), service.to_string());
                 }
-                taken
+                is_valid
             }
             DirectoryChange::RemoveRoute { route } => self.routes.remove(&**route).is_some(),
             DirectoryChange::Assign { endpoints, service } => {
-                let taken = self.has(service);
-                if taken {
+                let is_valid = self.has(service);
+                if is_valid {
                     self.selectors
                         .insert(endpoints.clone(), service.to_string());
                 }
-                taken
+                is_valid
             }
             DirectoryChange::Unassign { endpoints } => self.selectors.remove(endpoints).is_some(),
             DirectoryChange::SetDefault { service } => {
-                let taken = service.as_ref().is_none_or(|name| self.has(name));
-                if taken {
+                let is_valid = service.as_ref().is_none_or(|name| self.has(name));
+                if is_valid {
                     self.default = service.as_ref().map(|name| name.to_string());
                 }
-                taken
+                is_valid
             }
             DirectoryChange::SetBounds(new) => {
-                let taken = self.services.len() <= new.services && self.routes.len() <= new.routes;
-                if taken {
+                let is_valid =
+                    self.services.len() <= new.services && self.routes.len() <= new.routes;
+                if is_valid {
                     self.bounds = Some(*new);
                 }
-                taken
+                is_valid
             }
             DirectoryChange::SetSingle(single) => {
                 self.single = *single;
@@ -174,7 +176,7 @@
     }
 }
 
-/// Every answer of the directory is that of the model.
+/// Checks that every answer of the directory is that of the model.
 fn compare(directory: &Directory, model: &Model) -> Result<(), TestCaseError> {
     let mut names: Vec<&str> = directory.services().map(|(_, name)| name).collect();
     let mut expected: Vec<&str> = model.services.iter().map(String::as_str).collect();
@@ -241,15 +243,17 @@
     }
 }
 
-fn placed(directory: &Directory) -> Vec<(&'static str, SocketAddr, Option<ServiceId>)> {
-    let mut placed = Vec::new();
+fn services_of_endpoints(
+    directory: &Directory,
+) -> Vec<(&'static str, SocketAddr, Option<ServiceId>)> {
+    let mut services = Vec::new();
     for uid in UIDS {
         for address in ADDRESSES {
             let address = address.parse().unwrap();
-            placed.push((uid, address, directory.service_of_endpoint(uid, address)));
+            services.push((uid, address, directory.service_of_endpoint(uid, address)));
         }
     }
-    placed
+    services
 }
 
 fn change() -> impl Strategy<Value = DirectoryChange> {
@@ -288,24 +292,24 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn any_changes_answer_as_the_naive_model_does(changes in prop::collection::vec(change(), 1..60)) {
+    fn after_any_changes_the_directory_answers_as_the_model_does(changes in prop::collection::vec(change(), 1..60)) {
         let (mut directory, mut model) = (Directory::new(BOUNDS), Model::new());
-        let mut given: Vec<ServiceId> = Vec::new();
+        let mut assigned: Vec<ServiceId> = Vec::new();
         for change in changes {
-            let before = placed(&directory);
-            let taken = model.apply(&change);
+            let before = services_of_endpoints(&directory);
+            let is_valid = model.apply(&change);
             match directory.apply(change.clone()) {
                 Ok(effect) => {
-                    prop_assert!(taken, "{:?} was taken", change);
-                    for ((uid, address, old), (_, _, new)) in before.into_iter().zip(placed(&directory)) {
+                    prop_assert!(is_valid, "{:?} was is_valid", change);
+                    for ((uid, address, old), (_, _, new)) in before.into_iter().zip(services_of_endpoints(&directory)) {
                         prop_assert!(old == new || covers(&effect, uid, address), "{:?}: {} {}", effect, uid, address);
                     }
                     if let DirectoryEffect::Added(id) = effect {
-                        prop_assert!(!given.contains(&id), "an id is never used again");
-                        given.push(id);
+                        prop_assert!(!assigned.contains(&id), "an id is never reused");
+                        assigned.push(id);
                     }
                 }
-                Err(error) => prop_assert!(!taken, "{:?}: {}", change, error),
+                Err(error) => prop_assert!(!is_valid, "{:?}: {}", change, error),
             }
             compare(&directory, &model)?;
         }
@@ -320,7 +324,7 @@
             let (mut directory, mut model) = (Directory::new(BOUNDS), Model::new());
             for change in changes {
                 model.apply(&change);
-                // One that the model refuses is refused here too, which the test above shows.
+                // A change that the model rejects is rejected here too, which the test above shows.
                 let _ = directory.apply(change);
             }
             (directory, model)
@@ -358,7 +362,7 @@
 }
 
 #[test]
-fn each_refusal_names_its_reason_and_changes_nothing() {
+fn each_rejected_change_names_its_reason_and_changes_nothing() {
     let mut directory = Directory::new(DirectoryBounds {
         services: 2,
         routes: 1,
@@ -395,7 +399,7 @@
 }
 
 #[test]
-fn what_stays_is_never_without_its_service_while_a_full_directory_is_exchanged() {
+fn routes_and_endpoints_that_stay_always_have_a_service_while_a_full_directory_is_replaced() {
     let build = |service: &str| {
         let mut directory = Directory::new(DirectoryBounds {
             services: 1,
@@ -425,7 +429,7 @@
 }
 
 #[test]
-fn a_churn_of_services_ends_with_the_memory_of_the_live_ones() {
+fn after_a_churn_of_services_the_memory_is_that_of_the_live_ones() {
     const ROUNDS: u32 = 100_000;
     const LIVE: u32 = 100;
     let mut directory = Directory::new(DirectoryBounds {
@@ -440,7 +444,7 @@
             EndpointSelector::uid(&format!("s-{n}")),
         ]
     };
-    let come = |directory: &mut Directory, n: u32| {
+    let add_all = |directory: &mut Directory, n: u32| {
         let name = format!("service-{n}");
         directory.apply(add(&name)).unwrap();
         directory.apply(set_route(&name, &name)).unwrap();
@@ -448,7 +452,7 @@
             directory.apply(assign(endpoints, &name)).unwrap();
         }
     };
-    let go = |directory: &mut Directory, n: u32| {
+    let remove_all = |directory: &mut Directory, n: u32| {
         let name = format!("service-{n}");
         directory
             .apply(DirectoryChange::RemoveRoute {
@@ -464,17 +468,17 @@
     };
     // One after the other, and then half of them at once.
     for n in 0..ROUNDS / 2 {
-        come(&mut directory, n);
+        add_all(&mut directory, n);
         if n >= LIVE {
-            go(&mut directory, n - LIVE);
+            remove_all(&mut directory, n - LIVE);
         }
     }
     for n in ROUNDS / 2..ROUNDS {
-        come(&mut directory, n);
+        add_all(&mut directory, n);
     }
     let largest = directory.capacity();
     for n in ROUNDS / 2 - LIVE..ROUNDS - LIVE {
-        go(&mut directory, n);
+        remove_all(&mut directory, n);
     }
     let counts = (
         directory.service_count(),
@@ -482,11 +486,11 @@
         directory.selector_count(),
     );
     assert_eq!(counts, (LIVE as usize, LIVE as usize, 2 * LIVE as usize));
-    // Five tables, each with room for eight times what it holds at the most.
-    let room = directory.capacity();
+    // Five tables, each with space for at most eight times its entries.
+    let capacity = directory.capacity();
     assert!(
-        room <= 5 * 8 * LIVE as usize,
-        "room for {room} entries, {largest} at the most"
+        capacity <= 5 * 8 * LIVE as usize,
+        "space for {capacity} entries, {largest} at most"
     );
     assert_eq!(
         directory.id("service-99999"),
@@ -502,9 +506,9 @@
     const CALLS: usize = 50;
     let mut times: Vec<Duration> = (0..ROUNDS)
         .map(|round| {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             (0..CALLS).for_each(|n| call(round * CALLS + n));
-            begun.elapsed()
+            started_at.elapsed()
         })
         .collect();
     times.sort_unstable();
@@ -513,9 +517,9 @@
 
 #[test]
 fn a_lookup_and_a_delta_cost_the_same_at_a_thousand_times_the_size() {
-    /// A walk would cost a thousand times as much; caches and a busy machine cost a few times as
-    /// much.
-    const MOST: u32 = 20;
+    /// A walk would cost a thousand times as much; cache misses and a busy machine cost a few times
+    /// as much.
+    const MAX_COST_RATIO: u32 = 20;
     let measure = |size: usize| {
         let mut directory = Directory::new(DirectoryBounds {
             services: size + 2,
@@ -535,8 +539,8 @@
         let names: Vec<String> = (0..size).map(name).collect();
         let address: SocketAddr = "10.0.0.1:80".parse().unwrap();
         let lookup = median(|n| {
-            let place = n * 7919 % size;
-            assert!(directory.service_of_route(&names[place]).is_some());
+            let index = n * 7919 % size;
+            assert!(directory.service_of_route(&names[index]).is_some());
             std::hint::black_box(directory.service_of_endpoint("none", address));
         });
         let delta = median(|n| {
@@ -552,13 +556,13 @@
     };
     let (small, large) = (measure(100), measure(100_000));
     assert!(
-        large.0 < small.0 * MOST,
+        large.0 < small.0 * MAX_COST_RATIO,
         "a lookup: {:?} at 100, {:?} at 100,000",
         small.0,
         large.0
     );
     assert!(
-        large.1 < small.1 * MOST,
+        large.1 < small.1 * MAX_COST_RATIO,
         "a delta: {:?} at 100, {:?} at 100,000",
         small.1,
         large.1
--- a/crates/request-engine/tests/model.rs
+++ b/crates/request-engine/tests/model.rs
@@ -1,6 +1,6 @@
-//! The engine among random and among all short sequences of what may happen, its outputs held
-//! against a naive account of each request: what was sent where, what may have run, what was
-//! answered.
+//! The engine under random sequences and all short sequences of events. Its outputs are checked
+//! against a reference that records for each request what was forwarded where, what may have been
+//! executed, and what was answered.
 
 mod common;
 
@@ -12,40 +12,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Told with every failure by the runner; another seed plays other steps.
+/// Seed of the random sequences; the runner prints it with every failure.
 const SEED: u64 = 20_261_201;
 const START: Duration = Duration::from_secs(86_400);
-const SAFE: usize = 0;
-const KEYED: usize = 1;
-const UNSAFE: usize = 2;
+const IDEMPOTENT: usize = 0;
+const WITH_IDEMPOTENCY_KEY: usize = 1;
+const NON_IDEMPOTENT: usize = 2;
 
-/// What a request is known to have been through.
+/// What the reference records of a request.
 #[derive(Default)]
-struct Account {
+struct ReferenceRequest {
     class: usize,
-    left: bool,
-    answers: usize,
-    sent: u16,
-    out: Option<(u16, EndpointId)>,
-    /// Cell of the first attempt that may have run, and when that was sent.
-    ran: Option<(u16, Duration)>,
-    sent_at: Duration,
+    is_cancelled: bool,
+    responses: usize,
+    attempts: u16,
+    in_flight: Option<(u16, EndpointId)>,
+    /// Cell of the first attempt that may have been executed, and when that was forwarded.
+    executed: Option<(u16, Duration)>,
+    forwarded_at: Duration,
 }
 
-struct World {
+struct Harness {
     engine: RequestEngine<u64, u64, u64>,
     now: Duration,
-    accounts: BTreeMap<u64, Account>,
+    references: BTreeMap<u64, ReferenceRequest>,
     keys: BTreeMap<u64, Key>,
     calls: Vec<(CounterKey, f64)>,
     health_checks: Vec<EndpointId>,
     totals: BTreeMap<u64, f64>,
-    rev: u64,
-    states: BTreeMap<u16, &'static str>,
+    revision: u64,
+    states: BTreeMap<u16, EndpointRecordState>,
 }
 
-impl World {
-    fn new(endpoints: u16) -> World {
+impl Harness {
+    fn new(endpoints: u16) -> Harness {
         let engine = RequestEngine::new(
             settings(),
             7,
@@ -55,51 +55,52 @@
             },
         )
         .unwrap();
-        let mut world = World {
+        let mut harness = Harness {
             engine,
             now: START,
-            accounts: BTreeMap::new(),
+            references: BTreeMap::new(),
             keys: BTreeMap::new(),
             calls: Vec::new(),
             health_checks: Vec::new(),
             totals: BTreeMap::new(),
-            rev: 0,
-            states: (0..endpoints).map(|n| (n, "SERVING")).collect(),
+            revision: 0,
+            states: (0..endpoints)
+                .map(|n| (n, EndpointRecordState::Serving))
+                .collect(),
         };
-        world.tell();
-        world
+        harness.apply_list();
+        harness
     }
 
-    fn tell(&mut self) {
-        self.rev += 1;
-        let targets = self.states.iter().map(|(n, state)| EndpointRecord {
+    fn apply_list(&mut self) {
+        self.revision += 1;
+        let endpoints = self.states.iter().map(|(n, state)| EndpointRecord {
             uid: format!("s-{n}"),
             address: format!("127.0.0.1:{}", 7000 + n),
-            az: String::new(),
-            // Two servers a pod.
-            pod_group: n / 2,
-            state: (*state).to_owned(),
-            capacity_hint: 1.0,
-            boot_ms: 0.0,
+            zone: String::new(),
+            cell: n / 2,
+            state: *state,
+            weight: 1.0,
+            started_at_unix_ms: 0.0,
         });
         let list = EndpointListMessage {
-            rev: self.rev,
-            all: true,
-            targets: targets.collect(),
+            revision: self.revision,
+            is_full: true,
+            endpoints: endpoints.collect(),
             unreadable: 0,
         };
         self.engine.apply_endpoint_list(&list, &[], |_| None);
-        self.settle();
+        self.carry_out_outputs();
     }
 
     fn cell(endpoint: EndpointId) -> u16 {
-        // Numbers follow the order of the list, from 1.
+        // Ids follow the order of the list, from 1; a cell has two endpoints.
         (endpoint.0 as u16 - 1) / 2
     }
 
     fn submit(&mut self, class: usize) {
-        let id = self.accounts.len() as u64;
-        let ask = Submission {
+        let id = self.references.len() as u64;
+        let submission = Submission {
             service: ServiceId(0),
             owner: id,
             class,
@@ -112,42 +113,42 @@
             command: id,
             bytes: 20,
         };
-        let held = self.engine.open();
-        match self.engine.submit(ask) {
+        let open = self.engine.open();
+        match self.engine.submit(submission) {
             Ok(key) => {
                 self.keys.insert(id, key);
-                self.accounts.insert(
+                self.references.insert(
                     id,
-                    Account {
+                    ReferenceRequest {
                         class,
-                        ..Account::default()
+                        ..ReferenceRequest::default()
                     },
                 );
             }
-            Err(AtCapacity) => assert!(held >= 40, "refused at {held}"),
+            Err(AtCapacity) => assert!(open >= 40, "rejected at {open}"),
         }
-        self.settle();
+        self.carry_out_outputs();
     }
 
-    fn leave(&mut self, id: u64) {
-        let account = self.accounts.get_mut(&id).unwrap();
-        account.left |= account.answers == 0;
+    fn cancel(&mut self, id: u64) {
+        let reference = self.references.get_mut(&id).unwrap();
+        reference.is_cancelled |= reference.responses == 0;
         self.engine.cancel_request(self.keys[&id]);
-        self.settle();
+        self.carry_out_outputs();
     }
 
-    fn end(&mut self, id: u64, outcome: Outcome) {
+    fn end_attempt(&mut self, id: u64, outcome: Outcome) {
         let key = self.keys[&id];
-        let account = self.accounts.get_mut(&id).unwrap();
-        let Some((attempt, endpoint)) = account.out.take() else {
+        let reference = self.references.get_mut(&id).unwrap();
+        let Some((attempt, endpoint)) = reference.in_flight.take() else {
             return;
         };
-        let never = matches!(
+        let not_executed = matches!(
             outcome,
             Outcome::ConnectFailed | Outcome::Overloaded | Outcome::NotStarted
         );
-        if !never && account.ran.is_none() {
-            account.ran = Some((World::cell(endpoint), account.sent_at));
+        if !not_executed && reference.executed.is_none() {
+            reference.executed = Some((Harness::cell(endpoint), reference.forwarded_at));
         }
         let value = (outcome == Outcome::Ok).then_some(id);
         self.engine.on_attempt_ended(
@@ -161,7 +162,7 @@
             },
             self.now,
         );
-        // Told again, or of another attempt: passed over.
+        // The same end again, and that of another attempt, are ignored.
         self.engine.on_attempt_ended(
             key,
             attempt,
@@ -179,37 +180,37 @@
             AttemptResult::of(Outcome::Overloaded),
             self.now,
         );
-        self.settle();
+        self.carry_out_outputs();
     }
 
-    fn count(&mut self, kind: u8) {
+    fn reply_from_counter(&mut self, kind: u8) {
         if self.calls.is_empty() {
             return;
         }
-        let (name, add) = self.calls.remove(0);
+        let (key, amount) = self.calls.remove(0);
         let result = match kind {
             0 => CounterResult::NotAdded,
             1 => CounterResult::Unknown,
             _ => CounterResult::Total({
-                let total = self.totals.entry(name.0).or_default();
-                *total += add;
+                let total = self.totals.entry(key.0).or_default();
+                *total += amount;
                 *total
             }),
         };
-        self.engine.on_counter_reply(name, result, ms(1));
-        self.settle();
+        self.engine.on_counter_reply(key, result, ms(1));
+        self.carry_out_outputs();
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         while self.engine.due().is_some_and(|due| due <= self.now) {
             self.engine.on_due();
-            self.settle();
+            self.carry_out_outputs();
         }
     }
 
-    /// Carries out all that is to be, and holds it against the account.
-    fn settle(&mut self) {
+    /// Carries out all outputs, and checks them against the reference.
+    fn carry_out_outputs(&mut self) {
         while let Some(output) = self.engine.poll(self.now) {
             match output {
                 Output::Forward {
@@ -219,25 +220,27 @@
                     deadline,
                 } => {
                     let id = *self.engine.command(request).unwrap();
-                    let account = self.accounts.get_mut(&id).unwrap();
+                    let reference = self.references.get_mut(&id).unwrap();
                     assert!(
-                        account.out.is_none(),
-                        "a second attempt beside one that is out"
+                        reference.in_flight.is_none(),
+                        "a second attempt while one is in flight"
                     );
                     assert!(
-                        account.answers == 0 && !account.left,
-                        "a send for a request that is over"
+                        reference.responses == 0 && !reference.is_cancelled,
+                        "an attempt for a finished request"
                     );
-                    assert_eq!(attempt, account.sent);
+                    assert_eq!(attempt, reference.attempts);
                     assert!(attempt < 4 && deadline > self.now);
-                    if let Some((cell, since)) = account.ran {
-                        match account.class {
-                            SAFE => {}
-                            KEYED => assert!(
-                                World::cell(endpoint) == cell && self.now - since <= WINDOW,
-                                "a keyed request out of its pod or window"
+                    if let Some((cell, since)) = reference.executed {
+                        match reference.class {
+                            IDEMPOTENT => {}
+                            WITH_IDEMPOTENCY_KEY => assert!(
+                                Harness::cell(endpoint) == cell && self.now - since <= WINDOW,
+                                "a retry outside of the idempotency key's cell or window"
+                            ),
+                            _ => panic!(
+                                "a non-idempotent request that may have been executed was retried"
                             ),
-                            _ => panic!("what may have run and may not be repeated was sent again"),
                         }
                     }
                     if !self.engine.may_write(request, attempt, deadline, self.now) {
@@ -247,27 +250,28 @@
                             AttemptResult::of(Outcome::NotStarted),
                             self.now,
                         );
-                        account.sent += 1;
+                        reference.attempts += 1;
                         continue;
                     }
                     assert_eq!(
                         self.states[&(endpoint.0 as u16 - 1)],
-                        "SERVING",
-                        "written to one that drains"
+                        EndpointRecordState::Serving,
+                        "written to a draining endpoint"
                     );
-                    account.sent += 1;
-                    (account.out, account.sent_at) = (Some((attempt, endpoint)), self.now);
+                    reference.attempts += 1;
+                    reference.in_flight = Some((attempt, endpoint));
+                    reference.forwarded_at = self.now;
                 }
                 Output::Cancel { request, attempt } => {
                     let Some(id) = self.engine.command(request).copied() else {
                         continue;
                     };
-                    let account = self.accounts.get_mut(&id).unwrap();
-                    if account.out.is_some_and(|(n, _)| n == attempt) {
-                        let (_, endpoint) = account.out.take().unwrap();
-                        account.ran = account
-                            .ran
-                            .or(Some((World::cell(endpoint), account.sent_at)));
+                    let reference = self.references.get_mut(&id).unwrap();
+                    if reference.in_flight.is_some_and(|(n, _)| n == attempt) {
+                        let (_, endpoint) = reference.in_flight.take().unwrap();
+                        reference.executed = reference
+                            .executed
+                            .or(Some((Harness::cell(endpoint), reference.forwarded_at)));
                         self.engine.on_attempt_ended(
                             request,
                             attempt,
@@ -276,64 +280,61 @@
                         );
                     }
                 }
-                Output::Respond { owner, answer } => {
-                    let account = self.accounts.get_mut(&owner).unwrap();
-                    account.answers += 1;
+                Output::Respond { owner, response } => {
+                    let reference = self.references.get_mut(&owner).unwrap();
+                    reference.responses += 1;
                     assert!(
-                        account.answers == 1 && !account.left,
-                        "more than one final answer"
+                        reference.responses == 1 && !reference.is_cancelled,
+                        "more than one final response"
                     );
-                    match answer {
+                    match response {
                         Response::Served(value) => assert_eq!(value, owner, "another's value"),
                         Response::Rejected(_) => assert!(
-                            account.class == SAFE || account.ran.is_none() && account.out.is_none(),
-                            "called harmless though it may have run"
+                            reference.class == IDEMPOTENT
+                                || reference.executed.is_none() && reference.in_flight.is_none(),
+                            "rejected though it may have been executed"
                         ),
                         Response::Failed => {}
                     }
                 }
-                Output::IncrementCounter {
-                    key: name,
-                    amount: add,
-                    ..
-                } => self.calls.push((name, add)),
+                Output::IncrementCounter { key, amount, .. } => self.calls.push((key, amount)),
                 Output::CheckHealth { endpoint } => self.health_checks.push(endpoint),
                 Output::FetchEndpointList | Output::Log(_) => {}
             }
         }
     }
 
-    /// Stops, lets what is out end, and counts.
+    /// Stops, ends the attempts in flight, and counts the responses.
     fn stop(mut self) {
         self.engine.stop();
-        self.settle();
-        for (id, account) in &self.accounts {
+        self.carry_out_outputs();
+        for (id, reference) in &self.references {
             assert_eq!(
-                account.answers,
-                usize::from(!account.left),
-                "final answers of request {id}"
+                reference.responses,
+                usize::from(!reference.is_cancelled),
+                "final responses of request {id}"
             );
         }
-        let out: Vec<u64> = self
-            .accounts
+        let in_flight: Vec<u64> = self
+            .references
             .iter()
-            .filter(|(_, a)| a.out.is_some())
+            .filter(|(_, reference)| reference.in_flight.is_some())
             .map(|(id, _)| *id)
             .collect();
-        for id in out {
-            self.end(id, Outcome::Timeout);
+        for id in in_flight {
+            self.end_attempt(id, Outcome::Timeout);
         }
-        assert_eq!(self.engine.open(), 0, "nothing is left behind");
-        let before = self.accounts.len();
-        self.submit_refused();
-        assert_eq!(self.accounts.len(), before);
+        assert_eq!(self.engine.open(), 0, "every request is removed");
+        let before = self.references.len();
+        self.submit_after_stop();
+        assert_eq!(self.references.len(), before);
     }
 
-    fn submit_refused(&mut self) {
-        let ask = Submission {
+    fn submit_after_stop(&mut self) {
+        let submission = Submission {
             service: ServiceId(0),
             owner: 1 << 40,
-            class: SAFE,
+            class: IDEMPOTENT,
             plan: 0,
             customer: CustomerId(1),
             units: 1.0,
@@ -344,9 +345,9 @@
             bytes: 1,
         };
         assert_eq!(
-            self.engine.submit(ask),
+            self.engine.submit(submission),
             Err(AtCapacity),
-            "what is new after the stop is refused"
+            "rejected after the stop"
         );
     }
 }
@@ -354,23 +355,23 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Submit(usize),
-    Leave(usize),
-    AttemptResult(usize, u8),
-    Count(u8),
-    Probe(bool),
-    EndpointListMessage(u16, u8),
-    Pass(u64),
+    Cancel(usize),
+    EndAttempt(usize, u8),
+    CounterReply(u8),
+    HealthCheck(bool),
+    ChangeEndpoint(u16, u8),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (0usize..3).prop_map(Step::Submit),
-        1 => (0usize..64).prop_map(Step::Leave),
-        6 => (0usize..64, 0u8..7).prop_map(|(n, o)| Step::AttemptResult(n, o)),
-        6 => (0u8..8).prop_map(Step::Count),
-        2 => any::<bool>().prop_map(Step::Probe),
-        1 => (0u16..6, 0u8..3).prop_map(|(n, s)| Step::EndpointListMessage(n, s)),
-        4 => (1u64..400).prop_map(Step::Pass),
+        1 => (0usize..64).prop_map(Step::Cancel),
+        6 => (0usize..64, 0u8..7).prop_map(|(n, o)| Step::EndAttempt(n, o)),
+        6 => (0u8..8).prop_map(Step::CounterReply),
+        2 => any::<bool>().prop_map(Step::HealthCheck),
+        1 => (0u16..6, 0u8..3).prop_map(|(n, s)| Step::ChangeEndpoint(n, s)),
+        4 => (1u64..400).prop_map(Step::Advance),
     ]
 }
 
@@ -384,28 +385,28 @@
     Outcome::Ok,
 ];
 
-impl World {
-    fn play(&mut self, step: Step) {
-        let out: Vec<u64> = self
-            .accounts
+impl Harness {
+    fn run(&mut self, step: Step) {
+        let in_flight: Vec<u64> = self
+            .references
             .iter()
-            .filter(|(_, a)| a.out.is_some())
+            .filter(|(_, reference)| reference.in_flight.is_some())
             .map(|(id, _)| *id)
             .collect();
         match step {
             Step::Submit(class) => self.submit(class),
-            Step::Leave(n) => {
+            Step::Cancel(n) => {
                 if let Some(id) = self.keys.keys().nth(n % self.keys.len().max(1)).copied() {
-                    self.leave(id);
+                    self.cancel(id);
                 }
             }
-            Step::AttemptResult(n, outcome) => {
-                if let Some(id) = out.get(n % out.len().max(1)) {
-                    self.end(*id, OUTCOMES[usize::from(outcome) % 7]);
+            Step::EndAttempt(n, outcome) => {
+                if let Some(id) = in_flight.get(n % in_flight.len().max(1)) {
+                    self.end_attempt(*id, OUTCOMES[usize::from(outcome) % 7]);
                 }
             }
-            Step::Count(kind) => self.count(kind),
-            Step::Probe(good) => {
+            Step::CounterReply(kind) => self.reply_from_counter(kind),
+            Step::HealthCheck(good) => {
                 if let Some(endpoint) = self.health_checks.pop() {
                     let load = LoadReport {
                         utilisation: Some(0.3),
@@ -417,17 +418,20 @@
                         outcome,
                         Some(load).filter(|_| good),
                     );
-                    self.settle();
+                    self.carry_out_outputs();
                 }
             }
-            Step::EndpointListMessage(n, state) => {
-                // Each goes its way once: a name that comes back after it was removed is another
-                // server.
-                let held = self.states.get_mut(&n).unwrap();
-                *held = ["SERVING", "DRAINING", "DRAINING"][usize::from(state)];
-                self.tell();
+            Step::ChangeEndpoint(n, state) => {
+                // No endpoint is removed: a uid that comes back would get another id.
+                let endpoint_state = self.states.get_mut(&n).unwrap();
+                *endpoint_state = [
+                    EndpointRecordState::Serving,
+                    EndpointRecordState::Draining,
+                    EndpointRecordState::Draining,
+                ][usize::from(state)];
+                self.apply_list();
             }
-            Step::Pass(time) => self.pass(ms(time)),
+            Step::Advance(time) => self.advance(ms(time)),
         }
     }
 }
@@ -436,45 +440,44 @@
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_happens_each_request_is_answered_once_and_repeated_only_as_its_class_allows(
+    fn each_request_gets_one_response_and_is_retried_only_as_its_class_allows(
         steps in prop::collection::vec(step(), 1..160),
     ) {
-        let mut world = World::new(6);
+        let mut harness = Harness::new(6);
         for step in steps {
-            world.play(step);
+            harness.run(step);
         }
-        world.stop();
+        harness.stop();
     }
 }
 
-/// Every sequence of five things that may happen to one request of each class, among four servers
-/// of two pods.
+/// Every sequence of five events for one request of each class, with four endpoints in two cells.
 #[test]
-fn no_short_sequence_breaks_a_rule() {
+fn every_short_sequence_keeps_the_rules() {
     let choices = [
-        Step::AttemptResult(0, 0),
-        Step::AttemptResult(0, 2),
-        Step::AttemptResult(0, 3),
-        Step::AttemptResult(0, 4),
-        Step::Leave(0),
-        Step::Count(1),
-        Step::Count(7),
-        Step::EndpointListMessage(0, 1),
-        Step::Pass(300),
+        Step::EndAttempt(0, 0),
+        Step::EndAttempt(0, 2),
+        Step::EndAttempt(0, 3),
+        Step::EndAttempt(0, 4),
+        Step::Cancel(0),
+        Step::CounterReply(1),
+        Step::CounterReply(7),
+        Step::ChangeEndpoint(0, 1),
+        Step::Advance(300),
     ];
-    let mut played = 0u64;
-    for class in [SAFE, KEYED, UNSAFE] {
-        for path in 0..choices.len().pow(5) {
-            let mut world = World::new(4);
-            world.submit(class);
-            let mut rest = path;
+    let mut sequences = 0u64;
+    for class in [IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT] {
+        for sequence in 0..choices.len().pow(5) {
+            let mut harness = Harness::new(4);
+            harness.submit(class);
+            let mut remaining = sequence;
             for _ in 0..5 {
-                world.play(choices[rest % choices.len()]);
-                rest /= choices.len();
+                harness.run(choices[remaining % choices.len()]);
+                remaining /= choices.len();
             }
-            world.stop();
-            played += 1;
+            harness.stop();
+            sequences += 1;
         }
     }
-    assert_eq!(played, 3 * 9u64.pow(5));
+    assert_eq!(sequences, 3 * 9u64.pow(5));
 }
--- a/crates/request-engine/tests/services.rs
+++ b/crates/request-engine/tests/services.rs
@@ -1,5 +1,5 @@
-//! Services in the engine: routes and servers that move while requests are out, each at the cost of
-//! itself.
+//! Services in the engine: routes and endpoints that move while requests are in flight, each at its
+//! own cost.
 
 mod common;
 
@@ -8,8 +8,9 @@
 use roseyard_request_engine::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use EndpointRecordState::{Draining, Serving};
 
-type Life = RequestEngine<u64, (), u64>;
+type Engine = RequestEngine<u64, (), u64>;
 
 const START: Duration = Duration::from_secs(86_400);
 const BOUNDS: DirectoryBounds = DirectoryBounds {
@@ -17,7 +18,7 @@
     routes: 100_000,
 };
 
-/// One class that must not run twice, one plan without a quota, and no counter.
+/// One non-idempotent class, one plan without a quota, and no counter.
 fn settings() -> Settings {
     let base = common::settings();
     let plan = Plan {
@@ -40,23 +41,23 @@
     }
 }
 
-fn target(uid: &str, address: &str, state: &str) -> EndpointRecord {
+fn record(uid: &str, address: &str, state: EndpointRecordState) -> EndpointRecord {
     EndpointRecord {
         uid: uid.into(),
         address: address.into(),
-        az: String::new(),
-        pod_group: 0,
-        state: state.into(),
-        capacity_hint: 1.0,
-        boot_ms: 0.0,
+        zone: String::new(),
+        cell: 0,
+        state,
+        weight: 1.0,
+        started_at_unix_ms: 0.0,
     }
 }
 
-fn list(rev: u64, all: bool, targets: Vec<EndpointRecord>) -> EndpointListMessage {
+fn list(revision: u64, is_full: bool, endpoints: Vec<EndpointRecord>) -> EndpointListMessage {
     EndpointListMessage {
-        rev,
-        all,
-        targets,
+        revision,
+        is_full,
+        endpoints,
         unreadable: 0,
     }
 }
@@ -88,15 +89,15 @@
     directory
 }
 
-struct World {
-    life: Life,
+struct Harness {
+    engine: Engine,
     now: Duration,
     next: u64,
 }
 
-impl World {
-    fn new(directory: &Directory, targets: Vec<EndpointRecord>) -> World {
-        let mut life = Life::new(
+impl Harness {
+    fn new(directory: &Directory, endpoints: Vec<EndpointRecord>) -> Harness {
+        let mut engine = Engine::new(
             settings(),
             5,
             EngineLimits {
@@ -105,27 +106,27 @@
             },
         )
         .unwrap();
-        life.set_directory(directory).unwrap();
-        let mut world = World {
-            life,
+        engine.set_directory(directory).unwrap();
+        let mut harness = Harness {
+            engine,
             now: START,
             next: 0,
         };
-        world.told(&list(1, true, targets));
-        world
+        harness.apply_list(&list(1, true, endpoints));
+        harness
     }
 
-    fn told(&mut self, list: &EndpointListMessage) -> Vec<EndpointId> {
-        let (stale, bad) = self.life.apply_endpoint_list(list, &[], |_| None);
-        assert_eq!(bad, 0);
+    fn apply_list(&mut self, list: &EndpointListMessage) -> Vec<EndpointId> {
+        let applied = self.engine.apply_endpoint_list(list, &[], |_| None);
+        assert_eq!(applied.unreadable, 0);
         assert_eq!(self.run(), None);
-        stale
+        applied.stale
     }
 
-    /// Carries out what is there; the last request that is sent, with its server.
+    /// Carries out all outputs; the last attempt that is forwarded, with its endpoint.
     fn run(&mut self) -> Option<(Key, u16, EndpointId)> {
-        let mut sent = None;
-        while let Some(output) = self.life.poll(self.now) {
+        let mut forwarded = None;
+        while let Some(output) = self.engine.poll(self.now) {
             if let Output::Forward {
                 request,
                 attempt,
@@ -133,20 +134,20 @@
                 ..
             } = output
             {
-                sent = Some((request, attempt, endpoint));
+                forwarded = Some((request, attempt, endpoint));
             }
         }
-        sent
+        forwarded
     }
 
-    fn ask(&mut self, route: &str) -> Option<(Key, u16, EndpointId)> {
+    fn submit(&mut self, route: &str) -> Option<(Key, u16, EndpointId)> {
         self.next += 1;
         let service = self
-            .life
+            .engine
             .directory()
             .service_of_route(route)
             .expect("a route");
-        let ask = Submission {
+        let submission = Submission {
             owner: self.next,
             service,
             class: 0,
@@ -159,30 +160,32 @@
             command: (),
             bytes: 1,
         };
-        self.life.submit(ask).unwrap();
+        self.engine.submit(submission).unwrap();
         self.now += ms(20);
         self.run()
     }
 
-    fn address_of(&self, sent: Option<(Key, u16, EndpointId)>) -> Option<String> {
-        sent.and_then(|(.., endpoint)| self.life.address(endpoint))
+    fn address_of(&self, forwarded: Option<(Key, u16, EndpointId)>) -> Option<String> {
+        forwarded
+            .and_then(|(.., endpoint)| self.engine.address(endpoint))
             .map(|address| address.to_string())
     }
 
     fn served(&mut self, (request, attempt, _): (Key, u16, EndpointId)) -> bool {
-        let end = AttemptResult {
+        let result = AttemptResult {
             outcome: Outcome::Ok,
             value: Some(1),
             true_units: None,
             load: None,
         };
-        self.life.on_attempt_ended(request, attempt, end, self.now);
+        self.engine
+            .on_attempt_ended(request, attempt, result, self.now);
         let mut served = false;
-        while let Some(output) = self.life.poll(self.now) {
+        while let Some(output) = self.engine.poll(self.now) {
             served |= matches!(
                 output,
                 Output::Respond {
-                    answer: Response::Served(1),
+                    response: Response::Served(1),
                     ..
                 }
             );
@@ -193,62 +196,66 @@
 
 fn one_each() -> Vec<EndpointRecord> {
     vec![
-        target("l", "10.1.0.1:80", "SERVING"),
-        target("r", "10.2.0.1:80", "SERVING"),
+        record("l", "10.1.0.1:80", Serving),
+        record("r", "10.2.0.1:80", Serving),
     ]
 }
 
 #[test]
 fn a_route_leads_to_the_endpoints_of_its_service() {
-    let mut world = World::new(&two_services(), one_each());
+    let mut harness = Harness::new(&two_services(), one_each());
     for _ in 0..20 {
         for (route, address) in [("left", "10.1.0.1:80"), ("right", "10.2.0.1:80")] {
-            let sent = world.ask(route);
-            assert_eq!(world.address_of(sent).as_deref(), Some(address));
-            assert!(world.served(sent.unwrap()));
+            let forwarded = harness.submit(route);
+            assert_eq!(harness.address_of(forwarded).as_deref(), Some(address));
+            assert!(harness.served(forwarded.unwrap()));
         }
     }
 }
 
 #[test]
-fn a_route_that_moves_leaves_what_is_out_where_it_is() {
-    let mut world = World::new(&two_services(), one_each());
-    let out = world.ask("left").unwrap();
+fn a_route_that_moves_leaves_requests_in_flight_where_they_are() {
+    let mut harness = Harness::new(&two_services(), one_each());
+    let in_flight = harness.submit("left").unwrap();
     let moved = DirectoryChange::SetRoute {
         route: "left".into(),
         service: "right".into(),
     };
-    world.life.change_directory(moved).unwrap();
+    harness.engine.change_directory(moved).unwrap();
     assert!(
-        world
-            .life
-            .may_write(out.0, out.1, world.now + ms(100), world.now),
-        "it goes on"
+        harness
+            .engine
+            .may_write(in_flight.0, in_flight.1, harness.now + ms(100), harness.now),
+        "it continues"
     );
-    let next = world.ask("left");
-    assert_eq!(world.address_of(next).as_deref(), Some("10.2.0.1:80"));
-    assert!(world.served(out), "answered once, and not sent again");
+    let next = harness.submit("left");
+    assert_eq!(harness.address_of(next).as_deref(), Some("10.2.0.1:80"));
+    assert!(harness.served(in_flight), "one response, and no retry");
 }
 
 #[test]
-fn an_endpoint_that_moves_serves_its_new_service_and_ends_what_it_has() {
-    let mut world = World::new(&two_services(), one_each());
-    let out = world.ask("left").unwrap();
+fn an_endpoint_that_moves_serves_its_new_service_and_finishes_what_it_has() {
+    let mut harness = Harness::new(&two_services(), one_each());
+    let in_flight = harness.submit("left").unwrap();
     let endpoints = EndpointSelector::uid("l");
-    world
-        .life
+    harness
+        .engine
         .change_directory(DirectoryChange::Assign {
             endpoints,
             service: "right".into(),
         })
         .unwrap();
-    assert_eq!(world.run(), None, "what is out is not sent again");
-    assert_eq!(world.ask("left"), None, "no server is left there");
+    assert_eq!(harness.run(), None, "the request in flight is not retried");
+    assert_eq!(
+        harness.submit("left"),
+        None,
+        "the service has no endpoint left"
+    );
     let addresses: Vec<_> = (0..40)
         .filter_map(|_| {
-            let sent = world.ask("right");
-            let address = world.address_of(sent);
-            sent.map(|sent| world.served(sent));
+            let forwarded = harness.submit("right");
+            let address = harness.address_of(forwarded);
+            forwarded.map(|forwarded| harness.served(forwarded));
             address
         })
         .collect();
@@ -256,67 +263,72 @@
         addresses.iter().any(|a| a == "10.1.0.1:80"),
         "it serves the other service"
     );
-    assert!(world.served(out));
-    // And back, by a whole directory that is read anew.
-    let changes = world.life.set_directory(&two_services()).unwrap();
-    assert_eq!(changes, 1, "one line differs");
-    let back = world.ask("left");
-    assert_eq!(world.address_of(back).as_deref(), Some("10.1.0.1:80"));
+    assert!(harness.served(in_flight));
+    // And back, by a full directory that is read anew.
+    let changes = harness.engine.set_directory(&two_services()).unwrap();
+    assert_eq!(changes, 1, "one selector differs");
+    let back = harness.submit("left");
+    assert_eq!(harness.address_of(back).as_deref(), Some("10.1.0.1:80"));
 }
 
 #[test]
-fn an_endpoint_whose_address_changes_belongs_where_the_new_one_lies() {
-    let mut world = World::new(&two_services(), one_each());
-    let stale = world.told(&list(2, false, vec![target("l", "10.2.0.9:80", "SERVING")]));
-    assert_eq!(stale.len(), 1, "its connections led elsewhere");
-    assert_eq!(world.ask("left"), None);
-    world.told(&list(
-        3,
-        false,
-        vec![target("r", "10.2.0.1:80", "DRAINING")],
-    ));
-    let sent = world.ask("right");
-    assert_eq!(world.address_of(sent).as_deref(), Some("10.2.0.9:80"));
+fn an_endpoint_whose_address_changes_belongs_to_the_service_of_the_new_address() {
+    let mut harness = Harness::new(&two_services(), one_each());
+    let stale = harness.apply_list(&list(2, false, vec![record("l", "10.2.0.9:80", Serving)]));
+    assert_eq!(stale.len(), 1, "its connections lead to the old address");
+    assert_eq!(harness.submit("left"), None);
+    harness.apply_list(&list(3, false, vec![record("r", "10.2.0.1:80", Draining)]));
+    let forwarded = harness.submit("right");
+    assert_eq!(
+        harness.address_of(forwarded).as_deref(),
+        Some("10.2.0.9:80")
+    );
 }
 
 #[test]
-fn an_endpoint_of_no_service_gets_nothing_and_is_found_when_a_line_names_it() {
-    let mut world = World::new(&two_services(), vec![target("x", "10.9.0.1:80", "SERVING")]);
-    assert_eq!(world.ask("left"), None);
+fn an_endpoint_without_a_service_gets_nothing_until_a_selector_names_it() {
+    let mut harness = Harness::new(&two_services(), vec![record("x", "10.9.0.1:80", Serving)]);
+    assert_eq!(harness.submit("left"), None);
     let endpoints = EndpointSelector::network("10.9.0.0/24".parse().unwrap());
-    world
-        .life
+    harness
+        .engine
         .change_directory(DirectoryChange::Assign {
             endpoints,
             service: "left".into(),
         })
         .unwrap();
-    let sent = world.ask("left");
-    assert_eq!(world.address_of(sent).as_deref(), Some("10.9.0.1:80"));
+    let forwarded = harness.submit("left");
+    assert_eq!(
+        harness.address_of(forwarded).as_deref(),
+        Some("10.9.0.1:80")
+    );
 }
 
 #[test]
-fn a_refused_change_leaves_everything_as_it_was() {
-    let mut world = World::new(&two_services(), one_each());
-    let wrong = DirectoryChange::SetRoute {
+fn a_rejected_change_leaves_everything_as_it_was() {
+    let mut harness = Harness::new(&two_services(), one_each());
+    let invalid = DirectoryChange::SetRoute {
         route: "left".into(),
         service: "nowhere".into(),
     };
-    let refused = world.life.change_directory(wrong);
+    let rejected = harness.engine.change_directory(invalid);
     assert_eq!(
-        refused,
+        rejected,
         Err(DirectoryError::UnknownService {
             name: "nowhere".into()
         })
     );
-    let sent = world.ask("left");
-    assert_eq!(world.address_of(sent).as_deref(), Some("10.1.0.1:80"));
+    let forwarded = harness.submit("left");
+    assert_eq!(
+        harness.address_of(forwarded).as_deref(),
+        Some("10.1.0.1:80")
+    );
 }
 
-/// A platform of so many services with ten servers each.
-fn platform(services: u32) -> World {
+/// A platform of so many services with ten endpoints each.
+fn platform(services: u32) -> Harness {
     let mut directory = Directory::new(BOUNDS);
-    let mut targets = Vec::new();
+    let mut records = Vec::new();
     for n in 0..services {
         let name: Arc<str> = format!("service-{n}").into();
         let network = format!("10.{}.{}.0/24", n / 256, n % 256);
@@ -340,18 +352,18 @@
             .unwrap();
         for host in 1..=10 {
             let address = format!("10.{}.{}.{host}:80", n / 256, n % 256);
-            targets.push(target(&format!("s-{n}-{host}"), &address, "SERVING"));
+            records.push(record(&format!("s-{n}-{host}"), &address, Serving));
         }
     }
-    World::new(&directory, targets)
+    Harness::new(&directory, records)
 }
 
-/// The least time of a few runs: what else the machine does only adds to it.
+/// The least time of a few runs: other load of the machine only adds to it.
 fn least(mut run: impl FnMut()) -> Duration {
     let once = |run: &mut dyn FnMut()| {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         run();
-        begun.elapsed()
+        started_at.elapsed()
     };
     (0..7).map(|_| once(&mut run)).min().unwrap_or_default()
 }
@@ -359,26 +371,22 @@
 #[test]
 fn a_request_and_a_change_cost_the_same_at_thirty_times_the_endpoints() {
     let costs = [100, 3000].map(|services| {
-        let mut world = platform(services);
+        let mut harness = platform(services);
         let mut revision = 1;
         let requests = least(|| {
             for n in 0..100 {
-                let sent = world.ask(&format!("service-{n}")).expect("sent");
-                assert!(world.served(sent));
+                let forwarded = harness.submit(&format!("service-{n}")).expect("sent");
+                assert!(harness.served(forwarded));
             }
         });
         let changes = least(|| {
             for n in 0..100 {
                 revision += 1;
-                let state = if revision % 2 == 0 {
-                    "DRAINING"
-                } else {
-                    "SERVING"
-                };
-                world.told(&list(
+                let state = if revision % 2 == 0 { Draining } else { Serving };
+                harness.apply_list(&list(
                     revision,
                     false,
-                    vec![target(
+                    vec![record(
                         &format!("s-{n}-1"),
                         &format!("10.0.{n}.1:80"),
                         state,
@@ -389,8 +397,7 @@
         (requests, changes)
     });
     let [(request_small, change_small), (request_large, change_large)] = costs;
-    // A walk over all servers would be thirty times as much; the bound leaves room for misses of
-    // the cache.
+    // A walk over all endpoints would cost thirty times as much; the bound allows for cache misses.
     assert!(
         request_large < request_small * 6,
         "requests: {request_small:?}, {request_large:?}"
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -412,15 +412,15 @@
                     );
                 }
                 Output::Respond {
-                    answer: Response::Served(()),
+                    response: Response::Served(()),
                     ..
                 } => self.traffic.served += 1,
                 Output::Respond {
-                    answer: Response::Rejected(_),
+                    response: Response::Rejected(_),
                     ..
                 } => self.traffic.refused += 1,
                 Output::Respond {
-                    answer: Response::Failed,
+                    response: Response::Failed,
                     ..
                 } => self.traffic.failed += 1,
                 Output::FetchEndpointList | Output::Log(_) => {}
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -97,7 +97,7 @@
 fn deltas(run: &Run, listing: &Listing, hollow: &mut Hollow, world: &mut World) -> (Vec<f64>, f64) {
     let mut rng = fastrand::Rng::with_seed(run.seed);
     let (mut samples, mut bytes, mut lines) = (Vec::new(), 0, 0);
-    let mut revision = hollow.engine.endpoint_registry().rev;
+    let mut revision = hollow.engine.endpoint_registry().revision();
     let mut generations = vec![0u32; listing.servers()];
     for _ in 0..run.repeats {
         let mut sample = Duration::ZERO;
