--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -140,11 +140,11 @@
     ) -> Limits {
         let ms = Duration::from_millis;
         let memory = memory_mb.max(32) << 20;
-        let longest = options.longest_deadline();
+        let longest = options.max_deadline();
         let (list_again, list_silence) = (ms(200), ms(3000));
         // Guards against sends to what an agent that is back has told drained: heard within half of
         // the grace.
-        let soon = if options.pushed() {
+        let soon = if options.is_push_discovery() {
             options.drain_grace() / 2
         } else {
             ms(1000)
@@ -157,7 +157,7 @@
         let told = told.saturating_sub(TOLD_MARGIN + list_silence + list_first);
         // All ingresses together call some forty times a second, where there is time for that.
         let list_again_most =
-            ms(30 * u64::from(options.ingresses())).clamp(list_again, told.min(ms(3000)));
+            ms(30 * u64::from(options.ingress_count())).clamp(list_again, told.min(ms(3000)));
         Limits {
             value_bytes: 64 << 10,
             line_bytes: 8 << 10,
@@ -174,10 +174,10 @@
             round_discard: 1 << 20,
             discard: 128 << 20,
             // An amount on the counter is at most 1e9.
-            units: options.most_units().unwrap_or(1e9),
-            post_paid: options.post_paid(),
+            units: options.max_request_units().unwrap_or(1e9),
+            post_paid: options.has_estimated_units(),
             held_bytes: memory / 4,
-            requests: options.max_open().unwrap_or(20_000),
+            requests: options.max_open_requests().unwrap_or(20_000),
             pipelined: 1024,
             counters: operator.share(DescriptorUse::Counter).most,
             counter_bytes: 4 << 20,
@@ -186,7 +186,10 @@
             batch: 256,
             backlog: 1024,
             connect: options.connect_timeout().unwrap_or(ms(250)),
-            link_idle: options.idle_connection().unwrap_or(ms(10_000)).mul_f64(0.8),
+            link_idle: options
+                .idle_connection_timeout()
+                .unwrap_or(ms(10_000))
+                .mul_f64(0.8),
             link_rest: ms(20),
             answer_part: ms(250),
             probe: ms(250),
@@ -202,7 +205,7 @@
             // s.
             list_elder: ms(2500),
             list_again_most,
-            list_again_broken: if options.pushed() {
+            list_again_broken: if options.is_push_discovery() {
                 list_first
             } else {
                 list_again_most
--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -92,7 +92,8 @@
         mut text: Vec<u8>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, String> {
-        let raw: Raw = roseyard_platform_config::decode(&mut text)?;
+        let raw: Raw =
+            roseyard_platform_config::decode(&mut text).map_err(|error| error.to_string())?;
         let address = |name: &str, text: String| -> Result<SocketAddr, String> {
             text.parse()
                 .map_err(|_| format!("{name}: '{text}' is not an address"))
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -164,7 +164,7 @@
             limits,
         };
         let listener = take_address(&config.listen, &limits)?;
-        let settings = options.settings()?;
+        let settings = options.settings().map_err(|error| error.to_string())?;
         let services = file.services();
         let terms = Terms::new(options, &settings, &limits, services.route_field());
         let OperatorSettings {
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -49,7 +49,7 @@
 
 /// Decodes one list of a watch, in place.
 pub fn decode(line: &mut [u8]) -> Result<EndpointListMessage, String> {
-    roseyard_platform_config::decode(line)
+    roseyard_platform_config::decode(line).map_err(|error| error.to_string())
 }
 
 #[cfg(test)]
--- a/crates/platform-config/tests/fields.rs
+++ b/crates/platform-config/tests/fields.rs
@@ -1,11 +1,11 @@
-//! Every field of the settings absent, new, or of another type: a start-up error that names it, or
-//! a safe default; never a panic.
+//! Every field of the settings absent, new, or of another type: a start-up error that names it, or a
+//! safe default; never a panic.
 
 use roseyard_platform_config::PlatformSettings;
 use serde_json::{json, Value};
 
-/// Settings with everything that either kind of deployment has.
-fn whole() -> Value {
+/// Settings with every field that some platform has.
+fn complete_settings() -> Value {
     json!({
         "Az": 0, "Balancers": 3, "Me": 1, "GranularityMs": 4.0, "Discovery": "automatic",
         "FailureDomains": ["hall-a", "hall-b"], "Weights": "rough", "ClientHabits": {"MarksRetry": true},
@@ -40,22 +40,25 @@
     }
 }
 
-/// What a start makes of it: the module's settings, checked.
+/// The decision module's settings, checked as at a start.
 fn start(settings: &Value) -> Result<roseyard_decision::Settings, String> {
-    let options = PlatformSettings::parse(settings.to_string().as_bytes())?;
-    let settings = options.settings()?;
-    settings.check().map_err(|e| e.to_string())?;
-    roseyard_decision::Dispatcher::new(settings.clone(), 1).map_err(|e| e.to_string())?;
+    let platform_settings = PlatformSettings::parse(settings.to_string().as_bytes())
+        .map_err(|error| error.to_string())?;
+    let settings = platform_settings
+        .settings()
+        .map_err(|error| error.to_string())?;
+    settings.check().map_err(|error| error.to_string())?;
+    roseyard_decision::Dispatcher::new(settings.clone(), 1).map_err(|error| error.to_string())?;
     Ok(settings)
 }
 
 #[test]
-fn a_field_of_another_type_or_without_sense_is_refused_by_name_or_has_a_safe_default() {
-    assert!(start(&whole()).is_ok());
+fn a_field_of_another_type_or_range_is_rejected_by_name_or_has_a_safe_default() {
+    assert!(start(&complete_settings()).is_ok());
     let mut all = Vec::new();
-    paths(&whole(), String::new(), &mut all);
+    paths(&complete_settings(), String::new(), &mut all);
     assert!(all.len() > 50, "{} fields", all.len());
-    let odd = [
+    let malformed = [
         json!(null),
         json!("odd"),
         json!(-1),
@@ -65,65 +68,66 @@
         json!([{}]),
         json!(true),
     ];
-    let mut refused = 0;
+    let mut rejected = 0;
     for path in &all {
         let name = path
             .rsplit('/')
             .find(|part| part.parse::<usize>().is_err())
             .unwrap();
-        for value in &odd {
-            let mut settings = whole();
+        for value in &malformed {
+            let mut settings = complete_settings();
             *settings.pointer_mut(path).unwrap() = value.clone();
-            let Err(wrong) = start(&settings) else {
+            let Err(error) = start(&settings) else {
                 continue;
             };
-            refused += 1;
-            let of_number = [
+            rejected += 1;
+            let without_field_name = [
                 "a plan's figure",
                 "a class's figure",
                 "a guarantee",
                 "number of gateways",
                 "is given",
             ];
-            let named = wrong.contains(name) || of_number.iter().any(|part| wrong.contains(part));
-            assert!(named, "{path} = {value}: '{wrong}' names nothing");
+            let is_named =
+                error.contains(name) || without_field_name.iter().any(|part| error.contains(part));
+            assert!(is_named, "{path} = {value}: '{error}' names nothing");
         }
     }
-    assert!(refused > 100, "{refused} refused");
+    assert!(rejected > 100, "{rejected} rejected");
 }
 
 #[test]
-fn an_absent_field_is_named_or_has_a_default_and_new_ones_are_passed_over() {
+fn an_absent_field_is_named_or_has_a_default_and_unknown_ones_are_ignored() {
     let mut all = Vec::new();
-    paths(&whole(), String::new(), &mut all);
+    paths(&complete_settings(), String::new(), &mut all);
     for path in all
         .iter()
         .filter(|path| path.rsplit('/').next().unwrap().parse::<usize>().is_err())
     {
         let (parent, name) = path.rsplit_once('/').unwrap();
-        let mut settings = whole();
+        let mut settings = complete_settings();
         let object = settings
             .pointer_mut(parent)
             .unwrap()
             .as_object_mut()
             .unwrap();
         object.remove(name);
-        object.insert("Unheard".into(), json!({"Of": [1, "x", null]}));
-        if let Err(wrong) = start(&settings) {
-            assert!(wrong.contains(name), "{path} absent: '{wrong}'");
+        object.insert("Unknown".into(), json!({"Of": [1, "x", null]}));
+        if let Err(error) = start(&settings) {
+            assert!(error.contains(name), "{path} absent: '{error}'");
         }
     }
 }
 
 #[test]
-fn what_only_keyed_classes_have_may_be_absent_null_or_empty_for_the_others_and_is_named_for_them() {
+fn group_and_window_may_be_absent_null_or_empty_unless_the_class_has_an_idempotency_key() {
     for effect in ["read_like", "non_idempotent", "idempotency_key"] {
         for (group, window) in [
             (json!("all"), json!(null)),
             (json!(null), json!(0)),
             (json!(""), json!(500.0)),
         ] {
-            let mut settings = whole();
+            let mut settings = complete_settings();
             let class = settings
                 .pointer_mut("/Classes/0")
                 .unwrap()
@@ -134,11 +138,11 @@
             class.insert("WindowMs".into(), window);
             match start(&settings) {
                 Ok(_) => assert_ne!(effect, "idempotency_key"),
-                Err(wrong) => {
-                    assert_eq!(effect, "idempotency_key", "{wrong}");
+                Err(error) => {
+                    assert_eq!(effect, "idempotency_key", "{error}");
                     assert!(
-                        wrong.contains("Classes[].Group") || wrong.contains("Classes[].WindowMs"),
-                        "{wrong}"
+                        error.contains("Classes[].Group") || error.contains("Classes[].WindowMs"),
+                        "{error}"
                     );
                 }
             }
--- a/crates/request-engine/src/directory/mod.rs
+++ b/crates/request-engine/src/directory/mod.rs
@@ -112,8 +112,8 @@
         self.networks.len() + self.uids.len()
     }
 
-    /// Entries of all kinds that the tables have allocated space for, which determines the directory's
-    /// memory.
+    /// Entries of all kinds that the tables have allocated space for, which determines the
+    /// directory's memory.
     pub fn capacity(&self) -> usize {
         self.services.capacity()
             + self.ids_by_name.capacity()
--- a/crates/request-engine/src/endpoint_registry/mod.rs
+++ b/crates/request-engine/src/endpoint_registry/mod.rs
@@ -16,7 +16,7 @@
 
 pub use endpoint::Endpoint;
 pub use resolver::RecordResolver;
-pub use update::RegistryUpdate;
+pub use update::{AppliedEndpointList, RegistryUpdate};
 
 use crate::endpoint_list_message::{EndpointListMessage, EndpointRecord, EndpointRecordState};
 use address_index::AddressIndex;
--- a/crates/request-engine/src/endpoint_registry/reassignment.rs
+++ b/crates/request-engine/src/endpoint_registry/reassignment.rs
@@ -6,8 +6,8 @@
 
 impl EndpointRegistry {
     /// Moves endpoints to the services that the changed directory assigns them to. Returns what the
-    /// decision module has to know: each moved endpoint is removed from its old service and added to
-    /// the new one.
+    /// decision module has to know: each moved endpoint is removed from its old service and added
+    /// to the new one.
     #[must_use]
     pub fn reassign(
         &mut self,
--- a/crates/request-engine/src/endpoint_registry/update.rs
+++ b/crates/request-engine/src/endpoint_registry/update.rs
@@ -14,6 +14,15 @@
     pub unreadable: usize,
 }
 
+/// What the driver has to know of an endpoint list that was applied.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct AppliedEndpointList {
+    /// Endpoints whose idle connections are of no more use.
+    pub stale: Vec<EndpointId>,
+    /// Number of entries that could not be read.
+    pub unreadable: usize,
+}
+
 /// The changes that the entries of a list have made so far.
 #[derive(Default)]
 pub(super) struct PendingUpdate {
--- a/crates/request-engine/src/engine/endpoints.rs
+++ b/crates/request-engine/src/engine/endpoints.rs
@@ -3,20 +3,11 @@
 use super::RequestEngine;
 use crate::directory::{Directory, DirectoryChange, DirectoryError};
 use crate::endpoint_list_message::EndpointListMessage;
-use crate::endpoint_registry::{EndpointRegistry, RecordResolver};
+use crate::endpoint_registry::{AppliedEndpointList, EndpointRegistry, RecordResolver};
 use roseyard_decision::{EndpointId, EndpointListUpdate, Event};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the driver has to know of an endpoint list that was applied.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AppliedEndpointList {
-    /// Endpoints whose idle connections are of no more use.
-    pub stale: Vec<EndpointId>,
-    /// Number of entries that could not be read.
-    pub unreadable: usize,
-}
-
 impl<O, C, V> RequestEngine<O, C, V> {
     /// The endpoints of the latest list.
     pub fn endpoint_registry(&self) -> &EndpointRegistry {
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -7,8 +7,6 @@
 mod decisions;
 mod endpoints;
 
-pub use endpoints::AppliedEndpointList;
-
 use crate::attempt::AttemptResult;
 use crate::directory::Directory;
 use crate::endpoint_registry::{Endpoint, EndpointRegistry};
@@ -32,8 +30,8 @@
     pub bytes: usize,
 }
 
-/// Requests, attempts and endpoints around the decision module. `O` names whom a response is for,
-/// `C` is what goes to an endpoint, `V` is what an endpoint returns.
+/// Holds requests, attempts and endpoints for the decision module. `O` names whom a response is
+/// for, `C` is what goes to an endpoint, `V` is what an endpoint returns.
 pub struct RequestEngine<O, C, V> {
     dispatcher: Dispatcher,
     idempotency_by_class: Vec<Idempotency>,
@@ -143,7 +141,7 @@
             .push_back(Event::ClientDisconnected(RequestId(request.pack())));
     }
 
-    /// Whether the first byte of an attempt may be written to its endpoint now. To be asked again
+    /// Whether the first byte of an attempt may be written to its endpoint now. To be checked again
     /// after each wait, such as for a connection. False if
     ///
     /// - the request is finished, or another attempt is in flight,
--- a/crates/request-engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,10 +1,10 @@
-//! One request from its submission to its final response, around the decision module: no I/O and no
+//! One request from its submission to its final response, with the decision module: no I/O and no
 //! clock.
 //!
 //! [`RequestEngine`] wraps the [`roseyard_decision::Dispatcher`] and keeps the state that every
-//! frontend needs beside it: the requests, the attempt in flight of each, and the endpoints with
-//! their states. Its driver reports what has happened and does what [`RequestEngine::poll`] returns.
-//! The engine enforces these rules for every driver:
+//! frontend needs as well: the requests, the attempt in flight of each, and the endpoints with
+//! their states. Its driver reports what has happened and does what [`RequestEngine::poll`]
+//! returns. The engine enforces these rules for every driver:
 //!
 //! - a request has at most one attempt in flight, and the end of an attempt counts once;
 //! - nothing is written to an endpoint that drains or is gone, for a request that is finished, or
@@ -32,8 +32,10 @@
     MAX_NAME_BYTES, SINGLE_SERVICE,
 };
 pub use endpoint_list_message::{EndpointListMessage, EndpointRecord, EndpointRecordState};
-pub use endpoint_registry::{Endpoint, EndpointRegistry, RecordResolver, RegistryUpdate};
-pub use engine::{AppliedEndpointList, EngineLimits, RequestEngine};
+pub use endpoint_registry::{
+    AppliedEndpointList, Endpoint, EndpointRegistry, RecordResolver, RegistryUpdate,
+};
+pub use engine::{EngineLimits, RequestEngine};
 pub use idle_connection_risk::{IdleConnectionRisk, IdleConnectionUse, ResetRisk};
 pub use output::{Output, Response};
 pub use slots::{Key, Slots};
--- a/crates/request-engine/src/network_table.rs
+++ b/crates/request-engine/src/network_table.rs
@@ -15,8 +15,8 @@
     network_count: usize,
 }
 
-/// Networks of one address family by prefix length, the longest first. A length without networks has
-/// no table.
+/// Networks of one address family by prefix length, the longest first. A length without networks
+/// has no table.
 type TablesByPrefixLength<V> = BTreeMap<Reverse<u8>, HashMap<IpNet, V>>;
 
 impl<V> Default for NetworkTable<V> {
--- a/crates/request-engine/src/slots.rs
+++ b/crates/request-engine/src/slots.rs
@@ -1,7 +1,7 @@
 //! A slot table: entries under keys that are never valid for a later entry.
 
-/// Names one entry of a [`Slots`] table: its slot, and the generation of the slot when the entry was
-/// inserted.
+/// Names one entry of a [`Slots`] table: its slot, and the generation of the slot when the entry
+/// was inserted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     index: u32,
--- a/crates/request-engine/src/submission.rs
+++ b/crates/request-engine/src/submission.rs
@@ -6,8 +6,8 @@
 /// A request as a frontend submits it. `O` names whom the response is for, `C` is what goes to an
 /// endpoint.
 ///
-/// It has the facts of [`IncomingRequest`] and those that the decision module never sees: the owner,
-/// the command and its size. It has no id, since the engine assigns one.
+/// It has the facts of [`IncomingRequest`] and those that the decision module never sees: the
+/// owner, the command and its size. It has no id, since the engine assigns one.
 #[derive(Clone, Debug)]
 pub struct Submission<O, C> {
     /// Whom the response is for.
--- a/crates/request-engine/tests/directory.rs
+++ b/crates/request-engine/tests/directory.rs
@@ -96,7 +96,8 @@
     Ok(())
 }
 
-/// What a caller is told to look at again covers each server whose service has changed.
+/// Whether the effect names an endpoint as possibly moved. It covers each whose service has
+/// changed.
 fn covers(effect: &DirectoryEffect, uid: &str, address: SocketAddr) -> bool {
     match effect {
         DirectoryEffect::Unchanged | DirectoryEffect::Added(_) | DirectoryEffect::Removed(_) => {
--- a/crates/request-engine/tests/model/harness.rs
+++ b/crates/request-engine/tests/model/harness.rs
@@ -1,4 +1,5 @@
-//! The engine with a driver that carries out its outputs and checks each of them against a reference.
+//! The engine with a driver that carries out its outputs and checks each of them against a
+//! reference.
 
 use super::common::{ms, settings, WINDOW};
 use roseyard_decision::*;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{decode, Closed, Entry, Record, Reply};
 use roseyard_decision::*;
-use roseyard_platform_config::{ms, PlatformSettings};
+use roseyard_platform_config::{duration_from_ms, PlatformSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
             "busy_reqs" => load.in_flight = Some(value),
             "pending" => load.queued = Some(value),
             "cpu_share" => load.utilisation = Some(value),
-            "svc_ms" => load.service_time = Some(ms(value)),
+            "svc_ms" => load.service_time = Some(duration_from_ms(value)),
             _ => {}
         }
     }
@@ -65,7 +65,7 @@
         state,
         weight: f64::from(e.heft),
         rank: u64::from(e.worker).wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        started_at: (e.started_at_ms > 0.0).then(|| ms(e.started_at_ms)),
+        started_at: (e.started_at_ms > 0.0).then(|| duration_from_ms(e.started_at_ms)),
     })
 }
 
@@ -75,7 +75,7 @@
         attempt: c.n,
         endpoint: EndpointId(c.worker),
         outcome: outcome(c.code)?,
-        elapsed: ms(c.duration_ms),
+        elapsed: duration_from_ms(c.duration_ms),
         finished: c.done,
         true_units: (c.true_units > 0).then(|| f64::from(c.true_units)),
         load: report(fields, &c.stats),
@@ -124,7 +124,7 @@
             .into_iter()
             .enumerate()
         {
-            self.record(ms(clock_ms), record, &mut reply)
+            self.record(duration_from_ms(clock_ms), record, &mut reply)
                 .map_err(|e| format!("record {n}: {e}"))?;
         }
         Ok(reply.frame())
@@ -137,11 +137,13 @@
                 return Ok(());
             }
             Record::Create { i, salt, options } => {
-                let wrong = |e| format!("Create for instance {i}: {e}");
-                let options = PlatformSettings::parse(&options).map_err(wrong)?;
-                let dispatcher = Dispatcher::new(options.settings().map_err(wrong)?, salt)
-                    .map_err(|e| wrong(format!("settings: {e}")))?;
-                let fields = options.report_fields().to_vec();
+                let wrong = |e: String| format!("Create for instance {i}: {e}");
+                let options =
+                    PlatformSettings::parse(&options).map_err(|e| wrong(e.to_string()))?;
+                let settings = options.settings().map_err(|e| wrong(e.to_string()))?;
+                let dispatcher =
+                    Dispatcher::new(settings, salt).map_err(|e| wrong(format!("settings: {e}")))?;
+                let fields = options.load_report_fields().to_vec();
                 self.instances.insert(i, Instance { dispatcher, fields });
                 return Ok(());
             }
@@ -170,7 +172,7 @@
                     customer: CustomerId(w.key),
                     units: f64::from(w.units),
                     ingress_count: w.doors as u32,
-                    time_left: ms(w.left_ms),
+                    time_left: duration_from_ms(w.left_ms),
                     is_retry: w.marks & 2 != 0,
                 }),
             ),
@@ -193,7 +195,7 @@
                     Event::CounterReply {
                         key: CounterKey(name),
                         result,
-                        elapsed: ms(duration_ms),
+                        elapsed: duration_from_ms(duration_ms),
                     },
                 )
             }
