--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings that the platform gives an ingress, decoded once for every driver of the decision
-//! module: the simulator's adapter receives them as a text of their own, the real ingress inside its
-//! configuration. Unknown keys are ignored.
+//! module: the simulator's adapter receives them as a text of their own, the real ingress inside
+//! its configuration. Unknown keys are ignored.
 //!
 //! - `wire`: the platform's JSON as it comes;
 //! - `mapping`: the decision module's settings;
--- a/crates/platform-config/tests/fields.rs
+++ b/crates/platform-config/tests/fields.rs
@@ -1,5 +1,5 @@
-//! Every field of the settings absent, new, or of another type: a start-up error that names it, or a
-//! safe default; never a panic.
+//! Every field of the settings absent, new, or of another type: a start-up error that names it, or
+//! a safe default; never a panic.
 
 use roseyard_platform_config::PlatformSettings;
 use serde_json::{json, Value};
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,51 +1,88 @@
-//! The adapter between roseyard and the bench's wire. It translates; it decides nothing.
+//! The adapter between the decision module and the simulator's wire. It translates; it decides
+//! nothing.
+//!
+//! - [`codec`]: the wire;
+//! - `translate`: records to events, and actions to a reply;
+//! - [`host`]: the instances;
+//! - `error`: why a batch cannot be handled;
+//! - [`serve`]: batches from an input, replies to an output.
 
 pub mod codec;
+mod error;
 pub mod host;
+mod translate;
 
+pub use error::{BatchError, RecordError, ServeError};
+
+use host::Host;
 use std::io::{self, Read, Write};
 
-fn fill(input: &mut impl Read, buf: &mut [u8]) -> io::Result<usize> {
-    let mut got = 0;
-    while got < buf.len() {
-        match input.read(&mut buf[got..])? {
-            0 => break,
-            n => got += n,
-        }
+/// Bytes of a batch's header: the length of the payload (u32) and the clock in milliseconds (f64).
+const HEADER_BYTES: usize = 12;
+
+/// Serves batches until the input ends. An error names the record that cannot be handled; nothing
+/// is written for its batch.
+pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), ServeError> {
+    let mut host = Host::default();
+    let mut payload = Vec::new();
+    while let Some(header) = read_header(input)? {
+        read_payload(input, header.payload_bytes, &mut payload)?;
+        let reply = host.batch(header.clock_ms, &payload)?;
+        output.write_all(&reply)?;
+        output.flush()?;
     }
-    Ok(got)
+    Ok(())
 }
 
-/// Serves batches until the input ends; an error says which record is wrong and how.
-pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut host = host::Host::default();
-    let mut payload = Vec::new();
-    loop {
-        let mut header = [0u8; 12];
-        match fill(input, &mut header).map_err(|e| e.to_string())? {
-            0 => return Ok(()),
-            12 => {}
-            n => return Err(format!("batch header: truncated after {n} of 12 bytes")),
-        }
-        let [a, b, c, d, clock @ ..] = header;
-        let length = u64::from(u32::from_le_bytes([a, b, c, d]));
-        payload.clear();
-        // Grows with what really comes, so that a wrong length allocates nothing.
-        input
-            .by_ref()
-            .take(length)
-            .read_to_end(&mut payload)
-            .map_err(|e| e.to_string())?;
-        if payload.len() as u64 != length {
-            return Err(format!(
-                "batch: truncated after {} of {length} bytes",
-                payload.len()
-            ));
+struct BatchHeader {
+    payload_bytes: u64,
+    clock_ms: f64,
+}
+
+/// Reads a batch's header; none if the input ends before it.
+fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, ServeError> {
+    let mut header = [0u8; HEADER_BYTES];
+    let received = fill(input, &mut header)?;
+    if received == 0 {
+        return Ok(None);
+    }
+    if received < HEADER_BYTES {
+        return Err(ServeError::TruncatedHeader {
+            received,
+            expected: HEADER_BYTES,
+        });
+    }
+    let [a, b, c, d, clock @ ..] = header;
+    Ok(Some(BatchHeader {
+        payload_bytes: u64::from(u32::from_le_bytes([a, b, c, d])),
+        clock_ms: f64::from_le_bytes(clock),
+    }))
+}
+
+/// Reads a batch's payload. The buffer grows with what is received: a wrong length allocates
+/// nothing.
+fn read_payload(
+    input: &mut impl Read,
+    expected: u64,
+    payload: &mut Vec<u8>,
+) -> Result<(), ServeError> {
+    payload.clear();
+    input.by_ref().take(expected).read_to_end(payload)?;
+    let received = payload.len() as u64;
+    if received != expected {
+        return Err(ServeError::TruncatedBatch { received, expected });
+    }
+    Ok(())
+}
+
+/// Reads until the buffer is full or the input ends, and returns the number of bytes.
+fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+    let mut received = 0;
+    while received < buffer.len() {
+        match input.read(&mut buffer[received..])? {
+            0 => break,
+            count => received += count,
         }
-        let reply = host.batch(f64::from_le_bytes(clock), &payload)?;
-        output
-            .write_all(&reply)
-            .and_then(|()| output.flush())
-            .map_err(|e| e.to_string())?;
     }
+    Ok(received)
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,8 +7,8 @@
 fn main() -> ExitCode {
     match roseyard_simulator_adapter::serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("roseyard-simulator-adapter: {e}");
+        Err(error) => {
+            eprintln!("roseyard-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,19 +1,19 @@
-//! Byte examples of the wire, decoded and encoded, and what bad input gets.
+//! Byte examples of the wire, decoded and encoded, and the errors of malformed input.
 
 use roseyard_simulator_adapter::codec::{decode, CodecError, Record, Reply};
 use roseyard_simulator_adapter::serve;
 
-fn hex(s: &str) -> Vec<u8> {
-    let s: String = s.split_whitespace().collect();
-    (0..s.len())
+fn hex(text: &str) -> Vec<u8> {
+    let text: String = text.split_whitespace().collect();
+    (0..text.len())
         .step_by(2)
-        .map(|i| u8::from_str_radix(&s[i..i + 2], 16).unwrap())
+        .map(|i| u8::from_str_radix(&text[i..i + 2], 16).unwrap())
         .collect()
 }
 
 fn run(input: &[u8]) -> (Vec<u8>, Result<(), String>) {
     let mut out = Vec::new();
-    let result = serve(&mut &input[..], &mut out);
+    let result = serve(&mut &input[..], &mut out).map_err(|error| error.to_string());
     (out, result)
 }
 
@@ -42,77 +42,101 @@
 "BeyondCosts":1.0,"CapDepth":0.0,"CapSlack":0.0,"ExcessWorth":0.0,"MaxOut":0,"MostAtOnce":9.0,"NeverOverRate":0.0,
 "Rate":3.0,"ValueFactor":1.0}]}"#;
 
-#[test]
-fn the_documented_events_decode() {
-    let records = decode(&hex(
-        "05 0300 c4913a5dbe150200 00000040 0000 0000803f 0000000000006e40 640ad2557c3bf091 00004040 0000 0100
+/// One example of each event, and an endpoint list.
+const EXAMPLE_EVENTS: &str =
+    "05 0300 c4913a5dbe150200 00000040 0000 0000803f 0000000000006e40 640ad2557c3bf091 00004040 0000 0100
          04 0300 4d000000 08 0500 192b6f0e8e7d0f00
          03 0300 c4913a5dbe150200 0000000000802240 0000 074a1203
          0a 0300 0200 0400 68692037 07 0300 f211902c 0000 666666666666f63f 02 52b81e3f00004040
          0b 0300 0c 0300 00001842 90f6890000000000 0000 3333333333330140
          02 0300 c4913a5dbe150200 5600 0000 0000000000803240 01 074a1203 0300 0000 02 52b81e3f00004040
          06 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000
-         f211902c 01 00 0000 01 0000c03f 0000000000d4b740 01 0300 02 2900000000000000 00000000",
-    ))
-    .unwrap();
+         f211902c 01 00 0000 01 0000c03f 0000000000d4b740 01 0300 02 2900000000000000 00000000";
+
+#[test]
+fn the_documented_events_decode() {
+    let records = decode(&hex(EXAMPLE_EVENTS)).unwrap();
     assert_eq!(records.len(), 11);
-    let Record::WorkItem(w) = &records[0] else {
+    let Record::RequestReceived(request) = &records[0] else {
         panic!()
     };
     assert_eq!(
-        (w.i, w.units, w.left_ms, w.doors, w.marks),
+        (
+            request.instance,
+            request.units,
+            request.time_left_ms,
+            request.ingress_count,
+            request.flags
+        ),
         (3, 2.0, 240.0, 3.0, 1)
     );
-    assert_eq!(records[1], Record::Wakeup { i: 3, tag: 77 });
-    assert!(matches!(&records[4], Record::Whisper { bytes, .. } if bytes == b"hi 7"));
-    assert!(matches!(&records[7], Record::Added { value, code: 0, .. } if *value == 38.0));
-    let Record::Closed(c) = &records[8] else {
+    assert_eq!(
+        records[1],
+        Record::TimerExpired {
+            instance: 3,
+            tag: 77
+        }
+    );
+    assert!(matches!(&records[4], Record::PeerMessage { bytes, .. } if bytes == b"hi 7"));
+    assert!(
+        matches!(&records[7], Record::CounterReply(reply) if reply.outcome_code == 0 && reply.total == 38.0)
+    );
+    let Record::AttemptEnded(attempt) = &records[8] else {
         panic!()
     };
     assert_eq!(
-        (c.usage, c.n, c.done, c.true_units, c.stats.len()),
+        (
+            attempt.metered_usage,
+            attempt.attempt,
+            attempt.is_finished,
+            attempt.true_units,
+            attempt.load_report.len()
+        ),
         (86, 0, true, 3, 2)
     );
-    let Record::Census { items, .. } = &records[9] else {
+    let Record::EndpointList { endpoints, .. } = &records[9] else {
         panic!()
     };
-    assert_eq!((items[1].heft, items[1].started_at_ms), (1.5, 6100.0));
+    assert_eq!(
+        (endpoints[1].weight, endpoints[1].started_at_ms),
+        (1.5, 6100.0)
+    );
     assert_eq!(
         records[10],
-        Record::Membership {
-            i: 3,
+        Record::EndpointListChanged {
+            instance: 3,
             form: 2,
-            serial: 41,
-            table: 0
+            revision: 41,
+            list: 0
         }
     );
 }
 
 #[test]
 fn the_documented_actions_encode() {
-    let mut r = Reply::default();
+    let mut reply = Reply::default();
     let (req, other) = (
         u64::from_le_bytes(*b"\xc4\x91\x3a\x5d\xbe\x15\x02\0"),
         0x000f_7d8e_0e6f_2b19,
     );
-    r.forward(
+    reply.forward(
         3,
         req,
         f64::from_le_bytes(*b"\0\0\0\0\x20\x96\xc0\x40"),
         0x0312_4a07,
     );
-    r.wake_at(3, 500.0, 77);
-    r.trace(5, "two servers known");
-    r.close_idle(3, 0x2c90_11f2);
-    r.track(3, true);
-    r.memo_to(3, u32::MAX, b"hi 7");
-    r.retract(3, req, 0);
-    r.crash(3, "index out of range");
-    r.abort(3, other);
-    r.touch(3, 0x2c90_11f2);
-    r.count(3, 4.0, 3000.0, 0x0089_f690);
-    r.reject(3, other, 250.0);
-    r.fetch(3);
+    reply.set_timer(3, 500.0, 77);
+    reply.log(5, "two servers known");
+    reply.close_idle_connections(3, 0x2c90_11f2);
+    reply.subscribe(3, true);
+    reply.send_to_peer(3, u32::MAX, b"hi 7");
+    reply.cancel_attempt(3, req, 0);
+    reply.report_crash(3, "index out of range");
+    reply.fail(3, other);
+    reply.check_health(3, 0x2c90_11f2);
+    reply.increment_counter(3, 4.0, 3000.0, 0x0089_f690);
+    reply.reject(3, other, 250.0);
+    reply.fetch_endpoint_list(3);
     let want = hex(
         "01 0300 c4913a5dbe150200 000000002096c040 074a1203 05 0300 0000000000407f40 4d000000
          09 0500 1100 74776f2073657276657273206b6e6f776e 07 0300 f211902c 0b 0300 01
@@ -120,7 +144,7 @@
          0a 0300 1200 696e646578206f7574206f662072616e6765 03 0300 192b6f0e8e7d0f00 06 0300 f211902c
          0d 0300 00008040 000000000070a740 90f6890000000000 02 0300 192b6f0e8e7d0f00 0000000000406f40 0c 0300",
     );
-    let frame = r.frame();
+    let frame = reply.frame();
     assert_eq!(
         &frame[..8],
         &[13u32.to_le_bytes(), (want.len() as u32).to_le_bytes()].concat()[..]
@@ -129,13 +153,13 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_well() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
     let (out, result) = run(&hex("00000000 00000000206ec040"));
     assert_eq!((out, result), (vec![0; 8], Ok(())));
 }
 
 #[test]
-fn a_request_is_sent_to_a_listed_server_and_a_restart_within_a_batch_forgets_it() {
+fn a_request_is_forwarded_to_a_listed_endpoint_and_a_restart_within_a_batch_forgets_it() {
     let list = hex(
         "06 00000000 01000000 07000000 00 00 0000 01 0000803f 0000000000000000
          01 0300 02 2900000000000000 00000000",
@@ -146,31 +170,31 @@
     assert_eq!(result, Ok(()));
     assert!(
         out.windows(4).any(|w| w == [7, 0, 0, 0]),
-        "forwarded to server 7"
+        "forwarded to endpoint 7"
     );
     let again = [records, hex("0b 0300"), create(3, OPTIONS), item].concat();
     let (out, result) = run(&batch(1000.0, &again));
     assert_eq!(result, Ok(()));
     assert!(
         out.len() > 40,
-        "refused by the fresh instance, which knows no server"
+        "rejected by the new instance, which knows no endpoint"
     );
 }
 
 #[test]
-fn bad_input_is_named_and_never_panics() {
-    let bad = |records: &[u8]| run(&batch(1.0, records)).1.unwrap_err();
-    assert!(bad(&hex("63")).contains("unknown event code 99"));
-    assert!(bad(&hex("04 0300 4d")).contains("record 0 (code 4): truncated"));
-    assert!(bad(&hex("06 00000000 ffffffff")).contains("truncated"));
-    assert!(bad(&create(1, "{}")).contains("missing field"));
-    assert!(bad(&create(
+fn malformed_input_is_named_and_never_panics() {
+    let error_of = |records: &[u8]| run(&batch(1.0, records)).1.unwrap_err();
+    assert!(error_of(&hex("63")).contains("unknown event code 99"));
+    assert!(error_of(&hex("04 0300 4d")).contains("record 0 (code 4): truncated"));
+    assert!(error_of(&hex("06 00000000 ffffffff")).contains("truncated"));
+    assert!(error_of(&create(1, "{}")).contains("missing field"));
+    assert!(error_of(&create(
         1,
         &OPTIONS.replace("\"TargetMs\":500.0", "\"TargetMs\":-5.0")
     ))
     .contains("TargetMs"));
-    assert!(bad(&create(1, &OPTIONS.replace("read_like", "odd"))).contains("Effect"));
-    assert!(bad(&hex("01 0300 02 2900000000000000 05000000")).contains("no list numbered 5"));
+    assert!(error_of(&create(1, &OPTIONS.replace("read_like", "odd"))).contains("Effect"));
+    assert!(error_of(&hex("01 0300 02 2900000000000000 05000000")).contains("no list numbered 5"));
     assert!(run(&hex("ffffff7f 0000000000000000 01"))
         .1
         .unwrap_err()
