--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration file, which `LB_CONFIG` names.
 
 use crate::protocol::list::EndpointListMessage;
-use roseyard_platform_config::PlatformSettings;
+use roseyard_platform_config::{PlatformConfigError, PlatformSettings};
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
@@ -41,8 +41,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfiguration {
     /// It is no JSON of the expected form; the text names the field.
-    #[error("{0}")]
-    Json(String),
+    #[error(transparent)]
+    Json(#[from] PlatformConfigError),
     /// A field or variable holds no address.
     #[error("{field}: '{text}' is not an address")]
     Address {
@@ -141,10 +141,9 @@
         mut text: Vec<u8>,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, InvalidConfiguration> {
-        let raw: RawConfig = roseyard_platform_config::decode(&mut text)
-            .map_err(|error| InvalidConfiguration::Json(error.to_string()))?;
+        let raw: RawConfig = roseyard_platform_config::decode(&mut text)?;
         let mut known = raw.known;
-        known.all = true;
+        known.is_full = true;
         let listen = variable(LISTEN_VARIABLE).unwrap_or(raw.listen);
         let discovery = variable(DISCOVERY_VARIABLE).unwrap_or(raw.discovery);
         Ok(Config {
--- a/crates/ingress/src/program/error.rs
+++ b/crates/ingress/src/program/error.rs
@@ -40,8 +40,8 @@
     #[error("{0}")]
     OperatorFile(String),
     /// The platform's settings hold a value that is not known.
-    #[error("{0}")]
-    PlatformSettings(String),
+    #[error(transparent)]
+    PlatformSettings(#[from] roseyard_platform_config::PlatformConfigError),
     /// The membership's socket or keys could not be set up.
     #[error("{0}")]
     Membership(String),
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -143,10 +143,7 @@
 }
 
 fn decision_settings(config: &Config) -> Result<roseyard_decision::Settings, ProgramError> {
-    config
-        .settings
-        .settings()
-        .map_err(|error| ProgramError::PlatformSettings(error.to_string()))
+    Ok(config.settings.settings()?)
 }
 
 /// Listens on the address. While another process holds it, retries for up to [`Limits::address`]:
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -4,7 +4,7 @@
 //! and nowhere else.
 
 use super::resp::{decimal, put_array, put_bulk, put_bulk_of};
-use roseyard_request_engine::MOST_NAME_BYTES;
+use roseyard_request_engine::MAX_NAME_BYTES;
 
 /// Customers have numbers below this.
 const CUSTOMERS: u64 = 1 << 33;
@@ -125,7 +125,7 @@
                 .split_once('=')
                 .ok_or(InvalidCommand("expected name=value"))?;
             if route_field == Some(name) {
-                let is_bounded = (1..=MOST_NAME_BYTES).contains(&value.len());
+                let is_bounded = (1..=MAX_NAME_BYTES).contains(&value.len());
                 let route = Some(value).filter(|_| is_bounded);
                 set_once(&mut fields.route, route, "invalid route")?;
             }
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -1,5 +1,6 @@
 //! The endpoint lists that discovery's watch brings.
 
+use roseyard_platform_config::PlatformConfigError;
 pub use roseyard_request_engine::{EndpointListMessage, EndpointRecord};
 
 /// Splits the bytes of a watch into lists. Each is one JSON object, on one line or indented over
@@ -54,6 +55,6 @@
 }
 
 /// Decodes one list of a watch, in place.
-pub fn decode(line: &mut [u8]) -> Result<EndpointListMessage, String> {
+pub fn decode(line: &mut [u8]) -> Result<EndpointListMessage, PlatformConfigError> {
     roseyard_platform_config::decode(line)
 }
