--- a/crates/ingress/tests/fleet.rs
+++ b/crates/ingress/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Several real daemons that know of one another, with faults between them.
 
-use roseyard_testbed::judge::What;
-use roseyard_testbed::net::Rules;
-use roseyard_testbed::rig::{standing, Rig, Spec, PATIENCE};
-use roseyard_testbed::scenario::{play, Scenario};
+use roseyard_testbed::checker::Observation;
+use roseyard_testbed::faulty_network::Rules;
+use roseyard_testbed::fleet::{membership_state, Fleet, FleetOptions, MAX_WAIT};
+use roseyard_testbed::scenario::{run, Scenario};
 use rustix::process::Signal;
 use std::net::UdpSocket;
 use std::process::Command;
@@ -12,21 +12,21 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn rig(members: usize, seed: u64) -> Rig {
+fn rig(members: usize, seed: u64) -> Fleet {
     println!("seed {seed}");
-    let rig = Rig::start(Spec::new(
+    let rig = Fleet::start(FleetOptions::new(
         env!("CARGO_BIN_EXE_roseyard-ingress"),
         members,
         seed,
     ))
     .unwrap();
     let all: Vec<usize> = (0..members).collect();
-    rig.agree(&all, PATIENCE).unwrap();
+    rig.agree(&all, MAX_WAIT).unwrap();
     rig
 }
 
 /// Lines that say that a member is held gone.
-fn gone(rig: &Rig, n: usize, from: usize) -> Vec<String> {
+fn gone(rig: &Fleet, n: usize, from: usize) -> Vec<String> {
     rig.members[n]
         .log
         .since(from)
@@ -35,8 +35,8 @@
         .collect()
 }
 
-fn served(rig: &Rig, n: usize, id: u64) {
-    let line = rig.ask(n, 1 + id % 50, id).unwrap();
+fn served(rig: &Fleet, n: usize, id: u64) {
+    let line = rig.request(n, 1 + id % 50, id).unwrap();
     assert_eq!(line, "$16", "n{n} answered {line}");
 }
 
@@ -51,15 +51,15 @@
             .wait(
                 marks[n],
                 "member=n2 from=suspected to=gone seen=2 expected=3",
-                PATIENCE,
+                MAX_WAIT,
             )
             .unwrap();
         served(&rig, n, 10 + n as u64);
     }
-    rig.sees(0, 2, "gone", PATIENCE).unwrap();
+    rig.sees(0, 2, "gone", MAX_WAIT).unwrap();
     assert_eq!(rig.status(0).unwrap()["quorum"], true, "two of three");
     rig.spawn(2).unwrap();
-    rig.agree(&[0, 1, 2], PATIENCE).unwrap();
+    rig.agree(&[0, 1, 2], MAX_WAIT).unwrap();
     served(&rig, 2, 20);
     // A table for people, from the same file.
     let shown = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"))
@@ -83,11 +83,11 @@
     for n in [0, 2] {
         rig.members[n]
             .log
-            .wait(marks[n], "member=n1 from=alive to=left", PATIENCE)
+            .wait(marks[n], "member=n1 from=alive to=left", MAX_WAIT)
             .unwrap();
     }
     rig.spawn(1).unwrap();
-    rig.agree(&[0, 1, 2], PATIENCE).unwrap();
+    rig.agree(&[0, 1, 2], MAX_WAIT).unwrap();
     assert!((0..3).all(|n| gone(&rig, n, marks[n]).is_empty()));
 }
 
@@ -102,12 +102,12 @@
             .wait(
                 *mark,
                 "member=n3 from=suspected to=gone seen=3 expected=4",
-                PATIENCE,
+                MAX_WAIT,
             )
             .unwrap();
     }
     rig.signal(3, Signal::CONT).unwrap();
-    rig.agree(&[0, 1, 2, 3], PATIENCE).unwrap();
+    rig.agree(&[0, 1, 2, 3], MAX_WAIT).unwrap();
     assert_eq!(
         gone(&rig, 3, marks[3]),
         Vec::<String>::new(),
@@ -119,14 +119,14 @@
 #[test]
 fn the_minority_of_a_split_knows_that_it_is_one_and_serves_on() {
     let mut rig = rig(5, 4);
-    rig.net.split(&[0, 1], &[2, 3, 4]);
-    rig.until(PATIENCE, "two of five have no majority", |r| {
+    rig.network.split(&[0, 1], &[2, 3, 4]);
+    rig.until(MAX_WAIT, "two of five have no majority", |r| {
         [0, 1]
             .iter()
             .all(|n| r.status(*n).is_ok_and(|s| s["quorum"] == false))
     })
     .unwrap();
-    rig.sees(2, 0, "gone", PATIENCE).unwrap();
+    rig.sees(2, 0, "gone", MAX_WAIT).unwrap();
     assert!([2, 3, 4]
         .iter()
         .all(|n| rig.status(*n).unwrap()["quorum"] == true));
@@ -136,8 +136,8 @@
         rig.kill(n).unwrap();
         rig.spawn(n).unwrap();
     }
-    rig.net.set_all(Rules::default());
-    rig.agree(&[0, 1, 2, 3, 4], PATIENCE).unwrap();
+    rig.network.set_all(Rules::default());
+    rig.agree(&[0, 1, 2, 3, 4], MAX_WAIT).unwrap();
 }
 
 #[test]
@@ -150,10 +150,10 @@
         delay: (MS(1), MS(60)),
         ..Rules::default()
     };
-    rig.net.set_all(bad);
-    rig.net.set((1, 0), Rules { cut: true, ..bad });
+    rig.network.set_all(bad);
+    rig.network.set((1, 0), Rules { cut: true, ..bad });
     // Long enough for each to be probed by each some times: 60 probes of the beat.
-    let probes = |r: &Rig, n: usize| r.status(n).unwrap()["counts"]["probes"].as_u64().unwrap();
+    let probes = |r: &Fleet, n: usize| r.status(n).unwrap()["counts"]["probes"].as_u64().unwrap();
     let before: Vec<u64> = (0..4).map(|n| probes(&rig, n)).collect();
     rig.until(Duration::from_secs(60), "20 probes of each", |r| {
         (0..4).all(|n| probes(r, n) >= before[n] + 20)
@@ -161,11 +161,11 @@
     .unwrap();
     (0..4).for_each(|n| assert_eq!(gone(&rig, n, marks[n]), Vec::<String>::new(), "n{n}"));
     assert!(
-        rig.net.trace((1, 0)).iter().any(|f| f.after.is_empty()),
+        rig.network.trace((1, 0)).iter().any(|f| f.after.is_empty()),
         "the cut has swallowed some"
     );
-    rig.net.set_all(Rules::default());
-    rig.agree(&[0, 1, 2, 3], PATIENCE).unwrap();
+    rig.network.set_all(Rules::default());
+    rig.agree(&[0, 1, 2, 3], MAX_WAIT).unwrap();
 }
 
 #[test]
@@ -175,14 +175,14 @@
     rig.write_key("next", 9).unwrap();
     let (old, next) = (rig.folder().join("key"), rig.folder().join("next"));
     let other = |path: &std::path::Path| format!("other-key-file \"{}\"", path.display());
-    let turn = |rig: &Rig, key: &str, more: &str| {
+    let turn = |rig: &Fleet, key: &str, more: &str| {
         for n in 0..3 {
             let mark = rig.members[n].log.mark();
             rig.write_settings(n, key, more).unwrap();
             rig.signal(n, Signal::HUP).unwrap();
             rig.members[n]
                 .log
-                .wait(mark, "membership keys reloaded keys=", PATIENCE)
+                .wait(mark, "membership keys reloaded keys=", MAX_WAIT)
                 .unwrap();
         }
     };
@@ -192,7 +192,7 @@
     rig.spawn_with(1, &settings).unwrap(); // one seals by the new one after a restart,
     turn(&rig, "next", &other(&old)); // then all,
     turn(&rig, "next", ""); // and the old one is forgotten.
-    rig.agree(&[0, 1, 2], PATIENCE).unwrap();
+    rig.agree(&[0, 1, 2], MAX_WAIT).unwrap();
     (0..3).for_each(|n| assert_eq!(gone(&rig, n, marks[n]), Vec::<String>::new(), "n{n}"));
     // A key that others may read changes nothing.
     use std::os::unix::fs::PermissionsExt;
@@ -200,7 +200,7 @@
     let mark = rig.members[0].log.mark();
     rig.signal(0, Signal::HUP).unwrap();
     let rejected = "membership keys rejected, previous ones stay in force error=";
-    let line = rig.members[0].log.wait(mark, rejected, PATIENCE).unwrap();
+    let line = rig.members[0].log.wait(mark, rejected, MAX_WAIT).unwrap();
     assert!(
         line.contains("others may read this key (mode 0644); make it 0600"),
         "{line}"
@@ -211,7 +211,7 @@
 fn strangers_and_replays_are_dropped_and_a_flood_of_them_harms_nobody() {
     let rig = rig(3, 7);
     let mark = rig.members[0].log.mark();
-    let at = rig.members[0].listens.unwrap();
+    let at = rig.members[0].membership_address.unwrap();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // 20,000 datagrams that look right up to the tag, at most 20,000 a second, beside requests.
     let (over, sent) = (AtomicBool::new(false), AtomicU64::new(0));
@@ -237,7 +237,7 @@
     for bytes in [&b""[..], b"x", &[0; 300], &[0xff; 256]] {
         stranger.send_to(bytes, at).unwrap();
     }
-    rig.until(PATIENCE, "what was dropped is counted", |r| {
+    rig.until(MAX_WAIT, "what was dropped is counted", |r| {
         let counts = &r.status(0).unwrap()["counts"];
         counts["dropped: another cluster"].as_u64() > Some(1000)
             && counts["dropped: malformed"].as_u64() >= Some(3)
@@ -248,7 +248,7 @@
         stranger.recv_from(&mut [0; 8]).is_err(),
         "no stranger is answered"
     );
-    rig.agree(&[0, 1, 2], PATIENCE).unwrap();
+    rig.agree(&[0, 1, 2], MAX_WAIT).unwrap();
     assert_eq!(gone(&rig, 0, mark), Vec::<String>::new());
 }
 
@@ -257,7 +257,7 @@
     let mut rig = rig(3, 8);
     // The third takes the second's name.
     rig.kill(2).unwrap();
-    let holder = rig.members[1].listens.unwrap();
+    let holder = rig.members[1].membership_address.unwrap();
     rig.members[2].name = "n1".into();
     let folder = rig.folder().join("n1.kdl");
     let settings = rig.write_settings(2, "key", "").unwrap();
@@ -266,7 +266,7 @@
     rig.spawn_with(2, &settings).unwrap();
     let line = rig.members[2]
         .log
-        .wait(mark, "membership name in use", PATIENCE)
+        .wait(mark, "membership name in use", MAX_WAIT)
         .unwrap();
     assert!(
         line.contains(&format!(
@@ -279,11 +279,11 @@
     rig.kill(1).unwrap();
     rig.members[0]
         .log
-        .wait(mark, "member=n1 from=suspected to=gone", PATIENCE)
+        .wait(mark, "member=n1 from=suspected to=gone", MAX_WAIT)
         .unwrap();
     rig.members[0]
         .log
-        .wait(mark, "member=n1 from=gone to=alive", PATIENCE)
+        .wait(mark, "member=n1 from=gone to=alive", MAX_WAIT)
         .unwrap();
 }
 
@@ -293,13 +293,13 @@
     let begin = Instant::now();
     (0..4).for_each(|n| rig.kill(n).unwrap());
     (0..4).for_each(|n| rig.spawn(n).unwrap());
-    let took = rig.agree(&[0, 1, 2, 3], PATIENCE).unwrap();
+    let took = rig.agree(&[0, 1, 2, 3], MAX_WAIT).unwrap();
     println!(
         "agreed {:?} after the kill, {took:?} after the last start",
         begin.elapsed()
     );
     let status = rig.status(0).unwrap();
-    assert!((1..4).all(|n| standing(&status, &format!("n{n}")) == Some("alive")));
+    assert!((1..4).all(|n| membership_state(&status, &format!("n{n}")) == Some("alive")));
 }
 
 #[test]
@@ -313,16 +313,16 @@
     let scenario = Scenario::parse(text).unwrap();
     let program = || env!("CARGO_BIN_EXE_roseyard-ingress").into();
     let (one, two) = std::thread::scope(|scope| {
-        let other = scope.spawn(|| play(&scenario, program(), |_| {}).unwrap());
+        let other = scope.spawn(|| run(&scenario, program(), |_| {}).unwrap());
         (
-            play(&scenario, program(), |_| {}).unwrap(),
+            run(&scenario, program(), |_| {}).unwrap(),
             other.join().unwrap(),
         )
     });
     assert_eq!(one.trace, two.trace);
     for played in [one, two] {
         println!("{:?}", played.verdict);
-        assert_eq!(played.verdict.broken, Vec::<String>::new());
+        assert_eq!(played.verdict.violations, []);
         assert!(played.verdict.served > 400, "{:?}", played.verdict);
     }
 }
@@ -331,15 +331,15 @@
 fn what_the_form_endpoints_saw_is_the_judges_alone() {
     let rig = rig(2, 12);
     served(&rig, 0, 0x77);
-    let seen: Vec<What> = rig
-        .ledger()
+    let seen: Vec<Observation> = rig
+        .history()
         .events()
         .iter()
         .filter(|e| e.id == 0x77)
-        .map(|e| e.what)
+        .map(|e| e.observation)
         .collect();
     assert!(
-        matches!(seen[..], [What::Began(a), What::Ended(b)] if a == b),
+        matches!(seen[..], [Observation::AttemptStarted(a), Observation::AttemptFinished(b)] if a == b),
         "{seen:?}"
     );
 }
--- a/crates/testbed/regression.sh
+++ b/crates/testbed/regression.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
 # Scores every deployment on sockets, one after the other, and fails if one has fallen by more than 0.03 against the
 # figure beside it in regression.tsv, or if the bench reports a broken rule, a crash or no score at all.
-#   lab/regression.sh KIT "one plain sentence that names the change"
+#   crates/testbed/regression.sh KIT "one plain sentence that names the change"
 set -euo pipefail
-[ $# -eq 2 ] || { echo "usage: lab/regression.sh KIT WHY" >&2; exit 2; }
+[ $# -eq 2 ] || { echo "usage: crates/testbed/regression.sh KIT WHY" >&2; exit 2; }
 kit=$1 why=$2
-cd "$(dirname "$0")/.."
+cd "$(dirname "$0")/../.."
 failed=0
 while IFS=$'\t' read -r site before; do
     echo "== $site, $before before"
@@ -25,5 +25,5 @@
         echo "$site: $score, fallen by more than 0.03 from $before" >&2
         failed=1
     fi
-done <lab/regression.tsv
+done <crates/testbed/regression.tsv
 exit "$failed"
--- /dev/null
+++ b/crates/testbed/src/cli/flood.rs
@@ -0,0 +1,270 @@
+//! `roseyard-testbed flood`: clients without a flood, then under each shape of flood.
+
+use super::parse_rate;
+use comfy_table::{presets::ASCII_MARKDOWN, Table};
+use roseyard_testbed::client_load::{self, LoadOutcome, OpenLoopLoad};
+use roseyard_testbed::daemon::{daemon_program, Daemon, LaunchOptions};
+use roseyard_testbed::fakes::FakePlatform;
+use roseyard_testbed::flood::{self, Flood, FloodCounters, FloodShape};
+use std::io;
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::runtime::{Builder, Runtime};
+
+const FORM_SERVERS: usize = 12;
+const CUSTOMERS: u64 = 60;
+const CLIENT_ADDRESSES: u8 = 20;
+/// Load before the first measurement.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// From the start of a flood to the measurement under it.
+const FLOOD_LEAD: Duration = Duration::from_secs(1);
+const DEFAULT_SHAPES: [FloodShape; 7] = [
+    FloodShape::Silent,
+    FloodShape::Drip,
+    FloodShape::ConnectClose,
+    FloodShape::Half,
+    FloodShape::Once,
+    FloodShape::Again,
+    FloodShape::Garbage,
+];
+const COLUMNS: [&str; 14] = [
+    "flood",
+    "asked",
+    "served",
+    "refused",
+    "failed",
+    "p50 ms",
+    "p99 ms",
+    "p99 / calm",
+    "connections",
+    "told",
+    "connect failed",
+    "cpu %",
+    "cpu us / connection",
+    "rss MiB",
+];
+
+#[derive(Debug, clap::Args)]
+pub(crate) struct FloodArgs {
+    /// The daemon's program; by default the one beside this one.
+    #[arg(long)]
+    pub(super) daemon: Option<PathBuf>,
+    /// The operator's file; none for a program that takes none.
+    #[arg(long)]
+    pub(super) settings: Option<PathBuf>,
+    /// Descriptors of the daemon.
+    #[arg(long, default_value_t = 384)]
+    pub(super) sockets: usize,
+    /// Shapes of flood, one after another.
+    #[arg(long, value_enum, value_delimiter = ',', default_values_t = DEFAULT_SHAPES)]
+    pub(super) shapes: Vec<FloodShape>,
+    /// New connections a second of the flood.
+    #[arg(long, default_value_t = 3000.0, value_parser = parse_rate)]
+    pub(super) flood_rate: f64,
+    /// Connections that the flood holds at most.
+    #[arg(long, default_value_t = 4000)]
+    pub(super) flood_most: usize,
+    /// Addresses that the flood comes from.
+    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
+    pub(super) flood_from: u32,
+    /// Requests a second of the clients.
+    #[arg(long, default_value_t = 200.0, value_parser = parse_rate)]
+    pub(super) rate: f64,
+    /// Share of these after which the connection is closed.
+    #[arg(long, default_value_t = 0.0)]
+    pub(super) fresh: f64,
+    /// Seconds of each measured interval.
+    #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=600))]
+    pub(super) seconds: u64,
+    /// Service time of a form server, in milliseconds.
+    #[arg(long, default_value_t = 20)]
+    pub(super) work_ms: u64,
+    /// For the clients' times.
+    #[arg(long, default_value_t = 11)]
+    pub(super) seed: u64,
+}
+
+pub(super) fn run(args: &FloodArgs) -> io::Result<()> {
+    let runtimes = Runtimes::start()?;
+    let service_time = Duration::from_millis(args.work_ms);
+    let platform = runtimes
+        .platform
+        .block_on(FakePlatform::start(FORM_SERVERS, service_time))?;
+    let launch = LaunchOptions {
+        program: daemon_program(args.daemon.as_deref())?,
+        operator_file: args.settings.clone(),
+        descriptors: args.sockets,
+    };
+    println!(
+        "{} descriptors, {} requests a second ({} on connections that close), flood of {} connections a second from {} addresses, seed {}",
+        args.sockets, args.rate, args.fresh, args.flood_rate, args.flood_from, args.seed
+    );
+    let mut table = Table::new();
+    table.load_preset(ASCII_MARKDOWN).set_header(COLUMNS);
+    for shape in &args.shapes {
+        // A daemon for each shape, so that what one flood leaves behind does not affect the next.
+        let daemon = Daemon::start(&launch, &platform)?;
+        let trial = Trial {
+            args,
+            runtimes: &runtimes,
+            daemon: &daemon,
+            counters: Arc::default(),
+        };
+        for row in trial.run(*shape)? {
+            table.add_row(row);
+        }
+    }
+    println!("{table}");
+    Ok(())
+}
+
+/// A thread for each side, so that a flood does not slow the clients that are measured.
+struct Runtimes {
+    platform: Runtime,
+    clients: Runtime,
+    flood: Runtime,
+}
+
+impl Runtimes {
+    fn start() -> io::Result<Runtimes> {
+        let single_thread = |name: &str| {
+            Builder::new_multi_thread()
+                .worker_threads(1)
+                .thread_name(name)
+                .enable_all()
+                .build()
+        };
+        Ok(Runtimes {
+            platform: single_thread("platform")?,
+            clients: single_thread("clients")?,
+            flood: single_thread("flood")?,
+        })
+    }
+}
+
+/// What one measured interval has shown.
+struct Measurement {
+    name: String,
+    outcome: LoadOutcome,
+    /// Processor time of the daemon.
+    cpu_time: Duration,
+    duration: Duration,
+    rss_kib: u64,
+    /// Connections that the flood made in the interval.
+    connected: u64,
+    /// `-BUSY` replies to the flood since it began.
+    busy_replies: u64,
+    /// Connects of the flood that failed since it began.
+    connect_failures: u64,
+}
+
+/// One shape of flood on a daemon of its own.
+struct Trial<'a> {
+    args: &'a FloodArgs,
+    runtimes: &'a Runtimes,
+    daemon: &'a Daemon,
+    counters: Arc<FloodCounters>,
+}
+
+impl Trial<'_> {
+    /// Measures without and under the flood; the rows of the table.
+    fn run(&self, shape: FloodShape) -> io::Result<[Vec<String>; 2]> {
+        self.play_clients(self.args.seed + 1, WARM_UP);
+        let calm = self.measure("none")?;
+        let flood = Flood {
+            shape,
+            rate: self.args.flood_rate,
+            max_connections: self.args.flood_most,
+            addresses: self.args.flood_from,
+        };
+        let stop = Arc::new(AtomicBool::new(false));
+        let playing = self.runtimes.flood.spawn(flood::play(
+            flood,
+            self.daemon.address,
+            Arc::clone(&stop),
+            Arc::clone(&self.counters),
+        ));
+        std::thread::sleep(FLOOD_LEAD);
+        let flooded = self.measure(&format!("{shape:?}"))?;
+        stop.store(true, Ordering::Relaxed);
+        // A flood that panicked has made no more connections, which the table shows.
+        let _ = self.runtimes.flood.block_on(playing);
+        Ok([calm.row(&calm), flooded.row(&calm)])
+    }
+
+    fn play_clients(&self, seed: u64, length: Duration) -> LoadOutcome {
+        let load = OpenLoopLoad {
+            rate: self.args.rate,
+            customers: CUSTOMERS,
+            addresses: CLIENT_ADDRESSES,
+            reconnect_ratio: self.args.fresh,
+            idempotent: true,
+            seed,
+        };
+        let play = client_load::play(load, self.daemon.address, length);
+        self.runtimes.clients.block_on(play)
+    }
+
+    fn measure(&self, name: &str) -> io::Result<Measurement> {
+        let began_at = Instant::now();
+        let cpu_before = self.daemon.cpu_time()?;
+        let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let connected_before = read(&self.counters.connected);
+        let length = Duration::from_secs(self.args.seconds);
+        let outcome = self.play_clients(self.args.seed, length);
+        Ok(Measurement {
+            name: name.into(),
+            outcome,
+            cpu_time: self.daemon.cpu_time()? - cpu_before,
+            duration: began_at.elapsed(),
+            rss_kib: self.daemon.rss_kib()?,
+            connected: read(&self.counters.connected) - connected_before,
+            busy_replies: read(&self.counters.busy_replies),
+            connect_failures: read(&self.counters.connect_failures),
+        })
+    }
+}
+
+impl Measurement {
+    fn latency_ms(&self, quantile: f64) -> f64 {
+        self.outcome.latency_from_due.value_at_quantile(quantile) as f64 / 1000.0
+    }
+
+    /// The share of the requests that these are.
+    fn ratio(&self, requests: u64) -> String {
+        let ratio = requests as f64 / self.outcome.requests.max(1) as f64;
+        format!("{ratio:.4}")
+    }
+
+    /// The cells of [`COLUMNS`], compared with the measurement without a flood.
+    fn row(&self, calm: &Measurement) -> Vec<String> {
+        let p99_ratio = self.latency_ms(0.99) / calm.latency_ms(0.99).max(0.001);
+        let extra_cpu_time = self.cpu_time.saturating_sub(calm.cpu_time);
+        let cpu_us_per_connection = match self.connected {
+            0 => "-".into(),
+            connected => format!(
+                "{:.1}",
+                extra_cpu_time.as_secs_f64() * 1e6 / connected as f64
+            ),
+        };
+        let cpu_percent = self.cpu_time.as_secs_f64() * 100.0 / self.duration.as_secs_f64();
+        vec![
+            self.name.clone(),
+            self.outcome.requests.to_string(),
+            self.ratio(self.outcome.served),
+            self.ratio(self.outcome.rejected),
+            self.ratio(self.outcome.failed),
+            format!("{:.1}", self.latency_ms(0.5)),
+            format!("{:.1}", self.latency_ms(0.99)),
+            format!("{p99_ratio:.2}"),
+            self.connected.to_string(),
+            self.busy_replies.to_string(),
+            self.connect_failures.to_string(),
+            format!("{cpu_percent:.1}"),
+            cpu_us_per_connection,
+            format!("{:.1}", self.rss_kib as f64 / 1024.0),
+        ]
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/cli/scale.rs
@@ -0,0 +1,169 @@
+//! `roseyard-testbed scale`: what each role costs by size.
+
+use super::{parse_rate, Cli};
+use clap::CommandFactory;
+use roseyard_testbed::daemon::daemon_program;
+use roseyard_testbed::scale::daemon::{self, faults, DaemonOptions};
+use roseyard_testbed::scale::{self, report::RoleReport, Role, Run};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+
+pub(super) const EXAMPLES: &str = "Examples:
+  roseyard-testbed scale --role decision --sizes 17,1000,54000
+  roseyard-testbed scale --role daemon --daemon-before old/roseyard-ingress --services --repeats 3
+  roseyard-testbed scale --role all --json scale.json";
+
+#[derive(Debug, clap::Args)]
+pub(crate) struct ScaleArgs {
+    /// What is measured.
+    #[arg(long, value_enum, default_value = "all")]
+    pub(super) role: Role,
+    /// Sizes, such as 17,1000,54000: servers, tenants, members, addresses, routes or ingresses, by
+    /// the role; each role has its own if none are given.
+    #[arg(long, value_delimiter = ',')]
+    pub(super) sizes: Vec<usize>,
+    /// Virtual seconds of a sample; with '--role daemon' or 'faults' real seconds of load.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=600))]
+    pub(super) seconds: u64,
+    /// Samples at each size.
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=100))]
+    pub(super) repeats: u16,
+    /// With '--role daemon' or 'faults': the daemon's program; by default the one beside this one.
+    #[arg(long)]
+    pub(super) daemon: Option<PathBuf>,
+    /// With '--role daemon': an earlier version of it, measured alternately with the other.
+    #[arg(long)]
+    pub(super) daemon_before: Option<PathBuf>,
+    /// Divide the servers into services, 3,200 of them at full size; with the roles decision, list,
+    /// quotas, events and daemon.
+    /// With '--role daemon': measure that too. '--role all' measures both.
+    #[arg(long)]
+    pub(super) services: bool,
+    /// With '--role daemon': measure 1 and 95,000 tenants too, at the greatest size.
+    #[arg(long)]
+    pub(super) all_tenants: bool,
+    /// With '--role daemon': run without a shared counter.
+    #[arg(long)]
+    pub(super) without_counter: bool,
+    /// With '--role daemon': the settings forbid health checks of servers.
+    #[arg(long)]
+    pub(super) without_probes: bool,
+    /// With '--role daemon': servers close a connection once they have answered a request on it.
+    #[arg(long)]
+    pub(super) servers_close: bool,
+    /// With '--role daemon': requests a second.
+    #[arg(long, default_value_t = 256.0, value_parser = parse_rate)]
+    pub(super) rate: f64,
+    /// With '--role daemon': ingresses through which each tenant's requests come.
+    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=4_300))]
+    pub(super) spread: u32,
+    /// Where the figures are written as JSON; - for the standard output, in place of the tables.
+    #[arg(long)]
+    pub(super) json: Option<PathBuf>,
+    /// Seed of all random numbers.
+    #[arg(long, default_value_t = 11)]
+    pub(super) seed: u64,
+}
+
+pub(super) fn run(args: &ScaleArgs) -> io::Result<()> {
+    let run = run_options(args);
+    if args.role == Role::Faults {
+        return run_faults(&daemon_options(args, &run)?, args.json.is_some());
+    }
+    let reports = match args.role.run(&run) {
+        Some(report) => vec![report],
+        None if args.role == Role::Daemon => daemon::run(&daemon_options(args, &run)?)?,
+        None => measured_roles()
+            .map(|(role, services)| run_in_child_process(args, role, services))
+            .collect::<io::Result<_>>()?,
+    };
+    let json = serde_json::json!({"seed": run.seed, "seconds": run.seconds, "roles": reports});
+    if let Some(path) = args.json.as_deref() {
+        if path == Path::new("-") {
+            println!("{json:#}");
+            return Ok(());
+        }
+        std::fs::write(path, format!("{json:#}\n"))?;
+    }
+    for report in &reports {
+        println!("{}", report.table());
+    }
+    Ok(())
+}
+
+/// What the role is run with; ends the program if the sizes are not allowed.
+fn run_options(args: &ScaleArgs) -> Run {
+    let sizes = args.role.sizes(&args.sizes).unwrap_or_else(|error| {
+        Cli::command()
+            .error(clap::error::ErrorKind::ValueValidation, error)
+            .exit();
+    });
+    Run {
+        sizes,
+        seconds: args.seconds,
+        seed: args.seed,
+        repeats: usize::from(args.repeats),
+        services: args.services,
+        progress: scale::stderr_is_terminal(),
+    }
+}
+
+fn run_faults(options: &DaemonOptions, json: bool) -> io::Result<()> {
+    let findings = faults::run(options)?;
+    if json {
+        println!(
+            "{:#}",
+            serde_json::json!({"seed": options.run.seed, "findings": findings})
+        );
+    } else {
+        println!("{}", faults::table(&findings));
+    }
+    match findings.iter().filter(|finding| !finding.kept).count() {
+        0 => Ok(()),
+        violated => Err(io::Error::other(format!("{violated} rules broken"))),
+    }
+}
+
+fn daemon_options(args: &ScaleArgs, run: &Run) -> io::Result<DaemonOptions> {
+    let before = args.daemon_before.as_deref();
+    Ok(DaemonOptions {
+        daemon: daemon_program(args.daemon.as_deref())?,
+        before: before.map(|path| daemon_program(Some(path))).transpose()?,
+        all_tenants: args.all_tenants,
+        counter: !args.without_counter,
+        probes: !args.without_probes,
+        servers_close: args.servers_close,
+        rate: args.rate,
+        spread: args.spread,
+        run: run.clone(),
+    })
+}
+
+/// All roles with one service, and those that can be divided into services with them too.
+fn measured_roles() -> impl Iterator<Item = (Role, bool)> {
+    Role::each()
+        .flat_map(|role| [(role, false), (role, true)])
+        .filter(|(role, services)| !services || scale::SERVICE_ROLES.contains(role))
+}
+
+/// Runs a role in a process of its own, so that the memory of one role does not add to the next.
+fn run_in_child_process(args: &ScaleArgs, role: Role, services: bool) -> io::Result<RoleReport> {
+    let output = std::process::Command::new(std::env::current_exe()?)
+        .args(["scale", "--role", &role.argument(), "--json", "-"])
+        .args(["--seconds", &args.seconds.to_string()])
+        .args(["--seed", &args.seed.to_string()])
+        .args(["--repeats", &args.repeats.to_string()])
+        .args(services.then_some("--services"))
+        .stderr(Stdio::inherit())
+        .output()?;
+    if !output.status.success() {
+        return Err(io::Error::other(format!(
+            "{}: {}",
+            role.argument(),
+            output.status
+        )));
+    }
+    let mut json: serde_json::Value = serde_json::from_slice(&output.stdout)?;
+    Ok(serde_json::from_value(json["roles"][0].take())?)
+}
--- a/crates/testbed/src/daemon.rs
+++ b/crates/testbed/src/daemon.rs
@@ -1,6 +1,6 @@
-//! The real daemon as a process of its own, and what it costs.
+//! The real daemon as a child process: its start, its signals, its processor time and memory.
 
-use crate::site::{configuration, Around};
+use crate::fakes::FakePlatform;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -9,9 +9,9 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The daemon's program: the one given, or the one beside this program. An error names what was
-/// looked for.
-pub fn beside(given: Option<&Path>) -> io::Result<PathBuf> {
+/// The path of the daemon's program: the one given, or the one in the folder of this program. An
+/// error names the missing file.
+pub fn daemon_program(given: Option<&Path>) -> io::Result<PathBuf> {
     let found = match given {
         Some(path) => path.to_owned(),
         None => std::env::current_exe()?.with_file_name("roseyard-ingress"),
@@ -19,56 +19,57 @@
     if found.is_file() {
         return Ok(found);
     }
-    let what = format!(
+    let message = format!(
         "no daemon at {}: build it with 'cargo build', or name it with --daemon",
         found.display()
     );
-    Err(io::Error::new(io::ErrorKind::NotFound, what))
+    Err(io::Error::new(io::ErrorKind::NotFound, message))
 }
 
-/// Starts the program by this configuration and operator's file; what it logs can be read.
+/// Starts the program with a configuration and, if any, an operator's file. The caller reads its
+/// log.
 pub(crate) fn spawn(
     program: &Path,
-    settings: Option<&Path>,
-    config: &Path,
+    operator_file: Option<&Path>,
+    configuration: &Path,
 ) -> io::Result<(Child, BufReader<ChildStderr>)> {
     let mut command = Command::new(program);
-    if let Some(file) = settings {
+    if let Some(file) = operator_file {
         command.arg("run").arg("--settings").arg(file);
     }
     for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
         command.env_remove(name);
     }
     let mut child = command
-        .env("LB_CONFIG", config)
+        .env("LB_CONFIG", configuration)
         .stderr(Stdio::piped())
         .spawn()?;
     let log = BufReader::new(child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?);
     Ok((child, log))
 }
 
-/// A running daemon; ended with this value.
+/// A running daemon, which is terminated and awaited on drop.
 pub struct Daemon {
     child: Child,
     /// Where clients connect.
     pub address: SocketAddr,
     /// When its process was started.
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
     _folder: tempfile::TempDir,
 }
 
 /// How a daemon is started.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct LaunchOptions {
     /// The program.
     pub program: PathBuf,
     /// The operator's file, for a program that takes one.
-    pub settings: Option<PathBuf>,
-    /// Descriptors that its configuration gives it.
-    pub sockets: usize,
+    pub operator_file: Option<PathBuf>,
+    /// Descriptors that its configuration allows.
+    pub descriptors: usize,
 }
 
-/// Reads on up to the line that holds this text.
+/// Reads the log up to the line that contains this text.
 fn wait_for(log: &mut impl BufRead, text: &str) -> io::Result<String> {
     let mut line = String::new();
     while !line.contains(text) {
@@ -83,42 +84,43 @@
 }
 
 impl Daemon {
-    /// Starts it among its stand-ins and waits until it is ready. Its log goes on to standard
-    /// error.
-    pub fn start(start: &Start, around: &Around) -> io::Result<Daemon> {
-        let configuration = configuration(around, start.sockets).to_string();
-        let settings = start.settings.as_deref();
-        let (daemon, mut log) = Daemon::launch(&start.program, settings, &configuration)?;
+    /// Starts it among the fakes and waits until it is ready. Its log continues on standard error.
+    pub fn start(options: &LaunchOptions, platform: &FakePlatform) -> io::Result<Daemon> {
+        let configuration = platform
+            .ingress_configuration(options.descriptors)
+            .to_string();
+        let operator_file = options.operator_file.as_deref();
+        let (daemon, mut log) = Daemon::launch(&options.program, operator_file, &configuration)?;
         wait_for(&mut log, "info: ready")?;
         std::thread::spawn(move || io::copy(&mut log, &mut io::stderr()));
         Ok(daemon)
     }
 
-    /// Starts it by this configuration and waits until it listens. What it logs from then on has to
-    /// be read.
+    /// Starts it with this configuration and waits until it listens. The caller has to read its log
+    /// from then on.
     pub(crate) fn launch(
         program: &Path,
-        settings: Option<&Path>,
+        operator_file: Option<&Path>,
         configuration: &str,
     ) -> io::Result<(Daemon, BufReader<ChildStderr>)> {
         let folder = tempfile::tempdir()?;
-        let config = folder.path().join("config.json");
-        fs::write(&config, configuration)?;
-        let started = Instant::now();
-        let (child, mut log) = spawn(program, settings, &config)?;
-        let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
+        let configuration_file = folder.path().join("config.json");
+        fs::write(&configuration_file, configuration)?;
+        let started_at = Instant::now();
+        let (child, mut log) = spawn(program, operator_file, &configuration_file)?;
+        let not_yet_known = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut daemon = Daemon {
             child,
-            address: unknown,
-            started,
+            address: not_yet_known,
+            started_at,
             _folder: folder,
         };
         let line = wait_for(&mut log, "info: listening name=")?;
         let address = line
             .split_once(" address=")
-            .and_then(|(_, at)| at.trim().parse().ok());
+            .and_then(|(_, address)| address.trim().parse().ok());
         daemon.address =
-            address.ok_or_else(|| io::Error::other("the daemon did not say where it listens"))?;
+            address.ok_or_else(|| io::Error::other(format!("no address in '{}'", line.trim())))?;
         Ok((daemon, log))
     }
 
@@ -127,24 +129,24 @@
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// CPU time that its threads have used, by the scheduler's account in nanoseconds.
-    pub(crate) fn scheduled(&self) -> io::Result<Duration> {
+    /// Processor time that its threads have used, by the scheduler's account in nanoseconds.
+    pub(crate) fn scheduled_time(&self) -> io::Result<Duration> {
         let mut nanos = 0;
-        for task in fs::read_dir(self.file("task"))? {
+        for task in fs::read_dir(self.proc_file("task"))? {
             let account = fs::read_to_string(task?.path().join("schedstat"))?;
             let first = account
                 .split_whitespace()
                 .next()
                 .and_then(|n| n.parse::<u64>().ok());
-            nanos += first.ok_or_else(|| io::Error::other("no figures in schedstat"))?;
+            nanos += first.ok_or_else(|| io::Error::other("no number in schedstat"))?;
         }
         Ok(Duration::from_nanos(nanos))
     }
 
-    /// CPU time that it has used.
-    pub fn cpu(&self) -> io::Result<Duration> {
-        let stat = fs::read_to_string(self.file("stat"))?;
-        // The name in brackets may hold blanks; user and system time are the 12th and 13th field
+    /// Processor time that it has used, in ticks of the kernel's clock.
+    pub fn cpu_time(&self) -> io::Result<Duration> {
+        let stat = fs::read_to_string(self.proc_file("stat"))?;
+        // The name in brackets may contain blanks; user and system time are the 12th and 13th field
         // after it.
         let fields: Vec<u64> = stat
             .rsplit(") ")
@@ -153,7 +155,7 @@
             .split(' ')
             .skip(11)
             .take(2)
-            .filter_map(|f| f.parse().ok())
+            .filter_map(|field| field.parse().ok())
             .collect();
         let ticks = rustix::param::clock_ticks_per_second();
         Ok(Duration::from_secs_f64(
@@ -166,21 +168,22 @@
         self.memory("VmRSS:")
     }
 
-    /// The most that its resident memory has been, in KiB.
+    /// Its largest resident memory so far, in KiB.
     pub fn peak_kib(&self) -> io::Result<u64> {
         self.memory("VmHWM:")
     }
 
+    /// A line of its memory status, in KiB; 0 where the system has none of this name.
     fn memory(&self, name: &str) -> io::Result<u64> {
-        let status = fs::read_to_string(self.file("status"))?;
+        let status = fs::read_to_string(self.proc_file("status"))?;
         let line = status
             .lines()
-            .find_map(|l| l.strip_prefix(name))
+            .find_map(|line| line.strip_prefix(name))
             .unwrap_or("");
         Ok(line.trim().trim_end_matches(" kB").parse().unwrap_or(0))
     }
 
-    fn file(&self, name: &str) -> PathBuf {
+    fn proc_file(&self, name: &str) -> PathBuf {
         Path::new("/proc")
             .join(self.child.id().to_string())
             .join(name)
--- /dev/null
+++ b/crates/testbed/src/fleet/mod.rs
@@ -0,0 +1,311 @@
+//! A fleet of real daemons on loopback, with fakes around them, faults between them, and signals.
+
+mod daemon_log;
+mod member;
+
+pub use daemon_log::DaemonLog;
+pub use member::Member;
+
+use crate::checker::History;
+use crate::fakes::FakePlatform;
+use crate::faulty_network::FaultyNetwork;
+use crate::request::request;
+use rustix::process::Signal;
+use serde_json::Value;
+use std::fs;
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+use tokio::runtime::{Builder, Runtime};
+
+/// Longest wait for an expected event.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// A client of [`Fleet::request`] waits this long for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Descriptors of each daemon.
+const DESCRIPTORS: usize = 256;
+/// Zones, to which members belong in turn.
+const ZONES: usize = 3;
+
+/// How a fleet is set up.
+#[derive(Clone, Debug)]
+pub struct FleetOptions {
+    /// The daemon's program.
+    pub program: PathBuf,
+    /// Daemons.
+    pub members: usize,
+    /// Form servers.
+    pub servers: usize,
+    /// Time that a form server takes for a request.
+    pub service_time: Duration,
+    /// For the faults between them.
+    pub seed: u64,
+    /// The protocol period of membership; its other intervals follow from it.
+    pub period: Duration,
+    /// Members that the operator's file of each expects.
+    pub expected: usize,
+}
+
+impl FleetOptions {
+    /// So many daemons of this program, with a short protocol period.
+    #[must_use]
+    pub fn new(program: impl Into<PathBuf>, members: usize, seed: u64) -> FleetOptions {
+        FleetOptions {
+            program: program.into(),
+            members,
+            servers: 3,
+            service_time: Duration::from_millis(5),
+            seed,
+            period: Duration::from_millis(250),
+            expected: members,
+        }
+    }
+}
+
+/// The fleet; its processes end with it.
+pub struct Fleet {
+    options: FleetOptions,
+    platform: FakePlatform,
+    /// The paths between the daemons.
+    pub network: FaultyNetwork,
+    /// The daemons, by number.
+    pub members: Vec<Member>,
+    folder: tempfile::TempDir,
+    _runtime: Runtime,
+}
+
+impl Fleet {
+    /// Starts fakes and daemons, and waits until each is ready.
+    pub fn start(options: FleetOptions) -> io::Result<Fleet> {
+        let runtime = Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
+        let platform =
+            runtime.block_on(FakePlatform::start(options.servers, options.service_time))?;
+        let network = FaultyNetwork::start(options.members, options.seed, runtime.handle())?;
+        let members = (0..options.members).map(Member::new).collect();
+        let mut fleet = Fleet {
+            options,
+            platform,
+            network,
+            members,
+            folder: tempfile::tempdir()?,
+            _runtime: runtime,
+        };
+        fleet.write_key("key", 7)?;
+        for number in 0..fleet.members.len() {
+            fleet.spawn(number)?;
+        }
+        Ok(fleet)
+    }
+
+    /// What form servers observed; clients may record theirs here too.
+    #[must_use]
+    pub fn history(&self) -> History {
+        self.platform.history.clone()
+    }
+
+    /// The folder of the daemons' files.
+    #[must_use]
+    pub fn folder(&self) -> &Path {
+        self.folder.path()
+    }
+
+    /// Writes a key file of this name: 32 times this byte.
+    pub fn write_key(&self, name: &str, byte: u8) -> io::Result<()> {
+        let path = self.folder.path().join(name);
+        fs::write(&path, format!("{byte:02x}").repeat(32))?;
+        fs::set_permissions(&path, fs::Permissions::from_mode(0o600))
+    }
+
+    /// Writes a member's operator's file with this key file, and with `extra_lines` in its section
+    /// on membership.
+    pub fn write_settings(
+        &self,
+        number: usize,
+        key: &str,
+        extra_lines: &str,
+    ) -> io::Result<PathBuf> {
+        let folder = self.folder.path();
+        let member = &self.members[number];
+        let listen = member
+            .membership_address
+            .map_or_else(|| "127.0.0.1:0".into(), |address| address.to_string());
+        let peers = self.peer_lines(number);
+        let expected = self.options.expected;
+        let period = self.options.period.as_millis() as u64;
+        let timeout = period * 3 / 10;
+        let gossip = period / 5;
+        let sync = period * 2;
+        let text = format!(
+            "membership {{\n  listen \"{listen}\"; cluster \"lab\"; key-file \"{}\"\n  {peers}\n  expected {expected}\n  \
+             zone \"z{}\"; period \"{period}ms\"; timeout \"{timeout}ms\"; gossip \"{gossip}ms\"; sync \"{sync}ms\"\n  \
+             status \"{}\"\n  {extra_lines}\n}}\n",
+            folder.join(key).display(),
+            number % ZONES,
+            self.status_file(number).display(),
+        );
+        let path = folder.join(format!("{}.kdl", member.name));
+        fs::write(&path, text)?;
+        Ok(path)
+    }
+
+    /// The seeds and paths of a member's operator's file: all others, through the faulty network.
+    fn peer_lines(&self, number: usize) -> String {
+        let others: Vec<usize> = (0..self.members.len())
+            .filter(|other| *other != number)
+            .collect();
+        if others.is_empty() {
+            return String::new();
+        }
+        let list = |item: &dyn Fn(usize) -> String| {
+            let items: Vec<String> = others.iter().map(|other| item(*other)).collect();
+            items.join(" ")
+        };
+        let relay = |other: usize| self.network.relay_address(number, other);
+        let seeds = list(&|other| format!("\"{}\"", relay(other)));
+        let paths = list(&|other| format!("\"{}={}\"", self.members[other].name, relay(other)));
+        format!("seeds {seeds}; paths {paths}")
+    }
+
+    /// The file to which a member writes its view of the others.
+    #[must_use]
+    pub fn status_file(&self, number: usize) -> PathBuf {
+        self.folder
+            .path()
+            .join(format!("{}.status", self.members[number].name))
+    }
+
+    /// A member's view of the others, as it wrote it last.
+    pub fn status(&self, number: usize) -> io::Result<Value> {
+        Ok(serde_json::from_str(&fs::read_to_string(
+            self.status_file(number),
+        )?)?)
+    }
+
+    /// Starts a member that does not run, with nothing in memory, and waits until it is ready.
+    pub fn spawn(&mut self, number: usize) -> io::Result<()> {
+        let operator_file = self.write_settings(number, "key", "")?;
+        self.spawn_with(number, &operator_file)
+    }
+
+    /// The same with this operator's file.
+    pub fn spawn_with(&mut self, number: usize, operator_file: &Path) -> io::Result<()> {
+        let member = &mut self.members[number];
+        let mut configuration = self.platform.ingress_configuration(DESCRIPTORS);
+        configuration["name"] = Value::from(member.name.clone());
+        let path = self.folder.path().join(format!("config-{number}.json"));
+        fs::write(&path, configuration.to_string())?;
+        let mark = member.start(&self.options.program, operator_file, &path)?;
+        if let Some(address) = member.membership_address {
+            self.network.set_listener(number, address);
+        }
+        member.log.wait(mark, "info: ready", MAX_WAIT)?;
+        Ok(())
+    }
+
+    /// Sends a signal to a member that runs.
+    pub fn signal(&self, number: usize, signal: Signal) -> io::Result<()> {
+        self.members[number].signal(signal)
+    }
+
+    /// Kills a member: nothing of its memory is left.
+    pub fn kill(&mut self, number: usize) -> io::Result<()> {
+        self.signal(number, Signal::KILL)?;
+        self.reap(number)
+    }
+
+    /// Waits until a member that was sent a terminating signal has ended.
+    pub fn reap(&mut self, number: usize) -> io::Result<()> {
+        self.members[number].reap()
+    }
+
+    /// Sends a request to a member as a client does; returns the first line of the response.
+    pub fn request(&self, number: usize, customer: u64, id: u64) -> io::Result<String> {
+        let address = self.members[number]
+            .client_address
+            .ok_or_else(|| io::Error::other(format!("n{number} never ran")))?;
+        let mut stream = TcpStream::connect(address)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+        stream.write_all(&request(customer, id))?;
+        let mut line = Vec::new();
+        let mut byte = [0; 1];
+        while !line.ends_with(b"\r\n") && stream.read(&mut byte)? == 1 {
+            line.push(byte[0]);
+        }
+        Ok(String::from_utf8_lossy(&line).trim_end().to_owned())
+    }
+
+    /// Waits until each of these members sees all the others of them alive; the time that it took.
+    pub fn agree(&self, running: &[usize], max_wait: Duration) -> io::Result<Duration> {
+        let expectation = format!("{running:?} hold one another alive");
+        self.until(max_wait, &expectation, |fleet| {
+            running.iter().all(|number| {
+                let Ok(status) = fleet.status(*number) else {
+                    return false;
+                };
+                let mut others = running.iter().filter(|other| *other != number);
+                others.all(|other| {
+                    membership_state(&status, &fleet.members[*other].name) == Some("alive")
+                })
+            })
+        })
+    }
+
+    /// Waits until a member's status file has another in this state; the time that it took.
+    pub fn sees(
+        &self,
+        number: usize,
+        other: usize,
+        state: &str,
+        max_wait: Duration,
+    ) -> io::Result<Duration> {
+        let expectation = format!("n{number} holds n{other} {state}");
+        self.until(max_wait, &expectation, |fleet| {
+            fleet.status(number).is_ok_and(|status| {
+                membership_state(&status, &fleet.members[other].name) == Some(state)
+            })
+        })
+    }
+
+    /// Waits until a condition holds, and returns the time that it took. Status files, which the
+    /// daemons write each second, are shown by the error.
+    pub fn until(
+        &self,
+        max_wait: Duration,
+        expectation: &str,
+        holds: impl Fn(&Fleet) -> bool,
+    ) -> io::Result<Duration> {
+        let began_at = Instant::now();
+        while began_at.elapsed() < max_wait {
+            if holds(self) {
+                return Ok(began_at.elapsed());
+            }
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        let read = |number: usize| {
+            fs::read_to_string(self.status_file(number))
+                .unwrap_or_else(|error| format!("n{number}: {error}"))
+        };
+        let found: Vec<String> = (0..self.members.len()).map(read).collect();
+        Err(io::Error::other(format!(
+            "never came: {expectation}; what was:\n{}",
+            found.join("\n")
+        )))
+    }
+}
+
+/// The state of a member by this name in a status file.
+#[must_use]
+pub fn membership_state<'a>(status: &'a Value, name: &str) -> Option<&'a str> {
+    status["members"]
+        .as_array()?
+        .iter()
+        .find(|member| member["name"] == name)?["standing"]
+        .as_str()
+}
--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -1,8 +1,9 @@
 //! Floods of connections, from one address or from many.
 
-use crate::site::request;
-use crate::usual::connect;
+use crate::client_connection::connect;
+use crate::request::request;
 use clap::ValueEnum;
+use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -12,26 +13,42 @@
 use tokio::sync::Semaphore;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
+/// Customers of a flood, from this number on: not those of client load.
+const FIRST_FLOOD_CUSTOMER: u64 = 1 << 20;
+/// Customers that the connections of a flood use in turn.
+const FLOOD_CUSTOMERS: u64 = 997;
+/// The customer of client load that [`FloodShape::Pretend`] uses.
+const IMPERSONATED_CUSTOMER: u64 = 1;
+/// Bytes of a request that [`FloodShape::Half`] sends.
+const PARTIAL_REQUEST_BYTES: usize = 40;
+/// New connections are made in batches: finer ticks cost more than the connections.
+const TICK_MS: u64 = 5;
+/// Time between two writes on a connection that goes on writing.
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a connect that failed.
+const CONNECT_BACKOFF: Duration = Duration::from_millis(50);
+
 /// What the connections of a flood do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Shape {
-    /// Connect and say nothing.
+pub enum FloodShape {
+    /// Connect and send nothing.
     Silent,
-    /// Say one byte a second.
+    /// Send one byte a second.
     Drip,
     /// Connect and close at once.
     ConnectClose,
-    /// Say half a command, then close.
+    /// Send half a request, then close.
     Half,
-    /// Ask once and stay.
+    /// Send one request and stay.
     Once,
-    /// Ask once, stay, and begin again the moment it is turned away or closed.
+    /// Send one request, stay, and reconnect as soon as the connection is rejected or closed.
     Again,
-    /// Ask once in the name of a usual client's customer and stay.
+    /// Send one request for a customer of the client load and stay.
     Pretend,
-    /// Keep asking, for a customer beyond its quota.
+    /// Send requests repeatedly, for a customer beyond its quota.
     Active,
-    /// Send what cannot be read.
+    /// Send bytes that are no request.
     Garbage,
 }
 
@@ -39,128 +56,160 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Flood {
     /// What its connections do.
-    pub shape: Shape,
+    pub shape: FloodShape,
     /// New connections a second.
     pub rate: f64,
-    /// Connections that it holds at most.
-    pub most: usize,
+    /// Connections that it holds at most; further ones are not made.
+    pub max_connections: usize,
     /// Addresses that it comes from.
     pub addresses: u32,
 }
 
-/// What a flood has done.
+/// What a flood has done so far.
 #[derive(Debug, Default)]
-pub struct Done {
+pub struct FloodCounters {
     /// Connections made.
     pub connected: AtomicU64,
     /// Connects that failed.
-    pub failed: AtomicU64,
-    /// Connections that were told to come again.
-    pub told: AtomicU64,
+    pub connect_failures: AtomicU64,
+    /// `-BUSY` replies received.
+    pub busy_replies: AtomicU64,
 }
 
-/// The n-th address of so many, in 127.64.0.0/10.
-fn address(n: u64, of: u32) -> Ipv4Addr {
-    let n = (n % u64::from(of.max(1))) as u32;
-    Ipv4Addr::from_bits(Ipv4Addr::new(127, 64, 0, 1).to_bits() + n)
+/// The n-th of so many source addresses, in 127.64.0.0/10.
+#[must_use]
+pub fn source_address(n: u64, addresses: u32) -> Ipv4Addr {
+    let offset = (n % u64::from(addresses.max(1))) as u32;
+    Ipv4Addr::from_bits(Ipv4Addr::new(127, 64, 0, 1).to_bits() + offset)
 }
 
-/// The customer that floods ask for: no usual client's.
-const OWN: u64 = 1 << 20;
-
-/// Does what its shape says until the other side ends the connection or the flood is over.
-async fn live(mut stream: TcpStream, shape: Shape, n: u64, over: &AtomicBool, done: &Done) {
-    let id = 1 << 60 | n;
-    let mut buf = [0; 512];
-    let said = match shape {
-        Shape::Silent | Shape::ConnectClose => Ok(()),
-        Shape::Drip => stream.write_all(b"*").await,
-        Shape::Half => stream.write_all(&request(OWN, id)[..40]).await,
-        Shape::Once | Shape::Again | Shape::Active => {
-            stream.write_all(&request(OWN + n % 997, id)).await
+/// Plays a flood until `stop` is set.
+pub async fn play(
+    flood: Flood,
+    destination: SocketAddr,
+    stop: Arc<AtomicBool>,
+    counters: Arc<FloodCounters>,
+) {
+    let connections = Arc::new(Semaphore::new(flood.max_connections));
+    let mut ticks = interval(Duration::from_millis(TICK_MS));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
+    let mut due_connections = 0.0;
+    let mut number = 0u64;
+    while !stop.load(Ordering::Relaxed) {
+        ticks.tick().await;
+        due_connections += flood.rate * (TICK_MS as f64 / 1000.0);
+        while due_connections >= 1.0 {
+            due_connections -= 1.0;
+            number += 1;
+            let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
+                continue;
+            };
+            let client = FloodClient {
+                flood,
+                destination,
+                number,
+                stop: Arc::clone(&stop),
+                counters: Arc::clone(&counters),
+            };
+            tokio::spawn(async move {
+                let _permit = permit;
+                client.run().await;
+            });
         }
-        Shape::Pretend => stream.write_all(&request(1, id)).await,
-        Shape::Garbage => stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await,
-    };
-    // A reset instead of the usual end: thousands of ended connections would else use up the ports.
-    let _ = stream.set_zero_linger();
-    if said.is_err() || matches!(shape, Shape::ConnectClose | Shape::Half) {
-        return;
     }
-    let mut asked = 0u64;
-    while !over.load(Ordering::Relaxed) {
-        match timeout(Duration::from_secs(1), stream.read(&mut buf)).await {
-            Ok(Ok(0) | Err(_)) => return,
-            Ok(Ok(len)) => {
-                done.told.fetch_add(
-                    u64::from(buf[..len].starts_with(b"-BUSY")),
-                    Ordering::Relaxed,
-                );
+}
+
+/// One client of a flood, which has one connection at a time.
+struct FloodClient {
+    flood: Flood,
+    destination: SocketAddr,
+    number: u64,
+    stop: Arc<AtomicBool>,
+    counters: Arc<FloodCounters>,
+}
+
+impl FloodClient {
+    async fn run(&self) {
+        let source = source_address(self.number, self.flood.addresses);
+        loop {
+            match timeout(CONNECT_TIMEOUT, connect(source, self.destination)).await {
+                Ok(Ok(stream)) => {
+                    self.counters.connected.fetch_add(1, Ordering::Relaxed);
+                    self.use_connection(stream).await;
+                }
+                _ => {
+                    self.counters
+                        .connect_failures
+                        .fetch_add(1, Ordering::Relaxed);
+                    sleep(CONNECT_BACKOFF).await;
+                }
             }
-            Err(_) => {}
-        }
-        let more = match shape {
-            Shape::Drip => stream.write_all(b"1").await,
-            Shape::Active => {
-                asked += 1;
-                stream.write_all(&request(OWN, id + (asked << 32))).await
+            if self.flood.shape != FloodShape::Again || self.stop.load(Ordering::Relaxed) {
+                return;
             }
-            _ => Ok(()),
-        };
-        if more.is_err() {
-            return;
         }
     }
-}
 
-/// Plays a flood until it is over.
-pub async fn play(flood: Flood, to: SocketAddr, over: Arc<AtomicBool>, done: Arc<Done>) {
-    let room = Arc::new(Semaphore::new(flood.most));
-    // Ticks of 5 ms: finer ones would cost more than the connections.
-    let mut tick = interval(Duration::from_millis(5));
-    tick.set_missed_tick_behavior(MissedTickBehavior::Burst);
-    let (mut owed, mut n) = (0.0, 0u64);
-    while !over.load(Ordering::Relaxed) {
-        tick.tick().await;
-        owed += flood.rate * 0.005;
-        while owed >= 1.0 {
-            owed -= 1.0;
-            n += 1;
-            let Ok(place) = Arc::clone(&room).try_acquire_owned() else {
-                continue;
-            };
-            let (over, done) = (Arc::clone(&over), Arc::clone(&done));
-            tokio::spawn(async move {
-                let _place = place;
-                let from = address(n, flood.addresses);
-                loop {
-                    match timeout(Duration::from_secs(2), connect(from, to)).await {
-                        Ok(Ok(stream)) => {
-                            done.connected.fetch_add(1, Ordering::Relaxed);
-                            live(stream, flood.shape, n, &over, &done).await;
-                        }
-                        _ => {
-                            done.failed.fetch_add(1, Ordering::Relaxed);
-                            sleep(Duration::from_millis(50)).await;
-                        }
-                    }
-                    if flood.shape != Shape::Again || over.load(Ordering::Relaxed) {
-                        return;
-                    }
+    /// Does what the shape says until the other side ends the connection or the flood stops.
+    async fn use_connection(&self, mut stream: TcpStream) {
+        let shape = self.flood.shape;
+        let first_write = self.write_first(&mut stream).await;
+        // A reset instead of an orderly end: thousands of ended connections would use up the ports.
+        let _ = stream.set_zero_linger();
+        if first_write.is_err() || matches!(shape, FloodShape::ConnectClose | FloodShape::Half) {
+            return;
+        }
+        let mut input = [0; 512];
+        let mut requests = 0u64;
+        while !self.stop.load(Ordering::Relaxed) {
+            match timeout(WRITE_INTERVAL, stream.read(&mut input)).await {
+                Ok(Ok(0) | Err(_)) => return,
+                Ok(Ok(length)) => {
+                    let is_busy = input[..length].starts_with(b"-BUSY");
+                    self.counters
+                        .busy_replies
+                        .fetch_add(u64::from(is_busy), Ordering::Relaxed);
                 }
-            });
+                Err(_) => {}
+            }
+            if self.write_next(&mut stream, &mut requests).await.is_err() {
+                return;
+            }
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    /// The id of the first request of this client.
+    fn request_id(&self) -> u64 {
+        1 << 60 | self.number
+    }
 
-    #[test]
-    fn addresses_are_as_many_as_wanted_and_all_on_loopback() {
-        let all: std::collections::HashSet<_> = (0..20_000).map(|n| address(n, 4000)).collect();
-        assert_eq!(all.len(), 4000);
-        assert!(all.iter().all(|a| a.is_loopback()));
+    async fn write_first(&self, stream: &mut TcpStream) -> io::Result<()> {
+        let id = self.request_id();
+        let customer = FIRST_FLOOD_CUSTOMER + self.number % FLOOD_CUSTOMERS;
+        match self.flood.shape {
+            FloodShape::Silent | FloodShape::ConnectClose => Ok(()),
+            FloodShape::Drip => stream.write_all(b"*").await,
+            FloodShape::Half => {
+                let whole = request(FIRST_FLOOD_CUSTOMER, id);
+                stream.write_all(&whole[..PARTIAL_REQUEST_BYTES]).await
+            }
+            FloodShape::Once | FloodShape::Again | FloodShape::Active => {
+                stream.write_all(&request(customer, id)).await
+            }
+            FloodShape::Pretend => stream.write_all(&request(IMPERSONATED_CUSTOMER, id)).await,
+            FloodShape::Garbage => stream.write_all(b"GET / HTTP/1.1\r\n\r\n").await,
+        }
+    }
+
+    async fn write_next(&self, stream: &mut TcpStream, requests: &mut u64) -> io::Result<()> {
+        match self.flood.shape {
+            FloodShape::Drip => stream.write_all(b"1").await,
+            FloodShape::Active => {
+                *requests += 1;
+                let id = self.request_id() + (*requests << 32);
+                stream.write_all(&request(FIRST_FLOOD_CUSTOMER, id)).await
+            }
+            _ => Ok(()),
+        }
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,13 +1,16 @@
-//! The project's laboratory, as a library for tests: stand-ins of what is around the ingress,
-//! fleets of real daemons and the faults between them. Everything stays on loopback.
+//! The testbed of the ingress, as a library for tests: fakes of the platform, client load and
+//! floods, fleets of real daemons with faults and a checker, and what each role costs by size.
+//! Everything stays on loopback.
 
+pub mod checker;
+pub mod client_connection;
+pub mod client_load;
 pub mod daemon;
+pub mod fakes;
+pub mod faulty_network;
+pub mod fleet;
 pub mod flood;
-pub mod judge;
-pub mod net;
-pub mod rig;
+pub mod platform_settings;
+pub mod request;
 pub mod scale;
 pub mod scenario;
-pub mod site;
-pub mod standins;
-pub mod usual;
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -1,7 +1,7 @@
 //! What admission costs, by the addresses that it remembers.
 
 use super::measure::{resident_bytes, timed};
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
 use super::Run;
 use roseyard_admission::{AdmissionController, AdmissionPolicy, ConnectionId, Event, Rate};
 use std::net::{IpAddr, Ipv4Addr};
@@ -13,9 +13,9 @@
 
 /// Plays one gate at each number of addresses.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut decision = Figure::measured("processor time of connect, displace and close", "us");
-    let mut tables = Figure::measured("tables by their own count", "MiB");
-    let mut memory = Figure::measured("memory of the gate", "MiB");
+    let mut decision = SizeSeries::measured("processor time of connect, displace and close", "us");
+    let mut tables = SizeSeries::measured("tables by their own count", "MiB");
+    let mut memory = SizeSeries::measured("memory of the gate", "MiB");
     let mut held = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("admission: {size} addresses"));
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -2,7 +2,7 @@
 //! today.
 
 use super::measure::timed;
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
 use super::{targets, Run};
 use kdl::KdlDocument;
 use roseyard_operator_config::File;
@@ -12,14 +12,15 @@
 
 /// Reads a file of so many routes, with services and servers in the plan's proportion.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut bytes = Figure::measured("file", "bytes");
-    let mut parse = Figure::measured("processor time to parse the file", "ms");
-    let mut check = Figure::measured("processor time to parse and check as many addresses", "ms");
-    let mut share = Figure::reckoned(
+    let mut bytes = SizeSeries::measured("file", "bytes");
+    let mut parse = SizeSeries::measured("processor time to parse the file", "ms");
+    let mut check =
+        SizeSeries::measured("processor time to parse and check as many addresses", "ms");
+    let mut share = SizeSeries::derived(
         "21,000 changes a day, the file parsed at each",
         "% of a core",
     );
-    let mut rate = Figure::reckoned("21,000 changes a day, the file sent at each", "bytes/s");
+    let mut rate = SizeSeries::derived("21,000 changes a day, the file sent at each", "bytes/s");
     let mut notes = Vec::new();
     let each_second = targets::CHANGES_A_DAY / targets::DAY;
     for &size in &run.sizes {
--- a/crates/testbed/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -1,9 +1,9 @@
 //! What the shared counter is asked by all ingresses together.
 
-use super::hollow::{Demand, Hollow, Load, Traffic, World};
-use super::listing::Listing;
+use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, timed};
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
+use super::simulated_ingress::{Demand, Load, SimulatedEnvironment, SimulatedIngress, Traffic};
 use super::{targets, Run};
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,58 +13,61 @@
 const WARM_UP: Duration = Duration::from_millis(100);
 const LENGTH: Duration = Duration::from_millis(250);
 /// Processor time after which no further sample is begun at a size.
-const ENOUGH: Duration = Duration::from_secs(30);
+const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(30);
 
 /// Plays all of so many ingresses under the load of the peak.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut calls = Figure::measured("calls at the counter", "calls/s");
-    let mut bytes_in = Figure::measured("bytes to the counter", "bytes/s");
-    let mut bytes_out = Figure::measured("bytes from the counter", "bytes/s");
-    let mut each = Figure::measured("bytes of an ingress, to and from", "bytes/s");
-    let mut cost = Figure::measured("processor time of all ingresses", "cores");
-    let mut memory = Figure::measured("memory of an ingress", "KiB");
+    let mut calls = SizeSeries::measured("calls at the counter", "calls/s");
+    let mut bytes_in = SizeSeries::measured("bytes to the counter", "bytes/s");
+    let mut bytes_out = SizeSeries::measured("bytes from the counter", "bytes/s");
+    let mut each = SizeSeries::measured("bytes of an ingress, to and from", "bytes/s");
+    let mut cost = SizeSeries::measured("processor time of all ingresses", "cores");
+    let mut memory = SizeSeries::measured("memory of an ingress", "KiB");
     let load = Load {
         rate: targets::REQUESTS_PER_INGRESS,
         tenants: targets::TENANTS,
         demand: Demand::ByServers,
     };
-    let listing = Arc::new(Listing::single(SERVERS));
-    let line = listing.whole();
+    let endpoint_set = Arc::new(EndpointSet::single(SERVERS));
+    let line = endpoint_set.whole();
     for &size in &run.sizes {
         run.progress(&format!("counter: {size} ingresses"));
-        let mut world = World::new(run.seed);
+        let mut environment = SimulatedEnvironment::new(run.seed);
         let before = resident_bytes();
-        let mut fleet: Vec<Hollow> = (0..size)
-            .map(|n| Hollow::new(&listing, size, n, run.seed))
+        let mut fleet: Vec<SimulatedIngress> = (0..size)
+            .map(|n| SimulatedIngress::new(&endpoint_set, size, n, run.seed))
             .collect();
         fleet
             .iter_mut()
-            .for_each(|hollow| hollow.take_line(&line, &mut world));
+            .for_each(|simulated_ingress| simulated_ingress.receive_line(&line, &mut environment));
         let mut now = WARM_UP;
-        let go_on = |fleet: &mut Vec<Hollow>, until, world: &mut World| {
-            fleet
-                .iter_mut()
-                .for_each(|hollow| hollow.run(until, Some(load), world));
-        };
-        go_on(&mut fleet, now, &mut world);
+        let go_on =
+            |fleet: &mut Vec<SimulatedIngress>, until, environment: &mut SimulatedEnvironment| {
+                fleet.iter_mut().for_each(|simulated_ingress| {
+                    simulated_ingress.run(until, Some(load), environment)
+                });
+            };
+        go_on(&mut fleet, now, &mut environment);
         memory.push(
             size,
             &[resident_bytes().saturating_sub(before) as f64 / 1024.0 / size as f64],
         );
         let (mut samples, mut cores, mut spent) = (Vec::new(), Vec::new(), Duration::ZERO);
-        while samples.is_empty() || samples.len() < run.repeats && spent < ENOUGH {
+        while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
             fleet
                 .iter_mut()
-                .for_each(|hollow| hollow.traffic = Traffic::default());
+                .for_each(|simulated_ingress| simulated_ingress.traffic = Traffic::default());
             now += LENGTH;
-            let (_, took) = timed(|| go_on(&mut fleet, now, &mut world));
+            let (_, took) = timed(|| go_on(&mut fleet, now, &mut environment));
             let mut traffic = Traffic::default();
-            fleet.iter().for_each(|hollow| traffic += hollow.traffic);
+            fleet
+                .iter()
+                .for_each(|simulated_ingress| traffic += simulated_ingress.traffic);
             samples.push(traffic);
             cores.push(took.as_secs_f64() / LENGTH.as_secs_f64());
             spent += took;
         }
-        let push = |figure: &mut Figure, of: &dyn Fn(&Traffic) -> u64, per: f64| {
+        let push = |figure: &mut SizeSeries, of: &dyn Fn(&Traffic) -> u64, per: f64| {
             let second = |t: &Traffic| of(t) as f64 / LENGTH.as_secs_f64() / per;
             figure.push(size, &samples.iter().map(second).collect::<Vec<_>>());
         };
--- a/crates/testbed/src/scale/daemon.rs
+++ b/crates/testbed/src/scale/daemon.rs
@@ -3,22 +3,21 @@
 //! account.
 
 pub mod faults;
-pub(super) mod layout;
 mod load;
-mod meter;
+mod measured_daemon;
+mod metered_listener;
 mod platform;
-mod process;
 
 use super::measure;
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
+use super::topology::{target, ServiceTopology};
 use super::{targets, Run};
-use crate::site;
-use crate::usual::Outcome;
-use layout::{target, Layout};
+use crate::client_load::LoadOutcome;
+use crate::platform_settings;
 use load::Load;
-use meter::Totals;
-use platform::{Conduct, Platform};
-use process::Process;
+use measured_daemon::MeasuredDaemon;
+use metered_listener::Totals;
+use platform::{Platform, ServerOptions};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -47,7 +46,7 @@
 /// Load before what is measured.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// So long the daemon is watched at rest.
-const REST: Duration = Duration::from_secs(2);
+const IDLE_WINDOW: Duration = Duration::from_secs(2);
 /// After a load or a start, until what they have left behind is done.
 const SETTLE: Duration = Duration::from_millis(500);
 /// Changes of one server that discovery tells, and between two of them.
@@ -90,8 +89,8 @@
 }
 
 impl DaemonOptions {
-    fn conduct(&self) -> Conduct {
-        Conduct {
+    fn server_options(&self) -> ServerOptions {
+        ServerOptions {
             work: Duration::ZERO,
             once: self.servers_close,
         }
@@ -104,7 +103,7 @@
 
     /// The platform's settings of so many ingresses.
     fn settings_of(&self, ingresses: u32) -> Value {
-        let mut settings = site::settings_for(ingresses, TENANT_RATE);
+        let mut settings = platform_settings::settings_for(ingresses, TENANT_RATE);
         settings["Ceilings"]["Probes"] = self.probes.into();
         settings
     }
@@ -156,16 +155,16 @@
     }
 
     /// Services and their largest in proportion to the full size.
-    fn layout(&self) -> Layout {
+    fn topology(&self) -> ServiceTopology {
         if self.division == Division::Unnamed {
-            return Layout::unnamed(self.servers);
+            return ServiceTopology::unnamed(self.servers);
         }
         let part = |of: u32| {
             (u64::from(of) * u64::from(self.servers) / u64::from(FULL.servers)).max(1) as u32
         };
         let services = part(FULL.services);
         let largest = part(FULL.largest).max(self.servers.div_ceil(services));
-        Layout::long_tail(
+        ServiceTopology::long_tail(
             self.servers,
             services,
             largest,
@@ -192,7 +191,7 @@
     counter_in: f64,
     discovery_in: f64,
     connections: f64,
-    refused: f64,
+    rejected: f64,
     failed: f64,
 }
 
@@ -227,7 +226,7 @@
     ("from the counter a request", "bytes", |s| s.counter_in),
     ("from discovery at rest", "bytes/s", |s| s.discovery_in),
     ("connections opened to servers", "1/s", |s| s.connections),
-    ("refused", "% of requests", |s| s.refused),
+    ("refused", "% of requests", |s| s.rejected),
     ("failed", "% of requests", |s| s.failed),
 ];
 
@@ -299,7 +298,7 @@
         varied: varied.into(),
         figures: QUANTITIES
             .iter()
-            .map(|(name, unit, _)| Figure::measured(name, unit))
+            .map(|(name, unit, _)| SizeSeries::measured(name, unit))
             .collect(),
         notes: Vec::new(),
         resident_bytes: 0,
@@ -349,45 +348,48 @@
 
 /// One run of a case, with a daemon and a platform of its own.
 fn sample(options: &DaemonOptions, case: &Case, seed: u64) -> io::Result<Sample> {
-    let layout = case.layout();
+    let topology = case.topology();
     let runtimes = Runtimes::start()?;
-    let platform =
-        runtimes
-            .platform
-            .block_on(Platform::start(&layout, options.conduct(), options.counter))?;
+    let platform = runtimes.platform.block_on(Platform::start(
+        &topology,
+        options.server_options(),
+        options.counter,
+    ))?;
     let program = if case.before {
         options.before.as_ref().unwrap_or(&options.daemon)
     } else {
         &options.daemon
     };
-    let process = Process::start(program, &layout, &platform, &options.settings())?;
+    let measured_daemon =
+        MeasuredDaemon::start(program, &topology, &platform, &options.settings())?;
     let mut sample = Sample {
-        ready_s: process.ready_after.as_secs_f64(),
+        ready_s: measured_daemon.ready_after.as_secs_f64(),
         ..Sample::default()
     };
     std::thread::sleep(SETTLE);
     let told = platform.discovery_totals().sent;
-    sample.rest_percent = 100.0 * process.busy(REST)?;
-    sample.discovery_in = (platform.discovery_totals().sent - told) as f64 / REST.as_secs_f64();
-    let load = Load::of(&layout, options.rate, case.tenants, options.spread, seed);
-    let address = process.daemon.address;
+    sample.rest_percent = 100.0 * measured_daemon.busy(IDLE_WINDOW)?;
+    sample.discovery_in =
+        (platform.discovery_totals().sent - told) as f64 / IDLE_WINDOW.as_secs_f64();
+    let load = Load::of(&topology, options.rate, case.tenants, options.spread, seed);
+    let address = measured_daemon.daemon.address;
     runtimes.clients.block_on(load.play(address, WARM_UP));
-    let loaded = under_load(options, &runtimes, &platform, &process, &load)?;
+    let loaded = under_load(options, &runtimes, &platform, &measured_daemon, &load)?;
     std::thread::sleep(SETTLE);
-    let rest = process.busy(REST)?;
+    let rest = measured_daemon.busy(IDLE_WINDOW)?;
     sample.rest_after_percent = 100.0 * rest;
     loaded.tell(rest, &mut sample);
-    sample.change_us = changes(&layout, &platform, &process, CHANGE_EVERY)?;
-    sample.change_burst_us = changes(&layout, &platform, &process, Duration::ZERO)?;
-    sample.resident_mib = mib(process.daemon.rss_kib()?);
+    sample.change_us = changes(&topology, &platform, &measured_daemon, CHANGE_EVERY)?;
+    sample.change_burst_us = changes(&topology, &platform, &measured_daemon, Duration::ZERO)?;
+    sample.resident_mib = mib(measured_daemon.daemon.rss_kib()?);
     sample.all_tenants_mib = f64::NAN;
     if case.tenants == ALL_TENANTS && !case.before {
         runtimes
             .clients
             .block_on(load.play_each_tenant(address, TENANTS_RATE));
-        sample.all_tenants_mib = mib(process.daemon.rss_kib()?);
+        sample.all_tenants_mib = mib(measured_daemon.daemon.rss_kib()?);
     }
-    sample.peak_mib = mib(process.daemon.peak_kib()?);
+    sample.peak_mib = mib(measured_daemon.daemon.peak_kib()?);
     Ok(sample)
 }
 
@@ -396,8 +398,8 @@
 }
 
 /// What a stretch of load has shown.
-struct Loaded {
-    outcome: Outcome,
+struct LoadMeasurement {
+    outcome: LoadOutcome,
     used: Duration,
     took: Duration,
     counter: Totals,
@@ -408,45 +410,48 @@
     options: &DaemonOptions,
     runtimes: &Runtimes,
     platform: &Platform,
-    process: &Process,
+    measured_daemon: &MeasuredDaemon,
     load: &Load,
-) -> io::Result<Loaded> {
+) -> io::Result<LoadMeasurement> {
     let load = load.with_seed(load.seed + LATER_SEED);
-    let (began, used) = (Instant::now(), process.daemon.scheduled()?);
+    let (began, used) = (Instant::now(), measured_daemon.daemon.scheduled_time()?);
     let (counter, connections) = (platform.counter_totals(), platform.servers.connections());
     let length = Duration::from_secs(options.run.seconds);
     let outcome = runtimes
         .clients
-        .block_on(load.play(process.daemon.address, length));
+        .block_on(load.play(measured_daemon.daemon.address, length));
     let totals = platform.counter_totals();
     let counter = Totals {
         received: totals.received - counter.received,
         sent: totals.sent - counter.sent,
         connections: totals.connections - counter.connections,
     };
-    Ok(Loaded {
+    Ok(LoadMeasurement {
         outcome,
-        used: process.daemon.scheduled()?.saturating_sub(used),
+        used: measured_daemon
+            .daemon
+            .scheduled_time()?
+            .saturating_sub(used),
         took: began.elapsed(),
         counter,
         connections: platform.servers.connections() - connections,
     })
 }
 
-impl Loaded {
+impl LoadMeasurement {
     /// Puts its figures into a sample; `rest` is the share of a core that the daemon uses without
     /// load.
     fn tell(&self, rest: f64, sample: &mut Sample) {
-        let Loaded { outcome, took, .. } = self;
-        let asked = outcome.asked.max(1) as f64;
+        let LoadMeasurement { outcome, took, .. } = self;
+        let asked = outcome.requests.max(1) as f64;
         let requests = self.used.as_secs_f64() - rest * took.as_secs_f64();
         sample.request_us = requests * 1e6 / asked;
-        let quantile = |q| outcome.answer_times.value_at_quantile(q) as f64 / 1000.0;
+        let quantile = |q| outcome.latency_from_send.value_at_quantile(q) as f64 / 1000.0;
         (sample.p50_ms, sample.p99_ms) = (quantile(0.5), quantile(0.99));
         sample.counter_out = self.counter.received as f64 / asked;
         sample.counter_in = self.counter.sent as f64 / asked;
         sample.connections = self.connections as f64 / took.as_secs_f64();
-        sample.refused = 100.0 * outcome.refused as f64 / asked;
+        sample.rejected = 100.0 * outcome.rejected as f64 / asked;
         sample.failed = 100.0 * outcome.failed as f64 / asked;
     }
 }
@@ -454,14 +459,14 @@
 /// Processor time, in microseconds, of a change that discovery tells: one server comes, or goes
 /// again.
 fn changes(
-    layout: &Layout,
+    topology: &ServiceTopology,
     platform: &Platform,
-    process: &Process,
+    measured_daemon: &MeasuredDaemon,
     every: Duration,
 ) -> io::Result<f64> {
     // Probes have ceased since the load.
-    let rest = process.busy(REST)?;
-    let (began, used) = (Instant::now(), process.daemon.scheduled()?);
+    let rest = measured_daemon.busy(IDLE_WINDOW)?;
+    let (began, used) = (Instant::now(), measured_daemon.daemon.scheduled_time()?);
     for n in 0..CHANGES {
         let state = if n.is_multiple_of(2) {
             "SERVING"
@@ -470,32 +475,36 @@
         };
         platform
             .discovery
-            .change(&[target(layout.spare_address(), platform.port, state, 0.0)]);
+            .change(&[target(topology.spare_address(), platform.port, state, 0.0)]);
         std::thread::sleep(every);
     }
     std::thread::sleep(SETTLE);
-    let used = process.daemon.scheduled()?.saturating_sub(used);
+    let used = measured_daemon
+        .daemon
+        .scheduled_time()?
+        .saturating_sub(used);
     let changes = used.as_secs_f64() - rest * began.elapsed().as_secs_f64();
     Ok(changes * 1e6 / f64::from(CHANGES))
 }
 
 /// What a request takes straight from the client to a server: what the machine itself adds.
 fn direct(options: &DaemonOptions) -> io::Result<String> {
-    let layout = Layout::unnamed(1);
+    let topology = ServiceTopology::unnamed(1);
     let runtimes = Runtimes::start()?;
-    let platform =
-        runtimes
-            .platform
-            .block_on(Platform::start(&layout, options.conduct(), options.counter))?;
-    let Some(server) = layout.services[0].addresses().next() else {
+    let platform = runtimes.platform.block_on(Platform::start(
+        &topology,
+        options.server_options(),
+        options.counter,
+    ))?;
+    let Some(server) = topology.services[0].addresses().next() else {
         return Ok(String::new());
     };
     let address = SocketAddr::from((server, platform.port));
-    let load = Load::of(&layout, options.rate, SOME_TENANTS, 1, options.run.seed);
+    let load = Load::of(&topology, options.rate, SOME_TENANTS, 1, options.run.seed);
     let outcome = runtimes
         .clients
         .block_on(load.play(address, Duration::from_secs(options.run.seconds)));
-    let quantile = |q| outcome.answer_times.value_at_quantile(q) as f64 / 1000.0;
+    let quantile = |q| outcome.latency_from_send.value_at_quantile(q) as f64 / 1000.0;
     Ok(format!(
         "straight from the client to a server, without the daemon: p50 {:.2} ms, p99 {:.2} ms",
         quantile(0.5),
--- a/crates/testbed/src/scale/daemon/faults.rs
+++ b/crates/testbed/src/scale/daemon/faults.rs
@@ -1,12 +1,12 @@
 //! Faults of one service on the real daemon, and what the others notice of them.
 
-use super::layout::{target, Layout, Service};
 use super::load::Load;
-use super::platform::{Behaviour, Conduct, Platform};
-use super::process::Process;
+use super::measured_daemon::MeasuredDaemon;
+use super::platform::{Platform, ServerOptions, ServerState};
 use super::{DaemonOptions, Runtimes, FULL, INGRESSES, SETTLE};
-use crate::judge::{judge, Event, What};
-use crate::usual::Outcome;
+use crate::checker::{check, Event, Observation};
+use crate::client_load::LoadOutcome;
+use crate::scale::topology::{target, Service, ServiceTopology};
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
 use serde::Serialize;
 use serde_json::Value;
@@ -82,11 +82,11 @@
 }
 
 /// A daemon among its stand-ins, with a load for the victim and one for all others.
-struct Stage {
-    layout: Layout,
+struct FaultTestbed {
+    topology: ServiceTopology,
     runtimes: Runtimes,
     platform: Platform,
-    process: Process,
+    process: MeasuredDaemon,
     victim: Load,
     others: Load,
 }
@@ -168,51 +168,56 @@
     Ok(findings)
 }
 
-impl Stage {
-    fn start(options: &DaemonOptions) -> io::Result<Stage> {
-        Stage::start_among(INGRESSES, options)
+impl FaultTestbed {
+    fn start(options: &DaemonOptions) -> io::Result<FaultTestbed> {
+        FaultTestbed::start_among(INGRESSES, options)
     }
 
     /// The same with settings that name so many ingresses.
-    fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<Stage> {
-        let layout = Layout::long_tail(SERVERS, SERVICES, LARGEST, ROUTES);
-        Stage::start_with(options, layout, ingresses)
+    fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<FaultTestbed> {
+        let topology = ServiceTopology::long_tail(SERVERS, SERVICES, LARGEST, ROUTES);
+        FaultTestbed::start_with(options, topology, ingresses)
     }
 
     /// The same once services have been in use for a while.
-    fn start_warm(options: &DaemonOptions) -> io::Result<Stage> {
-        let stage = Stage::start(options)?;
-        stage.wait_both(
-            stage.play(&stage.victim, WARM_UP),
-            stage.play(&stage.others, WARM_UP),
+    fn start_warm(options: &DaemonOptions) -> io::Result<FaultTestbed> {
+        let testbed = FaultTestbed::start(options)?;
+        testbed.wait_both(
+            testbed.play(&testbed.victim, WARM_UP),
+            testbed.play(&testbed.others, WARM_UP),
         );
-        Ok(stage)
+        Ok(testbed)
     }
 
-    fn start_with(options: &DaemonOptions, layout: Layout, ingresses: u32) -> io::Result<Stage> {
+    fn start_with(
+        options: &DaemonOptions,
+        topology: ServiceTopology,
+        ingresses: u32,
+    ) -> io::Result<FaultTestbed> {
         let runtimes = Runtimes::start()?;
-        let conduct = Conduct {
+        let server_options = ServerOptions {
             work: WORK,
             once: false,
         };
-        let platform =
-            runtimes
-                .platform
-                .block_on(Platform::start(&layout, conduct, options.counter))?;
-        let process = Process::start(
+        let platform = runtimes.platform.block_on(Platform::start(
+            &topology,
+            server_options,
+            options.counter,
+        ))?;
+        let process = MeasuredDaemon::start(
             &options.daemon,
-            &layout,
+            &topology,
             &platform,
             &options.settings_of(ingresses),
         )?;
         let load = |services: std::ops::Range<u32>, rate, seed| {
-            Load::for_services(&layout, services, rate, TENANTS, options.spread, seed)
+            Load::for_services(&topology, services, rate, TENANTS, options.spread, seed)
         };
-        let services = layout.services.len() as u32;
+        let services = topology.services.len() as u32;
         let victim = load(VICTIM..VICTIM + 1, VICTIM_RATE, options.run.seed + 1);
         let others = load(VICTIM + 1..services, OTHERS_RATE, options.run.seed + 2);
-        Ok(Stage {
-            layout,
+        Ok(FaultTestbed {
+            topology,
             runtimes,
             platform,
             process,
@@ -226,15 +231,15 @@
     }
 
     /// Plays a load beside what follows.
-    fn play(&self, load: &Load, length: Duration) -> JoinHandle<Outcome> {
-        let (load, at, ledger) = (
+    fn play(&self, load: &Load, length: Duration) -> JoinHandle<LoadOutcome> {
+        let (load, at, history) = (
             load.clone(),
             self.address(),
-            self.platform.servers.ledger.clone(),
+            self.platform.servers.history.clone(),
         );
         self.runtimes
             .clients
-            .spawn(async move { load.play_noted(at, length, Some(&ledger)).await })
+            .spawn(async move { load.play_noted(at, length, Some(&history)).await })
     }
 
     /// Plays a load for a stretch beside what follows; what becomes of it is of no interest.
@@ -242,21 +247,21 @@
         drop(self.play(load, self.stretch(options)));
     }
 
-    fn wait(&self, playing: JoinHandle<Outcome>) -> Outcome {
+    fn wait(&self, playing: JoinHandle<LoadOutcome>) -> LoadOutcome {
         // A load that panicked shows as one without requests.
         self.runtimes.clients.block_on(playing).unwrap_or_default()
     }
 
     fn wait_both(
         &self,
-        first: JoinHandle<Outcome>,
-        second: JoinHandle<Outcome>,
-    ) -> (Outcome, Outcome) {
+        first: JoinHandle<LoadOutcome>,
+        second: JoinHandle<LoadOutcome>,
+    ) -> (LoadOutcome, LoadOutcome) {
         (self.wait(first), self.wait(second))
     }
 
     fn victim_service(&self) -> Service {
-        self.layout.services[VICTIM as usize]
+        self.topology.services[VICTIM as usize]
     }
 
     /// Tells discovery this state of the victim's servers; `boot_ms` is given the number of each.
@@ -270,7 +275,7 @@
     }
 
     fn events(&self) -> Vec<Event> {
-        self.platform.servers.ledger.events()
+        self.platform.servers.history.events()
     }
 
     /// Attempts that came to the victim's servers since so many events, by the number of their
@@ -279,11 +284,11 @@
         let slots: Vec<usize> = self
             .victim_service()
             .addresses()
-            .filter_map(Layout::slot)
+            .filter_map(ServiceTopology::slot)
             .collect();
         let mut sent = HashMap::new();
         for event in &self.events()[mark..] {
-            if let What::Began(slot) = event.what {
+            if let Observation::AttemptStarted(slot) = event.observation {
                 if slots.contains(&slot) {
                     *sent.entry(slot).or_default() += 1;
                 }
@@ -298,8 +303,8 @@
 
     /// What the others get without and with a fault, in turn, as often as a sample repeats; `fault`
     /// puts it on and off.
-    fn compare(&self, options: &DaemonOptions, mut fault: impl FnMut(bool)) -> Compared {
-        let mut compared = Compared::default();
+    fn compare(&self, options: &DaemonOptions, mut fault: impl FnMut(bool)) -> PairedOutcomes {
+        let mut compared = PairedOutcomes::default();
         let length = self.stretch(options);
         for pair in 0..options.run.repeats as u64 {
             let load = |turn| {
@@ -318,13 +323,13 @@
 
 /// What the others got, pair by pair.
 #[derive(Default)]
-struct Compared {
-    calm: Vec<Outcome>,
-    faulty: Vec<Outcome>,
+struct PairedOutcomes {
+    calm: Vec<LoadOutcome>,
+    faulty: Vec<LoadOutcome>,
 }
 
-fn p99_ms(outcome: &Outcome) -> f64 {
-    outcome.answer_times.value_at_quantile(0.99) as f64 / 1000.0
+fn p99_ms(outcome: &LoadOutcome) -> f64 {
+    outcome.latency_from_send.value_at_quantile(0.99) as f64 / 1000.0
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -332,10 +337,10 @@
     values[values.len() / 2]
 }
 
-impl Compared {
+impl PairedOutcomes {
     fn findings(&self, fault: Fault) -> Vec<Finding> {
-        let not_served = |of: &[Outcome]| of.iter().map(|o| o.asked - o.served).sum::<u64>();
-        let asked: u64 = self.faulty.iter().map(|o| o.asked).sum();
+        let not_served = |of: &[LoadOutcome]| of.iter().map(|o| o.requests - o.served).sum::<u64>();
+        let asked: u64 = self.faulty.iter().map(|o| o.requests).sum();
         let (calm, faulty) = (not_served(&self.calm), not_served(&self.faulty));
         let ratios = self
             .calm
@@ -343,7 +348,7 @@
             .zip(&self.faulty)
             .map(|(c, f)| p99_ms(f) / p99_ms(c).max(0.001));
         let ratio = median(ratios.collect());
-        let p99 = |of: &[Outcome]| median(of.iter().map(p99_ms).collect());
+        let p99 = |of: &[LoadOutcome]| median(of.iter().map(p99_ms).collect());
         let (calm_p99, faulty_p99) = (p99(&self.calm), p99(&self.faulty));
         vec![
             fault.finding(
@@ -364,19 +369,19 @@
 }
 
 fn servers_die(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
-    let stage = Stage::start_warm(options)?;
-    let compared = stage.compare(options, |on| {
-        let behaviour = if on {
-            Behaviour::Dead
+    let testbed = FaultTestbed::start_warm(options)?;
+    let compared = testbed.compare(options, |on| {
+        let server_state = if on {
+            ServerState::Dead
         } else {
-            Behaviour::Serving
+            ServerState::Serving
         };
-        stage
+        testbed
             .platform
             .servers
-            .set(stage.victim_service().addresses(), behaviour);
+            .set(testbed.victim_service().addresses(), server_state);
         if on {
-            stage.play_beside(options, &stage.victim);
+            testbed.play_beside(options, &testbed.victim);
         }
     });
     Ok(compared.findings(Fault::ServersDie))
@@ -384,17 +389,17 @@
 
 fn servers_drain(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ServersDrain;
-    let stage = Stage::start_warm(options)?;
+    let testbed = FaultTestbed::start_warm(options)?;
     let (mut late, mut mark) = (0, 0);
-    let compared = stage.compare(options, |on| {
+    let compared = testbed.compare(options, |on| {
         if on {
-            stage.tell_victim("DRAINING", |_| 0.0);
+            testbed.tell_victim("DRAINING", |_| 0.0);
             std::thread::sleep(DRAIN_GRACE);
-            mark = stage.events().len();
-            stage.play_beside(options, &stage.victim);
+            mark = testbed.events().len();
+            testbed.play_beside(options, &testbed.victim);
         } else {
-            late += stage.sent_to_victim(mark).values().sum::<u64>();
-            stage.tell_victim("SERVING", |_| 0.0);
+            late += testbed.sent_to_victim(mark).values().sum::<u64>();
+            testbed.tell_victim("SERVING", |_| 0.0);
         }
     });
     let mut findings = compared.findings(fault);
@@ -410,35 +415,35 @@
 /// started.
 fn comes_back_cold(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ComesBackCold;
-    let stage = Stage::start_warm(options)?;
+    let testbed = FaultTestbed::start_warm(options)?;
     let is_cold = |number: usize| number.is_multiple_of(2);
-    let addresses: Vec<Ipv4Addr> = stage.victim_service().addresses().collect();
+    let addresses: Vec<Ipv4Addr> = testbed.victim_service().addresses().collect();
     let (mut cold, mut warm) = (0, 0);
-    let compared = stage.compare(options, |on| {
+    let compared = testbed.compare(options, |on| {
         if !on {
             return;
         }
-        stage
+        testbed
             .platform
             .servers
-            .set(addresses.iter().copied(), Behaviour::Dead);
-        stage.tell_victim("DELETED", |_| 0.0);
+            .set(addresses.iter().copied(), ServerState::Dead);
+        testbed.tell_victim("DELETED", |_| 0.0);
         std::thread::sleep(SETTLE);
-        stage
+        testbed
             .platform
             .servers
-            .set(addresses.iter().copied(), Behaviour::Serving);
+            .set(addresses.iter().copied(), ServerState::Serving);
         let started = unix_ms();
-        stage.tell_victim(
+        testbed.tell_victim(
             "SERVING",
             |number| if is_cold(number) { started } else { 0.0 },
         );
-        let mark = stage.events().len();
-        stage.wait(stage.play(&stage.victim, COLD_SPAN));
-        for (slot, sent) in stage.sent_to_victim(mark) {
+        let mark = testbed.events().len();
+        testbed.wait(testbed.play(&testbed.victim, COLD_SPAN));
+        for (slot, sent) in testbed.sent_to_victim(mark) {
             let number = addresses
                 .iter()
-                .position(|at| Layout::slot(*at) == Some(slot));
+                .position(|at| ServiceTopology::slot(*at) == Some(slot));
             let total = if number.is_some_and(is_cold) {
                 &mut cold
             } else {
@@ -458,11 +463,11 @@
 }
 
 fn flood(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
-    let stage = Stage::start_warm(options)?;
-    let flood = stage.victim.with_rate(FLOOD_RATE);
-    let compared = stage.compare(options, |on| {
+    let testbed = FaultTestbed::start_warm(options)?;
+    let flood = testbed.victim.with_rate(FLOOD_RATE);
+    let compared = testbed.compare(options, |on| {
         if on {
-            stage.play_beside(options, &flood);
+            testbed.play_beside(options, &flood);
         }
     });
     Ok(compared.findings(Fault::Flood))
@@ -477,32 +482,32 @@
 }
 
 fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<Finding> {
-    let stage = Stage::start_among(ingresses, options)?;
+    let testbed = FaultTestbed::start_among(ingresses, options)?;
     let all = Load::of(
-        &stage.layout,
+        &testbed.topology,
         OTHERS_RATE,
         TENANTS,
         options.spread,
         options.run.seed + 5,
     );
-    let outcome = stage.wait(stage.play(&all, stage.stretch(options)));
-    let not_served = outcome.asked - outcome.served;
+    let outcome = testbed.wait(testbed.play(&all, testbed.stretch(options)));
+    let not_served = outcome.requests - outcome.served;
     Ok(Fault::Start.finding(
         format!("every request is served, {ingresses} ingresses before {SERVERS} servers"),
         format!(
             "{not_served} of {} not served: {} refused",
-            outcome.asked, outcome.refused
+            outcome.requests, outcome.rejected
         ),
         not_served == 0,
     ))
 }
 
 fn routes_move(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
-    let stage = Stage::start_warm(options)?;
+    let testbed = FaultTestbed::start_warm(options)?;
     // What may be sent on twice is moved away from a server that answers late, whatever becomes of
     // routes.
     let all = Load::of(
-        &stage.layout,
+        &testbed.topology,
         OTHERS_RATE,
         TENANTS,
         options.spread,
@@ -510,22 +515,23 @@
     )
     .never_twice();
     // How long its class takes has to be known too.
-    stage.wait(stage.play(&all.with_seed(all.seed + 1), WARM_UP));
-    let mark = stage.events().len();
-    let playing = stage.play(&all, MOVE_EVERY * (MOVES + 1));
+    testbed.wait(testbed.play(&all.with_seed(all.seed + 1), WARM_UP));
+    let mark = testbed.events().len();
+    let playing = testbed.play(&all, MOVE_EVERY * (MOVES + 1));
     let mut taken = 0;
     for n in 0..MOVES {
         std::thread::sleep(MOVE_EVERY);
         let file = if n.is_multiple_of(2) {
-            stage.layout.operator_file_moved()
+            testbed.topology.operator_file_moved()
         } else {
-            stage.layout.operator_file()
+            testbed.topology.operator_file()
         };
-        let line = stage.process.reload(&file)?;
+        let line = testbed.process.reload(&file)?;
         taken += u32::from(!line.contains("stays in force"));
     }
-    let outcome = stage.wait(playing);
-    let verdict = judge(&stage.events()[mark..]);
+    let outcome = testbed.wait(playing);
+    let verdict = check(&testbed.events()[mark..]);
+    let violations: Vec<String> = verdict.violations.iter().map(ToString::to_string).collect();
     let finding = |rule: &str, seen: String, kept| Fault::RoutesMove.finding(rule, seen, kept);
     Ok(vec![
         finding(
@@ -537,9 +543,15 @@
             "every request is served",
             format!(
                 "{} of {} ({} refused, {} failed, rules broken: {:?})",
-                outcome.served, outcome.asked, outcome.refused, outcome.failed, verdict.broken
+                outcome.served,
+                outcome.requests,
+                outcome.rejected,
+                outcome.failed,
+                violations
             ),
-            outcome.asked > 0 && outcome.served == outcome.asked && verdict.broken.is_empty(),
+            outcome.requests > 0
+                && outcome.served == outcome.requests
+                && verdict.violations.is_empty(),
         ),
         finding(
             "none is repeated",
@@ -553,13 +565,13 @@
 }
 
 fn churn(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
-    let stage = Stage::start_with(
+    let testbed = FaultTestbed::start_with(
         options,
-        Layout::long_tail(CHURN_SERVICES * 2, CHURN_SERVICES, LARGEST, CHURN_SERVICES),
+        ServiceTopology::long_tail(CHURN_SERVICES * 2, CHURN_SERVICES, LARGEST, CHURN_SERVICES),
         INGRESSES,
     )?;
     let all = Load::of(
-        &stage.layout,
+        &testbed.topology,
         CHURN_RATE,
         TENANTS,
         options.spread,
@@ -568,16 +580,18 @@
     let mut first_kib = 0;
     let mut refused_reloads = 0;
     for generation in 1..=CHURN_GENERATIONS {
-        let line = stage
-            .process
-            .reload(&stage.layout.operator_file_of(&format!("g{generation}-")))?;
+        let line = testbed.process.reload(
+            &testbed
+                .topology
+                .operator_file_of(&format!("g{generation}-")),
+        )?;
         refused_reloads += u32::from(line.contains("stays in force"));
-        stage.wait(stage.play(&all.with_seed(all.seed + u64::from(generation)), SETTLE));
+        testbed.wait(testbed.play(&all.with_seed(all.seed + u64::from(generation)), SETTLE));
         if generation == CHURN_FIRST {
-            first_kib = stage.process.daemon.rss_kib()?;
+            first_kib = testbed.process.daemon.rss_kib()?;
         }
     }
-    let last_kib = stage.process.daemon.rss_kib()?;
+    let last_kib = testbed.process.daemon.rss_kib()?;
     let ratio = last_kib as f64 / first_kib.max(1) as f64;
     let services = CHURN_SERVICES * CHURN_GENERATIONS;
     Ok(vec![Fault::Churn.finding(
--- a/crates/testbed/src/scale/daemon/load.rs
+++ b/crates/testbed/src/scale/daemon/load.rs
@@ -1,9 +1,9 @@
 //! What clients ask: tenants evenly, services by their size.
 
-use super::layout::Layout;
-use crate::judge::Ledger;
-use crate::site::request_with;
-use crate::usual::{play_worded, Outcome, Usual};
+use crate::checker::History;
+use crate::client_load::{play_with, LoadOutcome, OpenLoopLoad};
+use crate::request::request_through;
+use crate::scale::topology::ServiceTopology;
 use rand::rngs::StdRng;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub spread: u32,
     /// May its requests be sent on twice? An ingress moves such a one away from a server that looks
     /// silent.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// For times, tenants and services.
     pub seed: u64,
     /// The routes that are asked for, each with the sum of the weights up to it; none where
@@ -33,10 +33,16 @@
 
 impl Load {
     /// For all services by their size.
-    pub(super) fn of(layout: &Layout, rate: f64, tenants: u64, spread: u32, seed: u64) -> Load {
+    pub(super) fn of(
+        topology: &ServiceTopology,
+        rate: f64,
+        tenants: u64,
+        spread: u32,
+        seed: u64,
+    ) -> Load {
         Load::for_services(
-            layout,
-            0..layout.services.len() as u32,
+            topology,
+            0..topology.services.len() as u32,
             rate,
             tenants,
             spread,
@@ -46,7 +52,7 @@
 
     /// For some services by their size; each route of a service has an even part of it.
     pub(super) fn for_services(
-        layout: &Layout,
+        topology: &ServiceTopology,
         services: impl Iterator<Item = u32>,
         rate: f64,
         tenants: u64,
@@ -54,9 +60,9 @@
         seed: u64,
     ) -> Load {
         let (mut routes, mut sum) = (Vec::new(), 0);
-        for service in services.filter(|_| layout.named) {
-            let of_service: Vec<u32> = layout.routes_of(service).collect();
-            let weight = u64::from(layout.services[service as usize].servers) * ROUTE_SHARES;
+        for service in services.filter(|_| topology.named) {
+            let of_service: Vec<u32> = topology.routes_of(service).collect();
+            let weight = u64::from(topology.services[service as usize].servers) * ROUTE_SHARES;
             for route in &of_service {
                 sum += weight / of_service.len() as u64;
                 routes.push((sum, *route));
@@ -66,7 +72,7 @@
             rate,
             tenants,
             spread,
-            repeatable: true,
+            idempotent: true,
             seed,
             routes,
         }
@@ -83,7 +89,7 @@
     /// The same with requests that must never run twice.
     pub(super) fn never_twice(&self) -> Load {
         Load {
-            repeatable: false,
+            idempotent: false,
             ..self.clone()
         }
     }
@@ -107,7 +113,7 @@
     }
 
     /// Plays it in an open loop for so long.
-    pub(super) async fn play(&self, to: SocketAddr, length: Duration) -> Outcome {
+    pub(super) async fn play(&self, to: SocketAddr, length: Duration) -> LoadOutcome {
         self.play_noted(to, length, None).await
     }
 
@@ -116,35 +122,35 @@
         &self,
         to: SocketAddr,
         length: Duration,
-        ledger: Option<&Ledger>,
-    ) -> Outcome {
+        history: Option<&History>,
+    ) -> LoadOutcome {
         let word = |random: &mut StdRng, tenant, id| {
             let route = self.route(random);
-            request_with(self.repeatable, tenant, id, self.spread, &route)
+            request_through(self.idempotent, tenant, id, self.spread, &route)
         };
-        play_worded(self.clients(self.rate), to, length, ledger, word).await
+        play_with(self.clients(self.rate), to, length, history, word).await
     }
 
     /// Asks once for each tenant at this rate.
-    pub(super) async fn play_each_tenant(&self, to: SocketAddr, rate: f64) -> Outcome {
+    pub(super) async fn play_each_tenant(&self, to: SocketAddr, rate: f64) -> LoadOutcome {
         let mut tenant = 0;
         let word = |random: &mut StdRng, _, id| {
             tenant = tenant % self.tenants + 1;
             let route = self.route(random);
-            request_with(self.repeatable, tenant, id, self.spread, &route)
+            request_through(self.idempotent, tenant, id, self.spread, &route)
         };
         let length = Duration::from_secs_f64(self.tenants as f64 / rate);
-        play_worded(self.clients(rate), to, length, None, word).await
+        play_with(self.clients(rate), to, length, None, word).await
     }
 
-    fn clients(&self, rate: f64) -> Usual {
-        let (customers, addresses, repeatable) = (self.tenants, CLIENT_ADDRESSES, self.repeatable);
-        Usual {
+    fn clients(&self, rate: f64) -> OpenLoopLoad {
+        let (customers, addresses, idempotent) = (self.tenants, CLIENT_ADDRESSES, self.idempotent);
+        OpenLoopLoad {
             rate,
             customers,
             addresses,
-            fresh: 0.0,
-            repeatable,
+            reconnect_ratio: 0.0,
+            idempotent,
             seed: self.seed,
         }
     }
--- a/crates/testbed/src/scale/daemon/process.rs
+++ b/crates/testbed/src/scale/daemon/measured_daemon.rs
@@ -1,9 +1,9 @@
 //! One daemon among its stand-ins, and what it is measured by: readiness, memory and processor
 //! time.
 
-use super::layout::Layout;
 use super::platform::Platform;
 use crate::daemon::Daemon;
+use crate::scale::topology::ServiceTopology;
 use rustix::process::Signal;
 use serde_json::Value;
 use std::fs;
@@ -20,7 +20,7 @@
 const PING_EVERY: Duration = Duration::from_millis(2);
 
 /// A running daemon, its operator's file, and the lines that it logs.
-pub(super) struct Process {
+pub(super) struct MeasuredDaemon {
     /// The daemon.
     pub daemon: Daemon,
     /// From its start until `PING` was answered.
@@ -29,20 +29,20 @@
     log: Receiver<String>,
 }
 
-impl Process {
+impl MeasuredDaemon {
     /// Starts the program with the list of servers in its configuration, and waits until it answers
     /// `PING`.
     pub(super) fn start(
         program: &Path,
-        layout: &Layout,
+        topology: &ServiceTopology,
         platform: &Platform,
         settings: &Value,
-    ) -> io::Result<Process> {
+    ) -> io::Result<MeasuredDaemon> {
         let folder = tempfile::tempdir()?;
         let operator_file = folder.path().join("roseyard.kdl");
-        fs::write(&operator_file, layout.operator_file())?;
-        let known = layout.list(platform.port);
-        let configuration = layout.configuration(
+        fs::write(&operator_file, topology.operator_file())?;
+        let known = topology.list(platform.port);
+        let configuration = topology.configuration(
             platform.counter_address,
             platform.discovery_address,
             &known,
@@ -51,8 +51,8 @@
         let (daemon, log) = Daemon::launch(program, Some(&operator_file), &configuration)?;
         let log = read_on(log);
         wait_for_pong(&daemon)?;
-        let ready_after = daemon.started.elapsed();
-        Ok(Process {
+        let ready_after = daemon.started_at.elapsed();
+        Ok(MeasuredDaemon {
             daemon,
             ready_after,
             folder,
@@ -79,9 +79,9 @@
 
     /// Share of a core that the daemon uses over so long.
     pub(super) fn busy(&self, length: Duration) -> io::Result<f64> {
-        let (began, before) = (Instant::now(), self.daemon.scheduled()?);
+        let (began, before) = (Instant::now(), self.daemon.scheduled_time()?);
         std::thread::sleep(length);
-        let used = self.daemon.scheduled()?.saturating_sub(before);
+        let used = self.daemon.scheduled_time()?.saturating_sub(before);
         Ok(used.as_secs_f64() / began.elapsed().as_secs_f64())
     }
 }
@@ -104,7 +104,7 @@
     stream.set_read_timeout(Some(READY_MOST))?;
     let mut answers = BufReader::new(stream.try_clone()?);
     let mut answer = String::new();
-    while daemon.started.elapsed() < READY_MOST {
+    while daemon.started_at.elapsed() < READY_MOST {
         stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
         answer.clear();
         answers.read_line(&mut answer)?;
--- a/crates/testbed/src/scale/daemon/meter.rs
+++ b/crates/testbed/src/scale/daemon/metered_listener.rs
@@ -46,14 +46,14 @@
 }
 
 /// The listener.
-pub(super) struct Metered {
+pub(super) struct MeteredListener {
     /// Where it listens.
     pub listener: TcpListener,
     /// What it has counted.
     pub traffic: Arc<Traffic>,
 }
 
-impl axum::serve::Listener for Metered {
+impl axum::serve::Listener for MeteredListener {
     type Io = MeteredStream;
     type Addr = SocketAddr;
 
--- a/crates/testbed/src/scale/daemon/platform.rs
+++ b/crates/testbed/src/scale/daemon/platform.rs
@@ -1,10 +1,10 @@
 //! What is around the daemon, in one process: servers at addresses of their own behind one
 //! listener, a counter and discovery, each with what went over its connections.
 
-use super::layout::Layout;
-use super::meter::{Metered, Totals, Traffic};
-use crate::judge::Ledger;
-use crate::standins;
+use super::metered_listener::{MeteredListener, Totals, Traffic};
+use crate::checker::History;
+use crate::fakes;
+use crate::scale::topology::ServiceTopology;
 use axum::body::{Body, Bytes};
 use axum::extract::{Query, State};
 use axum::routing::get;
@@ -26,7 +26,7 @@
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Behaviour {
+pub(super) enum ServerState {
     /// It answers.
     Serving,
     /// It has died: its connections are reset, and new ones too.
@@ -35,7 +35,7 @@
 
 /// What all servers do alike.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Conduct {
+pub(super) struct ServerOptions {
     /// Time that a server takes for a request.
     pub work: Duration,
     /// Servers close a connection once they have answered a request on it.
@@ -47,26 +47,29 @@
     dead: Vec<AtomicU8>,
     traffic: Traffic,
     changed: watch::Sender<()>,
-    conduct: Conduct,
+    server_options: ServerOptions,
     /// What came to them.
-    pub ledger: Ledger,
+    pub history: History,
 }
 
 impl Servers {
-    fn new(slots: usize, conduct: Conduct) -> Servers {
+    fn new(slots: usize, server_options: ServerOptions) -> Servers {
         Servers {
             dead: (0..slots).map(|_| AtomicU8::new(0)).collect(),
             traffic: Traffic::default(),
             changed: watch::channel(()).0,
-            conduct,
-            ledger: Ledger::default(),
+            server_options,
+            history: History::default(),
         }
     }
 
     /// These servers behave so from now on.
-    pub(super) fn set(&self, servers: impl Iterator<Item = Ipv4Addr>, behaviour: Behaviour) {
-        for slot in servers.filter_map(Layout::slot) {
-            self.dead[slot].store(u8::from(behaviour == Behaviour::Dead), Ordering::Relaxed);
+    pub(super) fn set(&self, servers: impl Iterator<Item = Ipv4Addr>, server_state: ServerState) {
+        for slot in servers.filter_map(ServiceTopology::slot) {
+            self.dead[slot].store(
+                u8::from(server_state == ServerState::Dead),
+                Ordering::Relaxed,
+            );
         }
         self.changed.send_replace(());
     }
@@ -100,17 +103,17 @@
     let Ok(SocketAddr::V4(at)) = stream.local_addr() else {
         return;
     };
-    let Some(slot) = Layout::slot(*at.ip()) else {
+    let Some(slot) = ServiceTopology::slot(*at.ip()) else {
         return;
     };
     // A connection that is dropped before its end is reset, as those of a machine that has died.
     // Those that close after an answer end in order.
-    let Conduct { work, once } = servers.conduct;
+    let ServerOptions { work, once } = servers.server_options;
     if !once && stream.set_zero_linger().is_err() {
         return;
     }
     let mut changed = servers.changed.subscribe();
-    let serving = standins::form_connection(stream, work, slot, servers.ledger.clone(), once);
+    let serving = fakes::serve_form_connection(stream, work, slot, servers.history.clone(), once);
     tokio::pin!(serving);
     while !servers.is_dead(slot) {
         tokio::select! {
@@ -121,7 +124,7 @@
 }
 
 /// What discovery has told so far.
-struct Told {
+struct PublishedLists {
     /// The whole list, of version 1.
     whole: Bytes,
     /// The changes since, of the versions after it.
@@ -130,13 +133,13 @@
 
 /// Discovery: a whole list and the changes since.
 pub(super) struct Discovery {
-    told: Mutex<Told>,
+    told: Mutex<PublishedLists>,
     news: broadcast::Sender<Bytes>,
 }
 
 impl Discovery {
     fn new(list: &Value) -> Discovery {
-        let told = Told {
+        let told = PublishedLists {
             whole: Bytes::from(format!("{list}\n")),
             changes: Vec::new(),
         };
@@ -218,20 +221,20 @@
 impl Platform {
     /// Starts it for these servers; without a counter the daemon is told of none.
     pub(super) async fn start(
-        layout: &Layout,
-        conduct: Conduct,
+        topology: &ServiceTopology,
+        server_options: ServerOptions,
         counter: bool,
     ) -> io::Result<Platform> {
         let listener = TcpListener::bind((IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0)).await?;
         let port = listener.local_addr()?.port();
-        let servers = Arc::new(Servers::new(layout.slots(), conduct));
+        let servers = Arc::new(Servers::new(topology.slots(), server_options));
         tokio::spawn(accept(listener, Arc::clone(&servers)));
-        let discovery = Arc::new(Discovery::new(&layout.list(port)));
+        let discovery = Arc::new(Discovery::new(&topology.list(port)));
         let watches = Router::new()
             .route("/discovery/hosts", get(watch_list))
             .with_state(Arc::clone(&discovery));
         let (discovery_address, discovery_traffic) = serve(watches).await?;
-        let (counter_address, counter_traffic) = serve(standins::counter()).await?;
+        let (counter_address, counter_traffic) = serve(fakes::counter()).await?;
         Ok(Platform {
             port,
             servers,
@@ -258,7 +261,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let at = listener.local_addr()?;
     let traffic = Arc::<Traffic>::default();
-    let metered = Metered {
+    let metered = MeteredListener {
         listener,
         traffic: Arc::clone(&traffic),
     };
--- a/crates/testbed/src/scale/decision.rs
+++ b/crates/testbed/src/scale/decision.rs
@@ -1,9 +1,9 @@
 //! What the choice of a server costs, by the servers to choose from.
 
-use super::hollow::{Demand, Hollow, Load, Traffic, World};
-use super::listing::Listing;
+use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, timed};
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
+use super::simulated_ingress::{Demand, Load, SimulatedEnvironment, SimulatedIngress, Traffic};
 use super::{targets, Run};
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,28 +11,35 @@
 const TENANTS: usize = 1_000;
 const WARM_UP: Duration = Duration::from_secs(1);
 /// Requests that one sample takes at least, however few fit in its virtual time.
-const LEAST_REQUESTS: f64 = 64.0;
+const MIN_REQUESTS: f64 = 64.0;
 /// Processor time after which no further sample is begun at a size.
-const ENOUGH: Duration = Duration::from_secs(8);
+const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(8);
 
 /// Plays one ingress at each number of servers.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut request = Figure::measured("processor time a request", "us");
-    let mut even = Figure::measured("processor time a request, services asked alike", "us");
-    let mut rest = Figure::measured("processor time at rest", "% of a core");
-    let mut busy = Figure::reckoned("processor time at 256 requests a second", "% of a core");
-    let mut refused = Figure::measured("requests refused", "%");
-    let mut memory = Figure::measured("memory of the ingress", "MiB");
+    let mut request = SizeSeries::measured("processor time a request", "us");
+    let mut even = SizeSeries::measured("processor time a request, services asked alike", "us");
+    let mut rest = SizeSeries::measured("processor time at rest", "% of a core");
+    let mut busy = SizeSeries::derived("processor time at 256 requests a second", "% of a core");
+    let mut rejected = SizeSeries::measured("requests refused", "%");
+    let mut memory = SizeSeries::measured("memory of the ingress", "MiB");
     let mut held = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("decision: {size} servers"));
-        let mut world = World::new(run.seed);
+        let mut environment = SimulatedEnvironment::new(run.seed);
         let before = resident_bytes();
-        let listing = Arc::new(Listing::new(size, run.services));
-        let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
-        let list = roseyard_ingress::protocol::list::decode(&mut listing.whole());
-        hollow.apply_endpoint_list(&list.expect("a list of the lab's own"), &mut world);
-        let sample = samples(run, &mut hollow, Demand::ByServers, &mut world);
+        let endpoint_set = Arc::new(EndpointSet::new(size, run.services));
+        let mut simulated_ingress =
+            SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
+        let list = roseyard_ingress::protocol::list::decode(&mut endpoint_set.whole());
+        simulated_ingress
+            .apply_endpoint_list(&list.expect("a list of the lab's own"), &mut environment);
+        let sample = samples(
+            run,
+            &mut simulated_ingress,
+            Demand::ByServers,
+            &mut environment,
+        );
         memory.push(
             size,
             &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
@@ -42,7 +49,7 @@
             &sample.iter().map(|s| s.request * 1e6).collect::<Vec<_>>(),
         );
         if run.services {
-            let alike = samples(run, &mut hollow, Demand::Even, &mut world);
+            let alike = samples(run, &mut simulated_ingress, Demand::Even, &mut environment);
             even.push(
                 size,
                 &alike.iter().map(|s| s.request * 1e6).collect::<Vec<_>>(),
@@ -52,15 +59,18 @@
             size,
             &sample.iter().map(|s| s.rest * 100.0).collect::<Vec<_>>(),
         );
-        refused.push(
+        rejected.push(
             size,
-            &sample.iter().map(|s| s.refused * 100.0).collect::<Vec<_>>(),
+            &sample
+                .iter()
+                .map(|s| s.rejected * 100.0)
+                .collect::<Vec<_>>(),
         );
         let share = |s: &Sample| (s.request * targets::REQUESTS_PER_INGRESS + s.rest) * 100.0;
         busy.push(size, &sample.iter().map(share).collect::<Vec<_>>());
-        held.push(hollow);
+        held.push(simulated_ingress);
     }
-    let figures = [request, even, rest, busy, refused, memory];
+    let figures = [request, even, rest, busy, rejected, memory];
     let figures = figures
         .into_iter()
         .filter(|figure| !figure.points.is_empty())
@@ -73,39 +83,48 @@
 struct Sample {
     rest: f64,
     request: f64,
-    refused: f64,
+    rejected: f64,
 }
 
-fn samples(run: &Run, hollow: &mut Hollow, demand: Demand, world: &mut World) -> Vec<Sample> {
+fn samples(
+    run: &Run,
+    simulated_ingress: &mut SimulatedIngress,
+    demand: Demand,
+    environment: &mut SimulatedEnvironment,
+) -> Vec<Sample> {
     let load = Load {
         rate: targets::REQUESTS_PER_INGRESS,
         tenants: TENANTS,
         demand,
     };
     let seconds = Duration::from_secs(run.seconds);
-    let (_, mut spent) = timed(|| hollow.run(hollow.now() + WARM_UP, Some(load), world));
+    let (_, mut spent) =
+        timed(|| simulated_ingress.run(simulated_ingress.now() + WARM_UP, Some(load), environment));
     let mut samples = Vec::new();
-    while samples.is_empty() || samples.len() < run.repeats && spent < ENOUGH {
+    while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
         // What is still out ends first, so that rest is rest.
-        hollow.run(hollow.now() + WARM_UP, None, world);
-        let (_, resting) = timed(|| hollow.run(hollow.now() + seconds, None, world));
-        let least = Duration::from_secs_f64(LEAST_REQUESTS / load.rate);
+        simulated_ingress.run(simulated_ingress.now() + WARM_UP, None, environment);
+        let (_, resting) =
+            timed(|| simulated_ingress.run(simulated_ingress.now() + seconds, None, environment));
+        let least = Duration::from_secs_f64(MIN_REQUESTS / load.rate);
         let wanted = if resting * 4 > seconds {
             least
         } else {
             seconds.max(least)
         };
-        hollow.traffic = Traffic::default();
-        let (_, working) = timed(|| hollow.run(hollow.now() + wanted, Some(load), world));
-        let ended = hollow.traffic.attempts + hollow.traffic.refused;
-        let refused = hollow.traffic.refused as f64 / ended.max(1) as f64;
+        simulated_ingress.traffic = Traffic::default();
+        let (_, working) = timed(|| {
+            simulated_ingress.run(simulated_ingress.now() + wanted, Some(load), environment)
+        });
+        let ended = simulated_ingress.traffic.attempts + simulated_ingress.traffic.rejected;
+        let rejected = simulated_ingress.traffic.rejected as f64 / ended.max(1) as f64;
         let rest = resting.as_secs_f64() / seconds.as_secs_f64();
         let request =
             (working.as_secs_f64() - rest * wanted.as_secs_f64()).max(0.0) / ended.max(1) as f64;
         samples.push(Sample {
             rest,
             request,
-            refused,
+            rejected,
         });
         spent += resting + working;
     }
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -1,9 +1,9 @@
 //! What discovery sends to all ingresses together while servers are restarted.
 
-use super::hollow::{Hollow, World};
-use super::listing::{Entry, Listing, State};
+use super::endpoint_set::{EndpointSet, Entry, State};
 use super::measure::timed;
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
+use super::simulated_ingress::{SimulatedEnvironment, SimulatedIngress};
 use super::{targets, Run};
 use std::sync::Arc;
 
@@ -21,37 +21,37 @@
 
 /// Plays restarts of servers to all of so many ingresses.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut total = Figure::measured("bytes from discovery for one restart", "bytes");
-    let mut cost = Figure::measured("processor time of all ingresses for one restart", "ms");
-    let mut rate = Figure::reckoned(
+    let mut total = SizeSeries::measured("bytes from discovery for one restart", "bytes");
+    let mut cost = SizeSeries::measured("processor time of all ingresses for one restart", "ms");
+    let mut rate = SizeSeries::derived(
         "bytes from discovery at 6,000 restarts a day, with heartbeats",
         "bytes/s",
     );
-    let mut each = Figure::reckoned("bytes of an ingress at 6,000 restarts a day", "bytes/s");
-    let mut relay = Figure::reckoned(
+    let mut each = SizeSeries::derived("bytes of an ingress at 6,000 restarts a day", "bytes/s");
+    let mut relay = SizeSeries::derived(
         "bytes of each of 9 relays at 6,000 restarts a day",
         "bytes/s",
     );
-    let mut watches = Figure::reckoned("watches that each of 9 relays holds", "connections");
-    let listing = Arc::new(Listing::single(SERVERS));
-    let line = listing.whole();
+    let mut watches = SizeSeries::derived("watches that each of 9 relays holds", "connections");
+    let endpoint_set = Arc::new(EndpointSet::single(SERVERS));
+    let line = endpoint_set.whole();
     for &size in &run.sizes {
         run.progress(&format!("discovery: {size} ingresses"));
-        let mut world = World::new(run.seed);
-        let mut fleet: Vec<Hollow> = (0..size)
-            .map(|n| Hollow::new(&listing, size, n, run.seed))
+        let mut environment = SimulatedEnvironment::new(run.seed);
+        let mut fleet: Vec<SimulatedIngress> = (0..size)
+            .map(|n| SimulatedIngress::new(&endpoint_set, size, n, run.seed))
             .collect();
         fleet
             .iter_mut()
-            .for_each(|hollow| hollow.take_line(&line, &mut world));
+            .for_each(|simulated_ingress| simulated_ingress.receive_line(&line, &mut environment));
         let (mut bytes, mut costs) = (Vec::new(), Vec::new());
         for restart in 0..RESTARTS {
-            let lines = restart_lines(&listing, restart);
+            let lines = restart_lines(&endpoint_set, restart);
             let sent: usize = lines.iter().map(|line| line.len() + 1 + CHUNK_BYTES).sum();
-            let told = |hollow: &mut Hollow| {
+            let told = |simulated_ingress: &mut SimulatedIngress| {
                 lines
                     .iter()
-                    .for_each(|line| hollow.take_line(line, &mut world))
+                    .for_each(|line| simulated_ingress.receive_line(line, &mut environment))
             };
             let (_, took) = timed(|| fleet.iter_mut().for_each(told));
             bytes.push((sent * size) as f64);
@@ -77,7 +77,7 @@
 }
 
 /// The lines that tell of the restart of one server.
-fn restart_lines(listing: &Listing, restart: usize) -> Vec<Vec<u8>> {
+fn restart_lines(endpoint_set: &EndpointSet, restart: usize) -> Vec<Vec<u8>> {
     let line = |(step, state): (usize, &State)| {
         let generation = u32::from(*state == State::Serving);
         let entry = Entry {
@@ -85,7 +85,7 @@
             state: *state,
             ..Entry::serving(restart)
         };
-        listing.encode(2 + (restart * CHANGES.len() + step) as u64, false, &[entry])
+        endpoint_set.encode(2 + (restart * CHANGES.len() + step) as u64, false, &[entry])
     };
     CHANGES.iter().enumerate().map(line).collect()
 }
--- a/crates/testbed/src/scale/listing.rs
+++ b/crates/testbed/src/scale/endpoint_set.rs
@@ -1,8 +1,8 @@
 //! Lists of servers as discovery words them, each server at an address of its own, and the services
 //! that they are divided into.
 
-use super::daemon::layout::Layout;
 use super::targets;
+use super::topology::ServiceTopology;
 use roseyard_request_engine::{Directory, DirectoryBounds, DirectoryChange, EndpointSelector};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -55,8 +55,8 @@
 
 /// All servers, where they listen, and the service that each belongs to.
 #[derive(Clone, Debug)]
-pub struct Listing {
-    layout: Layout,
+pub struct EndpointSet {
+    topology: ServiceTopology,
     addresses: Vec<Ipv4Addr>,
     service_of: Vec<usize>,
     /// The server at each address, by the address's number.
@@ -65,28 +65,28 @@
     routes: Vec<String>,
 }
 
-impl Listing {
+impl EndpointSet {
     /// So many servers: all in one service, or in services as the plan has them, in proportion.
-    pub fn new(servers: usize, by_service: bool) -> Listing {
+    pub fn new(servers: usize, by_service: bool) -> EndpointSet {
         if by_service {
-            Listing::by_service(servers)
+            EndpointSet::by_service(servers)
         } else {
-            Listing::of(Layout::unnamed(servers as u32))
+            EndpointSet::of(ServiceTopology::unnamed(servers as u32))
         }
     }
 
     /// So many servers in one service.
-    pub fn single(servers: usize) -> Listing {
-        Listing::new(servers, false)
+    pub fn single(servers: usize) -> EndpointSet {
+        EndpointSet::new(servers, false)
     }
 
-    fn by_service(servers: usize) -> Listing {
+    fn by_service(servers: usize) -> EndpointSet {
         let services = (servers * targets::SERVICES / targets::SERVERS).max(1);
         let routes = (servers * targets::ROUTES / targets::SERVERS).max(services);
         let largest = (servers * targets::LARGEST_SERVICE / targets::SERVERS)
             .max(LEAST_LARGEST)
             .min(servers);
-        Listing::of(Layout::long_tail(
+        EndpointSet::of(ServiceTopology::long_tail(
             servers as u32,
             services as u32,
             largest as u32,
@@ -94,31 +94,31 @@
         ))
     }
 
-    fn of(layout: Layout) -> Listing {
-        let in_service = |(number, service): (usize, &super::daemon::layout::Service)| {
+    fn of(topology: ServiceTopology) -> EndpointSet {
+        let in_service = |(number, service): (usize, &super::topology::Service)| {
             service
                 .addresses()
                 .map(move |address| (number, address))
                 .collect::<Vec<_>>()
         };
-        let placed: Vec<_> = layout
+        let placed: Vec<_> = topology
             .services
             .iter()
             .enumerate()
             .flat_map(in_service)
             .collect();
-        let mut server_at = vec![usize::MAX; layout.slots()];
+        let mut server_at = vec![usize::MAX; topology.slots()];
         for (server, (_, address)) in placed.iter().enumerate() {
-            if let Some(slot) = Layout::slot(*address) {
+            if let Some(slot) = ServiceTopology::slot(*address) {
                 server_at[slot] = server;
             }
         }
         let (service_of, addresses) = placed.into_iter().unzip();
-        let routes = (0..layout.services.len())
+        let routes = (0..topology.services.len())
             .map(|service| format!("form-route-{service:05}"))
             .collect();
-        Listing {
-            layout,
+        EndpointSet {
+            topology,
             addresses,
             service_of,
             server_at,
@@ -133,7 +133,7 @@
 
     /// Servers of each service, the largest first.
     pub fn service_sizes(&self) -> Vec<usize> {
-        self.layout
+        self.topology
             .services
             .iter()
             .map(|service| service.servers as usize)
@@ -145,7 +145,7 @@
         let SocketAddr::V4(at) = address else {
             return usize::MAX;
         };
-        Layout::slot(*at.ip())
+        ServiceTopology::slot(*at.ip())
             .and_then(|slot| self.server_at.get(slot).copied())
             .unwrap_or(usize::MAX)
     }
@@ -168,7 +168,7 @@
     /// Services with their routes and networks; none where all servers are of one service without a
     /// name.
     pub fn directory(&self) -> Option<Directory> {
-        if !self.layout.named {
+        if !self.topology.named {
             return None;
         }
         let mut directory = Directory::new(BOUNDS);
@@ -177,10 +177,10 @@
                 .apply(change)
                 .expect("the lab's own directory is sound");
         };
-        let names: Vec<Arc<str>> = (0..self.layout.services.len())
+        let names: Vec<Arc<str>> = (0..self.topology.services.len())
             .map(|n| format!("service-{n:04}").into())
             .collect();
-        for (name, service) in names.iter().zip(&self.layout.services) {
+        for (name, service) in names.iter().zip(&self.topology.services) {
             apply(DirectoryChange::AddService {
                 name: Arc::clone(name),
             });
@@ -190,7 +190,7 @@
                 apply(DirectoryChange::Assign { endpoints, service });
             }
         }
-        for route in 0..self.layout.routes as usize {
+        for route in 0..self.topology.routes as usize {
             let service = Arc::clone(&names[route % names.len()]);
             apply(DirectoryChange::SetRoute {
                 route: format!("form-route-{route:05}").into(),
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/events.rs
@@ -1,9 +1,11 @@
 //! Failures and restarts at size, played on hollow ingresses.
 
-use super::hollow::{Demand, Hollow, Load, Split, Traffic, World, UNIX_MS};
-use super::listing::{Entry, Listing, State};
+use super::endpoint_set::{EndpointSet, Entry, State};
 use super::measure::timed;
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
+use super::simulated_ingress::{
+    Demand, Load, SimulatedEnvironment, SimulatedIngress, Split, Traffic, VIRTUAL_START_UNIX_MS,
+};
 use super::{list, targets, Run};
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,14 +51,14 @@
     run.report("events", "ingresses", figures, notes)
 }
 
-fn one(figures: &mut Vec<Figure>, quantity: &str, unit: &str, size: usize, value: f64) {
+fn one(figures: &mut Vec<SizeSeries>, quantity: &str, unit: &str, size: usize, value: f64) {
     match figures
         .iter_mut()
         .find(|figure| figure.quantity == quantity)
     {
         Some(figure) => figure.push(size, &[value]),
         None => {
-            let mut figure = Figure::measured(quantity, unit);
+            let mut figure = SizeSeries::measured(quantity, unit);
             figure.push(size, &[value]);
             figures.push(figure);
         }
@@ -64,22 +66,23 @@
 }
 
 /// One ingress starts with nothing, and is told the whole list.
-fn restart(run: &Run, size: usize, figures: &mut Vec<Figure>) {
-    let listing = Arc::new(Listing::new(targets::SERVERS, run.services));
-    let line = listing.whole();
-    let mut world = World::new(run.seed);
-    let (mut hollow, took) = timed(|| {
-        let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
-        hollow.take_line(&line, &mut world);
-        hollow
+fn restart(run: &Run, size: usize, figures: &mut Vec<SizeSeries>) {
+    let endpoint_set = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
+    let line = endpoint_set.whole();
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let (mut simulated_ingress, took) = timed(|| {
+        let mut simulated_ingress =
+            SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
+        simulated_ingress.receive_line(&line, &mut environment);
+        simulated_ingress
     });
     let load = Load {
         rate: targets::REQUESTS_PER_INGRESS,
         tenants: targets::TENANTS,
         demand: Demand::ByServers,
     };
-    hollow.run(Duration::from_secs(1), Some(load), &mut world);
-    let first = hollow.traffic;
+    simulated_ingress.run(Duration::from_secs(1), Some(load), &mut environment);
+    let first = simulated_ingress.traffic;
     one(
         figures,
         "restart: bytes of the list",
@@ -99,51 +102,64 @@
         "restart: requests refused in the first second",
         "%",
         size,
-        refused(&first),
+        rejected(&first),
     );
 }
 
-fn refused(traffic: &Traffic) -> f64 {
-    let ended = traffic.served + traffic.refused + traffic.failed;
-    100.0 * (traffic.refused + traffic.failed) as f64 / ended.max(1) as f64
+fn rejected(traffic: &Traffic) -> f64 {
+    let ended = traffic.served + traffic.rejected + traffic.failed;
+    100.0 * (traffic.rejected + traffic.failed) as f64 / ended.max(1) as f64
 }
 
-fn fleet(ingresses: usize, run: &Run, listing: &Arc<Listing>, world: &mut World) -> Vec<Hollow> {
-    let line = listing.whole();
+fn fleet(
+    ingresses: usize,
+    run: &Run,
+    endpoint_set: &Arc<EndpointSet>,
+    environment: &mut SimulatedEnvironment,
+) -> Vec<SimulatedIngress> {
+    let line = endpoint_set.whole();
     let one = |number| {
-        let mut hollow = Hollow::new(listing, ingresses, number, run.seed);
-        hollow.take_line(&line, world);
-        hollow
+        let mut simulated_ingress =
+            SimulatedIngress::new(endpoint_set, ingresses, number, run.seed);
+        simulated_ingress.receive_line(&line, environment);
+        simulated_ingress
     };
     (0..ingresses).map(one).collect()
 }
 
 /// Goes on to a time with all ingresses in step; what has gone in and out meanwhile.
-fn go_on(fleet: &mut [Hollow], until: Duration, load: Load, world: &mut World) -> Traffic {
+fn run_until(
+    fleet: &mut [SimulatedIngress],
+    until: Duration,
+    load: Load,
+    environment: &mut SimulatedEnvironment,
+) -> Traffic {
     fleet
         .iter_mut()
-        .for_each(|hollow| hollow.traffic = Traffic::default());
-    let mut now = fleet.first().map_or(until, Hollow::now);
+        .for_each(|simulated_ingress| simulated_ingress.traffic = Traffic::default());
+    let mut now = fleet.first().map_or(until, SimulatedIngress::now);
     while now < until {
         now += STEP;
         fleet
             .iter_mut()
-            .for_each(|hollow| hollow.run(now, Some(load), world));
+            .for_each(|simulated_ingress| simulated_ingress.run(now, Some(load), environment));
     }
     let mut total = Traffic::default();
-    fleet.iter().for_each(|hollow| total += hollow.traffic);
+    fleet
+        .iter()
+        .for_each(|simulated_ingress| total += simulated_ingress.traffic);
     total
 }
 
 /// One server in each of many services dies without a word.
-fn rack(run: &Run, size: usize, figures: &mut Vec<Figure>) {
-    let mut world = World::new(run.seed);
-    let listing = Arc::new(Listing::single(SERVICE));
-    let mut fleet = fleet(targets::INGRESSES, run, &listing, &mut world);
+fn rack(run: &Run, size: usize, figures: &mut Vec<SizeSeries>) {
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let endpoint_set = Arc::new(EndpointSet::single(SERVICE));
+    let mut fleet = fleet(targets::INGRESSES, run, &endpoint_set, &mut environment);
     let load = service_load();
-    go_on(&mut fleet, Duration::from_secs(60), load, &mut world);
-    world.down.insert(0);
-    let blind = go_on(&mut fleet, Duration::from_secs(70), load, &mut world);
+    run_until(&mut fleet, Duration::from_secs(60), load, &mut environment);
+    environment.down.insert(0);
+    let blind = run_until(&mut fleet, Duration::from_secs(70), load, &mut environment);
     let share = 100.0 * blind.failed_attempts as f64 / blind.attempts.max(1) as f64;
     one(
         figures,
@@ -157,13 +173,13 @@
         "rack: requests of its services refused until it is told",
         "%",
         size,
-        refused(&blind),
+        rejected(&blind),
     );
     let deleted = |server| Entry {
         state: State::Deleted,
         ..Entry::serving(server)
     };
-    let rack = Listing::single(RACK_SERVERS);
+    let rack = EndpointSet::single(RACK_SERVERS);
     let told = rack.encode(
         2,
         false,
@@ -190,25 +206,25 @@
 
 /// Half of a service's servers cannot be reached from half of the ingresses, nor the others from
 /// the others.
-fn regions(run: &Run, ingresses: usize, figures: &mut Vec<Figure>) {
-    let mut world = World::new(run.seed);
-    let listing = Arc::new(Listing::single(SPLIT_SERVICE));
-    let mut fleet = fleet(ingresses, run, &listing, &mut world);
+fn regions(run: &Run, ingresses: usize, figures: &mut Vec<SizeSeries>) {
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let endpoint_set = Arc::new(EndpointSet::single(SPLIT_SERVICE));
+    let mut fleet = fleet(ingresses, run, &endpoint_set, &mut environment);
     // A service that is asked often enough that each ingress learns.
     let load = Load {
         rate: 4.0,
         tenants: targets::TENANTS,
         demand: Demand::ByServers,
     };
-    go_on(&mut fleet, Duration::from_secs(20), load, &mut world);
-    world.split = Some(Split {
+    run_until(&mut fleet, Duration::from_secs(20), load, &mut environment);
+    environment.split = Some(Split {
         ingresses: ingresses / 2,
         servers: SPLIT_SERVICE / 2,
     });
-    let first = go_on(&mut fleet, Duration::from_secs(25), load, &mut world);
-    let later = go_on(&mut fleet, Duration::from_secs(50), load, &mut world);
-    world.split = None;
-    let met = go_on(&mut fleet, Duration::from_secs(55), load, &mut world);
+    let first = run_until(&mut fleet, Duration::from_secs(25), load, &mut environment);
+    let later = run_until(&mut fleet, Duration::from_secs(50), load, &mut environment);
+    environment.split = None;
+    let met = run_until(&mut fleet, Duration::from_secs(55), load, &mut environment);
     let failed = |t: &Traffic| 100.0 * t.failed_attempts as f64 / t.attempts.max(1) as f64;
     one(
         figures,
@@ -229,21 +245,21 @@
         "regions: requests refused, first 5 s",
         "%",
         ingresses,
-        refused(&first),
+        rejected(&first),
     );
     one(
         figures,
         "regions: requests refused, after that",
         "%",
         ingresses,
-        refused(&later),
+        rejected(&later),
     );
     one(
         figures,
         "regions: requests refused, 5 s after they met",
         "%",
         ingresses,
-        refused(&met),
+        rejected(&met),
     );
 }
 
@@ -262,49 +278,49 @@
 }
 
 /// A zone's ingresses and servers go and return cold.
-fn zone(run: &Run, ingresses: usize, figures: &mut Vec<Figure>) {
+fn zone(run: &Run, ingresses: usize, figures: &mut Vec<SizeSeries>) {
     let servers = ingresses * targets::SERVERS / targets::INGRESSES;
-    let mut world = World::new(run.seed);
-    let listing = Arc::new(Listing::new(servers, run.services));
-    let mut fleet = fleet(ingresses, run, &listing, &mut world);
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let endpoint_set = Arc::new(EndpointSet::new(servers, run.services));
+    let mut fleet = fleet(ingresses, run, &endpoint_set, &mut environment);
     let load = Load {
         rate: targets::REQUESTS_PER_INGRESS,
         tenants: targets::TENANTS,
         demand: Demand::ByServers,
     };
-    go_on(&mut fleet, Duration::from_secs(4), load, &mut world);
+    run_until(&mut fleet, Duration::from_secs(4), load, &mut environment);
     let deleted = |server| Entry {
         state: State::Deleted,
         ..Entry::serving(server)
     };
-    let gone = listing.encode(
+    let gone = endpoint_set.encode(
         2,
         false,
         &zone_servers(servers).map(deleted).collect::<Vec<_>>(),
     );
     fleet
         .iter_mut()
-        .for_each(|hollow| hollow.take_line(&gone, &mut world));
-    let without = go_on(&mut fleet, Duration::from_secs(8), load, &mut world);
+        .for_each(|simulated_ingress| simulated_ingress.receive_line(&gone, &mut environment));
+    let without = run_until(&mut fleet, Duration::from_secs(8), load, &mut environment);
     let back = Duration::from_secs(8);
-    let started_ms = UNIX_MS + back.as_millis() as u64;
+    let started_ms = VIRTUAL_START_UNIX_MS + back.as_millis() as u64;
     let cold = |server| Entry {
         generation: 1,
         started_ms,
         ..Entry::serving(server)
     };
-    let told = listing.encode(
+    let told = endpoint_set.encode(
         3,
         false,
         &zone_servers(servers).map(cold).collect::<Vec<_>>(),
     );
     fleet
         .iter_mut()
-        .for_each(|hollow| hollow.take_line(&told, &mut world));
-    world.arrivals = Some(Vec::new());
-    let with = go_on(&mut fleet, back + TIP_AFTER, load, &mut world);
+        .for_each(|simulated_ingress| simulated_ingress.receive_line(&told, &mut environment));
+    environment.arrivals = Some(Vec::new());
+    let with = run_until(&mut fleet, back + TIP_AFTER, load, &mut environment);
     let mut sends = vec![0usize; servers];
-    world
+    environment
         .arrivals
         .take()
         .unwrap_or_default()
@@ -321,14 +337,14 @@
         "zone: requests refused while it is gone",
         "%",
         ingresses,
-        refused(&without),
+        rejected(&without),
     );
     one(
         figures,
         "zone: requests refused in the 3 s after its return",
         "%",
         ingresses,
-        refused(&with),
+        rejected(&with),
     );
     one(
         figures,
@@ -347,11 +363,12 @@
 }
 
 /// The changes that tell of a zone, at an ingress that holds all servers.
-fn zone_in_whole_list(run: &Run, size: usize, figures: &mut Vec<Figure>) {
-    let listing = Arc::new(Listing::new(targets::SERVERS, run.services));
-    let mut world = World::new(run.seed);
-    let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
-    hollow.take_line(&listing.whole(), &mut world);
+fn zone_in_whole_list(run: &Run, size: usize, figures: &mut Vec<SizeSeries>) {
+    let endpoint_set = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let mut simulated_ingress =
+        SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
+    simulated_ingress.receive_line(&endpoint_set.whole(), &mut environment);
     for (revision, state, what) in [(2, State::Deleted, "goes"), (3, State::Serving, "returns")] {
         let generation = u32::from(state == State::Serving);
         let entry = |server| Entry {
@@ -359,14 +376,14 @@
             state,
             ..Entry::serving(server)
         };
-        let line = listing.encode(
+        let line = endpoint_set.encode(
             revision,
             false,
             &zone_servers(targets::SERVERS)
                 .map(entry)
                 .collect::<Vec<_>>(),
         );
-        let (_, took) = timed(|| hollow.take_line(&line, &mut world));
+        let (_, took) = timed(|| simulated_ingress.receive_line(&line, &mut environment));
         one(
             figures,
             &format!("zone: bytes at an ingress when it {what}"),
@@ -380,17 +397,18 @@
 }
 
 /// All control machines restart, and every ingress opens its watch again.
-fn control(sizes: &[usize], figures: &mut Vec<Figure>) {
+fn control(sizes: &[usize], figures: &mut Vec<SizeSeries>) {
     let longest_wait = list::limits().list_again_most;
     // Calls are spread over half of the wait at random.
     let calls = targets::INGRESSES as f64 / longest_wait.mul_f64(0.75).as_secs_f64();
-    let whole =
-        (Listing::single(targets::SERVERS).whole().len() + 1) as f64 * targets::INGRESSES as f64;
-    let mut again = Figure::reckoned(
+    let whole = (EndpointSet::single(targets::SERVERS).whole().len() + 1) as f64
+        * targets::INGRESSES as f64;
+    let mut again = SizeSeries::derived(
         "control restarts: watches opened again by 4,300 ingresses",
         "calls/s",
     );
-    let mut bytes = Figure::reckoned("control restarts: whole lists to 4,300 ingresses", "bytes");
+    let mut bytes =
+        SizeSeries::derived("control restarts: whole lists to 4,300 ingresses", "bytes");
     sizes.iter().for_each(|&size| again.push(size, &[calls]));
     sizes.iter().for_each(|&size| bytes.push(size, &[whole]));
     figures.extend([again, bytes]);
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -1,9 +1,9 @@
 //! What the list of servers costs: the whole list of a start, and the change of one server.
 
-use super::hollow::{Hollow, World};
-use super::listing::{Entry, Listing, State};
+use super::endpoint_set::{EndpointSet, Entry, State};
 use super::measure::{resident_bytes, timed};
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
+use super::simulated_ingress::{SimulatedEnvironment, SimulatedIngress};
 use super::{targets, Run};
 use roseyard_ingress::limits::Limits;
 use roseyard_ingress::protocol::list;
@@ -14,19 +14,19 @@
 
 /// Plays one ingress at each number of servers.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut bytes = Figure::measured("whole list", "bytes");
-    let mut decode = Figure::measured("finding and decoding the whole list", "ms");
-    let mut apply = Figure::measured("taking the whole list in", "ms");
-    let mut delta = Figure::measured("change of one server, all of it", "us");
-    let mut delta_bytes = Figure::measured("change of one server", "bytes");
-    let mut memory = Figure::measured("memory of the ingress", "MiB");
-    let mut start = Figure::reckoned("whole list over 10 s of the control budget", "times");
+    let mut bytes = SizeSeries::measured("whole list", "bytes");
+    let mut decode = SizeSeries::measured("finding and decoding the whole list", "ms");
+    let mut apply = SizeSeries::measured("taking the whole list in", "ms");
+    let mut delta = SizeSeries::measured("change of one server, all of it", "us");
+    let mut delta_bytes = SizeSeries::measured("change of one server", "bytes");
+    let mut memory = SizeSeries::measured("memory of the ingress", "MiB");
+    let mut start = SizeSeries::derived("whole list over 10 s of the control budget", "times");
     let (mut held, mut notes) = (Vec::new(), vec![run.shape()]);
     let bound = limits().list_bytes;
     for &size in &run.sizes {
         run.progress(&format!("list: {size} servers"));
-        let listing = Arc::new(Listing::new(size, run.services));
-        let line = listing.whole();
+        let endpoint_set = Arc::new(EndpointSet::new(size, run.services));
+        let line = endpoint_set.whole();
         let wire = line.len() as f64 + 1.0;
         bytes.push(size, &[wire]);
         start.push(
@@ -41,15 +41,18 @@
         }
         let (mut decodes, mut applies) = (Vec::new(), Vec::new());
         let before = resident_bytes();
-        let mut world = World::new(run.seed);
-        let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
+        let mut environment = SimulatedEnvironment::new(run.seed);
+        let mut simulated_ingress =
+            SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
         for repeat in 0..run.repeats {
             let (decoded, took) = timed(|| found(&line));
             decodes.push(millis(took));
             if repeat > 0 {
-                hollow = Hollow::new(&listing, targets::INGRESSES, 0, run.seed);
+                simulated_ingress =
+                    SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
             }
-            let (_, took) = timed(|| hollow.apply_endpoint_list(&decoded, &mut world));
+            let (_, took) =
+                timed(|| simulated_ingress.apply_endpoint_list(&decoded, &mut environment));
             applies.push(millis(took));
         }
         decode.push(size, &decodes);
@@ -58,10 +61,10 @@
             size,
             &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
         );
-        let (took, each) = deltas(run, &listing, &mut hollow, &mut world);
+        let (took, each) = deltas(run, &endpoint_set, &mut simulated_ingress, &mut environment);
         delta.push(size, &took);
         delta_bytes.push(size, &[each]);
-        held.push(hollow);
+        held.push(simulated_ingress);
     }
     let figures = vec![bytes, start, decode, apply, memory, delta_bytes, delta];
     run.report("list", "servers", figures, notes)
@@ -77,7 +80,7 @@
     Limits::new(
         &operator,
         192,
-        &super::hollow::options(targets::INGRESSES, 0),
+        &super::simulated_ingress::options(targets::INGRESSES, 0),
     )
 }
 
@@ -94,15 +97,20 @@
 
 /// Microseconds for the change of one server, decoded and taken in, and its bytes: in turn one
 /// drains, goes, and comes back as a new process.
-fn deltas(run: &Run, listing: &Listing, hollow: &mut Hollow, world: &mut World) -> (Vec<f64>, f64) {
+fn deltas(
+    run: &Run,
+    endpoint_set: &EndpointSet,
+    simulated_ingress: &mut SimulatedIngress,
+    environment: &mut SimulatedEnvironment,
+) -> (Vec<f64>, f64) {
     let mut rng = fastrand::Rng::with_seed(run.seed);
     let (mut samples, mut bytes, mut lines) = (Vec::new(), 0, 0);
-    let mut revision = hollow.engine.endpoint_registry().rev;
-    let mut generations = vec![0u32; listing.servers()];
+    let mut revision = simulated_ingress.engine.endpoint_registry().rev;
+    let mut generations = vec![0u32; endpoint_set.servers()];
     for _ in 0..run.repeats {
         let mut sample = Duration::ZERO;
         for _ in 0..DELTAS_A_SAMPLE / 3 {
-            let server = rng.usize(0..listing.servers());
+            let server = rng.usize(0..endpoint_set.servers());
             for state in [State::Draining, State::Deleted, State::Serving] {
                 generations[server] += u32::from(state == State::Serving);
                 let entry = Entry {
@@ -111,8 +119,8 @@
                     ..Entry::serving(server)
                 };
                 revision += 1;
-                let line = listing.encode(revision, false, &[entry]);
-                let (_, took) = timed(|| hollow.take_line(&line, world));
+                let line = endpoint_set.encode(revision, false, &[entry]);
+                let (_, took) = timed(|| simulated_ingress.receive_line(&line, environment));
                 (sample, bytes, lines) = (sample + took, bytes + line.len() + 1, lines + 1);
             }
         }
--- a/crates/testbed/src/scale/membership.rs
+++ b/crates/testbed/src/scale/membership.rs
@@ -2,7 +2,7 @@
 //! answers that are made up in the real wire form, up to the size at which all records are held.
 
 use super::measure::timed;
-use super::report::{Figure, RoleReport};
+use super::report::{RoleReport, SizeSeries};
 use super::{targets, Run};
 use roseyard_membership::{
     wire, Action, Event, Guard, Key, Metadata, Name, Received, Record, Settings, Stage, Status,
@@ -15,7 +15,7 @@
 /// Whole fleets are played up to here; beyond it only one member is.
 const WHOLE_FLEET: usize = 300;
 /// Whole fleets are given up after so much processor time.
-const ENOUGH: Duration = Duration::from_secs(60);
+const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(60);
 const FLIGHT: Duration = Duration::from_millis(2);
 const PORT: u16 = 7946;
 const GENERATION: u64 = 1_700_000_000_000;
@@ -30,23 +30,24 @@
 /// Plays fleets and single members of each size.
 pub(super) fn run(run: &Run) -> RoleReport {
     let mut fleet_cost =
-        Figure::measured("fleet at rest: processor time of a member", "% of a core");
+        SizeSeries::measured("fleet at rest: processor time of a member", "% of a core");
     let mut fleet_bytes =
-        Figure::measured("fleet at rest: bytes of a member, in and out", "bytes/s");
+        SizeSeries::measured("fleet at rest: bytes of a member, in and out", "bytes/s");
     let mut join_bytes =
-        Figure::measured("all start at once: bytes until all agree, each", "bytes");
-    let mut rest = Figure::measured("one member at rest: processor time", "% of a core");
-    let mut word = Figure::measured("one member: processor time of a word", "us");
-    let mut join = Figure::measured("one member: processor time to take all records", "ms");
-    let mut join_one = Figure::measured("one member: bytes of all records", "bytes");
-    let mut split_peak = Figure::measured(
+        SizeSeries::measured("all start at once: bytes until all agree, each", "bytes");
+    let mut rest = SizeSeries::measured("one member at rest: processor time", "% of a core");
+    let mut word = SizeSeries::measured("one member: processor time of a word", "us");
+    let mut join = SizeSeries::measured("one member: processor time to take all records", "ms");
+    let mut join_one = SizeSeries::measured("one member: bytes of all records", "bytes");
+    let mut split_peak = SizeSeries::measured(
         "halves apart for 300 s: fullest second of a member",
         "bytes/s",
     );
-    let mut split_heals = Figure::measured("halves apart for 300 s: all agree after they met", "s");
+    let mut split_heals =
+        SizeSeries::measured("halves apart for 300 s: all agree after they met", "s");
     let mut zone_peak =
-        Figure::measured("a zone of 7.7% dies: fullest second of a member", "bytes/s");
-    let mut zone_agreed = Figure::measured("a zone of 7.7% dies: all hold it gone", "s");
+        SizeSeries::measured("a zone of 7.7% dies: fullest second of a member", "bytes/s");
+    let mut zone_agreed = SizeSeries::measured("a zone of 7.7% dies: all hold it gone", "s");
     let mut notes = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("membership: one member of {size}"));
@@ -79,17 +80,18 @@
         };
         if !agreed {
             notes.push(format!(
-                "{size} members did not agree within {AGREE_WITHIN:?} or {ENOUGH:?} of work"
+                "{size} members did not agree within {AGREE_WITHIN:?} or {MAX_PROCESSOR_TIME:?} of work"
             ));
             continue;
         }
         join_bytes.push(size, &[2.0 * fleet.bytes as f64 / size as f64]);
         fleet.run(Duration::from_secs(60));
         let (mut costs, mut bytes) = (Vec::new(), Vec::new());
-        for _ in 0..run
-            .repeats
-            .min(if spent > ENOUGH / 4 { 1 } else { run.repeats })
-        {
+        for _ in 0..run.repeats.min(if spent > MAX_PROCESSOR_TIME / 4 {
+            1
+        } else {
+            run.repeats
+        }) {
             let (length, before) = (Duration::from_secs(run.seconds), fleet.bytes);
             let (_, took) = timed(|| fleet.run(length));
             let members = size as f64 * length.as_secs_f64();
@@ -303,7 +305,9 @@
 
     fn until_agreed(&mut self) -> bool {
         let began = super::measure::processor_time();
-        while self.now < AGREE_WITHIN && super::measure::processor_time() - began < ENOUGH {
+        while self.now < AGREE_WITHIN
+            && super::measure::processor_time() - began < MAX_PROCESSOR_TIME
+        {
             self.run(Duration::from_millis(500));
             if self.agrees() {
                 return true;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -10,19 +10,20 @@
 pub mod daemon;
 mod decision;
 mod discovery;
+pub mod endpoint_set;
 mod events;
-pub mod hollow;
 mod list;
-pub mod listing;
 pub mod measure;
 mod membership;
 mod quotas;
 pub mod report;
 mod servers;
+pub mod simulated_ingress;
 pub mod targets;
+mod topology;
 
 pub use events::zone_returns;
-use report::{Figure, RoleReport};
+use report::{RoleReport, SizeSeries};
 use std::io::IsTerminal;
 use std::ops::RangeInclusive;
 
@@ -31,8 +32,9 @@
 pub enum Role {
     /// The choice of a server.
     Decision,
-    /// The list of servers.
-    EndpointListMessage,
+    /// The endpoint list.
+    #[value(name = "list")]
+    EndpointList,
     /// Tenants' quotas.
     Quotas,
     /// Which ingresses there are.
@@ -77,7 +79,7 @@
         run: decision::run,
     },
     Entry {
-        role: Role::EndpointListMessage,
+        role: Role::EndpointList,
         varied: "servers",
         allowed: 1..=targets::SERVERS,
         sizes: &[17, 170, 1_000, 4_000, 16_000, 54_000],
@@ -185,7 +187,7 @@
         &self,
         role: &str,
         varied: &str,
-        figures: Vec<Figure>,
+        figures: Vec<SizeSeries>,
         notes: Vec<String>,
     ) -> RoleReport {
         let role = if self.services {
@@ -223,9 +225,9 @@
 }
 
 /// The roles whose servers may be divided into services.
-pub const BY_SERVICE: &[Role] = &[
+pub const SERVICE_ROLES: &[Role] = &[
     Role::Decision,
-    Role::EndpointListMessage,
+    Role::EndpointList,
     Role::Quotas,
     Role::Events,
 ];
@@ -262,7 +264,7 @@
     }
 
     /// The word for it on the command line.
-    pub fn word(self) -> String {
+    pub fn argument(self) -> String {
         clap::ValueEnum::to_possible_value(&self)
             .map_or_else(String::new, |value| value.get_name().to_owned())
     }
@@ -312,6 +314,6 @@
 }
 
 /// Is somebody there to read progress?
-pub fn on_terminal() -> bool {
+pub fn stderr_is_terminal() -> bool {
     std::io::stderr().is_terminal()
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -7,11 +7,12 @@
 /// Where a figure comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Basis {
+pub enum Provenance {
     /// Counted or timed in this run.
     Measured,
     /// Worked out from what was measured.
-    Reckoned,
+    #[serde(rename = "reckoned")]
+    Derived,
 }
 
 /// A figure at one size: the median of the runs and their range.
@@ -31,32 +32,32 @@
 
 /// One quantity over the sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figure {
+pub struct SizeSeries {
     /// What it is.
     pub quantity: String,
     /// Its unit.
     pub unit: String,
     /// Where it comes from.
-    pub basis: Basis,
+    pub basis: Provenance,
     /// Its values by size.
     pub points: Vec<Point>,
     /// Its growth: the exponent of the size; none for fewer than two sizes.
     pub exponent: Option<f64>,
 }
 
-impl Figure {
+impl SizeSeries {
     /// A figure that this run measures.
-    pub fn measured(quantity: &str, unit: &str) -> Figure {
-        Figure::of(quantity, unit, Basis::Measured)
+    pub fn measured(quantity: &str, unit: &str) -> SizeSeries {
+        SizeSeries::of(quantity, unit, Provenance::Measured)
     }
 
     /// A figure that this run works out.
-    pub fn reckoned(quantity: &str, unit: &str) -> Figure {
-        Figure::of(quantity, unit, Basis::Reckoned)
+    pub fn derived(quantity: &str, unit: &str) -> SizeSeries {
+        SizeSeries::of(quantity, unit, Provenance::Derived)
     }
 
-    fn of(quantity: &str, unit: &str, basis: Basis) -> Figure {
-        Figure {
+    fn of(quantity: &str, unit: &str, basis: Provenance) -> SizeSeries {
+        SizeSeries {
             quantity: quantity.into(),
             unit: unit.into(),
             basis,
@@ -105,7 +106,7 @@
     /// What the sizes count.
     pub varied: String,
     /// The figures.
-    pub figures: Vec<Figure>,
+    pub figures: Vec<SizeSeries>,
     /// What else there is to say.
     pub notes: Vec<String>,
     /// Bytes of this process that were resident when the run ended.
@@ -114,7 +115,7 @@
 
 impl RoleReport {
     /// The figure of that name.
-    pub fn figure(&self, quantity: &str) -> Option<&Figure> {
+    pub fn figure(&self, quantity: &str) -> Option<&SizeSeries> {
         self.figures.iter().find(|f| f.quantity == quantity)
     }
 
@@ -138,8 +139,8 @@
             .set_header(header.chain(["exponent".into()]));
         for figure in &self.figures {
             let basis = match figure.basis {
-                Basis::Measured => "measured",
-                Basis::Reckoned => "reckoned",
+                Provenance::Measured => "measured",
+                Provenance::Derived => "reckoned",
             };
             let head = [figure.quantity.clone(), figure.unit.clone(), basis.into()];
             let cell = |size: &usize| {
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -1,8 +1,8 @@
 //! What the form servers of one service bear of all ingresses: connections and probes.
 
-use super::hollow::{Arrival, Demand, Hollow, Load, World};
-use super::listing::Listing;
-use super::report::{Figure, RoleReport};
+use super::endpoint_set::EndpointSet;
+use super::report::{RoleReport, SizeSeries};
+use super::simulated_ingress::{Arrival, Demand, Load, SimulatedEnvironment, SimulatedIngress};
 use super::{targets, Run};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,13 +18,14 @@
 
 /// Plays one service's share of the traffic through all of so many ingresses.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut open = Figure::measured("connections open at a server, mean", "connections");
-    let mut most = Figure::measured("connections open at a server, most", "connections");
-    let mut new = Figure::measured("connections opened at a server", "connections/s");
-    let mut shared = Figure::measured("requests on a connection that was open", "% of requests");
-    let mut probes = Figure::measured("probes at a server", "probes/s");
-    let mut refused = Figure::measured("requests refused", "%");
-    let mut links = Figure::reckoned(
+    let mut open = SizeSeries::measured("connections open at a server, mean", "connections");
+    let mut most = SizeSeries::measured("connections open at a server, most", "connections");
+    let mut new = SizeSeries::measured("connections opened at a server", "connections/s");
+    let mut shared =
+        SizeSeries::measured("requests on a connection that was open", "% of requests");
+    let mut probes = SizeSeries::measured("probes at a server", "probes/s");
+    let mut rejected = SizeSeries::measured("requests refused", "%");
+    let mut links = SizeSeries::derived(
         "connections open at an ingress with 3,200 such services",
         "connections",
     );
@@ -34,26 +35,26 @@
         tenants: targets::TENANTS,
         demand: Demand::ByServers,
     };
-    let listing = Arc::new(Listing::single(SERVERS));
-    let line = listing.whole();
+    let endpoint_set = Arc::new(EndpointSet::single(SERVERS));
+    let line = endpoint_set.whole();
     for &size in &run.sizes {
         run.progress(&format!("servers: {size} ingresses"));
-        let mut world = World::new(run.seed);
-        world.arrivals = Some(Vec::new());
-        let mut fleet: Vec<Hollow> = (0..size)
-            .map(|n| Hollow::new(&listing, size, n, run.seed))
+        let mut environment = SimulatedEnvironment::new(run.seed);
+        environment.arrivals = Some(Vec::new());
+        let mut fleet: Vec<SimulatedIngress> = (0..size)
+            .map(|n| SimulatedIngress::new(&endpoint_set, size, n, run.seed))
             .collect();
         fleet
             .iter_mut()
-            .for_each(|hollow| hollow.take_line(&line, &mut world));
+            .for_each(|simulated_ingress| simulated_ingress.receive_line(&line, &mut environment));
         let mut now = Duration::ZERO;
         while now < WARM_UP + LENGTH {
             now += STEP;
-            fleet
-                .iter_mut()
-                .for_each(|hollow| hollow.run(now, Some(load), &mut world));
+            fleet.iter_mut().for_each(|simulated_ingress| {
+                simulated_ingress.run(now, Some(load), &mut environment)
+            });
         }
-        let seen = Seen::of(world.arrivals.take().unwrap_or_default());
+        let seen = Seen::of(environment.arrivals.take().unwrap_or_default());
         let per_server = seen.open.iter().sum::<usize>() as f64 / SERVERS as f64;
         open.push(size, &[per_server]);
         most.push(size, &[seen.open.iter().max().copied().unwrap_or(0) as f64]);
@@ -65,15 +66,20 @@
             size,
             &[100.0 * (1.0 - seen.opened as f64 / seen.requests.max(1) as f64)],
         );
-        let (turned, asked) = fleet.iter().fold((0, 0), |(turned, asked), hollow| {
-            let traffic = hollow.traffic;
-            (
-                turned + traffic.refused,
-                asked + traffic.refused + traffic.served + traffic.failed,
-            )
-        });
-        refused.push(size, &[100.0 * turned as f64 / asked.max(1) as f64]);
-        let probed: u64 = fleet.iter().map(|hollow| hollow.traffic.probes).sum();
+        let (turned, asked) = fleet
+            .iter()
+            .fold((0, 0), |(turned, asked), simulated_ingress| {
+                let traffic = simulated_ingress.traffic;
+                (
+                    turned + traffic.rejected,
+                    asked + traffic.rejected + traffic.served + traffic.failed,
+                )
+            });
+        rejected.push(size, &[100.0 * turned as f64 / asked.max(1) as f64]);
+        let probed: u64 = fleet
+            .iter()
+            .map(|simulated_ingress| simulated_ingress.traffic.probes)
+            .sum();
         probes.push(size, &[probed as f64 / SERVERS as f64 / now.as_secs_f64()]);
         let every = per_server * SERVERS as f64 / size as f64 * targets::SERVICES as f64;
         links.push(size, &[every]);
@@ -85,7 +91,7 @@
     run.report(
         "servers",
         "ingresses",
-        vec![open, most, new, shared, links, probes, refused],
+        vec![open, most, new, shared, links, probes, rejected],
         notes,
     )
 }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/simulated_ingress.rs
@@ -1,8 +1,8 @@
 //! A hollow ingress: the real engine with its decision module and its list, and the real codecs,
 //! without sockets and in virtual time. What would go over a socket is encoded and counted.
 
-use super::listing::Listing;
-use crate::site;
+use super::endpoint_set::EndpointSet;
+use crate::platform_settings;
 use roseyard_decision::{CounterKey, CounterResult, CustomerId, EndpointId, Outcome, Settings};
 use roseyard_ingress::protocol::{http, list};
 use roseyard_platform_config::PlatformSettings;
@@ -23,7 +23,7 @@
 
 /// The platform's settings for one of so many ingresses.
 pub fn options(ingresses: usize, number: usize) -> PlatformSettings {
-    let mut settings = site::settings();
+    let mut settings = platform_settings::settings();
     settings["Balancers"] = ingresses.into();
     settings["Me"] = number.into();
     PlatformSettings::parse(settings.to_string().as_bytes()).expect("the lab's settings are whole")
@@ -49,7 +49,7 @@
     /// Requests served.
     pub served: u64,
     /// Requests refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
 }
@@ -64,7 +64,7 @@
         self.failed_attempts += other.failed_attempts;
         self.probes += other.probes;
         self.served += other.served;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.failed += other.failed;
     }
 }
@@ -97,7 +97,7 @@
 }
 
 /// What is around the ingresses: the counter's totals, the servers, and what the servers have seen.
-pub struct World {
+pub struct SimulatedEnvironment {
     rng: fastrand::Rng,
     totals: HashMap<CounterKey, f64>,
     /// Servers that listen no more.
@@ -108,11 +108,11 @@
     pub arrivals: Option<Vec<Arrival>>,
 }
 
-impl World {
+impl SimulatedEnvironment {
     /// One in which everything runs.
-    pub fn new(seed: u64) -> World {
+    pub fn new(seed: u64) -> SimulatedEnvironment {
         let rng = fastrand::Rng::with_seed(seed);
-        World {
+        SimulatedEnvironment {
             rng,
             totals: HashMap::new(),
             down: HashSet::new(),
@@ -184,12 +184,12 @@
 }
 
 /// One ingress without sockets.
-pub struct Hollow {
+pub struct SimulatedIngress {
     /// The engine.
     pub engine: RequestEngine<(), (), ()>,
     /// What has gone in and out.
     pub traffic: Traffic,
-    listing: Arc<Listing>,
+    endpoint_set: Arc<EndpointSet>,
     number: usize,
     ingress_count: u32,
     now: Duration,
@@ -200,10 +200,15 @@
     scratch: Vec<u8>,
 }
 
-impl Hollow {
+impl SimulatedIngress {
     /// Number `number` of so many ingresses, which knows the services and has heard of no server
     /// yet.
-    pub fn new(listing: &Arc<Listing>, ingresses: usize, number: usize, seed: u64) -> Hollow {
+    pub fn new(
+        endpoint_set: &Arc<EndpointSet>,
+        ingresses: usize,
+        number: usize,
+        seed: u64,
+    ) -> SimulatedIngress {
         let settings: Settings = options(ingresses, number)
             .settings()
             .expect("the lab's settings are whole");
@@ -217,15 +222,15 @@
         let ingress_count = settings.ingress_count;
         let mut engine =
             RequestEngine::new(settings, seed, bounds).expect("the lab's settings can be served");
-        if let Some(directory) = listing.directory() {
+        if let Some(directory) = endpoint_set.directory() {
             engine
                 .set_directory(&directory)
                 .expect("the lab's own directory is sound");
         }
-        Hollow {
+        SimulatedIngress {
             engine,
             traffic: Traffic::default(),
-            listing: Arc::clone(listing),
+            endpoint_set: Arc::clone(endpoint_set),
             number,
             ingress_count,
             now: Duration::ZERO,
@@ -243,14 +248,14 @@
     }
 
     /// Takes in a line of the watch, as its bytes come.
-    pub fn take_line(&mut self, line: &[u8], world: &mut World) {
+    pub fn receive_line(&mut self, line: &[u8], environment: &mut SimulatedEnvironment) {
         self.traffic.list_bytes_in += line.len() as u64 + 1;
         let (mut lists, mut found) = (list::Lists::default(), Vec::new());
         lists.take(line, &mut found);
         lists.take(b"\n", &mut found);
         for mut text in found {
             let decoded = list::decode(&mut text).expect("a line of the lab's own");
-            self.apply_endpoint_list(&decoded, world);
+            self.apply_endpoint_list(&decoded, environment);
         }
     }
 
@@ -258,28 +263,29 @@
     pub fn apply_endpoint_list(
         &mut self,
         decoded: &roseyard_request_engine::EndpointListMessage,
-        world: &mut World,
+        environment: &mut SimulatedEnvironment,
     ) {
         // Unix times of the lab begin with its virtual time, one hour in.
         let started = |ms: f64| {
-            (ms > 0.0).then(|| Duration::from_millis((ms as u64).saturating_sub(UNIX_MS)))
+            (ms > 0.0)
+                .then(|| Duration::from_millis((ms as u64).saturating_sub(VIRTUAL_START_UNIX_MS)))
         };
         self.engine.apply_endpoint_list(decoded, &[], started);
-        self.carry_out(world);
+        self.carry_out(environment);
     }
 
     /// One request of a tenant comes.
-    pub fn request(&mut self, tenant: u64, demand: Demand, world: &mut World) {
+    pub fn request(&mut self, tenant: u64, demand: Demand, environment: &mut SimulatedEnvironment) {
         let route = match demand {
             Demand::ByServers => self
-                .listing
-                .route_to(self.rng.usize(0..self.listing.servers())),
+                .endpoint_set
+                .route_to(self.rng.usize(0..self.endpoint_set.servers())),
             Demand::Even => self
-                .listing
-                .route(self.rng.usize(0..self.listing.services())),
+                .endpoint_set
+                .route(self.rng.usize(0..self.endpoint_set.services())),
         };
         let Some(service) = self.engine.directory().service_of_route(route) else {
-            self.traffic.refused += 1;
+            self.traffic.rejected += 1;
             return;
         };
         let ask = Submission {
@@ -296,13 +302,18 @@
             bytes: REQUEST_BYTES,
         };
         if self.engine.submit(ask).is_err() {
-            self.traffic.refused += 1;
+            self.traffic.rejected += 1;
         }
-        self.carry_out(world);
+        self.carry_out(environment);
     }
 
     /// Goes on to a time, under this load if any.
-    pub fn run(&mut self, until: Duration, load: Option<Load>, world: &mut World) {
+    pub fn run(
+        &mut self,
+        until: Duration,
+        load: Option<Load>,
+        environment: &mut SimulatedEnvironment,
+    ) {
         loop {
             let request = load.map(|load| {
                 let gap = exponential(&mut self.rng, 1.0 / load.rate);
@@ -319,22 +330,22 @@
             self.now = self.now.max(next);
             if self.engine.due().is_some_and(|due| due <= self.now) {
                 self.engine.on_due();
-                self.carry_out(world);
+                self.carry_out(environment);
             }
             if let Some(entry) = self.pending.first_entry().filter(|e| e.key().0 <= self.now) {
                 let pending = entry.remove();
-                self.finish(pending, world);
+                self.finish(pending, environment);
             }
             if let Some(load) = load.filter(|_| request.is_some_and(|at| at <= self.now)) {
                 self.next_request = None;
                 let tenant = self.rng.usize(0..load.tenants) as u64;
-                self.request(tenant, load.demand, world);
+                self.request(tenant, load.demand, environment);
             }
         }
         self.now = until;
     }
 
-    fn finish(&mut self, pending: Pending, world: &mut World) {
+    fn finish(&mut self, pending: Pending, environment: &mut SimulatedEnvironment) {
         match pending {
             Pending::Counted { name, total, made } => {
                 self.engine.on_counter_reply(
@@ -363,10 +374,10 @@
                 self.engine.on_health_check_ended(server, outcome, None)
             }
         }
-        self.carry_out(world);
+        self.carry_out(environment);
     }
 
-    fn carry_out(&mut self, world: &mut World) {
+    fn carry_out(&mut self, environment: &mut SimulatedEnvironment) {
         while let Some(output) = self.engine.poll(self.now) {
             match output {
                 Output::Forward {
@@ -375,7 +386,7 @@
                     endpoint,
                     ..
                 } => {
-                    let (takes, outcome) = self.arrive(endpoint, world);
+                    let (takes, outcome) = self.arrive(endpoint, environment);
                     self.traffic.attempts += 1;
                     self.traffic.failed_attempts += u64::from(outcome == Outcome::ConnectFailed);
                     self.later(
@@ -391,9 +402,9 @@
                     key: name,
                     amount: add,
                     time_to_live: lifetime,
-                } => self.call_counter(name, add, lifetime, world),
+                } => self.call_counter(name, add, lifetime, environment),
                 Output::CheckHealth { endpoint } => {
-                    let (takes, outcome) = self.arrive(endpoint, world);
+                    let (takes, outcome) = self.arrive(endpoint, environment);
                     self.traffic.probes += 1;
                     self.later(
                         takes,
@@ -418,7 +429,7 @@
                 Output::Respond {
                     answer: Response::Rejected(_),
                     ..
-                } => self.traffic.refused += 1,
+                } => self.traffic.rejected += 1,
                 Output::Respond {
                     answer: Response::Failed,
                     ..
@@ -428,19 +439,29 @@
         }
     }
 
-    fn arrive(&mut self, server: EndpointId, world: &mut World) -> (Duration, Outcome) {
+    fn arrive(
+        &mut self,
+        server: EndpointId,
+        environment: &mut SimulatedEnvironment,
+    ) -> (Duration, Outcome) {
         let Some(address) = self.engine.address(server) else {
             return (REFUSED_AFTER, Outcome::NotStarted);
         };
-        let server = self.listing.server_at(address);
-        world.attempt(Arrival {
+        let server = self.endpoint_set.server_at(address);
+        environment.attempt(Arrival {
             at: self.now,
             ingress: self.number,
             server,
         })
     }
 
-    fn call_counter(&mut self, name: CounterKey, add: f64, lifetime: Duration, world: &mut World) {
+    fn call_counter(
+        &mut self,
+        name: CounterKey,
+        add: f64,
+        lifetime: Duration,
+        environment: &mut SimulatedEnvironment,
+    ) {
         self.scratch.clear();
         http::put_tally(
             &mut self.scratch,
@@ -449,7 +470,7 @@
             add,
             lifetime.as_millis().max(1) as u64,
         );
-        let total = world.add(name, add);
+        let total = environment.add(name, add);
         let answer = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {0}\r\n\r\n{total}",
             total.to_string().len()
@@ -474,4 +495,4 @@
 }
 
 /// Unix time in milliseconds at which virtual time begins.
-pub const UNIX_MS: u64 = 3_600_000;
+pub const VIRTUAL_START_UNIX_MS: u64 = 3_600_000;
--- a/crates/testbed/src/scale/daemon/layout.rs
+++ b/crates/testbed/src/scale/topology.rs
@@ -51,7 +51,7 @@
 
 /// Servers by service; each service has networks of its own.
 #[derive(Clone, Debug)]
-pub(crate) struct Layout {
+pub(crate) struct ServiceTopology {
     /// The services, the largest first.
     pub services: Vec<Service>,
     /// Routes; the n-th names the service of number n modulo the number of services.
@@ -60,21 +60,26 @@
     pub named: bool,
 }
 
-impl Layout {
+impl ServiceTopology {
     /// All servers in one service that has no name, as without a section on services.
-    pub(crate) fn unnamed(servers: u32) -> Layout {
-        Layout {
+    pub(crate) fn unnamed(servers: u32) -> ServiceTopology {
+        ServiceTopology {
             named: false,
-            ..Layout::of(&[servers], 1)
+            ..ServiceTopology::of(&[servers], 1)
         }
     }
 
     /// So many servers in so many services by a power law, the largest of this size.
-    pub(crate) fn long_tail(servers: u32, services: u32, largest: u32, routes: u32) -> Layout {
-        Layout::of(&long_tail(servers, services, largest), routes)
+    pub(crate) fn long_tail(
+        servers: u32,
+        services: u32,
+        largest: u32,
+        routes: u32,
+    ) -> ServiceTopology {
+        ServiceTopology::of(&long_tail(servers, services, largest), routes)
     }
 
-    fn of(sizes: &[u32], routes: u32) -> Layout {
+    fn of(sizes: &[u32], routes: u32) -> ServiceTopology {
         let mut next = 0;
         let place = |servers: &u32| {
             let service = Service {
@@ -84,7 +89,7 @@
             next += service.networks();
             service
         };
-        Layout {
+        ServiceTopology {
             services: sizes.iter().map(place).collect(),
             routes,
             named: true,
--- /dev/null
+++ b/crates/testbed/src/scenario/parser.rs
@@ -0,0 +1,284 @@
+//! Reads a scenario from KDL.
+
+use super::{FaultAction, Scenario, Step, When};
+use crate::faulty_network::Rules;
+use kdl::{KdlDocument, KdlNode, KdlValue};
+use std::ops::RangeInclusive;
+use std::time::Duration;
+
+const MEMBERS: RangeInclusive<u64> = 1..=12;
+const SERVERS: RangeInclusive<u64> = 1..=64;
+const RATES: RangeInclusive<f64> = 0.0..=2000.0;
+const RATIOS: RangeInclusive<f64> = 0.0..=1.0;
+const PERIODS_MS: RangeInclusive<u64> = 50..=60_000;
+const DURATIONS_MS: RangeInclusive<u64> = 100..=3_600_000;
+const STEP_TIMES_MS: RangeInclusive<u64> = 0..=3_600_000;
+const DELAYS_MS: RangeInclusive<u64> = 0..=60_000;
+
+/// A scenario that cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScenarioError {
+    /// The text is not KDL.
+    #[error("no KDL: {0}")]
+    NotKdl(String),
+    /// A node has a value that is not allowed there.
+    #[error("line {line}: '{node}': {expected}")]
+    Node {
+        /// The line, from 1 on.
+        line: usize,
+        /// The node's name.
+        node: String,
+        /// What is allowed.
+        expected: Expected,
+    },
+}
+
+/// What is allowed at a node.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Expected {
+    /// One of the nodes of a scenario.
+    #[error("there are members, servers, seed, period, lasts, rate, once, at, when")]
+    ScenarioNode,
+    /// One of the actions of a step.
+    #[error("there are kill, start, stop, wake, term, hup, split, heal, net")]
+    Action,
+    /// Actions in braces.
+    #[error("holds nothing in braces")]
+    Actions,
+    /// The property `logs`.
+    #[error("logs= is missing, a part of a line")]
+    LoggedText,
+    /// An integer in a range.
+    #[error("takes a whole number from {min} to {max}")]
+    Integer {
+        /// The smallest.
+        min: u64,
+        /// The largest.
+        max: u64,
+    },
+    /// A number in a range, both as text.
+    #[error("takes a number from {min} to {max}")]
+    Number {
+        /// The smallest.
+        min: String,
+        /// The largest.
+        max: String,
+    },
+    /// A time in a range.
+    #[error("takes a time from \"{min_ms}ms\" to \"{max_ms}ms\"")]
+    Time {
+        /// The shortest, in milliseconds.
+        min_ms: u64,
+        /// The longest, in milliseconds.
+        max_ms: u64,
+    },
+    /// The number of a member.
+    #[error("takes a member from 0 to {last}")]
+    Member {
+        /// The last member's number.
+        last: usize,
+    },
+    /// A shortest delay that is not over the longest.
+    #[error("least= is above most=")]
+    OrderedDelays,
+}
+
+impl Scenario {
+    /// Reads a scenario. An error names the line and what is allowed there.
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
+        let document = KdlDocument::parse_v2(text)
+            .map_err(|error| ScenarioError::NotKdl(error.to_string()))?;
+        let mut scenario = Scenario::default();
+        for node in document.nodes() {
+            scenario.read(&Node { text, node })?;
+        }
+        Ok(scenario)
+    }
+
+    fn read(&mut self, node: &Node) -> Result<(), ScenarioError> {
+        match node.name() {
+            "members" => self.members = node.integer(&MEMBERS)? as usize,
+            "servers" => self.servers = node.integer(&SERVERS)? as usize,
+            "seed" => self.seed = node.integer(&(0..=i64::MAX as u64))?,
+            "period" => self.period = node.time(node.argument(), &PERIODS_MS)?,
+            "lasts" => self.duration = node.time(node.argument(), &DURATIONS_MS)?,
+            "rate" => self.rate = node.number(node.argument(), &RATES)?,
+            "once" => self.non_idempotent_ratio = node.number(node.argument(), &RATIOS)?,
+            "at" => {
+                let when = When::At(node.time(node.argument(), &STEP_TIMES_MS)?);
+                self.add_step(when, node)?;
+            }
+            "when" => {
+                let member = node.member(node.argument(), self.members)?;
+                let text = node.property("logs").and_then(KdlValue::as_string);
+                let text = text.ok_or_else(|| node.error(Expected::LoggedText))?;
+                self.add_step(When::Logged(member, text.to_owned()), node)?;
+            }
+            _ => return Err(node.error(Expected::ScenarioNode)),
+        }
+        Ok(())
+    }
+
+    fn add_step(&mut self, when: When, node: &Node) -> Result<(), ScenarioError> {
+        let actions = node.actions(self.members)?;
+        self.steps.push(Step { when, actions });
+        Ok(())
+    }
+}
+
+/// A node, and the text that it stands in.
+struct Node<'a> {
+    text: &'a str,
+    node: &'a KdlNode,
+}
+
+impl<'a> Node<'a> {
+    fn name(&self) -> &'a str {
+        self.node.name().value()
+    }
+
+    fn error(&self, expected: Expected) -> ScenarioError {
+        let offset = self.node.span().offset().min(self.text.len());
+        ScenarioError::Node {
+            line: self.text[..offset].matches('\n').count() + 1,
+            node: self.name().to_owned(),
+            expected,
+        }
+    }
+
+    fn property(&self, name: &str) -> Option<&'a KdlValue> {
+        self.node.get(name)
+    }
+
+    /// The values without a name.
+    fn arguments(&self) -> impl Iterator<Item = &'a KdlValue> {
+        let entries = self.node.entries().iter();
+        entries
+            .filter(|entry| entry.name().is_none())
+            .map(|entry| entry.value())
+    }
+
+    fn argument(&self) -> Option<&'a KdlValue> {
+        self.arguments().next()
+    }
+
+    fn integer(&self, range: &RangeInclusive<u64>) -> Result<u64, ScenarioError> {
+        let expected = Expected::Integer {
+            min: *range.start(),
+            max: *range.end(),
+        };
+        self.argument()
+            .and_then(KdlValue::as_integer)
+            .and_then(|value| u64::try_from(value).ok())
+            .filter(|value| range.contains(value))
+            .ok_or_else(|| self.error(expected))
+    }
+
+    fn number(
+        &self,
+        value: Option<&KdlValue>,
+        range: &RangeInclusive<f64>,
+    ) -> Result<f64, ScenarioError> {
+        let as_number = |value: &KdlValue| {
+            let integer = value.as_integer().map(|value| value as f64);
+            value.as_float().or(integer)
+        };
+        let expected = Expected::Number {
+            min: range.start().to_string(),
+            max: range.end().to_string(),
+        };
+        value
+            .and_then(as_number)
+            .filter(|value| range.contains(value))
+            .ok_or_else(|| self.error(expected))
+    }
+
+    fn time(
+        &self,
+        value: Option<&KdlValue>,
+        range_ms: &RangeInclusive<u64>,
+    ) -> Result<Duration, ScenarioError> {
+        let min_ms = *range_ms.start();
+        let max_ms = *range_ms.end();
+        let range = Duration::from_millis(min_ms)..=Duration::from_millis(max_ms);
+        value
+            .and_then(KdlValue::as_string)
+            .and_then(|text| humantime::parse_duration(text).ok())
+            .filter(|time| range.contains(time))
+            .ok_or_else(|| self.error(Expected::Time { min_ms, max_ms }))
+    }
+
+    fn member(&self, value: Option<&KdlValue>, members: usize) -> Result<usize, ScenarioError> {
+        value
+            .and_then(KdlValue::as_integer)
+            .and_then(|value| usize::try_from(value).ok())
+            .filter(|member| *member < members)
+            .ok_or_else(|| self.error(Expected::Member { last: members - 1 }))
+    }
+
+    /// The actions in the braces of a step.
+    fn actions(&self, members: usize) -> Result<Vec<FaultAction>, ScenarioError> {
+        let children = self
+            .node
+            .children()
+            .ok_or_else(|| self.error(Expected::Actions))?;
+        let mut actions = Vec::new();
+        for node in children.nodes() {
+            let node = Node {
+                text: self.text,
+                node,
+            };
+            actions.extend(node.action(members)?);
+        }
+        Ok(actions)
+    }
+
+    /// The actions of one node: one for each member that it names.
+    fn action(&self, members: usize) -> Result<Vec<FaultAction>, ScenarioError> {
+        let named = self
+            .arguments()
+            .map(|value| self.member(Some(value), members))
+            .collect::<Result<Vec<_>, _>>()?;
+        let for_each =
+            |action: fn(usize) -> FaultAction| named.iter().copied().map(action).collect();
+        Ok(match self.name() {
+            "kill" => for_each(FaultAction::Kill),
+            "start" => for_each(FaultAction::Start),
+            "stop" => for_each(FaultAction::Stop),
+            "wake" => for_each(FaultAction::Wake),
+            "term" => for_each(FaultAction::Term),
+            "hup" => for_each(FaultAction::Hup),
+            "split" => vec![FaultAction::Split(named)],
+            "heal" => vec![FaultAction::Net(None, Rules::default())],
+            "net" => vec![self.network_rules(members)?],
+            _ => return Err(self.error(Expected::Action)),
+        })
+    }
+
+    fn network_rules(&self, members: usize) -> Result<FaultAction, ScenarioError> {
+        let direction = match (self.property("from"), self.property("to")) {
+            (None, None) => None,
+            (from, to) => Some((self.member(from, members)?, self.member(to, members)?)),
+        };
+        let ratio = |name: &str| match self.property(name) {
+            Some(value) => self.number(Some(value), &RATIOS),
+            None => Ok(0.0),
+        };
+        let delay = |name: &str| match self.property(name) {
+            Some(value) => self.time(Some(value), &DELAYS_MS),
+            None => Ok(Duration::ZERO),
+        };
+        let cut = self.property("cut").and_then(KdlValue::as_bool);
+        let rules = Rules {
+            cut: cut.unwrap_or(false),
+            loss: ratio("loss")?,
+            twice: ratio("twice")?,
+            garble: ratio("garble")?,
+            delay: (delay("least")?, delay("most")?),
+        };
+        if rules.delay.0 > rules.delay.1 {
+            return Err(self.error(Expected::OrderedDelays));
+        }
+        Ok(FaultAction::Net(direction, rules))
+    }
+}
