--- /dev/null
+++ b/crates/testbed/src/scenario/run.rs
@@ -0,0 +1,205 @@
+//! Runs a scenario on real daemons.
+
+use super::client::{ClientTargets, Clients};
+use super::{FaultAction, Scenario, Step, When};
+use crate::checker::{check, Verdict};
+use crate::fleet::{Fleet, FleetOptions, MAX_WAIT};
+use rustix::process::Signal;
+use std::io;
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+/// What a run has shown.
+#[derive(Clone, Debug)]
+pub struct ScenarioReport {
+    /// The actions that were done, the same for each run of a scenario.
+    pub trace: Vec<String>,
+    /// When each action was done, since the start.
+    pub at: Vec<Duration>,
+    /// What the checker found.
+    pub verdict: Verdict,
+    /// The views of the members that ran at the end.
+    pub membership_views: Vec<MembershipView>,
+}
+
+/// How one member sees another.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MembershipView {
+    /// The member whose view it is.
+    pub observer: String,
+    /// The other.
+    pub member: String,
+    /// The state in which it sees the other.
+    pub state: String,
+}
+
+/// Runs a scenario on daemons of this program; `on_action` gets a line for each action.
+pub fn run(
+    scenario: &Scenario,
+    program: PathBuf,
+    on_action: impl FnMut(&str),
+) -> io::Result<ScenarioReport> {
+    let options = FleetOptions {
+        servers: scenario.servers,
+        period: scenario.period,
+        ..FleetOptions::new(program, scenario.members, scenario.seed)
+    };
+    let mut fleet = Fleet::start(options)?;
+    let all: Vec<usize> = (0..scenario.members).collect();
+    fleet.agree(&all, MAX_WAIT)?;
+    let addresses = fleet.members.iter().map(|member| member.client_address);
+    let targets = ClientTargets::new(addresses.collect());
+    let history = fleet.history();
+    let clients = Clients::new(scenario, &targets, history.clone());
+    let mut run = ScenarioRun {
+        scenario,
+        fleet: &mut fleet,
+        targets: &targets,
+        began_at: Instant::now(),
+        trace: Vec::new(),
+        at: Vec::new(),
+        on_action,
+    };
+    std::thread::scope(|scope| {
+        for thread in 0..clients.threads() {
+            let clients = &clients;
+            scope.spawn(move || clients.run(thread));
+        }
+        let result = run.steps();
+        clients.stop();
+        result
+    })?;
+    let ScenarioRun { trace, at, .. } = run;
+    Ok(ScenarioReport {
+        trace,
+        at,
+        verdict: check(&history.events()),
+        membership_views: membership_views(&fleet),
+    })
+}
+
+/// The views of all members whose status can be read.
+fn membership_views(fleet: &Fleet) -> Vec<MembershipView> {
+    let mut views = Vec::new();
+    for (number, observer) in fleet.members.iter().enumerate() {
+        let Ok(status) = fleet.status(number) else {
+            continue;
+        };
+        for member in status["members"].as_array().into_iter().flatten() {
+            let text = |key: &str| member[key].as_str().unwrap_or_default().to_owned();
+            views.push(MembershipView {
+                observer: observer.name.clone(),
+                member: text("name"),
+                state: text("standing"),
+            });
+        }
+    }
+    views
+}
+
+struct ScenarioRun<'a, F> {
+    scenario: &'a Scenario,
+    fleet: &'a mut Fleet,
+    targets: &'a ClientTargets,
+    began_at: Instant,
+    trace: Vec<String>,
+    at: Vec<Duration>,
+    on_action: F,
+}
+
+impl<F: FnMut(&str)> ScenarioRun<'_, F> {
+    /// Does all steps, then waits for the scenario's end.
+    fn steps(&mut self) -> io::Result<()> {
+        let scenario = self.scenario;
+        let mut marks = self.log_marks();
+        for step in &scenario.steps {
+            self.wait_for(&step.when, &marks)?;
+            marks = self.log_marks();
+            self.actions(step)?;
+        }
+        std::thread::sleep(scenario.duration.saturating_sub(self.began_at.elapsed()));
+        Ok(())
+    }
+
+    fn log_marks(&self) -> Vec<usize> {
+        let members = self.fleet.members.iter();
+        members.map(|member| member.log.mark()).collect()
+    }
+
+    /// Waits for a step's moment; `marks` are the ends of the members' logs at the step before.
+    fn wait_for(&self, when: &When, marks: &[usize]) -> io::Result<()> {
+        match when {
+            When::At(time) => std::thread::sleep(time.saturating_sub(self.began_at.elapsed())),
+            When::Logged(member, text) => {
+                let remaining = self
+                    .scenario
+                    .duration
+                    .saturating_sub(self.began_at.elapsed());
+                self.fleet.members[*member]
+                    .log
+                    .wait(marks[*member], text, remaining)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn actions(&mut self, step: &Step) -> io::Result<()> {
+        for action in &step.actions {
+            let at = self.began_at.elapsed();
+            self.trace.push(format!("{:?}: {action:?}", step.when));
+            self.at.push(at);
+            (self.on_action)(&format!("{:7.3} s  {action:?}", at.as_secs_f64()));
+            self.apply(action)?;
+        }
+        Ok(())
+    }
+
+    fn apply(&mut self, action: &FaultAction) -> io::Result<()> {
+        match action {
+            FaultAction::Kill(member) => {
+                self.targets.set_after_fault(*member, None);
+                self.fleet.kill(*member)
+            }
+            FaultAction::Start(member) => {
+                self.fleet.spawn(*member)?;
+                self.restore_target(*member);
+                Ok(())
+            }
+            FaultAction::Stop(member) => {
+                self.targets.set_after_fault(*member, None);
+                self.fleet.signal(*member, Signal::STOP)
+            }
+            FaultAction::Wake(member) => {
+                self.fleet.signal(*member, Signal::CONT)?;
+                self.restore_target(*member);
+                Ok(())
+            }
+            FaultAction::Term(member) => {
+                self.targets.remove(*member);
+                self.fleet.signal(*member, Signal::TERM)?;
+                self.fleet.reap(*member)
+            }
+            FaultAction::Hup(member) => self.fleet.signal(*member, Signal::HUP),
+            FaultAction::Split(one_side) => {
+                let members = 0..self.fleet.members.len();
+                let other_side: Vec<usize> = members.filter(|n| !one_side.contains(n)).collect();
+                self.fleet.network.split(one_side, &other_side);
+                Ok(())
+            }
+            FaultAction::Net(Some(direction), rules) => {
+                self.fleet.network.set(*direction, *rules);
+                Ok(())
+            }
+            FaultAction::Net(None, rules) => {
+                self.fleet.network.set_all(*rules);
+                Ok(())
+            }
+        }
+    }
+
+    /// Clients use a member again that has been started or woken.
+    fn restore_target(&self, member: usize) {
+        let address = self.fleet.members[member].client_address;
+        self.targets.set_after_fault(member, address);
+    }
+}
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -2,10 +2,12 @@
 //! absolute times. Cost is processor time of the test's own thread, so that tests may run side by
 //! side.
 
-use roseyard_testbed::scale::hollow::{Demand, Hollow, Load, World};
-use roseyard_testbed::scale::listing::{Entry, Listing, State};
+use roseyard_testbed::scale::endpoint_set::{EndpointSet, Entry, State};
 use roseyard_testbed::scale::measure::{exponent, timed};
 use roseyard_testbed::scale::report::RoleReport;
+use roseyard_testbed::scale::simulated_ingress::{
+    Demand, Load, SimulatedEnvironment, SimulatedIngress,
+};
 use roseyard_testbed::scale::{targets, Role, Run};
 use std::process::{Command, Output};
 use std::sync::Arc;
@@ -36,17 +38,19 @@
 }
 
 /// An ingress that holds all of so many servers, divided into services as the plan has them.
-fn ingress(servers: usize) -> (Arc<Listing>, Hollow, World) {
-    ingress_of(Listing::new(servers, true))
+fn ingress(servers: usize) -> (Arc<EndpointSet>, SimulatedIngress, SimulatedEnvironment) {
+    ingress_of(EndpointSet::new(servers, true))
 }
 
 /// An ingress that holds these servers.
-fn ingress_of(listing: Listing) -> (Arc<Listing>, Hollow, World) {
-    let listing = Arc::new(listing);
-    let mut world = World::new(SEED);
-    let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, SEED);
-    hollow.take_line(&listing.whole(), &mut world);
-    (listing, hollow, world)
+fn ingress_of(
+    endpoint_set: EndpointSet,
+) -> (Arc<EndpointSet>, SimulatedIngress, SimulatedEnvironment) {
+    let endpoint_set = Arc::new(endpoint_set);
+    let mut environment = SimulatedEnvironment::new(SEED);
+    let mut simulated_ingress = SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, SEED);
+    simulated_ingress.receive_line(&endpoint_set.whole(), &mut environment);
+    (endpoint_set, simulated_ingress, environment)
 }
 
 /// The least of several runs: what disturbs a run only makes it longer.
@@ -66,20 +70,20 @@
 }
 
 /// Processor time of a second under the planned load before these servers.
-fn cost_of_load(listing: Listing) -> f64 {
-    let (_, mut hollow, mut world) = ingress_of(listing);
+fn cost_of_load(endpoint_set: EndpointSet) -> f64 {
+    let (_, mut simulated_ingress, mut environment) = ingress_of(endpoint_set);
     let load = Load {
         rate: 256.0,
         tenants: 100,
         demand: Demand::Even,
     };
-    hollow.run(Duration::from_secs(1), Some(load), &mut world);
+    simulated_ingress.run(Duration::from_secs(1), Some(load), &mut environment);
     least(|| {
         timed(|| {
-            hollow.run(
-                hollow.now() + Duration::from_secs(1),
+            simulated_ingress.run(
+                simulated_ingress.now() + Duration::from_secs(1),
                 Some(load),
-                &mut world,
+                &mut environment,
             )
         })
         .1
@@ -88,13 +92,13 @@
 
 #[test]
 fn a_request_costs_what_its_service_does_not_what_all_servers_do() {
-    assert_alike(|servers| cost_of_load(Listing::new(servers, true)));
+    assert_alike(|servers| cost_of_load(EndpointSet::new(servers, true)));
 }
 
 #[test]
 fn a_request_for_one_large_service_costs_what_the_servers_within_reach_do() {
     const REACH: usize = 256;
-    let growth = cost_of_load(Listing::single(MANY)) / cost_of_load(Listing::single(REACH));
+    let growth = cost_of_load(EndpointSet::single(MANY)) / cost_of_load(EndpointSet::single(REACH));
     assert!(
         growth < 3.0,
         "{growth:.1} times as much with {MANY} servers as with {REACH}: a walk is 21"
@@ -104,7 +108,7 @@
 #[test]
 fn a_change_of_one_server_costs_the_same_among_many() {
     let cost = |servers| {
-        let (listing, mut hollow, mut world) = ingress(servers);
+        let (endpoint_set, mut simulated_ingress, mut environment) = ingress(servers);
         let (mut revision, mut generation) = (1, 0);
         least(|| {
             let mut spent = Duration::ZERO;
@@ -117,8 +121,8 @@
                         state,
                         ..Entry::serving(server)
                     };
-                    let line = listing.encode(revision, false, &[entry]);
-                    spent += timed(|| hollow.take_line(&line, &mut world)).1;
+                    let line = endpoint_set.encode(revision, false, &[entry]);
+                    spent += timed(|| simulated_ingress.receive_line(&line, &mut environment)).1;
                 }
             }
             spent
@@ -130,16 +134,25 @@
 #[test]
 fn rest_costs_the_same_with_many_servers() {
     let cost = |servers| {
-        let (_, mut hollow, mut world) = ingress(servers);
+        let (_, mut simulated_ingress, mut environment) = ingress(servers);
         // Each ingress has been asked for one service, and keeps the time by it.
         let load = Load {
             rate: 20.0,
             tenants: 100,
             demand: Demand::ByServers,
         };
-        hollow.run(Duration::from_secs(1), Some(load), &mut world);
-        hollow.run(Duration::from_secs(5), None, &mut world);
-        least(|| timed(|| hollow.run(hollow.now() + Duration::from_secs(20), None, &mut world)).1)
+        simulated_ingress.run(Duration::from_secs(1), Some(load), &mut environment);
+        simulated_ingress.run(Duration::from_secs(5), None, &mut environment);
+        least(|| {
+            timed(|| {
+                simulated_ingress.run(
+                    simulated_ingress.now() + Duration::from_secs(20),
+                    None,
+                    &mut environment,
+                )
+            })
+            .1
+        })
     };
     assert_alike(cost);
 }
@@ -147,11 +160,12 @@
 #[test]
 fn a_whole_list_costs_its_length() {
     let cost = |servers| {
-        let listing = Arc::new(Listing::new(servers, true));
-        let line = listing.whole();
+        let endpoint_set = Arc::new(EndpointSet::new(servers, true));
+        let line = endpoint_set.whole();
         least(|| {
-            let mut hollow = Hollow::new(&listing, targets::INGRESSES, 0, SEED);
-            timed(|| hollow.take_line(&line, &mut World::new(SEED))).1
+            let mut simulated_ingress =
+                SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, SEED);
+            timed(|| simulated_ingress.receive_line(&line, &mut SimulatedEnvironment::new(SEED))).1
         })
     };
     let points: Vec<(f64, f64)> = [170, 900, MANY].map(|n| (n as f64, cost(n))).to_vec();
@@ -268,12 +282,12 @@
 
 #[test]
 fn services_have_a_long_tail_and_come_to_all_servers() {
-    let sizes = Listing::new(targets::SERVERS, true).service_sizes();
+    let sizes = EndpointSet::new(targets::SERVERS, true).service_sizes();
     assert_eq!(sizes.len(), targets::SERVICES);
     assert_eq!(sizes.iter().sum::<usize>(), targets::SERVERS);
     assert_eq!(sizes.iter().max(), Some(&targets::LARGEST_SERVICE));
     assert!(sizes.iter().min() >= Some(&1));
-    assert_eq!(Listing::new(FEW, true).service_sizes(), [FEW]);
+    assert_eq!(EndpointSet::new(FEW, true).service_sizes(), [FEW]);
 }
 
 #[test]
