--- a/crates/testbed/src/fleet/member.rs
+++ b/crates/testbed/src/fleet/member.rs
@@ -47,10 +47,9 @@
         self.process = Some(child);
         let log = Arc::clone(&self.log);
         std::thread::spawn(move || {
-            lines
-                .lines()
-                .map_while(Result::ok)
-                .for_each(|line| log.push(line))
+            for line in lines.lines().map_while(Result::ok) {
+                log.push(line);
+            }
         });
         let clients = format!("info: listening name={} address=", self.name);
         let line = self.log.wait(mark, &clients, MAX_WAIT)?;
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -1,121 +1,112 @@
 //! What admission costs, by the addresses that it remembers.
 
-use super::measure::{resident_bytes, timed};
+use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
 use super::Run;
-use roseyard_admission::{AdmissionController, AdmissionPolicy, ConnectionId, Event, Rate};
+use roseyard_admission::{Action, AdmissionController, AdmissionPolicy, ConnectionId, Event, Rate};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// Connections held, so that each that comes displaces one.
+/// Open connections, so that each new one displaces one.
 const OPEN: usize = 64;
+/// Connects of a sample.
 const DECISIONS: u64 = 20_000;
+/// Time between two connects.
+const CONNECT_INTERVAL_MS: u64 = 20;
+/// A rate that is never reached.
+const UNLIMITED: Rate = Rate {
+    per_second: 1e6,
+    burst: 1e6,
+};
+/// A number of connections that is never reached.
+const MAX_PER_CLIENT: u32 = 1 << 20;
 
-/// Plays one gate at each number of addresses.
+/// Runs one controller at each number of addresses.
 pub(super) fn run(run: &Run) -> RoleReport {
     let mut decision = SizeSeries::measured("processor time of connect, displace and close", "us");
     let mut tables = SizeSeries::measured("tables by their own count", "MiB");
     let mut memory = SizeSeries::measured("memory of the gate", "MiB");
-    let mut held = Vec::new();
+    // Kept to the end, so that the memory of each is its own.
+    let mut controllers = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("admission: {size} addresses"));
-        let before = resident_bytes();
-        let mut controller = controller(size);
-        memory.push(
-            size,
-            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
-        );
-        tables.push(
-            size,
-            &[controller.cache_sizes().bytes as f64 / f64::from(1 << 20)],
-        );
+        let resident_before = resident_bytes();
+        let mut controller = Controller::new(size);
+        memory.push(size, &[resident_growth_mib(resident_before)]);
+        let table_bytes = controller.controller.cache_sizes().bytes;
+        tables.push(size, &[table_bytes as f64 / f64::from(1 << 20)]);
         let samples: Vec<f64> = (0..run.repeats as u64)
-            .map(|n| decide(&mut controller, size as u64, n))
+            .map(|round| controller.decision_us(size as u64, round))
             .collect();
         decision.push(size, &samples);
-        held.push(controller);
+        controllers.push(controller);
     }
-    run.report(
-        "admission",
-        "addresses",
-        vec![decision, memory, tables],
-        Vec::new(),
-    )
+    let figures = vec![decision, memory, tables];
+    run.report("admission", "addresses", figures, Vec::new())
 }
 
 fn peer(number: u64) -> IpAddr {
     IpAddr::V4(Ipv4Addr::from_bits(0x0a00_0000 + number as u32))
 }
 
-fn controller(addresses: usize) -> AdmissionController {
-    let rate = Some(Rate {
-        per_second: 1e6,
-        burst: 1e6,
-    });
-    let policy = AdmissionPolicy {
-        by_address: true,
-        per_client: Some(1 << 20),
-        per_neighbourhood: Some(1 << 20),
-        rate_client: rate,
-        rate_neighbourhood: rate,
-        max_remembered: addresses,
-        max_idle_after_one_request: OPEN,
-        max_idle_without_request: OPEN,
-        ..AdmissionPolicy::of(OPEN)
-    };
-    let (mut controller, mut out) = (
-        AdmissionController::new(policy, 7, Duration::ZERO),
-        Vec::new(),
-    );
-    for number in 0..addresses as u64 {
-        let conn = ConnectionId(number << 32);
-        controller.handle(
-            Duration::ZERO,
-            Event::Connected {
-                conn,
-                peer: peer(number),
-            },
-            &mut out,
-        );
-        controller.handle(
-            Duration::ZERO,
-            Event::Closed { conn, fault: false },
-            &mut out,
-        );
-        out.clear();
-    }
-    for number in 0..OPEN as u64 {
-        controller.handle(
-            Duration::ZERO,
-            Event::Connected {
-                conn: ConnectionId(number),
-                peer: peer(number),
-            },
-            &mut out,
-        );
-    }
-    controller
+struct Controller {
+    controller: AdmissionController,
+    actions: Vec<Action>,
 }
 
-fn decide(controller: &mut AdmissionController, addresses: u64, round: u64) -> f64 {
-    let mut out = Vec::new();
-    let (_, took) = timed(|| {
-        for n in 0..DECISIONS {
-            let serial = round * DECISIONS + n + 1;
-            let now = Duration::from_millis(20 * serial);
-            // Slots are used in turn: the next one is the longest rested.
-            let conn = ConnectionId((serial << 32) + serial % OPEN as u64 + OPEN as u64);
-            controller.handle(
-                now,
-                Event::Connected {
-                    conn,
-                    peer: peer(serial % addresses),
-                },
-                &mut out,
-            );
-            controller.handle(now, Event::Closed { conn, fault: false }, &mut out);
-            out.clear();
+impl Controller {
+    /// A controller that remembers so many addresses and has [`OPEN`] connections.
+    fn new(addresses: usize) -> Controller {
+        let policy = AdmissionPolicy {
+            by_address: true,
+            per_client: Some(MAX_PER_CLIENT),
+            per_neighbourhood: Some(MAX_PER_CLIENT),
+            rate_client: Some(UNLIMITED),
+            rate_neighbourhood: Some(UNLIMITED),
+            max_remembered: addresses,
+            max_idle_after_one_request: OPEN,
+            max_idle_without_request: OPEN,
+            ..AdmissionPolicy::of(OPEN)
+        };
+        let mut controller = Controller {
+            controller: AdmissionController::new(policy, 7, Duration::ZERO),
+            actions: Vec::new(),
+        };
+        for number in 0..addresses as u64 {
+            let connection = ConnectionId(number << 32);
+            controller.connect(Duration::ZERO, connection, peer(number));
+            controller.close(Duration::ZERO, connection);
+        }
+        for number in 0..OPEN as u64 {
+            controller.connect(Duration::ZERO, ConnectionId(number), peer(number));
         }
-    });
-    took.as_secs_f64() * 1e6 / DECISIONS as f64
+        controller
+    }
+
+    fn connect(&mut self, now: Duration, conn: ConnectionId, peer: IpAddr) {
+        let event = Event::Connected { conn, peer };
+        self.controller.handle(now, event, &mut self.actions);
+    }
+
+    fn close(&mut self, now: Duration, conn: ConnectionId) {
+        let event = Event::Closed { conn, fault: false };
+        self.controller.handle(now, event, &mut self.actions);
+        self.actions.clear();
+    }
+
+    /// Microseconds of processor time of a connect, a displacement and a close.
+    fn decision_us(&mut self, addresses: u64, round: u64) -> f64 {
+        let (_, took) = timed(|| {
+            for number in 0..DECISIONS {
+                let serial = round * DECISIONS + number + 1;
+                let now = Duration::from_millis(CONNECT_INTERVAL_MS * serial);
+                // Slots are used in turn: the next one is idle for the longest time.
+                let slot = serial % OPEN as u64 + OPEN as u64;
+                let connection = ConnectionId((serial << 32) + slot);
+                self.connect(now, connection, peer(serial % addresses));
+                self.close(now, connection);
+            }
+        });
+        took.as_secs_f64() * 1e6 / DECISIONS as f64
+    }
 }
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -1,52 +1,25 @@
-//! What the operator's file costs to read, by its length: each change is read as the whole file
-//! today.
+//! What the operator's file costs to read, by its length: each change is read as a complete file.
 
-use super::measure::timed;
+use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
 use super::{targets, Run};
 use kdl::KdlDocument;
 use roseyard_operator_config::File;
 
-/// What a file may hold at most, in bytes; the program refuses a longer one.
-const FILE_BOUND: usize = 1 << 20;
+/// Longest file in bytes; the program rejects a longer one.
+const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// Reads a file of so many routes, with services and servers in the plan's proportion.
+/// Reads a file of so many routes, with services and servers in proportion to the planned size.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut bytes = SizeSeries::measured("file", "bytes");
-    let mut parse = SizeSeries::measured("processor time to parse the file", "ms");
-    let mut check =
-        SizeSeries::measured("processor time to parse and check as many addresses", "ms");
-    let mut share = SizeSeries::derived(
-        "21,000 changes a day, the file parsed at each",
-        "% of a core",
-    );
-    let mut rate = SizeSeries::derived("21,000 changes a day, the file sent at each", "bytes/s");
+    let mut figures = Figures::new();
     let mut notes = Vec::new();
-    let each_second = targets::CHANGES_A_DAY / targets::DAY;
     for &size in &run.sizes {
         run.progress(&format!("configuration: {size} routes"));
-        let text = routes(size);
-        bytes.push(size, &[text.len() as f64]);
-        rate.push(size, &[text.len() as f64 * each_second]);
-        let parses: Vec<f64> = (0..run.repeats)
-            .map(|_| millis(|| KdlDocument::parse_v2(&text).expect("the lab's own text")))
-            .collect();
-        share.push(
-            size,
-            &parses
-                .iter()
-                .map(|ms| ms / 1e3 * each_second * 100.0)
-                .collect::<Vec<_>>(),
-        );
-        parse.push(size, &parses);
-        let known = addresses(size);
-        let checks: Vec<f64> = (0..run.repeats)
-            .map(|_| millis(|| File::parse("scale.kdl", &known).map_err(|e| e.lines())))
-            .collect();
-        check.push(size, &checks);
-        if text.len() > FILE_BOUND {
+        let text = file_of_routes(size);
+        measure(run, size, &text, &mut figures);
+        if text.len() > MAX_FILE_BYTES {
             notes.push(format!(
-                "{size} routes are over the bound of the file, {FILE_BOUND} bytes"
+                "{size} routes are over the bound of the file, {MAX_FILE_BYTES} bytes"
             ));
         }
     }
@@ -54,20 +27,75 @@
         "a change is a file put on each machine and SIGHUP: nothing sends it there (missing)"
             .into(),
     );
-    run.report(
-        "configuration",
-        "routes",
-        vec![bytes, rate, parse, share, check],
-        notes,
-    )
+    run.report("configuration", "routes", figures.series(), notes)
+}
+
+fn measure(run: &Run, size: usize, text: &str, figures: &mut Figures) {
+    let changes_a_second = targets::CHANGES_A_DAY / targets::SECONDS_A_DAY;
+    let bytes = text.len() as f64;
+    figures.bytes.push(size, &[bytes]);
+    figures.byte_rate.push(size, &[bytes * changes_a_second]);
+    let parses_ms = samples(run, || {
+        KdlDocument::parse_v2(text).expect("the testbed's text parses")
+    });
+    let share = |ms: &f64| ms / 1e3 * changes_a_second * 100.0;
+    figures
+        .core_percent
+        .push(size, &parses_ms.iter().map(share).collect::<Vec<_>>());
+    figures.parse.push(size, &parses_ms);
+    let known = file_of_addresses(size);
+    let checks_ms = samples(run, || {
+        File::parse("scale.kdl", &known).map_err(|error| error.lines())
+    });
+    figures.check.push(size, &checks_ms);
+}
+
+/// Milliseconds of processor time of each repeat.
+fn samples<T>(run: &Run, work: impl Fn() -> T) -> Vec<f64> {
+    let sample = |_| {
+        let (_, took) = timed(|| std::hint::black_box(work()));
+        millis(took)
+    };
+    (0..run.repeats).map(sample).collect()
 }
 
-fn millis<T>(work: impl FnOnce() -> T) -> f64 {
-    timed(|| std::hint::black_box(work())).1.as_secs_f64() * 1e3
+struct Figures {
+    bytes: SizeSeries,
+    byte_rate: SizeSeries,
+    parse: SizeSeries,
+    core_percent: SizeSeries,
+    check: SizeSeries,
+}
+
+impl Figures {
+    fn new() -> Figures {
+        let measured = SizeSeries::measured;
+        let derived = SizeSeries::derived;
+        Figures {
+            bytes: measured("file", "bytes"),
+            byte_rate: derived("21,000 changes a day, the file sent at each", "bytes/s"),
+            parse: measured("processor time to parse the file", "ms"),
+            core_percent: derived(
+                "21,000 changes a day, the file parsed at each",
+                "% of a core",
+            ),
+            check: measured("processor time to parse and check as many addresses", "ms"),
+        }
+    }
+
+    fn series(self) -> Vec<SizeSeries> {
+        vec![
+            self.bytes,
+            self.byte_rate,
+            self.parse,
+            self.core_percent,
+            self.check,
+        ]
+    }
 }
 
-/// So many routes, each naming a service, and the services with their networks.
-fn routes(count: usize) -> String {
+/// So many routes, each of one service, and the services with their networks.
+fn file_of_routes(count: usize) -> String {
     let services = (count * targets::SERVICES / targets::ROUTES).max(1);
     let mut text = String::from("services {\n");
     for service in 0..services {
@@ -83,8 +111,8 @@
     text + "}\n"
 }
 
-/// A file that today's program takes, with a list of addresses in place of routes.
-fn addresses(count: usize) -> String {
+/// A file that the program accepts, with a list of addresses in place of routes.
+fn file_of_addresses(count: usize) -> String {
     let list: Vec<String> = (0..count)
         .map(|n| format!("\"10.{}.{}.{}/32\"", n >> 16, (n >> 8) & 0xff, n & 0xff))
         .collect();
--- a/crates/testbed/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -1,91 +1,108 @@
-//! What the shared counter is asked by all ingresses together.
+//! What all ingresses together call of the shared counter.
 
 use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::simulated_ingress::{Demand, Load, SimulatedEnvironment, SimulatedIngress, Traffic};
+use super::simulated_ingress::{
+    Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet, Traffic,
+};
 use super::{targets, Run};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Servers of the one service that the ingresses carry here: the choice among them is another role.
+/// Servers of the one service that the ingresses have here.
 const SERVERS: usize = 17;
 const WARM_UP: Duration = Duration::from_millis(100);
 const LENGTH: Duration = Duration::from_millis(250);
-/// Processor time after which no further sample is begun at a size.
+/// Processor time after which no further sample begins at a size.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(30);
+const LOAD: RequestLoad = RequestLoad {
+    rate: targets::REQUESTS_PER_INGRESS,
+    tenants: targets::TENANTS,
+    demand: Demand::ByServers,
+};
 
-/// Plays all of so many ingresses under the load of the peak.
+/// Runs all of so many ingresses under the load of the peak.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut calls = SizeSeries::measured("calls at the counter", "calls/s");
-    let mut bytes_in = SizeSeries::measured("bytes to the counter", "bytes/s");
-    let mut bytes_out = SizeSeries::measured("bytes from the counter", "bytes/s");
-    let mut each = SizeSeries::measured("bytes of an ingress, to and from", "bytes/s");
-    let mut cost = SizeSeries::measured("processor time of all ingresses", "cores");
-    let mut memory = SizeSeries::measured("memory of an ingress", "KiB");
-    let load = Load {
-        rate: targets::REQUESTS_PER_INGRESS,
-        tenants: targets::TENANTS,
-        demand: Demand::ByServers,
-    };
-    let endpoint_set = Arc::new(EndpointSet::single(SERVERS));
-    let line = endpoint_set.whole();
+    let mut figures = Figures::new();
+    let endpoints = Arc::new(EndpointSet::single(SERVERS));
     for &size in &run.sizes {
         run.progress(&format!("counter: {size} ingresses"));
-        let mut environment = SimulatedEnvironment::new(run.seed);
-        let before = resident_bytes();
-        let mut fleet: Vec<SimulatedIngress> = (0..size)
-            .map(|n| SimulatedIngress::new(&endpoint_set, size, n, run.seed))
-            .collect();
-        fleet
-            .iter_mut()
-            .for_each(|simulated_ingress| simulated_ingress.receive_line(&line, &mut environment));
-        let mut now = WARM_UP;
-        let go_on =
-            |fleet: &mut Vec<SimulatedIngress>, until, environment: &mut SimulatedEnvironment| {
-                fleet.iter_mut().for_each(|simulated_ingress| {
-                    simulated_ingress.run(until, Some(load), environment)
-                });
-            };
-        go_on(&mut fleet, now, &mut environment);
-        memory.push(
-            size,
-            &[resident_bytes().saturating_sub(before) as f64 / 1024.0 / size as f64],
-        );
-        let (mut samples, mut cores, mut spent) = (Vec::new(), Vec::new(), Duration::ZERO);
-        while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
-            fleet
-                .iter_mut()
-                .for_each(|simulated_ingress| simulated_ingress.traffic = Traffic::default());
-            now += LENGTH;
-            let (_, took) = timed(|| go_on(&mut fleet, now, &mut environment));
-            let mut traffic = Traffic::default();
-            fleet
-                .iter()
-                .for_each(|simulated_ingress| traffic += simulated_ingress.traffic);
-            samples.push(traffic);
-            cores.push(took.as_secs_f64() / LENGTH.as_secs_f64());
-            spent += took;
+        measure(run, &endpoints, size, &mut figures);
+    }
+    let note = "each ingress at 256 requests a second".to_owned();
+    run.report("counter", "ingresses", figures.series(), vec![note])
+}
+
+fn measure(run: &Run, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let resident_before = resident_bytes();
+    let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
+    let mut now = WARM_UP;
+    fleet.run(now, LOAD, &mut environment);
+    let grown_kib = resident_bytes().saturating_sub(resident_before) as f64 / 1024.0;
+    figures.memory.push(size, &[grown_kib / size as f64]);
+    let mut samples = Vec::new();
+    let mut cores = Vec::new();
+    let mut spent = Duration::ZERO;
+    while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
+        fleet.reset_traffic();
+        now += LENGTH;
+        let (_, took) = timed(|| fleet.run(now, LOAD, &mut environment));
+        samples.push(fleet.traffic());
+        cores.push(took.as_secs_f64() / LENGTH.as_secs_f64());
+        spent += took;
+    }
+    figures.push_traffic(size, &samples);
+    figures.cores.push(size, &cores);
+}
+
+struct Figures {
+    calls: SizeSeries,
+    bytes_in: SizeSeries,
+    bytes_out: SizeSeries,
+    per_ingress: SizeSeries,
+    cores: SizeSeries,
+    memory: SizeSeries,
+}
+
+impl Figures {
+    fn new() -> Figures {
+        let measured = SizeSeries::measured;
+        Figures {
+            calls: measured("calls at the counter", "calls/s"),
+            bytes_in: measured("bytes to the counter", "bytes/s"),
+            bytes_out: measured("bytes from the counter", "bytes/s"),
+            per_ingress: measured("bytes of an ingress, to and from", "bytes/s"),
+            cores: measured("processor time of all ingresses", "cores"),
+            memory: measured("memory of an ingress", "KiB"),
         }
-        let push = |figure: &mut SizeSeries, of: &dyn Fn(&Traffic) -> u64, per: f64| {
-            let second = |t: &Traffic| of(t) as f64 / LENGTH.as_secs_f64() / per;
-            figure.push(size, &samples.iter().map(second).collect::<Vec<_>>());
+    }
+
+    fn push_traffic(&mut self, size: usize, samples: &[Traffic]) {
+        let push = |series: &mut SizeSeries, count: fn(&Traffic) -> u64, ingresses: f64| {
+            let a_second =
+                |traffic: &Traffic| count(traffic) as f64 / LENGTH.as_secs_f64() / ingresses;
+            series.push(size, &samples.iter().map(a_second).collect::<Vec<_>>());
         };
-        push(&mut calls, &|t| t.counter_calls, 1.0);
-        push(&mut bytes_in, &|t| t.counter_bytes_out, 1.0);
-        push(&mut bytes_out, &|t| t.counter_bytes_in, 1.0);
+        push(&mut self.calls, |traffic| traffic.counter_calls, 1.0);
+        push(&mut self.bytes_in, |traffic| traffic.counter_bytes_out, 1.0);
+        push(&mut self.bytes_out, |traffic| traffic.counter_bytes_in, 1.0);
         push(
-            &mut each,
-            &|t| t.counter_bytes_out + t.counter_bytes_in,
+            &mut self.per_ingress,
+            |traffic| traffic.counter_bytes_out + traffic.counter_bytes_in,
             size as f64,
         );
-        cost.push(size, &cores);
     }
-    let figures = vec![calls, bytes_in, bytes_out, each, cost, memory];
-    run.report(
-        "counter",
-        "ingresses",
-        figures,
-        vec!["each ingress at 256 requests a second".into()],
-    )
+
+    fn series(self) -> Vec<SizeSeries> {
+        vec![
+            self.calls,
+            self.bytes_in,
+            self.bytes_out,
+            self.per_ingress,
+            self.cores,
+            self.memory,
+        ]
+    }
 }
--- /dev/null
+++ b/crates/testbed/src/scale/daemon/case.rs
@@ -0,0 +1,112 @@
+//! The cases that are measured: a version of the daemon at a size.
+
+use super::DaemonOptions;
+use crate::scale::targets;
+use crate::scale::topology::ServiceTopology;
+
+/// Tenants at the planned size.
+pub(super) const ALL_TENANTS: u64 = targets::TENANTS as u64;
+/// Tenants where their number is not varied.
+pub(super) const SOME_TENANTS: u64 = 1_000;
+
+/// How servers are divided into services.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Division {
+    /// One service without a name, as without a section on services.
+    Unnamed,
+    /// Services with a long tail, 17 servers in the mean.
+    LongTail,
+}
+
+/// One version of the daemon at one size.
+#[derive(Clone, Debug)]
+pub(super) struct Case {
+    /// Is it the earlier version?
+    pub before: bool,
+    /// How servers are divided.
+    pub division: Division,
+    /// Servers.
+    pub servers: u32,
+    /// Tenants.
+    pub tenants: u64,
+}
+
+/// Cases that differ only in their size, which make one report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct CaseSeries {
+    /// Are they of the earlier version?
+    pub before: bool,
+    /// How servers are divided.
+    pub division: Division,
+    /// Are tenants varied, and not servers?
+    pub tenants_varied: bool,
+}
+
+impl Case {
+    pub(super) fn series(&self) -> CaseSeries {
+        CaseSeries {
+            before: self.before,
+            division: self.division,
+            tenants_varied: self.tenants != SOME_TENANTS,
+        }
+    }
+
+    /// What is varied: servers, or tenants.
+    pub(super) fn size(&self) -> usize {
+        if self.tenants == SOME_TENANTS {
+            self.servers as usize
+        } else {
+            self.tenants as usize
+        }
+    }
+
+    /// Services, the largest of them and routes, in proportion to the planned size.
+    pub(super) fn topology(&self) -> ServiceTopology {
+        if self.division == Division::Unnamed {
+            return ServiceTopology::unnamed(self.servers);
+        }
+        let in_proportion = |planned: usize| {
+            let servers = u64::from(self.servers);
+            (planned as u64 * servers / targets::SERVERS as u64).max(1) as u32
+        };
+        let services = in_proportion(targets::SERVICES);
+        let mean = self.servers.div_ceil(services);
+        let largest = in_proportion(targets::LARGEST_SERVICE).max(mean);
+        let routes = in_proportion(targets::ROUTES).max(services);
+        ServiceTopology::long_tail(self.servers, services, largest, routes)
+    }
+}
+
+/// Each size for each version and division, and 1 and all tenants at the largest size.
+pub(super) fn cases(options: &DaemonOptions) -> Vec<Case> {
+    let mut cases = Vec::new();
+    for servers in &options.run.sizes {
+        cases.extend(cases_of_size(options, *servers as u32, SOME_TENANTS));
+    }
+    let largest = options.run.sizes.iter().max();
+    if let Some(largest) = largest.filter(|_| options.all_tenants) {
+        for tenants in [1, ALL_TENANTS] {
+            cases.extend(cases_of_size(options, *largest as u32, tenants));
+        }
+    }
+    cases
+}
+
+/// The versions follow one another at each size.
+fn cases_of_size(options: &DaemonOptions, servers: u32, tenants: u64) -> Vec<Case> {
+    let case = |before, division| Case {
+        before,
+        division,
+        servers,
+        tenants,
+    };
+    let mut cases = Vec::new();
+    if options.before.is_some() {
+        cases.push(case(true, Division::Unnamed));
+    }
+    cases.push(case(false, Division::Unnamed));
+    if options.run.services {
+        cases.push(case(false, Division::LongTail));
+    }
+    cases
+}
--- /dev/null
+++ b/crates/testbed/src/scale/daemon/faults/flood.rs
@@ -0,0 +1,20 @@
+//! Clients flood one service.
+
+use super::testbed::FaultTestbed;
+use super::{Fault, Finding};
+use crate::scale::daemon::DaemonOptions;
+use std::io;
+
+/// Requests a second of the flood.
+const FLOOD_RATE: f64 = 2_000.0;
+
+pub(super) fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
+    let testbed = FaultTestbed::start_warm(options)?;
+    let flood = testbed.victim.with_rate(FLOOD_RATE);
+    let outcomes = testbed.compare(|on| {
+        if on {
+            testbed.play_beside(&flood);
+        }
+    });
+    Ok(outcomes.findings(Fault::Flood))
+}
--- a/crates/testbed/src/scale/daemon/load.rs
+++ b/crates/testbed/src/scale/daemon/load.rs
@@ -1,4 +1,4 @@
-//! What clients ask: tenants evenly, services by their size.
+//! What clients request: of tenants evenly, of services by their size.
 
 use crate::checker::History;
 use crate::client_load::{play_with, LoadOutcome, OpenLoopLoad};
@@ -7,154 +7,147 @@
 use rand::rngs::StdRng;
 use rand::RngExt;
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::time::Duration;
 
-/// Addresses that clients come from.
+/// Addresses that clients connect from.
 const CLIENT_ADDRESSES: u8 = 200;
+/// A service's weight is divided among its routes in integer shares.
+const ROUTE_SHARES: u64 = 1000;
 
-/// Whom requests are of, and what they are for.
-#[derive(Clone, Debug)]
-pub(super) struct Load {
-    /// Requests a second.
-    pub rate: f64,
-    /// Tenants.
-    pub tenants: u64,
-    /// Ingresses through which a tenant's requests come.
-    pub spread: u32,
-    /// May its requests be sent on twice? An ingress moves such a one away from a server that looks
-    /// silent.
-    pub idempotent: bool,
-    /// For times, tenants and services.
-    pub seed: u64,
-    /// The routes that are asked for, each with the sum of the weights up to it; none where
-    /// services have no names.
-    routes: Vec<(u64, u32)>,
+/// A route that is requested.
+#[derive(Clone, Copy, Debug)]
+struct WeightedRoute {
+    /// The sum of the weights up to and with this route.
+    weight_sum: u64,
+    route: u32,
 }
 
-impl Load {
-    /// For all services by their size.
-    pub(super) fn of(
-        topology: &ServiceTopology,
-        rate: f64,
-        tenants: u64,
-        spread: u32,
-        seed: u64,
-    ) -> Load {
-        Load::for_services(
-            topology,
-            0..topology.services.len() as u32,
-            rate,
-            tenants,
-            spread,
-            seed,
-        )
+/// Routes by the weights of their services; none where services have no names.
+#[derive(Clone, Debug)]
+pub(super) struct Routes(Vec<WeightedRoute>);
+
+impl Routes {
+    /// The routes of all services.
+    pub(super) fn of_all(topology: &ServiceTopology) -> Routes {
+        Routes::of(topology, 0..topology.services.len() as u32)
     }
 
-    /// For some services by their size; each route of a service has an even part of it.
-    pub(super) fn for_services(
-        topology: &ServiceTopology,
-        services: impl Iterator<Item = u32>,
-        rate: f64,
-        tenants: u64,
-        spread: u32,
-        seed: u64,
-    ) -> Load {
-        let (mut routes, mut sum) = (Vec::new(), 0);
+    /// The routes of some services. A service's weight is its size, and is divided evenly among its
+    /// routes.
+    pub(super) fn of(topology: &ServiceTopology, services: Range<u32>) -> Routes {
+        let mut routes = Vec::new();
+        let mut weight_sum = 0;
         for service in services.filter(|_| topology.named) {
             let of_service: Vec<u32> = topology.routes_of(service).collect();
-            let weight = u64::from(topology.services[service as usize].servers) * ROUTE_SHARES;
+            let servers = topology.services[service as usize].servers;
+            let weight = u64::from(servers) * ROUTE_SHARES;
             for route in &of_service {
-                sum += weight / of_service.len() as u64;
-                routes.push((sum, *route));
+                weight_sum += weight / of_service.len() as u64;
+                routes.push(WeightedRoute {
+                    weight_sum,
+                    route: *route,
+                });
             }
         }
-        Load {
-            rate,
-            tenants,
-            spread,
-            idempotent: true,
-            seed,
-            routes,
-        }
+        Routes(routes)
+    }
+
+    /// The parameter that names a random route.
+    fn parameter(&self, random: &mut StdRng) -> String {
+        let Some(last) = self.0.last() else {
+            return String::new();
+        };
+        let drawn = random.random_range(0..last.weight_sum);
+        let index = self.0.partition_point(|route| route.weight_sum <= drawn);
+        format!(",route=r{}", self.0[index].route)
     }
+}
+
+/// The requests of tenants for the routes of services.
+#[derive(Clone, Debug)]
+pub(super) struct TenantLoad {
+    /// Requests a second.
+    pub rate: f64,
+    /// Tenants.
+    pub tenants: u64,
+    /// Ingresses through which a tenant's requests come.
+    pub ingress_count: u32,
+    /// May a request be executed more than once? An ingress retries such a one if its server seems
+    /// unresponsive.
+    pub idempotent: bool,
+    /// For times, tenants and routes.
+    pub seed: u64,
+    /// The routes that are requested.
+    pub routes: Routes,
+}
 
-    /// The same with other times, tenants and services.
-    pub(super) fn with_seed(&self, seed: u64) -> Load {
-        Load {
+impl TenantLoad {
+    /// The same with other times, tenants and routes.
+    pub(super) fn with_seed(&self, seed: u64) -> TenantLoad {
+        TenantLoad {
             seed,
             ..self.clone()
         }
     }
 
-    /// The same with requests that must never run twice.
-    pub(super) fn never_twice(&self) -> Load {
-        Load {
+    /// The same with requests that are not idempotent.
+    pub(super) fn non_idempotent(&self) -> TenantLoad {
+        TenantLoad {
             idempotent: false,
             ..self.clone()
         }
     }
 
     /// The same at another rate.
-    pub(super) fn with_rate(&self, rate: f64) -> Load {
-        Load {
+    pub(super) fn with_rate(&self, rate: f64) -> TenantLoad {
+        TenantLoad {
             rate,
             ..self.clone()
         }
     }
 
-    /// What a request adds to its list of names and values.
-    fn route(&self, random: &mut StdRng) -> String {
-        let Some((sum, _)) = self.routes.last() else {
-            return String::new();
-        };
-        let drawn = random.random_range(0..*sum);
-        let at = self.routes.partition_point(|(up_to, _)| *up_to <= drawn);
-        format!(",route=r{}", self.routes[at].1)
+    fn encode(&self, random: &mut StdRng, tenant: u64, id: u64) -> Vec<u8> {
+        let route = self.routes.parameter(random);
+        request_through(self.idempotent, tenant, id, self.ingress_count, &route)
     }
 
     /// Plays it in an open loop for so long.
-    pub(super) async fn play(&self, to: SocketAddr, length: Duration) -> LoadOutcome {
-        self.play_noted(to, length, None).await
+    pub(super) async fn play(&self, destination: SocketAddr, length: Duration) -> LoadOutcome {
+        self.play_recorded(destination, length, None).await
     }
 
-    /// The same, with what was asked and answered noted in the ledger.
-    pub(super) async fn play_noted(
+    /// The same; requests and responses are recorded in the history.
+    pub(super) async fn play_recorded(
         &self,
-        to: SocketAddr,
+        destination: SocketAddr,
         length: Duration,
         history: Option<&History>,
     ) -> LoadOutcome {
-        let word = |random: &mut StdRng, tenant, id| {
-            let route = self.route(random);
-            request_through(self.idempotent, tenant, id, self.spread, &route)
-        };
-        play_with(self.clients(self.rate), to, length, history, word).await
+        let encode = |random: &mut StdRng, tenant, id| self.encode(random, tenant, id);
+        let load = self.open_loop(self.rate);
+        play_with(load, destination, length, history, encode).await
     }
 
-    /// Asks once for each tenant at this rate.
-    pub(super) async fn play_each_tenant(&self, to: SocketAddr, rate: f64) -> LoadOutcome {
+    /// Sends one request of each tenant at this rate.
+    pub(super) async fn play_each_tenant(&self, destination: SocketAddr, rate: f64) -> LoadOutcome {
         let mut tenant = 0;
-        let word = |random: &mut StdRng, _, id| {
+        let encode = |random: &mut StdRng, _, id| {
             tenant = tenant % self.tenants + 1;
-            let route = self.route(random);
-            request_through(self.idempotent, tenant, id, self.spread, &route)
+            self.encode(random, tenant, id)
         };
         let length = Duration::from_secs_f64(self.tenants as f64 / rate);
-        play_with(self.clients(rate), to, length, None, word).await
+        play_with(self.open_loop(rate), destination, length, None, encode).await
     }
 
-    fn clients(&self, rate: f64) -> OpenLoopLoad {
-        let (customers, addresses, idempotent) = (self.tenants, CLIENT_ADDRESSES, self.idempotent);
+    fn open_loop(&self, rate: f64) -> OpenLoopLoad {
         OpenLoopLoad {
             rate,
-            customers,
-            addresses,
+            customers: self.tenants,
+            addresses: CLIENT_ADDRESSES,
             reconnect_ratio: 0.0,
-            idempotent,
+            idempotent: self.idempotent,
             seed: self.seed,
         }
     }
 }
-
-/// A service's weight is divided among its routes in whole shares.
-const ROUTE_SHARES: u64 = 1000;
--- a/crates/testbed/src/scale/daemon/metered_listener.rs
+++ b/crates/testbed/src/scale/daemon/metered_listener.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What has gone over the connections of a listener.
+/// Counts of what has gone over the connections of a listener.
 #[derive(Debug, Default)]
 pub(super) struct Traffic {
     received: AtomicU64,
@@ -28,8 +28,19 @@
     pub connections: u64,
 }
 
+impl Totals {
+    /// What was added since the earlier totals.
+    pub(super) fn since(self, earlier: Totals) -> Totals {
+        Totals {
+            received: self.received - earlier.received,
+            sent: self.sent - earlier.sent,
+            connections: self.connections - earlier.connections,
+        }
+    }
+}
+
 impl Traffic {
-    /// What has gone over so far.
+    /// The counts so far.
     pub(super) fn totals(&self) -> Totals {
         let read = |total: &AtomicU64| total.load(Ordering::Relaxed);
         Totals {
@@ -39,17 +50,17 @@
         }
     }
 
-    /// A connection was accepted.
+    /// Counts a connection that was accepted.
     pub(super) fn connected(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// The listener.
+/// A listener with counts.
 pub(super) struct MeteredListener {
     /// Where it listens.
     pub listener: TcpListener,
-    /// What it has counted.
+    /// Its counts.
     pub traffic: Arc<Traffic>,
 }
 
@@ -58,16 +69,16 @@
     type Addr = SocketAddr;
 
     async fn accept(&mut self) -> (MeteredStream, SocketAddr) {
-        let (stream, from) = axum::serve::Listener::accept(&mut self.listener).await;
+        let (stream, peer) = axum::serve::Listener::accept(&mut self.listener).await;
         self.traffic.connected();
-        // A connection that has ended already is noticed by its first read.
+        // The first read reports a connection that has ended already.
         let _ = stream.set_nodelay(true);
         (
             MeteredStream {
                 stream,
                 traffic: Arc::clone(&self.traffic),
             },
-            from,
+            peer,
         )
     }
 
@@ -85,14 +96,14 @@
 impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
-        into: &mut ReadBuf,
+        context: &mut Context,
+        buffer: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        let before = into.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(cx, into);
+        let before = buffer.filled().len();
+        let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         self.traffic
             .received
-            .fetch_add((into.filled().len() - before) as u64, Ordering::Relaxed);
+            .fetch_add((buffer.filled().len() - before) as u64, Ordering::Relaxed);
         polled
     }
 }
@@ -100,10 +111,10 @@
 impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
-        cx: &mut Context,
+        context: &mut Context,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
         if let Poll::Ready(Ok(written)) = &polled {
             self.traffic
                 .sent
@@ -112,11 +123,11 @@
         polled
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(cx)
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(cx)
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
     }
 }
--- /dev/null
+++ b/crates/testbed/src/scale/daemon/sample.rs
@@ -0,0 +1,220 @@
+//! One sample of a case: a daemon and a platform of its own, measured without load, under load and
+//! under changes of the endpoint list.
+
+use super::case::{Case, ALL_TENANTS, SOME_TENANTS};
+use super::load::TenantLoad;
+use super::measured_daemon::MeasuredDaemon;
+use super::metered_listener::Totals;
+use super::platform::LoopbackPlatform;
+use super::quantities::Sample;
+use super::{DaemonOptions, Runtimes, SETTLE_TIME};
+use crate::client_load::LoadOutcome;
+use crate::scale::topology::{target, ServiceTopology};
+use std::io;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// Requests a second while each tenant sends one: an ingress removes a quota that is unused for
+/// 30 s.
+const TENANTS_RATE: f64 = 4_000.0;
+/// Load before what is measured.
+const WARM_UP: Duration = Duration::from_secs(1);
+/// Time over which the daemon is measured without load.
+const IDLE_WINDOW: Duration = Duration::from_secs(2);
+/// Changes of one server that discovery sends.
+const CHANGES: u32 = 300;
+/// Time between two changes that are sent alone.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(5);
+/// Added to the seed of the measured load, so that it differs from the load before it.
+const MEASURED_SEED_OFFSET: u64 = 1_000;
+
+/// Takes one sample of a case.
+pub(super) fn sample(options: &DaemonOptions, case: &Case, seed: u64) -> io::Result<Sample> {
+    let topology = case.topology();
+    let runtimes = Runtimes::start()?;
+    let platform = runtimes.platform.block_on(LoopbackPlatform::start(
+        &topology,
+        options.server_options(),
+        options.counter,
+    ))?;
+    let program = match &options.before {
+        Some(before) if case.before => before,
+        _ => &options.daemon,
+    };
+    let daemon = MeasuredDaemon::start(program, &topology, &platform, &options.settings())?;
+    let load = TenantLoad {
+        tenants: case.tenants,
+        ..options.load(&topology, seed)
+    };
+    let trial = Trial {
+        options,
+        topology: &topology,
+        runtimes: &runtimes,
+        platform: &platform,
+        daemon: &daemon,
+        load,
+    };
+    trial.run(case)
+}
+
+/// What one sample is taken with.
+struct Trial<'a> {
+    options: &'a DaemonOptions,
+    topology: &'a ServiceTopology,
+    runtimes: &'a Runtimes,
+    platform: &'a LoopbackPlatform,
+    daemon: &'a MeasuredDaemon,
+    load: TenantLoad,
+}
+
+impl Trial<'_> {
+    fn run(&self, case: &Case) -> io::Result<Sample> {
+        let mut sample = Sample {
+            ready_s: self.daemon.ready_after.as_secs_f64(),
+            ..Sample::default()
+        };
+        std::thread::sleep(SETTLE_TIME);
+        let sent_before = self.platform.discovery_totals().sent;
+        sample.idle_percent = 100.0 * self.daemon.core_share(IDLE_WINDOW)?;
+        let sent = self.platform.discovery_totals().sent - sent_before;
+        sample.discovery_bytes_a_second = sent as f64 / IDLE_WINDOW.as_secs_f64();
+        let address = self.daemon.daemon.address;
+        self.runtimes
+            .clients
+            .block_on(self.load.play(address, WARM_UP));
+        let measurement = self.measure_load()?;
+        std::thread::sleep(SETTLE_TIME);
+        let idle_share = self.daemon.core_share(IDLE_WINDOW)?;
+        sample.idle_after_load_percent = 100.0 * idle_share;
+        measurement.record(idle_share, &mut sample);
+        sample.change_us = self.change_us(CHANGE_INTERVAL)?;
+        sample.change_burst_us = self.change_us(Duration::ZERO)?;
+        sample.resident_mib = mib(self.daemon.daemon.rss_kib()?);
+        sample.all_tenants_mib = self.all_tenants_mib(case)?;
+        sample.peak_mib = mib(self.daemon.daemon.peak_kib()?);
+        Ok(sample)
+    }
+
+    fn measure_load(&self) -> io::Result<LoadMeasurement> {
+        let load = self.load.with_seed(self.load.seed + MEASURED_SEED_OFFSET);
+        let began_at = Instant::now();
+        let used_before = self.daemon.daemon.scheduled_time()?;
+        let counter_before = self.platform.counter_totals();
+        let connections_before = self.platform.servers.connections();
+        let length = Duration::from_secs(self.options.run.seconds);
+        let play = load.play(self.daemon.daemon.address, length);
+        let outcome = self.runtimes.clients.block_on(play);
+        let counter = self.platform.counter_totals().since(counter_before);
+        let used = self.daemon.daemon.scheduled_time()?;
+        Ok(LoadMeasurement {
+            outcome,
+            processor_time: used.saturating_sub(used_before),
+            duration: began_at.elapsed(),
+            counter,
+            connections: self.platform.servers.connections() - connections_before,
+        })
+    }
+
+    /// Microseconds of processor time of a change that discovery sends: one server is added, or
+    /// removed again.
+    fn change_us(&self, interval: Duration) -> io::Result<f64> {
+        // Health checks have ceased since the load.
+        let idle_share = self.daemon.core_share(IDLE_WINDOW)?;
+        let began_at = Instant::now();
+        let used_before = self.daemon.daemon.scheduled_time()?;
+        let address = self.topology.spare_address();
+        for number in 0..CHANGES {
+            let state = if number.is_multiple_of(2) {
+                "SERVING"
+            } else {
+                "DELETED"
+            };
+            let server = target(address, self.platform.port, state, 0.0);
+            self.platform.discovery.send_change(&[server]);
+            std::thread::sleep(interval);
+        }
+        std::thread::sleep(SETTLE_TIME);
+        let used = self.daemon.daemon.scheduled_time()?;
+        let used = used.saturating_sub(used_before);
+        let changes_s = used.as_secs_f64() - idle_share * began_at.elapsed().as_secs_f64();
+        Ok(changes_s * 1e6 / f64::from(CHANGES))
+    }
+
+    /// Memory once each of all tenants has sent a request; NaN for other cases.
+    fn all_tenants_mib(&self, case: &Case) -> io::Result<f64> {
+        if case.tenants != ALL_TENANTS || case.before {
+            return Ok(f64::NAN);
+        }
+        let address = self.daemon.daemon.address;
+        let play = self.load.play_each_tenant(address, TENANTS_RATE);
+        self.runtimes.clients.block_on(play);
+        Ok(mib(self.daemon.daemon.rss_kib()?))
+    }
+}
+
+fn mib(kib: u64) -> f64 {
+    kib as f64 / 1024.0
+}
+
+/// The result of a load.
+struct LoadMeasurement {
+    outcome: LoadOutcome,
+    /// Of the daemon.
+    processor_time: Duration,
+    duration: Duration,
+    counter: Totals,
+    /// Connections opened to servers.
+    connections: u64,
+}
+
+impl LoadMeasurement {
+    /// Puts its figures into a sample; `idle_share` is the share of a core that the daemon uses
+    /// without load.
+    fn record(&self, idle_share: f64, sample: &mut Sample) {
+        let outcome = &self.outcome;
+        let seconds = self.duration.as_secs_f64();
+        let requests = outcome.requests.max(1) as f64;
+        let requests_s = self.processor_time.as_secs_f64() - idle_share * seconds;
+        sample.request_us = requests_s * 1e6 / requests;
+        sample.p50_ms = latency_ms(outcome, 0.5);
+        sample.p99_ms = latency_ms(outcome, 0.99);
+        sample.counter_bytes_out = self.counter.received as f64 / requests;
+        sample.counter_bytes_in = self.counter.sent as f64 / requests;
+        sample.connections_a_second = self.connections as f64 / seconds;
+        sample.rejected_percent = 100.0 * outcome.rejected as f64 / requests;
+        sample.failed_percent = 100.0 * outcome.failed as f64 / requests;
+    }
+}
+
+/// A quantile of the time from when a client sends a request, in milliseconds.
+pub(super) fn latency_ms(outcome: &LoadOutcome, quantile: f64) -> f64 {
+    outcome.latency_from_send.value_at_quantile(quantile) as f64 / 1000.0
+}
+
+/// A note on the latency of requests straight from the client to a server, which is what the
+/// machine itself adds.
+pub(super) fn direct_latency_note(options: &DaemonOptions) -> io::Result<String> {
+    let topology = ServiceTopology::unnamed(1);
+    let runtimes = Runtimes::start()?;
+    let platform = runtimes.platform.block_on(LoopbackPlatform::start(
+        &topology,
+        options.server_options(),
+        options.counter,
+    ))?;
+    let Some(server) = topology.services[0].addresses().next() else {
+        return Ok(String::new());
+    };
+    let address = SocketAddr::from((server, platform.port));
+    let load = TenantLoad {
+        tenants: SOME_TENANTS,
+        ingress_count: 1,
+        ..options.load(&topology, options.run.seed)
+    };
+    let length = Duration::from_secs(options.run.seconds);
+    let outcome = runtimes.clients.block_on(load.play(address, length));
+    Ok(format!(
+        "straight from the client to a server, without the daemon: p50 {:.2} ms, p99 {:.2} ms",
+        latency_ms(&outcome, 0.5),
+        latency_ms(&outcome, 0.99)
+    ))
+}
--- a/crates/testbed/src/scale/decision.rs
+++ b/crates/testbed/src/scale/decision.rs
@@ -1,132 +1,186 @@
 //! What the choice of a server costs, by the servers to choose from.
 
 use super::endpoint_set::EndpointSet;
-use super::measure::{resident_bytes, timed};
+use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::simulated_ingress::{Demand, Load, SimulatedEnvironment, SimulatedIngress, Traffic};
+use super::simulated_ingress::{
+    Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress, Traffic,
+};
 use super::{targets, Run};
 use std::sync::Arc;
 use std::time::Duration;
 
 const TENANTS: usize = 1_000;
 const WARM_UP: Duration = Duration::from_secs(1);
-/// Requests that one sample takes at least, however few fit in its virtual time.
+/// Requests of a sample at least, however few fit in its virtual time.
 const MIN_REQUESTS: f64 = 64.0;
-/// Processor time after which no further sample is begun at a size.
+/// Processor time after which no further sample begins at a size.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(8);
 
-/// Plays one ingress at each number of servers.
+/// Runs one ingress at each number of servers.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut request = SizeSeries::measured("processor time a request", "us");
-    let mut even = SizeSeries::measured("processor time a request, services asked alike", "us");
-    let mut rest = SizeSeries::measured("processor time at rest", "% of a core");
-    let mut busy = SizeSeries::derived("processor time at 256 requests a second", "% of a core");
-    let mut rejected = SizeSeries::measured("requests refused", "%");
-    let mut memory = SizeSeries::measured("memory of the ingress", "MiB");
-    let mut held = Vec::new();
+    let mut figures = Figures::new();
+    // Kept to the end, so that the memory of each is its own.
+    let mut ingresses = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("decision: {size} servers"));
-        let mut environment = SimulatedEnvironment::new(run.seed);
-        let before = resident_bytes();
-        let endpoint_set = Arc::new(EndpointSet::new(size, run.services));
-        let mut simulated_ingress =
-            SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
-        let list = roseyard_ingress::protocol::list::decode(&mut endpoint_set.whole());
-        simulated_ingress
-            .apply_endpoint_list(&list.expect("a list of the lab's own"), &mut environment);
-        let sample = samples(
-            run,
-            &mut simulated_ingress,
-            Demand::ByServers,
-            &mut environment,
-        );
-        memory.push(
-            size,
-            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
-        );
-        request.push(
-            size,
-            &sample.iter().map(|s| s.request * 1e6).collect::<Vec<_>>(),
-        );
-        if run.services {
-            let alike = samples(run, &mut simulated_ingress, Demand::Even, &mut environment);
-            even.push(
-                size,
-                &alike.iter().map(|s| s.request * 1e6).collect::<Vec<_>>(),
-            );
+        ingresses.push(measure(run, size, &mut figures));
+    }
+    run.report(
+        "decision",
+        "servers",
+        figures.series(),
+        vec![run.division()],
+    )
+}
+
+fn measure(run: &Run, size: usize, figures: &mut Figures) -> SimulatedIngress {
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let resident_before = resident_bytes();
+    let endpoints = Arc::new(EndpointSet::new(size, run.services));
+    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+    let list = roseyard_ingress::protocol::list::decode(&mut endpoints.complete_list());
+    ingress.apply_endpoint_list(
+        &list.expect("a list of the testbed decodes"),
+        &mut environment,
+    );
+    let by_servers = samples(run, &mut ingress, Demand::ByServers, &mut environment);
+    figures
+        .memory
+        .push(size, &[resident_growth_mib(resident_before)]);
+    figures.push(size, &by_servers);
+    if run.services {
+        let even = samples(run, &mut ingress, Demand::Even, &mut environment);
+        figures
+            .request_even
+            .push(size, &each(&even, Sample::request_us));
+    }
+    ingress
+}
+
+struct Figures {
+    request: SizeSeries,
+    request_even: SizeSeries,
+    idle: SizeSeries,
+    busy: SizeSeries,
+    rejected: SizeSeries,
+    memory: SizeSeries,
+}
+
+impl Figures {
+    fn new() -> Figures {
+        let measured = SizeSeries::measured;
+        Figures {
+            request: measured("processor time a request", "us"),
+            request_even: measured("processor time a request, services asked alike", "us"),
+            idle: measured("processor time at rest", "% of a core"),
+            busy: SizeSeries::derived("processor time at 256 requests a second", "% of a core"),
+            rejected: measured("requests refused", "%"),
+            memory: measured("memory of the ingress", "MiB"),
         }
-        rest.push(
-            size,
-            &sample.iter().map(|s| s.rest * 100.0).collect::<Vec<_>>(),
-        );
-        rejected.push(
-            size,
-            &sample
-                .iter()
-                .map(|s| s.rejected * 100.0)
-                .collect::<Vec<_>>(),
-        );
-        let share = |s: &Sample| (s.request * targets::REQUESTS_PER_INGRESS + s.rest) * 100.0;
-        busy.push(size, &sample.iter().map(share).collect::<Vec<_>>());
-        held.push(simulated_ingress);
     }
-    let figures = [request, even, rest, busy, rejected, memory];
-    let figures = figures
-        .into_iter()
-        .filter(|figure| !figure.points.is_empty())
-        .collect();
-    run.report("decision", "servers", figures, vec![run.shape()])
+
+    fn push(&mut self, size: usize, samples: &[Sample]) {
+        self.request.push(size, &each(samples, Sample::request_us));
+        self.idle.push(size, &each(samples, Sample::idle_percent));
+        self.rejected
+            .push(size, &each(samples, Sample::rejected_percent));
+        self.busy.push(size, &each(samples, Sample::busy_percent));
+    }
+
+    fn series(self) -> Vec<SizeSeries> {
+        let all = [
+            self.request,
+            self.request_even,
+            self.idle,
+            self.busy,
+            self.rejected,
+            self.memory,
+        ];
+        all.into_iter()
+            .filter(|series| !series.points.is_empty())
+            .collect()
+    }
+}
+
+fn each(samples: &[Sample], value: fn(&Sample) -> f64) -> Vec<f64> {
+    samples.iter().map(value).collect()
 }
 
-/// Seconds of processor time: for a second at rest, and for a request beyond that; and the share
-/// that was refused.
 struct Sample {
-    rest: f64,
-    request: f64,
-    rejected: f64,
+    /// Seconds of processor time in a second without load.
+    idle_s: f64,
+    /// Seconds of processor time for a request, beyond those without load.
+    request_s: f64,
+    /// Share of the requests that was rejected.
+    rejected_ratio: f64,
+}
+
+impl Sample {
+    fn request_us(&self) -> f64 {
+        self.request_s * 1e6
+    }
+
+    fn idle_percent(&self) -> f64 {
+        self.idle_s * 100.0
+    }
+
+    fn rejected_percent(&self) -> f64 {
+        self.rejected_ratio * 100.0
+    }
+
+    fn busy_percent(&self) -> f64 {
+        (self.request_s * targets::REQUESTS_PER_INGRESS + self.idle_s) * 100.0
+    }
 }
 
 fn samples(
     run: &Run,
-    simulated_ingress: &mut SimulatedIngress,
+    ingress: &mut SimulatedIngress,
     demand: Demand,
     environment: &mut SimulatedEnvironment,
 ) -> Vec<Sample> {
-    let load = Load {
+    let load = RequestLoad {
         rate: targets::REQUESTS_PER_INGRESS,
         tenants: TENANTS,
         demand,
     };
-    let seconds = Duration::from_secs(run.seconds);
-    let (_, mut spent) =
-        timed(|| simulated_ingress.run(simulated_ingress.now() + WARM_UP, Some(load), environment));
+    let (_, mut spent) = timed(|| ingress.run(ingress.now() + WARM_UP, Some(load), environment));
     let mut samples = Vec::new();
     while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
-        // What is still out ends first, so that rest is rest.
-        simulated_ingress.run(simulated_ingress.now() + WARM_UP, None, environment);
-        let (_, resting) =
-            timed(|| simulated_ingress.run(simulated_ingress.now() + seconds, None, environment));
-        let least = Duration::from_secs_f64(MIN_REQUESTS / load.rate);
-        let wanted = if resting * 4 > seconds {
-            least
-        } else {
-            seconds.max(least)
-        };
-        simulated_ingress.traffic = Traffic::default();
-        let (_, working) = timed(|| {
-            simulated_ingress.run(simulated_ingress.now() + wanted, Some(load), environment)
-        });
-        let ended = simulated_ingress.traffic.attempts + simulated_ingress.traffic.rejected;
-        let rejected = simulated_ingress.traffic.rejected as f64 / ended.max(1) as f64;
-        let rest = resting.as_secs_f64() / seconds.as_secs_f64();
-        let request =
-            (working.as_secs_f64() - rest * wanted.as_secs_f64()).max(0.0) / ended.max(1) as f64;
-        samples.push(Sample {
-            rest,
-            request,
-            rejected,
-        });
-        spent += resting + working;
+        let (sample, took) = sample(run, ingress, load, environment);
+        samples.push(sample);
+        spent += took;
     }
     samples
 }
+
+/// One sample, and the processor time that it took.
+fn sample(
+    run: &Run,
+    ingress: &mut SimulatedIngress,
+    load: RequestLoad,
+    environment: &mut SimulatedEnvironment,
+) -> (Sample, Duration) {
+    let seconds = Duration::from_secs(run.seconds);
+    // Requests in flight end first.
+    ingress.run(ingress.now() + WARM_UP, None, environment);
+    let (_, idle) = timed(|| ingress.run(ingress.now() + seconds, None, environment));
+    let min_length = Duration::from_secs_f64(MIN_REQUESTS / load.rate);
+    let length = if idle * 4 > seconds {
+        min_length
+    } else {
+        seconds.max(min_length)
+    };
+    ingress.traffic = Traffic::default();
+    let (_, loaded) = timed(|| ingress.run(ingress.now() + length, Some(load), environment));
+    let ended = (ingress.traffic.attempts + ingress.traffic.rejected).max(1) as f64;
+    let idle_s = idle.as_secs_f64() / seconds.as_secs_f64();
+    let requests_s = (loaded.as_secs_f64() - idle_s * length.as_secs_f64()).max(0.0);
+    let sample = Sample {
+        idle_s,
+        request_s: requests_s / ended,
+        rejected_ratio: ingress.traffic.rejected as f64 / ended,
+    };
+    (sample, idle + loaded)
+}
--- a/crates/testbed/src/scale/endpoint_set.rs
+++ b/crates/testbed/src/scale/endpoint_set.rs
@@ -1,5 +1,5 @@
-//! Lists of servers as discovery words them, each server at an address of its own, and the services
-//! that they are divided into.
+//! The servers of a simulated platform, each at an address of its own: endpoint lists as discovery
+//! encodes them, and the services that the servers are divided into.
 
 use super::targets;
 use super::topology::ServiceTopology;
@@ -9,45 +9,45 @@
 
 const PORT: u16 = 7000;
 const ZONES: usize = 13;
-/// Servers of the largest service at least, where there are several: it has its multiple of the
-/// mean at any size.
-const LEAST_LARGEST: usize = 34;
+/// Servers of the largest service at least, so that it has its multiple of the mean at any size.
+const MIN_LARGEST_SERVICE: usize = 34;
 const BOUNDS: DirectoryBounds = DirectoryBounds {
     services: 4_096,
     routes: 16_384,
 };
 
-/// State of a server in a list.
+/// State of a server in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// It takes work.
+pub enum EndpointState {
+    /// It takes requests.
     Serving,
-    /// It finishes its work.
+    /// It finishes the requests that it has.
     Draining,
     /// It is removed.
     Deleted,
 }
 
-/// One server of a list. A server that is replaced keeps its address and gets another generation.
+/// One server of an endpoint list. A replaced server keeps its address and gets another generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Which of the servers, from 0.
     pub server: usize,
     /// Counts the processes that have been this server.
     pub generation: u32,
     /// Its state.
-    pub state: State,
-    /// Unix time of its start in milliseconds, 0 for long ago.
+    pub state: EndpointState,
+    /// Unix time of its start in milliseconds; 0 for long ago.
     pub started_ms: u64,
 }
 
-impl Entry {
-    /// A server that has served for long.
-    pub fn serving(server: usize) -> Entry {
-        Entry {
+impl EndpointEntry {
+    /// A server that started long ago.
+    #[must_use]
+    pub fn serving(server: usize) -> EndpointEntry {
+        EndpointEntry {
             server,
             generation: 0,
-            state: State::Serving,
+            state: EndpointState::Serving,
             started_ms: 0,
         }
     }
@@ -66,16 +66,18 @@
 }
 
 impl EndpointSet {
-    /// So many servers: all in one service, or in services as the plan has them, in proportion.
+    /// So many servers: all in one service, or in services in proportion to the planned size.
+    #[must_use]
     pub fn new(servers: usize, by_service: bool) -> EndpointSet {
         if by_service {
             EndpointSet::by_service(servers)
         } else {
-            EndpointSet::of(ServiceTopology::unnamed(servers as u32))
+            EndpointSet::from_topology(ServiceTopology::unnamed(servers as u32))
         }
     }
 
     /// So many servers in one service.
+    #[must_use]
     pub fn single(servers: usize) -> EndpointSet {
         EndpointSet::new(servers, false)
     }
@@ -84,9 +86,9 @@
         let services = (servers * targets::SERVICES / targets::SERVERS).max(1);
         let routes = (servers * targets::ROUTES / targets::SERVERS).max(services);
         let largest = (servers * targets::LARGEST_SERVICE / targets::SERVERS)
-            .max(LEAST_LARGEST)
+            .max(MIN_LARGEST_SERVICE)
             .min(servers);
-        EndpointSet::of(ServiceTopology::long_tail(
+        EndpointSet::from_topology(ServiceTopology::long_tail(
             servers as u32,
             services as u32,
             largest as u32,
@@ -94,7 +96,7 @@
         ))
     }
 
-    fn of(topology: ServiceTopology) -> EndpointSet {
+    fn from_topology(topology: ServiceTopology) -> EndpointSet {
         let in_service = |(number, service): (usize, &super::topology::Service)| {
             service
                 .addresses()
@@ -127,11 +129,13 @@
     }
 
     /// Servers in all.
+    #[must_use]
     pub fn servers(&self) -> usize {
         self.addresses.len()
     }
 
     /// Servers of each service, the largest first.
+    #[must_use]
     pub fn service_sizes(&self) -> Vec<usize> {
         self.topology
             .services
@@ -141,6 +145,7 @@
     }
 
     /// Which server listens at an address.
+    #[must_use]
     pub fn server_at(&self, address: SocketAddr) -> usize {
         let SocketAddr::V4(at) = address else {
             return usize::MAX;
@@ -151,22 +156,25 @@
     }
 
     /// Services in all.
+    #[must_use]
     pub fn services(&self) -> usize {
         self.routes.len()
     }
 
     /// A route that names this service.
+    #[must_use]
     pub fn route(&self, service: usize) -> &str {
         &self.routes[service]
     }
 
     /// A route whose service has this server.
+    #[must_use]
     pub fn route_to(&self, server: usize) -> &str {
         self.route(self.service_of[server])
     }
 
-    /// Services with their routes and networks; none where all servers are of one service without a
-    /// name.
+    /// Services with their routes and networks; none where all servers are of one unnamed service.
+    #[must_use]
     pub fn directory(&self) -> Option<Directory> {
         if !self.topology.named {
             return None;
@@ -175,7 +183,7 @@
         let mut apply = |change| {
             directory
                 .apply(change)
-                .expect("the lab's own directory is sound");
+                .expect("the testbed's directory is valid");
         };
         let names: Vec<Arc<str>> = (0..self.topology.services.len())
             .map(|n| format!("service-{n:04}").into())
@@ -201,31 +209,35 @@
     }
 
     /// One line of a watch, without its end.
-    pub fn encode(&self, revision: u64, whole: bool, entries: &[Entry]) -> Vec<u8> {
+    #[must_use]
+    pub fn watch_line(&self, revision: u64, complete: bool, entries: &[EndpointEntry]) -> Vec<u8> {
         let targets: Vec<String> = entries.iter().map(|entry| self.target(entry)).collect();
         format!(
-            r#"{{"rev":{revision},"all":{whole},"targets":[{}]}}"#,
+            r#"{{"rev":{revision},"all":{complete},"targets":[{}]}}"#,
             targets.join(",")
         )
         .into_bytes()
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> Vec<u8> {
-        self.encode(
+    /// The first line of a watch: the complete list.
+    #[must_use]
+    pub fn complete_list(&self) -> Vec<u8> {
+        self.watch_line(
             1,
             true,
-            &(0..self.servers()).map(Entry::serving).collect::<Vec<_>>(),
+            &(0..self.servers())
+                .map(EndpointEntry::serving)
+                .collect::<Vec<_>>(),
         )
     }
 
-    fn target(&self, entry: &Entry) -> String {
+    fn target(&self, entry: &EndpointEntry) -> String {
         let state = match entry.state {
-            State::Serving => "SERVING",
-            State::Draining => "DRAINING",
-            State::Deleted => "DELETED",
+            EndpointState::Serving => "SERVING",
+            EndpointState::Draining => "DRAINING",
+            EndpointState::Deleted => "DELETED",
         };
-        let Entry {
+        let EndpointEntry {
             server,
             generation,
             started_ms,
--- /dev/null
+++ b/crates/testbed/src/scale/events/restart.rs
@@ -0,0 +1,44 @@
+//! An ingress restarts, and all control machines restart.
+
+use super::{line_bytes, Figures, PEAK_LOAD};
+use crate::scale::endpoint_set::EndpointSet;
+use crate::scale::measure::{millis, timed};
+use crate::scale::simulated_ingress::{SimulatedEnvironment, SimulatedIngress};
+use crate::scale::{list, targets, Run};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// One ingress starts with nothing and receives the complete list.
+pub(super) fn ingress(run: &Run, size: usize, figures: &mut Figures) {
+    let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
+    let line = endpoints.complete_list();
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let (mut ingress, took) = timed(|| {
+        let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+        ingress.receive_line(&line, &mut environment);
+        ingress
+    });
+    ingress.run(Duration::from_secs(1), Some(PEAK_LOAD), &mut environment);
+    let quantity = "restart: bytes of the list";
+    figures.measured(quantity, "bytes", size, line_bytes(&line));
+    let quantity = "restart: processor time until the list is in";
+    figures.measured(quantity, "ms", size, millis(took));
+    let quantity = "restart: requests refused in the first second";
+    figures.measured(quantity, "%", size, ingress.traffic.not_served_percent());
+}
+
+/// All control machines restart, and every ingress opens its watch again.
+pub(super) fn control(sizes: &[usize], figures: &mut Figures) {
+    let max_backoff = list::limits().list_again_most;
+    // Calls are spread over half of the backoff at random.
+    let mean_backoff = max_backoff.mul_f64(0.75);
+    let calls = targets::INGRESSES as f64 / mean_backoff.as_secs_f64();
+    let list = EndpointSet::single(targets::SERVERS).complete_list();
+    let bytes = (list.len() + 1) as f64 * targets::INGRESSES as f64;
+    for &size in sizes {
+        let quantity = "control restarts: watches opened again by 4,300 ingresses";
+        figures.derived(quantity, "calls/s", size, calls);
+        let quantity = "control restarts: whole lists to 4,300 ingresses";
+        figures.derived(quantity, "bytes", size, bytes);
+    }
+}
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -1,130 +1,198 @@
-//! What the list of servers costs: the whole list of a start, and the change of one server.
+//! What the endpoint list costs: the complete list of a start, and the change of one server.
 
-use super::endpoint_set::{EndpointSet, Entry, State};
-use super::measure::{resident_bytes, timed};
+use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
+use super::measure::{millis, resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::simulated_ingress::{SimulatedEnvironment, SimulatedIngress};
+use super::simulated_ingress::{settings_of_ingress, SimulatedEnvironment, SimulatedIngress};
 use super::{targets, Run};
 use roseyard_ingress::limits::Limits;
 use roseyard_ingress::protocol::list;
+use roseyard_operator_config::{MachineLimits, OperatorSettings};
+use roseyard_request_engine::EndpointListMessage;
 use std::sync::Arc;
 use std::time::Duration;
 
-const DELTAS_A_SAMPLE: usize = 30;
+/// The changes of a restart: the server drains, is removed, and another serves.
+const CHANGES: [EndpointState; 3] = [
+    EndpointState::Draining,
+    EndpointState::Deleted,
+    EndpointState::Serving,
+];
+const RESTARTS_A_SAMPLE: usize = 10;
+const CHANGES_A_SAMPLE: usize = RESTARTS_A_SAMPLE * CHANGES.len();
+/// Memory of an ingress at the planned size.
+const MEMORY_MB: usize = 192;
+/// Descriptors of an ingress at the planned size.
+const DESCRIPTORS: usize = 1024;
 
-/// Plays one ingress at each number of servers.
+/// Runs one ingress at each number of servers.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut bytes = SizeSeries::measured("whole list", "bytes");
-    let mut decode = SizeSeries::measured("finding and decoding the whole list", "ms");
-    let mut apply = SizeSeries::measured("taking the whole list in", "ms");
-    let mut delta = SizeSeries::measured("change of one server, all of it", "us");
-    let mut delta_bytes = SizeSeries::measured("change of one server", "bytes");
-    let mut memory = SizeSeries::measured("memory of the ingress", "MiB");
-    let mut start = SizeSeries::derived("whole list over 10 s of the control budget", "times");
-    let (mut held, mut notes) = (Vec::new(), vec![run.shape()]);
-    let bound = limits().list_bytes;
+    let mut figures = Figures::new();
+    let mut notes = vec![run.division()];
+    let max_bytes = limits().list_bytes;
+    // Kept to the end, so that the memory of each is its own.
+    let mut ingresses = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("list: {size} servers"));
-        let endpoint_set = Arc::new(EndpointSet::new(size, run.services));
-        let line = endpoint_set.whole();
-        let wire = line.len() as f64 + 1.0;
-        bytes.push(size, &[wire]);
-        start.push(
-            size,
-            &[wire / (targets::BYTES_PER_SECOND * targets::READY_WITHIN.as_secs_f64())],
-        );
-        if line.len() > bound {
+        let endpoints = Arc::new(EndpointSet::new(size, run.services));
+        let line = endpoints.complete_list();
+        if line.len() > max_bytes {
             notes.push(format!(
-                "the whole list of {size} servers is a line of {} bytes; the ingress takes {bound} at most and drops it",
+                "the whole list of {size} servers is a line of {} bytes; the ingress takes {max_bytes} at most and drops it",
                 line.len()
             ));
         }
-        let (mut decodes, mut applies) = (Vec::new(), Vec::new());
-        let before = resident_bytes();
+        figures.push_length(size, line.len());
         let mut environment = SimulatedEnvironment::new(run.seed);
-        let mut simulated_ingress =
-            SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
-        for repeat in 0..run.repeats {
-            let (decoded, took) = timed(|| found(&line));
-            decodes.push(millis(took));
-            if repeat > 0 {
-                simulated_ingress =
-                    SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
-            }
-            let (_, took) =
-                timed(|| simulated_ingress.apply_endpoint_list(&decoded, &mut environment));
-            applies.push(millis(took));
+        let mut ingress = complete_lists(run, &endpoints, &line, &mut environment, &mut figures);
+        let changes = changes(run, &endpoints, &mut ingress, &mut environment);
+        figures.change.push(size, &changes.costs_us);
+        figures.change_bytes.push(size, &[changes.mean_bytes]);
+        ingresses.push(ingress);
+    }
+    run.report("list", "servers", figures.series(), notes)
+}
+
+struct Figures {
+    bytes: SizeSeries,
+    budget: SizeSeries,
+    decode: SizeSeries,
+    apply: SizeSeries,
+    memory: SizeSeries,
+    change_bytes: SizeSeries,
+    change: SizeSeries,
+}
+
+impl Figures {
+    fn new() -> Figures {
+        let measured = SizeSeries::measured;
+        Figures {
+            bytes: measured("whole list", "bytes"),
+            budget: SizeSeries::derived("whole list over 10 s of the control budget", "times"),
+            decode: measured("finding and decoding the whole list", "ms"),
+            apply: measured("taking the whole list in", "ms"),
+            memory: measured("memory of the ingress", "MiB"),
+            change_bytes: measured("change of one server", "bytes"),
+            change: measured("change of one server, all of it", "us"),
         }
-        decode.push(size, &decodes);
-        apply.push(size, &applies);
-        memory.push(
-            size,
-            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
-        );
-        let (took, each) = deltas(run, &endpoint_set, &mut simulated_ingress, &mut environment);
-        delta.push(size, &took);
-        delta_bytes.push(size, &[each]);
-        held.push(simulated_ingress);
     }
-    let figures = vec![bytes, start, decode, apply, memory, delta_bytes, delta];
-    run.report("list", "servers", figures, notes)
+
+    fn push_length(&mut self, size: usize, line_bytes: usize) {
+        let bytes = line_bytes as f64 + 1.0;
+        let budget = targets::BYTES_PER_SECOND * targets::READY_WITHIN.as_secs_f64();
+        self.bytes.push(size, &[bytes]);
+        self.budget.push(size, &[bytes / budget]);
+    }
+
+    fn series(self) -> Vec<SizeSeries> {
+        vec![
+            self.bytes,
+            self.budget,
+            self.decode,
+            self.apply,
+            self.memory,
+            self.change_bytes,
+            self.change,
+        ]
+    }
+}
+
+/// Decodes and applies the complete list at an ingress that starts, for each repeat; returns the
+/// last ingress.
+fn complete_lists(
+    run: &Run,
+    endpoints: &Arc<EndpointSet>,
+    line: &[u8],
+    environment: &mut SimulatedEnvironment,
+    figures: &mut Figures,
+) -> SimulatedIngress {
+    let size = endpoints.servers();
+    let new_ingress = || SimulatedIngress::new(endpoints, targets::INGRESSES, 0, run.seed);
+    let mut decodes_ms = Vec::new();
+    let mut applies_ms = Vec::new();
+    let resident_before = resident_bytes();
+    let mut ingress = new_ingress();
+    for repeat in 0..run.repeats {
+        let (message, took) = timed(|| decode(line));
+        decodes_ms.push(millis(took));
+        if repeat > 0 {
+            ingress = new_ingress();
+        }
+        let (_, took) = timed(|| ingress.apply_endpoint_list(&message, environment));
+        applies_ms.push(millis(took));
+    }
+    figures.decode.push(size, &decodes_ms);
+    figures.apply.push(size, &applies_ms);
+    figures
+        .memory
+        .push(size, &[resident_growth_mib(resident_before)]);
+    ingress
 }
 
-/// The limits of an ingress of the full size.
+/// The limits of an ingress of the planned size.
 pub(super) fn limits() -> Limits {
-    let machine = roseyard_operator_config::MachineLimits {
-        sockets: 1024,
-        allowed: 1024,
+    let machine = MachineLimits {
+        sockets: DESCRIPTORS,
+        allowed: DESCRIPTORS,
     };
-    let operator = roseyard_operator_config::OperatorSettings::new(&machine);
+    let operator = OperatorSettings::new(&machine);
     Limits::new(
         &operator,
-        192,
-        &super::simulated_ingress::options(targets::INGRESSES, 0),
+        MEMORY_MB,
+        &settings_of_ingress(targets::INGRESSES, 0),
     )
 }
 
-fn found(line: &[u8]) -> roseyard_request_engine::EndpointListMessage {
-    let (mut lists, mut found) = (list::Lists::default(), Vec::new());
+fn decode(line: &[u8]) -> EndpointListMessage {
+    let mut lists = list::Lists::default();
+    let mut found = Vec::new();
     lists.take(line, &mut found);
     lists.take(b"\n", &mut found);
-    list::decode(&mut found[0]).expect("a line of the lab's own")
+    list::decode(&mut found[0]).expect("a line of the testbed decodes")
 }
 
-fn millis(took: Duration) -> f64 {
-    took.as_secs_f64() * 1e3
+struct Changes {
+    /// Microseconds of a change, decoded and applied; one for each sample.
+    costs_us: Vec<f64>,
+    mean_bytes: f64,
 }
 
-/// Microseconds for the change of one server, decoded and taken in, and its bytes: in turn one
-/// drains, goes, and comes back as a new process.
-fn deltas(
+/// Restarts random servers.
+fn changes(
     run: &Run,
-    endpoint_set: &EndpointSet,
-    simulated_ingress: &mut SimulatedIngress,
+    endpoints: &EndpointSet,
+    ingress: &mut SimulatedIngress,
     environment: &mut SimulatedEnvironment,
-) -> (Vec<f64>, f64) {
-    let mut rng = fastrand::Rng::with_seed(run.seed);
-    let (mut samples, mut bytes, mut lines) = (Vec::new(), 0, 0);
-    let mut revision = simulated_ingress.engine.endpoint_registry().rev;
-    let mut generations = vec![0u32; endpoint_set.servers()];
+) -> Changes {
+    let mut random = fastrand::Rng::with_seed(run.seed);
+    let mut costs_us = Vec::new();
+    let mut bytes = 0;
+    let mut lines = 0;
+    let mut revision = ingress.engine.endpoint_registry().rev;
+    let mut generations = vec![0u32; endpoints.servers()];
     for _ in 0..run.repeats {
-        let mut sample = Duration::ZERO;
-        for _ in 0..DELTAS_A_SAMPLE / 3 {
-            let server = rng.usize(0..endpoint_set.servers());
-            for state in [State::Draining, State::Deleted, State::Serving] {
-                generations[server] += u32::from(state == State::Serving);
-                let entry = Entry {
+        let mut spent = Duration::ZERO;
+        for _ in 0..RESTARTS_A_SAMPLE {
+            let server = random.usize(0..endpoints.servers());
+            for state in CHANGES {
+                generations[server] += u32::from(state == EndpointState::Serving);
+                let entry = EndpointEntry {
                     generation: generations[server],
                     state,
-                    ..Entry::serving(server)
+                    ..EndpointEntry::serving(server)
                 };
                 revision += 1;
-                let line = endpoint_set.encode(revision, false, &[entry]);
-                let (_, took) = timed(|| simulated_ingress.receive_line(&line, environment));
-                (sample, bytes, lines) = (sample + took, bytes + line.len() + 1, lines + 1);
+                let line = endpoints.watch_line(revision, false, &[entry]);
+                let (_, took) = timed(|| ingress.receive_line(&line, environment));
+                spent += took;
+                bytes += line.len() + 1;
+                lines += 1;
             }
         }
-        samples.push(sample.as_secs_f64() * 1e6 / DELTAS_A_SAMPLE as f64);
+        costs_us.push(spent.as_secs_f64() * 1e6 / CHANGES_A_SAMPLE as f64);
+    }
+    Changes {
+        costs_us,
+        mean_bytes: bytes as f64 / f64::from(lines),
     }
-    (samples, bytes as f64 / f64::from(lines))
 }
--- /dev/null
+++ b/crates/testbed/src/scale/membership/peers.rs
@@ -0,0 +1,98 @@
+//! The members by number: their names, addresses, records and protocol states.
+
+use roseyard_membership::{
+    wire, Event, Guard, Key, Metadata, Name, Received, Record, Settings, Stage, Status, Swim,
+};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
+
+/// Time of a datagram on its way.
+pub(super) const NETWORK_LATENCY: Duration = Duration::from_millis(2);
+pub(super) const GENERATION: u64 = 1_700_000_000_000;
+const PORT: u16 = 7946;
+const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 1, 0, 0]);
+/// Members that the settings of each name as seeds.
+const SEEDS: usize = 3;
+/// Members that a small fleet remembers at most.
+const MIN_MAX_MEMBERS: usize = 1024;
+
+/// One datagram on its way.
+pub(super) struct Datagram {
+    /// The receiver.
+    pub to: usize,
+    /// The sender.
+    pub from: usize,
+    /// Its sealed bytes.
+    pub bytes: Vec<u8>,
+}
+
+impl Datagram {
+    /// Opens it with the receiver's guard; none if it is not valid.
+    pub(super) fn open(&self, guard: &mut Guard) -> Option<Event> {
+        let opened = guard.open(&self.bytes).ok()?;
+        let (message, updates) = wire::read(opened.body)?;
+        Some(Event::Received(Received {
+            source: address(self.from),
+            sender: opened.sender,
+            generation: opened.generation,
+            message,
+            updates,
+        }))
+    }
+}
+
+fn name(number: usize) -> Name {
+    Name::from(&format!("n{number}")).expect("a short name")
+}
+
+fn address(number: usize) -> SocketAddr {
+    (Ipv4Addr::from_bits(FIRST_ADDRESS + number as u32), PORT).into()
+}
+
+pub(super) fn number_at(address: SocketAddr) -> usize {
+    let SocketAddr::V4(address) = address else {
+        return usize::MAX;
+    };
+    (address.ip().to_bits() - FIRST_ADDRESS) as usize
+}
+
+pub(super) fn record(number: usize, generation: u64) -> Record {
+    Record {
+        name: name(number),
+        address: address(number),
+        generation,
+        incarnation: 0,
+        status: Status::Alive,
+        metadata_version: 0,
+        metadata: Metadata {
+            stage: Stage::Serving,
+            ..Metadata::default()
+        },
+    }
+}
+
+fn settings(members: usize) -> Settings {
+    Settings {
+        max_members: members.max(MIN_MAX_MEMBERS),
+        seeds: (0..SEEDS).map(address).collect(),
+        ..Settings::new(members)
+    }
+}
+
+/// The guard of a member, for so many peers.
+pub(super) fn guard(number: usize, members: usize) -> Guard {
+    Guard::new("scale", vec![Key::new(&[7; 32])], name(number), members + 1)
+}
+
+/// The protocol state of a member of a fleet of this size.
+pub(super) fn swim(number: usize, members: usize, seed: u64) -> Swim {
+    let local = record(number, GENERATION);
+    Swim::new(
+        settings(members),
+        local.name,
+        local.address,
+        local.generation,
+        local.metadata,
+        seed,
+    )
+}
--- /dev/null
+++ b/crates/testbed/src/scale/membership/single_member.rs
@@ -0,0 +1,152 @@
+//! One real member whose pings are answered by simulated peers in the real wire form.
+
+use super::peers::{guard, number_at, record, swim, Datagram, GENERATION, NETWORK_LATENCY};
+use crate::scale::measure::timed;
+use roseyard_membership::{wire, Action, Event, Guard, Name, Swim};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Updates of a sample.
+const UPDATES: usize = 40;
+/// Peers that the guard of a simulated peer has room for.
+const PEER_GUARD_MEMBERS: usize = 4;
+/// The protocol period, in which one of the peers pings the member.
+const PERIOD: Duration = Duration::from_secs(1);
+/// The peer that sends pages and updates.
+const SENDER: usize = 1;
+
+pub(super) struct SingleMember {
+    now: Duration,
+    swim: Swim,
+    guard: Guard,
+    peers: Vec<Guard>,
+    /// Replies of the peers by arrival, then by the order of sending.
+    replies: BTreeMap<(Duration, u64), Datagram>,
+    serial: u64,
+}
+
+/// The cost of the records of all members.
+pub(super) struct JoinCost {
+    pub bytes: usize,
+    pub processor_time: Duration,
+}
+
+impl SingleMember {
+    /// A member of a fleet of this size.
+    pub(super) fn new(members: usize, seed: u64) -> SingleMember {
+        let peer = |number| guard(number, PEER_GUARD_MEMBERS);
+        SingleMember {
+            now: Duration::ZERO,
+            swim: swim(0, members, seed),
+            guard: guard(0, members),
+            peers: (0..members).map(peer).collect(),
+            replies: BTreeMap::new(),
+            serial: 0,
+        }
+    }
+
+    /// Receives the records of all members, as pages in reply to its join.
+    pub(super) fn receive_all_records(&mut self, members: usize) -> JoinCost {
+        let mut cost = JoinCost {
+            bytes: 0,
+            processor_time: Duration::ZERO,
+        };
+        let mut next = 1;
+        self.handle(Event::Due);
+        while next < members {
+            let mut body = wire::Body::new(&wire::Message::Page(Name::new()));
+            while next < members && body.add(&record(next, GENERATION)) {
+                next += 1;
+            }
+            let datagram = self.datagram_from(SENDER, &body.bytes());
+            cost.bytes += datagram.bytes.len();
+            let (_, took) = timed(|| self.deliver(&datagram));
+            cost.processor_time += took;
+        }
+        cost
+    }
+
+    /// A datagram of a peer to the member.
+    fn datagram_from(&mut self, peer: usize, body: &[u8]) -> Datagram {
+        Datagram {
+            to: 0,
+            from: peer,
+            bytes: self.peers[peer].seal(GENERATION, body),
+        }
+    }
+
+    fn deliver(&mut self, datagram: &Datagram) {
+        if let Some(event) = datagram.open(&mut self.guard) {
+            self.handle(event);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.swim.handle(self.now, event, &mut actions);
+        for action in actions {
+            let Action::Send { to, body } = action else {
+                continue;
+            };
+            // Sealed in any case, as its cost is measured.
+            let sealed = self.guard.seal(GENERATION, &body);
+            let Some((wire::Message::Ping(number), _)) = wire::read(&body) else {
+                continue;
+            };
+            std::hint::black_box(sealed);
+            let ack = wire::Body::new(&wire::Message::Ack(number)).bytes();
+            let reply = self.datagram_from(number_at(to), &ack);
+            self.serial += 1;
+            let arrival = (self.now + NETWORK_LATENCY, self.serial);
+            self.replies.insert(arrival, reply);
+        }
+    }
+
+    /// Runs for so long. In each period one of the peers pings the member, as in a fleet where each
+    /// pings one.
+    pub(super) fn run(&mut self, length: Duration) {
+        let until = self.now + length;
+        let mut ping_at = self.now;
+        while self.now < until {
+            let reply = self.replies.keys().next().copied();
+            let due = self.swim.due().unwrap_or(until);
+            let next = reply
+                .map_or(due, |(at, _)| at.min(due))
+                .min(ping_at)
+                .min(until);
+            self.now = self.now.max(next);
+            let arrived = reply.filter(|(at, _)| *at <= self.now);
+            if let Some(datagram) = arrived.and_then(|key| self.replies.remove(&key)) {
+                self.deliver(&datagram);
+            } else if ping_at <= self.now {
+                ping_at += PERIOD;
+                self.receive_ping();
+            } else {
+                self.handle(Event::Due);
+            }
+        }
+    }
+
+    fn receive_ping(&mut self) {
+        self.serial += 1;
+        let peer = 1 + self.serial as usize % (self.peers.len() - 1).max(1);
+        let ping = wire::Body::new(&wire::Message::Ping(self.serial as u32)).bytes();
+        let datagram = self.datagram_from(peer, &ping);
+        self.deliver(&datagram);
+    }
+
+    /// Microseconds of processor time of an update that a peer gossips: the restart of another.
+    pub(super) fn update_us(&mut self, members: usize, round: usize) -> f64 {
+        let mut spent = Duration::ZERO;
+        for number in 0..UPDATES {
+            let serial = round * UPDATES + number;
+            let subject = 2 + serial % members.saturating_sub(2).max(1);
+            let mut body = wire::Body::new(&wire::Message::Gossip);
+            let _ = body.add(&record(subject, GENERATION + 1 + serial as u64));
+            let datagram = self.datagram_from(SENDER, &body.bytes());
+            let (_, took) = timed(|| self.deliver(&datagram));
+            spent += took;
+        }
+        spent.as_secs_f64() * 1e6 / UPDATES as f64
+    }
+}
--- a/crates/testbed/src/scale/quotas.rs
+++ b/crates/testbed/src/scale/quotas.rs
@@ -1,100 +1,140 @@
 //! What tenants' quotas cost an ingress: memory, processor time and calls to the counter.
 
 use super::endpoint_set::EndpointSet;
-use super::measure::{resident_bytes, timed};
+use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::simulated_ingress::{Demand, Load, SimulatedEnvironment, SimulatedIngress, Traffic};
+use super::simulated_ingress::{
+    Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress, Traffic,
+};
 use super::{targets, Run};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Few servers, so that the choice among them weighs little.
+/// Few servers, so that the choice among them costs little.
 const SERVERS: usize = 17;
-/// An ingress forgets a tenant that has not come for 30 s: all of them come within this.
-const FILL: Duration = Duration::from_secs(20);
+/// All tenants come within this time: an ingress removes a quota that is unused for 30 s.
+const FILL_TIME: Duration = Duration::from_secs(20);
 
-/// Plays one ingress at each number of tenants, all of whom it has just heard of.
+/// Runs one ingress at each number of tenants, each of whom has sent a request.
 pub(super) fn run(run: &Run) -> RoleReport {
-    let mut request = SizeSeries::measured("processor time a request", "us");
-    let mut rest = SizeSeries::measured("processor time at rest", "% of a core");
-    let mut memory = SizeSeries::measured("memory of all ledgers", "MiB");
-    let mut calls = SizeSeries::measured("calls to the counter a request", "calls");
-    let mut out = SizeSeries::measured("bytes of a call", "bytes");
-    let mut back = SizeSeries::measured("bytes of its answer", "bytes");
-    let mut rate = SizeSeries::derived(
-        "to and from the counter at 256 requests a second",
-        "bytes/s",
-    );
-    let mut held = Vec::new();
+    let mut figures = Figures::new();
+    // Kept to the end, so that the memory of each is its own.
+    let mut ingresses = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("quotas: {size} tenants"));
-        let mut environment = SimulatedEnvironment::new(run.seed);
-        let servers = if run.services {
-            targets::SERVERS
-        } else {
-            SERVERS
-        };
-        let endpoint_set = Arc::new(EndpointSet::new(servers, run.services));
-        let mut simulated_ingress =
-            SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, run.seed);
-        simulated_ingress.receive_line(&endpoint_set.whole(), &mut environment);
-        let before = resident_bytes();
-        for tenant in 0..size {
-            let at = FILL.mul_f64((tenant + 1) as f64 / size as f64);
-            simulated_ingress.run(at, None, &mut environment);
-            simulated_ingress.request(tenant as u64, Demand::ByServers, &mut environment);
-        }
-        memory.push(
-            size,
-            &[resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20)],
-        );
-        let load = Load {
-            rate: targets::REQUESTS_PER_INGRESS,
-            tenants: size,
-            demand: Demand::ByServers,
-        };
-        let (mut resting, mut requests, mut traffic) = (Vec::new(), Vec::new(), Traffic::default());
-        let length = Duration::from_millis(1000 * run.seconds / run.repeats as u64);
-        for _ in 0..run.repeats {
-            let (_, took) = timed(|| {
-                simulated_ingress.run(simulated_ingress.now() + length, None, &mut environment)
-            });
-            let idle = took.as_secs_f64() / length.as_secs_f64();
-            simulated_ingress.traffic = Traffic::default();
-            let (_, took) = timed(|| {
-                simulated_ingress.run(
-                    simulated_ingress.now() + length,
-                    Some(load),
-                    &mut environment,
-                )
-            });
-            let ended = simulated_ingress.traffic.attempts + simulated_ingress.traffic.rejected;
-            let each =
-                (took.as_secs_f64() - idle * length.as_secs_f64()).max(0.0) / ended.max(1) as f64;
-            resting.push(idle * 100.0);
-            requests.push(each * 1e6);
-            traffic += simulated_ingress.traffic;
-        }
-        rest.push(size, &resting);
-        request.push(size, &requests);
-        let (asked, ended) = (
-            traffic.counter_calls as f64,
-            (traffic.attempts + traffic.rejected) as f64,
-        );
-        let (bytes_out, bytes_in) = (
-            traffic.counter_bytes_out as f64 / asked,
-            traffic.counter_bytes_in as f64 / asked,
-        );
-        calls.push(size, &[asked / ended]);
-        out.push(size, &[bytes_out]);
-        back.push(size, &[bytes_in]);
-        rate.push(
-            size,
-            &[asked / ended * (bytes_out + bytes_in) * targets::REQUESTS_PER_INGRESS],
-        );
-        held.push(simulated_ingress);
+        ingresses.push(measure(run, size, &mut figures));
     }
-    let figures = vec![request, rest, memory, calls, out, back, rate];
     let note = "bytes are those of the calls and answers alone, without TCP's and IP's".to_owned();
-    run.report("quotas", "tenants", figures, vec![run.shape(), note])
+    let notes = vec![run.division(), note];
+    run.report("quotas", "tenants", figures.series(), notes)
+}
+
+fn measure(run: &Run, size: usize, figures: &mut Figures) -> SimulatedIngress {
+    let mut environment = SimulatedEnvironment::new(run.seed);
+    let servers = if run.services {
+        targets::SERVERS
+    } else {
+        SERVERS
+    };
+    let endpoints = Arc::new(EndpointSet::new(servers, run.services));
+    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+    ingress.receive_line(&endpoints.complete_list(), &mut environment);
+    let resident_before = resident_bytes();
+    for tenant in 0..size {
+        let at = FILL_TIME.mul_f64((tenant + 1) as f64 / size as f64);
+        ingress.run(at, None, &mut environment);
+        ingress.request(tenant as u64, Demand::ByServers, &mut environment);
+    }
+    figures
+        .memory
+        .push(size, &[resident_growth_mib(resident_before)]);
+    let traffic = samples(run, size, &mut ingress, &mut environment, figures);
+    figures.push_traffic(size, &traffic);
+    ingress
+}
+
+/// Measures an ingress without and under load in turn; returns its traffic under load.
+fn samples(
+    run: &Run,
+    size: usize,
+    ingress: &mut SimulatedIngress,
+    environment: &mut SimulatedEnvironment,
+    figures: &mut Figures,
+) -> Traffic {
+    let load = RequestLoad {
+        rate: targets::REQUESTS_PER_INGRESS,
+        tenants: size,
+        demand: Demand::ByServers,
+    };
+    let length = Duration::from_millis(1000 * run.seconds / run.repeats as u64);
+    let mut idle_percents = Vec::new();
+    let mut requests_us = Vec::new();
+    let mut total = Traffic::default();
+    for _ in 0..run.repeats {
+        let (_, took) = timed(|| ingress.run(ingress.now() + length, None, environment));
+        let idle_s = took.as_secs_f64() / length.as_secs_f64();
+        ingress.traffic = Traffic::default();
+        let (_, took) = timed(|| ingress.run(ingress.now() + length, Some(load), environment));
+        let ended = ingress.traffic.attempts + ingress.traffic.rejected;
+        let requests_s = (took.as_secs_f64() - idle_s * length.as_secs_f64()).max(0.0);
+        let request_s = requests_s / ended.max(1) as f64;
+        idle_percents.push(idle_s * 100.0);
+        requests_us.push(request_s * 1e6);
+        total += ingress.traffic;
+    }
+    figures.idle.push(size, &idle_percents);
+    figures.request.push(size, &requests_us);
+    total
+}
+
+struct Figures {
+    request: SizeSeries,
+    idle: SizeSeries,
+    memory: SizeSeries,
+    calls: SizeSeries,
+    call_bytes: SizeSeries,
+    reply_bytes: SizeSeries,
+    byte_rate: SizeSeries,
+}
+
+impl Figures {
+    fn new() -> Figures {
+        let measured = SizeSeries::measured;
+        Figures {
+            request: measured("processor time a request", "us"),
+            idle: measured("processor time at rest", "% of a core"),
+            memory: measured("memory of all ledgers", "MiB"),
+            calls: measured("calls to the counter a request", "calls"),
+            call_bytes: measured("bytes of a call", "bytes"),
+            reply_bytes: measured("bytes of its answer", "bytes"),
+            byte_rate: SizeSeries::derived(
+                "to and from the counter at 256 requests a second",
+                "bytes/s",
+            ),
+        }
+    }
+
+    fn push_traffic(&mut self, size: usize, traffic: &Traffic) {
+        let calls = traffic.counter_calls as f64;
+        let ended = (traffic.attempts + traffic.rejected) as f64;
+        let call_bytes = traffic.counter_bytes_out as f64 / calls;
+        let reply_bytes = traffic.counter_bytes_in as f64 / calls;
+        self.calls.push(size, &[calls / ended]);
+        self.call_bytes.push(size, &[call_bytes]);
+        self.reply_bytes.push(size, &[reply_bytes]);
+        let byte_rate = calls / ended * (call_bytes + reply_bytes) * targets::REQUESTS_PER_INGRESS;
+        self.byte_rate.push(size, &[byte_rate]);
+    }
+
+    fn series(self) -> Vec<SizeSeries> {
+        vec![
+            self.request,
+            self.idle,
+            self.memory,
+            self.calls,
+            self.call_bytes,
+            self.reply_bytes,
+            self.byte_rate,
+        ]
+    }
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,4 +1,5 @@
-//! What a run has shown: figures by size with their ranges and slopes, as tables and as JSON.
+//! The result of a run: figures by size with their ranges and growth exponents, as tables and as
+//! JSON.
 
 use super::measure;
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
@@ -10,23 +11,23 @@
 pub enum Provenance {
     /// Counted or timed in this run.
     Measured,
-    /// Worked out from what was measured.
+    /// Calculated from what was measured.
     #[serde(rename = "reckoned")]
     Derived,
 }
 
-/// A figure at one size: the median of the runs and their range.
+/// A figure at one size: the median of the samples and their range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// The size.
     pub size: usize,
     /// The median.
     pub median: f64,
-    /// The least.
+    /// The smallest.
     pub low: f64,
-    /// The greatest.
+    /// The largest.
     pub high: f64,
-    /// How many runs.
+    /// The number of samples.
     pub runs: usize,
 }
 
@@ -41,22 +42,24 @@
     pub basis: Provenance,
     /// Its values by size.
     pub points: Vec<Point>,
-    /// Its growth: the exponent of the size; none for fewer than two sizes.
+    /// Its growth as an exponent of the size; none for fewer than two sizes.
     pub exponent: Option<f64>,
 }
 
 impl SizeSeries {
     /// A figure that this run measures.
+    #[must_use]
     pub fn measured(quantity: &str, unit: &str) -> SizeSeries {
-        SizeSeries::of(quantity, unit, Provenance::Measured)
+        SizeSeries::new(quantity, unit, Provenance::Measured)
     }
 
-    /// A figure that this run works out.
+    /// A figure that this run calculates.
+    #[must_use]
     pub fn derived(quantity: &str, unit: &str) -> SizeSeries {
-        SizeSeries::of(quantity, unit, Provenance::Derived)
+        SizeSeries::new(quantity, unit, Provenance::Derived)
     }
 
-    fn of(quantity: &str, unit: &str, basis: Provenance) -> SizeSeries {
+    fn new(quantity: &str, unit: &str, basis: Provenance) -> SizeSeries {
         SizeSeries {
             quantity: quantity.into(),
             unit: unit.into(),
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Adds the values of some runs at one size.
+    /// Adds the samples at one size; nothing if there are none.
     pub fn push(&mut self, size: usize, samples: &[f64]) {
         let mut sorted = samples.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -84,21 +87,22 @@
         let medians: Vec<(f64, f64)> = self
             .points
             .iter()
-            .map(|p| (p.size as f64, p.median))
+            .map(|point| (point.size as f64, point.median))
             .collect();
         self.exponent = measure::exponent(&medians);
     }
 
     /// The median at a size.
+    #[must_use]
     pub fn at(&self, size: usize) -> Option<f64> {
         self.points
             .iter()
-            .find(|p| p.size == size)
-            .map(|p| p.median)
+            .find(|point| point.size == size)
+            .map(|point| point.median)
     }
 }
 
-/// What one role's run has shown.
+/// The result of one role's run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoleReport {
     /// The role.
@@ -107,7 +111,7 @@
     pub varied: String,
     /// The figures.
     pub figures: Vec<SizeSeries>,
-    /// What else there is to say.
+    /// Remarks on the figures.
     pub notes: Vec<String>,
     /// Bytes of this process that were resident when the run ended.
     pub resident_bytes: u64,
@@ -115,47 +119,25 @@
 
 impl RoleReport {
     /// The figure of that name.
+    #[must_use]
     pub fn figure(&self, quantity: &str) -> Option<&SizeSeries> {
-        self.figures.iter().find(|f| f.quantity == quantity)
+        self.figures
+            .iter()
+            .find(|figure| figure.quantity == quantity)
     }
 
     /// As a table in Markdown: a line for each figure, a column for each size.
+    #[must_use]
     pub fn table(&self) -> String {
-        let mut sizes: Vec<usize> = self
-            .figures
-            .iter()
-            .flat_map(|f| f.points.iter().map(|p| p.size))
-            .collect();
-        sizes.sort_unstable();
-        sizes.dedup();
-        let mut table = Table::new();
+        let sizes = self.sizes();
         let columns = sizes.iter().map(|size| format!("{size} {}", self.varied));
-        let header = ["figure", "unit", "basis"]
-            .map(String::from)
-            .into_iter()
-            .chain(columns);
+        let header = ["figure", "unit", "basis"].map(String::from);
+        let mut table = Table::new();
         table
             .load_preset(ASCII_MARKDOWN)
-            .set_header(header.chain(["exponent".into()]));
+            .set_header(header.into_iter().chain(columns).chain(["exponent".into()]));
         for figure in &self.figures {
-            let basis = match figure.basis {
-                Provenance::Measured => "measured",
-                Provenance::Derived => "reckoned",
-            };
-            let head = [figure.quantity.clone(), figure.unit.clone(), basis.into()];
-            let cell = |size: &usize| {
-                figure
-                    .points
-                    .iter()
-                    .find(|p| p.size == *size)
-                    .map_or("-".into(), |p| p.to_string())
-            };
-            let exponent = figure.exponent.map_or("-".into(), |e| format!("{e:.2}"));
-            table.add_row(
-                head.into_iter()
-                    .chain(sizes.iter().map(cell))
-                    .chain([exponent]),
-            );
+            table.add_row(figure.row(&sizes));
         }
         let notes: String = self
             .notes
@@ -168,6 +150,36 @@
             self.role
         )
     }
+
+    /// The sizes of all figures, the smallest first.
+    fn sizes(&self) -> Vec<usize> {
+        let points = self.figures.iter().flat_map(|figure| &figure.points);
+        let mut sizes: Vec<usize> = points.map(|point| point.size).collect();
+        sizes.sort_unstable();
+        sizes.dedup();
+        sizes
+    }
+}
+
+impl SizeSeries {
+    fn row(&self, sizes: &[usize]) -> Vec<String> {
+        let basis = match self.basis {
+            Provenance::Measured => "measured",
+            Provenance::Derived => "reckoned",
+        };
+        let cell = |size: &usize| {
+            let mut points = self.points.iter();
+            let point = points.find(|point| point.size == *size);
+            point.map_or("-".into(), ToString::to_string)
+        };
+        let exponent = self
+            .exponent
+            .map_or("-".into(), |exponent| format!("{exponent:.2}"));
+        let mut row = vec![self.quantity.clone(), self.unit.clone(), basis.into()];
+        row.extend(sizes.iter().map(cell));
+        row.push(exponent);
+        row
+    }
 }
 
 impl std::fmt::Display for Point {
--- a/crates/testbed/src/scale/targets.rs
+++ b/crates/testbed/src/scale/targets.rs
@@ -1,4 +1,4 @@
-//! The size that the platform is to reach, and what control may cost each ingress there.
+//! The planned size of the platform, and what control may cost each ingress there.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub const ROUTES: usize = 11_000;
 /// Tenants, each with its own quota.
 pub const TENANTS: usize = 95_000;
-/// Requests a second at one ingress in the mean of the peak.
+/// Requests a second at one ingress at the peak, in the mean.
 pub const REQUESTS_PER_INGRESS: f64 = 256.0;
 /// Servers and ingresses that are restarted or replaced on an ordinary day.
 pub const RESTARTS_A_DAY: f64 = 6_000.0;
@@ -24,13 +24,13 @@
 pub const CONTROL_MACHINES: usize = 9;
 /// Share of a core that control may take at each ingress.
 pub const CORE_SHARE: f64 = 0.031;
-/// Bytes that control may hold at each ingress.
+/// Memory that control may use at each ingress.
 pub const MEMORY_BYTES: u64 = 128 << 20;
 /// Bytes a second that control may move at each ingress.
 pub const BYTES_PER_SECOND: f64 = 12_000.0;
-/// A started ingress is ready by then.
+/// Time in which a started ingress is ready.
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A change of configuration is in force everywhere by then.
+/// Time in which a change of configuration is in force everywhere.
 pub const CHANGE_WITHIN: Duration = Duration::from_secs(15);
 /// Seconds of a day.
-pub const DAY: f64 = 86_400.0;
+pub const SECONDS_A_DAY: f64 = 86_400.0;
--- a/crates/testbed/src/scale/topology.rs
+++ b/crates/testbed/src/scale/topology.rs
@@ -1,5 +1,5 @@
-//! Which servers there are: how they are divided into services, where each listens, and the files
-//! that tell the daemon of them.
+//! The servers of a platform: their division into services, their addresses, and the daemon's files
+//! that name them.
 
 use serde_json::{json, Value};
 use std::fmt::Write;
@@ -13,10 +13,12 @@
 const NETWORK_SIZE: u32 = 256;
 /// Descriptors of the daemon.
 const DESCRIPTORS: usize = 4096;
-/// Memory that the daemon is told of, in MB.
+/// Memory in the daemon's configuration, in MB.
 const MEMORY_MB: usize = 192;
-/// Attempts at the exponent of a long tail: each halves what is left of its range.
+/// Bisections for the exponent of a long tail.
 const BISECTIONS: usize = 60;
+/// The steepest long tail.
+const STEEPEST_EXPONENT: f64 = 8.0;
 
 /// One service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +34,7 @@
         self.servers.div_ceil(NETWORK_SERVERS)
     }
 
-    /// Its networks, as the operator's file words them.
+    /// Its networks, as the operator's file has them.
     pub(crate) fn network_names(&self) -> impl Iterator<Item = String> + '_ {
         (0..self.networks()).map(|network| {
             let first = FIRST_NETWORK + (self.first_network + network) * NETWORK_SIZE;
@@ -42,9 +44,10 @@
 
     /// Where its servers listen.
     pub(crate) fn addresses(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
-        (0..self.servers).map(|n| {
-            let network = self.first_network + n / NETWORK_SERVERS;
-            Ipv4Addr::from(FIRST_NETWORK + network * NETWORK_SIZE + 1 + n % NETWORK_SERVERS)
+        (0..self.servers).map(|number| {
+            let network = self.first_network + number / NETWORK_SERVERS;
+            let host = 1 + number % NETWORK_SERVERS;
+            Ipv4Addr::from(FIRST_NETWORK + network * NETWORK_SIZE + host)
         })
     }
 }
@@ -61,11 +64,11 @@
 }
 
 impl ServiceTopology {
-    /// All servers in one service that has no name, as without a section on services.
+    /// All servers in one service without a name, as without a section on services.
     pub(crate) fn unnamed(servers: u32) -> ServiceTopology {
         ServiceTopology {
             named: false,
-            ..ServiceTopology::of(&[servers], 1)
+            ..ServiceTopology::with_sizes(&[servers], 1)
         }
     }
 
@@ -76,47 +79,46 @@
         largest: u32,
         routes: u32,
     ) -> ServiceTopology {
-        ServiceTopology::of(&long_tail(servers, services, largest), routes)
+        ServiceTopology::with_sizes(&long_tail(servers, services, largest), routes)
     }
 
-    fn of(sizes: &[u32], routes: u32) -> ServiceTopology {
-        let mut next = 0;
-        let place = |servers: &u32| {
+    fn with_sizes(sizes: &[u32], routes: u32) -> ServiceTopology {
+        let mut next_network = 0;
+        let service = |servers: &u32| {
             let service = Service {
                 servers: *servers,
-                first_network: next,
+                first_network: next_network,
             };
-            next += service.networks();
+            next_network += service.networks();
             service
         };
         ServiceTopology {
-            services: sizes.iter().map(place).collect(),
+            services: sizes.iter().map(service).collect(),
             routes,
             named: true,
         }
     }
 
-    /// The number of a server's address among all that networks hold; none for an address outside
-    /// of them.
+    /// The number of a server's address among those of all networks; none for an address below
+    /// them.
     pub(crate) fn slot(address: Ipv4Addr) -> Option<usize> {
         u32::from(address)
             .checked_sub(FIRST_NETWORK)
             .map(|slot| slot as usize)
     }
 
-    /// Numbers of addresses that networks hold.
+    /// The number of addresses of all networks.
     pub(crate) fn slots(&self) -> usize {
         let networks: u32 = self.services.iter().map(Service::networks).sum();
         ((networks + 1) * NETWORK_SIZE) as usize
     }
 
-    /// An address that no server has, in the last network of the last service: for one that comes
-    /// and goes.
+    /// An address that no server has, in the last network of the last service.
     pub(crate) fn spare_address(&self) -> Ipv4Addr {
         let last = self
             .services
             .last()
-            .map_or(0, |s| s.first_network + s.networks() - 1);
+            .map_or(0, |service| service.first_network + service.networks() - 1);
         Ipv4Addr::from(FIRST_NETWORK + last * NETWORK_SIZE + NETWORK_SIZE - 1)
     }
 
@@ -125,16 +127,16 @@
         (service..self.routes).step_by(self.services.len())
     }
 
-    /// The list of servers as discovery tells it.
+    /// The complete endpoint list, as discovery sends it.
     pub(crate) fn list(&self, port: u16) -> Value {
         let addresses = self.services.iter().flat_map(Service::addresses);
         let targets: Vec<Value> = addresses
-            .map(|at| target(at, port, "SERVING", 0.0))
+            .map(|address| target(address, port, "SERVING", 0.0))
             .collect();
         json!({"rev": 1, "all": true, "targets": targets})
     }
 
-    /// The daemon's configuration; `known` is the list of servers that it holds at its start.
+    /// The daemon's configuration; `known` is the endpoint list that it has at its start.
     pub(crate) fn configuration(
         &self,
         counter: Option<SocketAddr>,
@@ -144,7 +146,7 @@
     ) -> String {
         json!({
             "name": "scale", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-            "counter": counter.map(|at| at.to_string()), "seed": "8c1f30d27a5be964",
+            "counter": counter.map(|address| address.to_string()), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
             "known": known, "settings": settings
         })
@@ -156,7 +158,7 @@
         self.operator_file_of("s")
     }
 
-    /// The same with other names of services: this and a number.
+    /// The same with other names of services: this prefix and a number.
     pub(crate) fn operator_file_of(&self, prefix: &str) -> String {
         self.file(prefix, |route| route % self.services.len() as u32)
     }
@@ -172,8 +174,8 @@
             return text;
         }
         text.push_str("services {\n    route-field \"route\"\n");
-        for (n, service) in self.services.iter().enumerate() {
-            let _ = write!(text, "    service \"{prefix}{n}\" {{ servers");
+        for (number, service) in self.services.iter().enumerate() {
+            let _ = write!(text, "    service \"{prefix}{number}\" {{ servers");
             for network in service.network_names() {
                 let _ = write!(text, " \"{network}\"");
             }
@@ -191,16 +193,15 @@
     }
 }
 
-/// One server as discovery words it.
-pub(crate) fn target(at: Ipv4Addr, port: u16, state: &str, boot_ms: f64) -> Value {
-    json!({"uid": format!("s-{at}"), "endpoint": SocketAddr::from((at, port)).to_string(), "az": "lab",
-        "model": "m", "pod_group": u32::from(at) as u16, "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms})
+/// One server as discovery encodes it.
+pub(crate) fn target(address: Ipv4Addr, port: u16, state: &str, boot_ms: f64) -> Value {
+    json!({"uid": format!("s-{address}"), "endpoint": SocketAddr::from((address, port)).to_string(), "az": "lab",
+        "model": "m", "pod_group": u32::from(address) as u16, "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms})
 }
 
-/// Sizes that fall by a power of their rank from the largest on, each at least 1, and come to this
-/// sum.
+/// Sizes of this sum that fall by a power of their rank from the largest on, each at least 1.
 fn long_tail(sum: u32, count: u32, largest: u32) -> Vec<u32> {
-    let at = |exponent: f64| {
+    let sizes_by = |exponent: f64| {
         let size = |rank: u32| {
             (f64::from(largest) / f64::from(rank).powf(exponent))
                 .round()
@@ -208,22 +209,23 @@
         };
         (1..=count).map(size).collect::<Vec<_>>()
     };
-    let (mut flat, mut steep) = (0.0, 8.0);
+    let mut flat = 0.0;
+    let mut steep = STEEPEST_EXPONENT;
     for _ in 0..BISECTIONS {
         let middle = (flat + steep) / 2.0;
-        let total: u64 = at(middle).into_iter().map(u64::from).sum();
+        let total: u64 = sizes_by(middle).into_iter().map(u64::from).sum();
         if total > u64::from(sum) {
             flat = middle;
         } else {
             steep = middle;
         }
     }
-    let mut sizes = at(steep);
+    let mut sizes = sizes_by(steep);
     let missing = sum.saturating_sub(sizes.iter().sum());
-    // What rounding has left over goes to the services after the largest, one each.
+    // Servers left by rounding go to the services after the largest, one each.
     let receivers = (sizes.len() - 1).max(1);
-    for n in 0..missing as usize {
-        let receiver = sizes.len().min(2) - 1 + n % receivers;
+    for number in 0..missing as usize {
+        let receiver = sizes.len().min(2) - 1 + number % receivers;
         sizes[receiver] += 1;
     }
     sizes
--- a/crates/testbed/src/scenario/parser.rs
+++ b/crates/testbed/src/scenario/parser.rs
@@ -2,7 +2,7 @@
 
 use super::{FaultAction, Scenario, Step, When};
 use crate::faulty_network::Rules;
-use kdl::{KdlDocument, KdlNode, KdlValue};
+use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
@@ -155,7 +155,7 @@
         let entries = self.node.entries().iter();
         entries
             .filter(|entry| entry.name().is_none())
-            .map(|entry| entry.value())
+            .map(KdlEntry::value)
     }
 
     fn argument(&self) -> Option<&'a KdlValue> {
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -8,10 +8,21 @@
 const SERVED: Observation = Observation::ResponseReceived(ResponseKind::Served);
 const REJECTED: Observation = Observation::ResponseReceived(ResponseKind::Rejected);
 const FAILED: Observation = Observation::ResponseReceived(ResponseKind::Failed);
+/// An attempt at one form server, and one at another.
+const STARTED: Observation = Observation::AttemptStarted(0);
+const FINISHED: Observation = Observation::AttemptFinished(0);
+const OTHER_STARTED: Observation = Observation::AttemptStarted(1);
+const OTHER_FINISHED: Observation = Observation::AttemptFinished(1);
+const NO_RESPONSE: Observation = Observation::NoResponse {
+    excused_by_fault: false,
+};
+const EXCUSED: Observation = Observation::NoResponse {
+    excused_by_fault: true,
+};
 
 fn checked(steps: &[Observation]) -> Verdict {
-    let event = |(n, observation): (usize, &Observation)| Event {
-        at: Duration::from_millis(n as u64),
+    let event = |(index, observation): (usize, &Observation)| Event {
+        at: Duration::from_millis(index as u64),
         id: 7,
         observation: *observation,
     };
@@ -21,38 +32,22 @@
 #[test]
 fn a_valid_history_is_counted() {
     for steps in [
+        &[IDEMPOTENT, STARTED, FINISHED, SERVED][..],
         &[
             IDEMPOTENT,
-            Observation::AttemptStarted(0),
-            Observation::AttemptFinished(0),
-            SERVED,
-        ][..],
-        &[
-            IDEMPOTENT,
-            Observation::AttemptStarted(0),
-            Observation::AttemptFinished(0),
-            Observation::AttemptStarted(1),
-            Observation::AttemptFinished(1),
+            STARTED,
+            FINISHED,
+            OTHER_STARTED,
+            OTHER_FINISHED,
             SERVED,
         ],
-        &[NON_IDEMPOTENT, Observation::AttemptStarted(0), FAILED],
+        &[NON_IDEMPOTENT, STARTED, FAILED],
         &[NON_IDEMPOTENT, REJECTED],
-        &[
-            NON_IDEMPOTENT,
-            Observation::AttemptStarted(0),
-            Observation::NoResponse {
-                excused_by_fault: true,
-            },
-        ],
+        &[NON_IDEMPOTENT, STARTED, EXCUSED],
     ] {
         assert_eq!(checked(steps).violations, [], "{steps:?}");
     }
-    let verdict = checked(&[
-        IDEMPOTENT,
-        Observation::AttemptStarted(0),
-        Observation::AttemptFinished(0),
-        SERVED,
-    ]);
+    let verdict = checked(&[IDEMPOTENT, STARTED, FINISHED, SERVED]);
     assert_eq!(
         (verdict.requests, verdict.served, verdict.attempts),
         (1, 1, 1)
@@ -63,63 +58,31 @@
 fn each_violated_rule_is_found() {
     for (steps, expected) in [
         (&[IDEMPOTENT][..], "no final answer by the end"),
+        (&[IDEMPOTENT, NO_RESPONSE], "no final answer"),
         (
-            &[
-                IDEMPOTENT,
-                Observation::NoResponse {
-                    excused_by_fault: false,
-                },
-            ],
-            "no final answer",
-        ),
-        (
-            &[
-                IDEMPOTENT,
-                Observation::AttemptStarted(0),
-                Observation::AttemptFinished(0),
-                SERVED,
-                SERVED,
-            ],
+            &[IDEMPOTENT, STARTED, FINISHED, SERVED, SERVED],
             "a second final answer",
         ),
         (&[IDEMPOTENT, REJECTED, REJECTED], "a second final answer"),
         (&[IDEMPOTENT, SERVED], "no form server answered it"),
         (
-            &[
-                NON_IDEMPOTENT,
-                Observation::AttemptStarted(0),
-                Observation::AttemptFinished(0),
-                Observation::AttemptStarted(1),
-                FAILED,
-            ],
+            &[NON_IDEMPOTENT, STARTED, FINISHED, OTHER_STARTED, FAILED],
             "must not run twice",
         ),
         (
-            &[NON_IDEMPOTENT, Observation::AttemptStarted(0), REJECTED],
+            &[NON_IDEMPOTENT, STARTED, REJECTED],
             "refused after it may have run",
         ),
         (
-            &[
-                IDEMPOTENT,
-                Observation::AttemptStarted(0),
-                Observation::AttemptStarted(1),
-                Observation::AttemptFinished(1),
-                SERVED,
-            ],
+            &[IDEMPOTENT, STARTED, OTHER_STARTED, OTHER_FINISHED, SERVED],
             "two attempts out at once",
         ),
         (
-            &[
-                IDEMPOTENT,
-                Observation::AttemptStarted(0),
-                Observation::AttemptFinished(0),
-                SERVED,
-                Observation::AttemptStarted(1),
-            ],
+            &[IDEMPOTENT, STARTED, FINISHED, SERVED, OTHER_STARTED],
             "sent on after it was served",
         ),
         (&[IDEMPOTENT, IDEMPOTENT, REJECTED], "asked twice"),
-        (&[Observation::AttemptStarted(0)], "nobody asked for it"),
+        (&[STARTED], "nobody asked for it"),
     ] {
         let violations = checked(steps).violations;
         assert!(
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,15 +1,14 @@
-//! Scale tests in small: assertions on slopes, or on ratios of two sizes in one run, never on
-//! absolute times. Cost is processor time of the test's own thread, so that tests may run side by
+//! Scale tests in small: assertions on growth exponents, or on ratios of two sizes in one run, never
+//! on absolute times. Cost is processor time of the test's own thread, so that tests may run side by
 //! side.
 
-use roseyard_testbed::scale::endpoint_set::{EndpointSet, Entry, State};
+use roseyard_testbed::scale::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
 use roseyard_testbed::scale::measure::{exponent, timed};
 use roseyard_testbed::scale::report::RoleReport;
 use roseyard_testbed::scale::simulated_ingress::{
-    Demand, Load, SimulatedEnvironment, SimulatedIngress,
+    Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress,
 };
 use roseyard_testbed::scale::{targets, Role, Run};
-use std::process::{Command, Output};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -31,37 +30,49 @@
     role.run(&run).expect("a role that is measured")
 }
 
-/// How often as much a figure is at one size as at another.
+/// The ratio of a figure at one size to that at another.
 fn ratio(report: &RoleReport, quantity: &str, of: usize, to: usize) -> f64 {
     let figure = report.figure(quantity).expect("a figure of the report");
     figure.at(of).expect("a size") / figure.at(to).expect("a size")
 }
 
-/// An ingress that holds all of so many servers, divided into services as the plan has them.
+/// An ingress with so many servers, divided into services as at the planned size.
 fn ingress(servers: usize) -> (Arc<EndpointSet>, SimulatedIngress, SimulatedEnvironment) {
     ingress_of(EndpointSet::new(servers, true))
 }
 
-/// An ingress that holds these servers.
+/// An ingress with these servers.
 fn ingress_of(
-    endpoint_set: EndpointSet,
+    endpoints: EndpointSet,
 ) -> (Arc<EndpointSet>, SimulatedIngress, SimulatedEnvironment) {
-    let endpoint_set = Arc::new(endpoint_set);
+    let endpoints = Arc::new(endpoints);
     let mut environment = SimulatedEnvironment::new(SEED);
-    let mut simulated_ingress = SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, SEED);
-    simulated_ingress.receive_line(&endpoint_set.whole(), &mut environment);
-    (endpoint_set, simulated_ingress, environment)
+    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, SEED);
+    ingress.receive_line(&endpoints.complete_list(), &mut environment);
+    (endpoints, ingress, environment)
 }
 
-/// The least of several runs: what disturbs a run only makes it longer.
-fn least(mut work: impl FnMut() -> Duration) -> f64 {
+/// Processor time of so many virtual seconds.
+fn run_time(
+    ingress: &mut SimulatedIngress,
+    seconds: u64,
+    load: Option<RequestLoad>,
+    environment: &mut SimulatedEnvironment,
+) -> Duration {
+    let until = ingress.now() + Duration::from_secs(seconds);
+    let (_, took) = timed(|| ingress.run(until, load, environment));
+    took
+}
+
+/// The minimum of several runs: disturbances only make a run longer.
+fn min_seconds(mut work: impl FnMut() -> Duration) -> f64 {
     (0..5)
         .map(|_| work().as_secs_f64())
         .fold(f64::MAX, f64::min)
 }
 
-/// What is measured costs as much among many servers as among few.
-fn assert_alike(cost: impl Fn(usize) -> f64) {
+/// The cost is independent of the number of servers.
+fn assert_constant(cost: impl Fn(usize) -> f64) {
     let growth = cost(MANY) / cost(FEW);
     assert!(
         growth < 4.0,
@@ -70,102 +81,88 @@
 }
 
 /// Processor time of a second under the planned load before these servers.
-fn cost_of_load(endpoint_set: EndpointSet) -> f64 {
-    let (_, mut simulated_ingress, mut environment) = ingress_of(endpoint_set);
-    let load = Load {
+fn cost_of_load(endpoints: EndpointSet) -> f64 {
+    let (_, mut ingress, mut environment) = ingress_of(endpoints);
+    let load = RequestLoad {
         rate: 256.0,
         tenants: 100,
         demand: Demand::Even,
     };
-    simulated_ingress.run(Duration::from_secs(1), Some(load), &mut environment);
-    least(|| {
-        timed(|| {
-            simulated_ingress.run(
-                simulated_ingress.now() + Duration::from_secs(1),
-                Some(load),
-                &mut environment,
-            )
-        })
-        .1
-    })
+    ingress.run(Duration::from_secs(1), Some(load), &mut environment);
+    min_seconds(|| run_time(&mut ingress, 1, Some(load), &mut environment))
 }
 
 #[test]
-fn a_request_costs_what_its_service_does_not_what_all_servers_do() {
-    assert_alike(|servers| cost_of_load(EndpointSet::new(servers, true)));
+fn request_cost_depends_on_the_service_not_on_all_servers() {
+    assert_constant(|servers| cost_of_load(EndpointSet::new(servers, true)));
 }
 
 #[test]
-fn a_request_for_one_large_service_costs_what_the_servers_within_reach_do() {
-    const REACH: usize = 256;
-    let growth = cost_of_load(EndpointSet::single(MANY)) / cost_of_load(EndpointSet::single(REACH));
+fn request_cost_of_a_large_service_depends_on_its_subset() {
+    const SUBSET: usize = 256;
+    let growth =
+        cost_of_load(EndpointSet::single(MANY)) / cost_of_load(EndpointSet::single(SUBSET));
     assert!(
         growth < 3.0,
-        "{growth:.1} times as much with {MANY} servers as with {REACH}: a walk is 21"
+        "{growth:.1} times as much with {MANY} servers as with {SUBSET}: a walk is 21"
     );
 }
 
 #[test]
-fn a_change_of_one_server_costs_the_same_among_many() {
+fn change_cost_is_independent_of_the_number_of_servers() {
     let cost = |servers| {
-        let (endpoint_set, mut simulated_ingress, mut environment) = ingress(servers);
+        let (endpoints, mut ingress, mut environment) = ingress(servers);
         let (mut revision, mut generation) = (1, 0);
-        least(|| {
+        min_seconds(|| {
             let mut spent = Duration::ZERO;
             for server in 0..FEW {
                 generation += 1;
-                for state in [State::Draining, State::Deleted, State::Serving] {
+                for state in [
+                    EndpointState::Draining,
+                    EndpointState::Deleted,
+                    EndpointState::Serving,
+                ] {
                     revision += 1;
-                    let entry = Entry {
+                    let entry = EndpointEntry {
                         generation,
                         state,
-                        ..Entry::serving(server)
+                        ..EndpointEntry::serving(server)
                     };
-                    let line = endpoint_set.encode(revision, false, &[entry]);
-                    spent += timed(|| simulated_ingress.receive_line(&line, &mut environment)).1;
+                    let line = endpoints.watch_line(revision, false, &[entry]);
+                    spent += timed(|| ingress.receive_line(&line, &mut environment)).1;
                 }
             }
             spent
         })
     };
-    assert_alike(cost);
+    assert_constant(cost);
 }
 
 #[test]
-fn rest_costs_the_same_with_many_servers() {
+fn idle_cost_is_independent_of_the_number_of_servers() {
     let cost = |servers| {
-        let (_, mut simulated_ingress, mut environment) = ingress(servers);
-        // Each ingress has been asked for one service, and keeps the time by it.
-        let load = Load {
+        let (_, mut ingress, mut environment) = ingress(servers);
+        // The ingress has got requests of a service, and keeps its timers.
+        let load = RequestLoad {
             rate: 20.0,
             tenants: 100,
             demand: Demand::ByServers,
         };
-        simulated_ingress.run(Duration::from_secs(1), Some(load), &mut environment);
-        simulated_ingress.run(Duration::from_secs(5), None, &mut environment);
-        least(|| {
-            timed(|| {
-                simulated_ingress.run(
-                    simulated_ingress.now() + Duration::from_secs(20),
-                    None,
-                    &mut environment,
-                )
-            })
-            .1
-        })
+        ingress.run(Duration::from_secs(1), Some(load), &mut environment);
+        ingress.run(Duration::from_secs(5), None, &mut environment);
+        min_seconds(|| run_time(&mut ingress, 20, None, &mut environment))
     };
-    assert_alike(cost);
+    assert_constant(cost);
 }
 
 #[test]
-fn a_whole_list_costs_its_length() {
+fn complete_list_cost_is_linear() {
     let cost = |servers| {
-        let endpoint_set = Arc::new(EndpointSet::new(servers, true));
-        let line = endpoint_set.whole();
-        least(|| {
-            let mut simulated_ingress =
-                SimulatedIngress::new(&endpoint_set, targets::INGRESSES, 0, SEED);
-            timed(|| simulated_ingress.receive_line(&line, &mut SimulatedEnvironment::new(SEED))).1
+        let endpoints = Arc::new(EndpointSet::new(servers, true));
+        let line = endpoints.complete_list();
+        min_seconds(|| {
+            let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, SEED);
+            timed(|| ingress.receive_line(&line, &mut SimulatedEnvironment::new(SEED))).1
         })
     };
     let points: Vec<(f64, f64)> = [170, 900, MANY].map(|n| (n as f64, cost(n))).to_vec();
@@ -177,7 +174,7 @@
 }
 
 #[test]
-fn a_quota_costs_the_same_among_many() {
+fn quota_cost_is_independent_of_the_number_of_tenants() {
     let report = run(Role::Quotas, &[10, 4_000], 3);
     let request = ratio(&report, "processor time a request", 4_000, 10);
     assert!(
@@ -192,7 +189,7 @@
 }
 
 #[test]
-fn a_member_tells_as_much_in_a_large_fleet_as_in_a_small_one() {
+fn gossip_of_a_member_is_independent_of_the_fleet_size() {
     let report = run(Role::Membership, &[10, 60], 1);
     let bytes = ratio(
         &report,
@@ -212,7 +209,7 @@
 }
 
 #[test]
-fn admission_costs_the_same_however_many_addresses_are_remembered() {
+fn admission_cost_is_independent_of_remembered_addresses() {
     let report = run(Role::Admission, &[1_000, 40_000], 5);
     let cost = ratio(
         &report,
@@ -227,7 +224,7 @@
 }
 
 #[test]
-fn the_operators_file_costs_its_length() {
+fn operator_file_cost_is_linear() {
     let report = run(Role::Configuration, &[30, 900], 3);
     let slope = report
         .figure("processor time to parse the file")
@@ -240,7 +237,7 @@
 }
 
 #[test]
-fn each_ingress_costs_the_counter_and_discovery_the_same() {
+fn counter_and_discovery_bytes_of_an_ingress_are_constant() {
     let report = run(Role::Counter, &[3, 90], 1);
     let bytes = ratio(&report, "bytes of an ingress, to and from", 90, 3);
     assert!(
@@ -259,7 +256,7 @@
 }
 
 #[test]
-fn a_zone_that_returns_cold_is_sent_less_than_a_warm_one_bears() {
+fn cold_zone_gets_less_than_a_warm_one() {
     let run = Run {
         sizes: vec![10],
         seconds: 1,
@@ -281,7 +278,7 @@
 }
 
 #[test]
-fn services_have_a_long_tail_and_come_to_all_servers() {
+fn service_sizes_have_a_long_tail_and_sum_to_all_servers() {
     let sizes = EndpointSet::new(targets::SERVERS, true).service_sizes();
     assert_eq!(sizes.len(), targets::SERVICES);
     assert_eq!(sizes.iter().sum::<usize>(), targets::SERVERS);
@@ -291,7 +288,7 @@
 }
 
 #[test]
-fn the_slope_of_a_power_is_its_exponent() {
+fn exponent_of_a_power_law_is_its_power() {
     let points: Vec<(f64, f64)> = [1.0f64, 10.0, 1000.0]
         .map(|x| (x, 3.0 * x.powf(1.5)))
         .to_vec();
@@ -299,58 +296,3 @@
     assert!((slope - 1.5).abs() < 1e-9, "{slope}");
     assert_eq!(exponent(&points[..1]), None);
 }
-
-fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_roseyard-testbed"))
-        .arg("scale")
-        .args(args)
-        .output()
-        .expect("the lab runs")
-}
-
-#[test]
-fn a_bad_role_or_size_is_refused_with_what_is_allowed() {
-    for (args, told) in [
-        (&["--role", "everything"][..], "membership"),
-        (&["--role", "decision", "--sizes", "17,54001"], "1 to 54000"),
-        (&["--role", "decision", "--sizes", "0"], "1 to 54000"),
-        (&["--role", "membership", "--sizes", "2"], "3 to 4300"),
-        (&["--role", "all", "--sizes", "17"], "one role"),
-        (&["--role", "decision", "--sizes", "many"], "many"),
-    ] {
-        let output = lab(args);
-        let text = String::from_utf8_lossy(&output.stderr);
-        assert!(
-            !output.status.success() && text.contains(told),
-            "{args:?}: {text}"
-        );
-    }
-}
-
-#[test]
-fn figures_are_written_as_json_and_nothing_else_is() {
-    let output = lab(&[
-        "--role",
-        "admission",
-        "--sizes",
-        "100,200",
-        "--repeats",
-        "1",
-        "--json",
-        "-",
-    ]);
-    assert!(
-        output.status.success() && output.stderr.is_empty(),
-        "progress is for terminals"
-    );
-    let told: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    assert_eq!(told["roles"][0]["role"], "admission");
-    assert_eq!(told["roles"][0]["figures"][0]["points"][1]["size"], 200);
-}
-
-#[test]
-fn help_has_an_example() {
-    let output = lab(&["--help"]);
-    assert!(String::from_utf8_lossy(&output.stdout)
-        .contains("roseyard-testbed scale --role decision --sizes"));
-}
