--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -1,51 +1,36 @@
 //! One ingress: hands each event to the service that it is for. It decides nothing itself.
 //!
-//! A [`Service`] is created when its first endpoint or request comes and dropped with its last.
 //! Customers' quotas span services and stand above them. The cost of an event is that of the one
-//! service: a service without requests is never woken, and a change of the endpoint list touches
-//! the endpoints that it names.
+//! service: a service without requests is never woken.
 
 use crate::action::Action;
 use crate::event::{
-    CounterResult, EndpointEntry, EndpointListUpdate, Event, IncomingRequest, LoadReport, Outcome,
+    CounterResult, EndpointListUpdate, Event, IncomingRequest, LoadReport, Outcome,
 };
 use crate::ids::{CounterKey, EndpointId, RequestId, ServiceId, TimerTag};
 use crate::quota::{CounterDecision, CustomerQuotas};
 use crate::service::{IngressState, QuotaDecision, Service};
+use crate::service_table::ServiceTable;
 use crate::settings::{DiscoveryMode, Settings, SettingsError};
 use crate::util::seconds;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before discovery is asked again after a call that failed.
+/// Pause before subscribing again after a call to discovery failed.
 const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
 /// A gap so long between two events, while requests cause timers, is a stall of this ingress.
 const STALL_SECONDS: f64 = 0.25;
-/// Least weight of an endpoint.
-const ENDPOINT_WEIGHT_MIN: f64 = 0.05;
 /// Units of a request whose estimate is no number.
 const DEFAULT_UNITS: f64 = 1.0;
 
-/// A service, and what the dispatcher last saw of it.
-struct ScheduledService {
-    service: Service,
-    due: Option<Duration>,
-    endpoint_count: usize,
-}
-
 /// The decisions of one ingress: takes events and appends actions.
 pub struct Dispatcher {
     settings: Arc<Settings>,
-    seed: u64,
     quotas: CustomerQuotas,
-    services: BTreeMap<ServiceId, ScheduledService>,
+    services: ServiceTable,
     /// The service of each request of which something is still to come.
     requests: HashMap<RequestId, ServiceId>,
-    /// Endpoints of all services.
-    endpoint_count: usize,
-    /// When each service is to be woken.
-    due: BTreeSet<(Duration, ServiceId)>,
     resubscribe_at: Option<Duration>,
     timer: Option<Duration>,
     clock: Duration,
@@ -67,12 +52,9 @@
         let settings = Arc::new(settings);
         Ok(Dispatcher {
             quotas: CustomerQuotas::new(&settings),
+            services: ServiceTable::new(&settings, seed),
             settings,
-            seed,
-            services: BTreeMap::new(),
             requests: HashMap::new(),
-            endpoint_count: 0,
-            due: BTreeSet::new(),
             resubscribe_at: None,
             timer: None,
             clock: Duration::ZERO,
@@ -162,7 +144,7 @@
         } else {
             DEFAULT_UNITS
         };
-        self.get_or_create(request.service);
+        self.services.get_or_create(request.service, self.clock);
         self.requests.insert(request.request, request.service);
         self.with_service(request.service, actions, |service, state| {
             service.on_request(&request, state);
@@ -212,86 +194,26 @@
         report: Option<&LoadReport>,
     ) {
         let now = seconds(self.clock);
-        if let Some(scheduled) = self.services.get_mut(&service) {
-            scheduled
-                .service
-                .on_health_check(endpoint, outcome, report, now);
+        if let Some(service) = self.services.get_mut(service) {
+            service.on_health_check(endpoint, outcome, report, now);
         }
     }
 
     fn on_endpoint_list(&mut self, update: EndpointListUpdate) {
+        let now = self.clock;
         match update {
             EndpointListUpdate::Changes(entries) => {
                 for entry in entries {
-                    self.on_changed_entry(entry);
+                    self.services.update_endpoint(entry, now);
                 }
             }
-            EndpointListUpdate::Full(entries) => self.on_full_list(entries),
+            EndpointListUpdate::Full(entries) => self.services.replace_endpoints(entries, now),
             EndpointListUpdate::Unavailable => {
-                self.resubscribe_at = Some(self.clock + RESUBSCRIBE_DELAY);
+                self.resubscribe_at = Some(now + RESUBSCRIBE_DELAY);
             }
         }
     }
 
-    fn on_changed_entry(&mut self, entry: EndpointEntry) {
-        let now = seconds(self.clock);
-        let entry = with_valid_weight(entry);
-        self.get_or_create(entry.service)
-            .update_endpoint(&entry, now);
-        self.update_endpoint_count(entry.service);
-    }
-
-    fn on_full_list(&mut self, entries: Vec<EndpointEntry>) {
-        let now = seconds(self.clock);
-        let mut by_service: BTreeMap<ServiceId, Vec<EndpointEntry>> = BTreeMap::new();
-        for entry in entries {
-            let listed = by_service.entry(entry.service).or_default();
-            listed.push(with_valid_weight(entry));
-        }
-        for service in by_service.keys() {
-            self.get_or_create(*service);
-        }
-        let services: Vec<ServiceId> = self.services.keys().copied().collect();
-        for service in services {
-            let entries = by_service.get(&service).map_or(&[][..], Vec::as_slice);
-            self.get_or_create(service).replace_endpoints(entries, now);
-            self.update_endpoint_count(service);
-        }
-    }
-
-    /// The service, created if there is none.
-    fn get_or_create(&mut self, id: ServiceId) -> &mut Service {
-        let settings = &self.settings;
-        let now = seconds(self.clock);
-        let seed = self.seed.wrapping_add(u64::from(id.0));
-        let scheduled = self.services.entry(id).or_insert_with(|| ScheduledService {
-            service: Service::new(settings, seed, now),
-            due: None,
-            endpoint_count: 0,
-        });
-        &mut scheduled.service
-    }
-
-    /// After a change to a service: counts its endpoints, and drops it if it is unused.
-    fn update_endpoint_count(&mut self, id: ServiceId) {
-        let Some(scheduled) = self.services.get_mut(&id) else {
-            return;
-        };
-        let count = scheduled.service.endpoint_count();
-        let before = std::mem::replace(&mut scheduled.endpoint_count, count);
-        self.endpoint_count = self.endpoint_count - before + count;
-        if scheduled.service.is_unused() {
-            self.drop_service(id);
-        }
-    }
-
-    fn drop_service(&mut self, id: ServiceId) {
-        let dropped = self.services.remove(&id);
-        if let Some(due) = dropped.and_then(|scheduled| scheduled.due) {
-            self.due.remove(&(due, id));
-        }
-    }
-
     fn with_request(
         &mut self,
         request: RequestId,
@@ -303,14 +225,15 @@
         }
     }
 
-    /// Runs `act` on a service, then removes its finished requests and notes when it is due next.
+    /// Runs `act` on a service, then removes its finished requests.
     fn with_service(
         &mut self,
         id: ServiceId,
         actions: &mut Vec<Action>,
         act: impl FnOnce(&mut Service, &mut IngressState),
     ) {
-        let Some(scheduled) = self.services.get_mut(&id) else {
+        let endpoint_count = self.services.endpoint_count();
+        let Some(service) = self.services.get_mut(id) else {
             return;
         };
         let mut state = IngressState {
@@ -319,26 +242,19 @@
             quotas: &mut self.quotas,
             actions,
             request_count: self.requests.len(),
-            endpoint_count: self.endpoint_count,
+            endpoint_count,
             finished_requests: &mut self.finished_requests,
         };
-        act(&mut scheduled.service, &mut state);
-        let due = scheduled.service.next_timer();
-        if due != scheduled.due {
-            if let Some(before) = std::mem::replace(&mut scheduled.due, due) {
-                self.due.remove(&(before, id));
-            }
-            self.due.extend(due.map(|at| (at, id)));
-        }
+        act(service, &mut state);
         for request in self.finished_requests.drain(..) {
             self.requests.remove(&request);
         }
-        self.update_endpoint_count(id);
+        self.services.after_event(id);
     }
 
     fn wake_due(&mut self, actions: &mut Vec<Action>) {
         let clock = self.clock;
-        while let Some((_, service)) = self.due.first().copied().filter(|(at, _)| *at <= clock) {
+        while let Some(service) = self.services.first_due_by(clock) {
             self.with_service(service, actions, |service, state| {
                 service.run_due_timers(clock, state);
             });
@@ -349,7 +265,7 @@
     }
 
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let first_due = self.due.first().map(|(at, _)| *at);
+        let first_due = self.services.next_timer();
         let Some(due) = first_due.into_iter().chain(self.resubscribe_at).min() else {
             return;
         };
@@ -362,15 +278,3 @@
         }
     }
 }
-
-/// The entry with a weight that can be calculated with: one that is not a positive number counts
-/// as 1.
-fn with_valid_weight(entry: EndpointEntry) -> EndpointEntry {
-    let is_valid = entry.weight.is_finite() && entry.weight > 0.0;
-    let weight = if is_valid {
-        entry.weight.max(ENDPOINT_WEIGHT_MIN)
-    } else {
-        1.0
-    };
-    EndpointEntry { weight, ..entry }
-}
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,7 +1,46 @@
-//! **roseyard** decides what an admission gateway does with each request of a service sold by plan:
-//! send it to which server, refuse it, try again, give up. It performs no I/O and reads no clock.
-//! The embedder feeds [`Event`]s with the time and carries out the [`Action`]s: it owns the
-//! sockets, the timers, the clock and the calls to the counter service.
+//! The decisions of an ingress for services that are sold by plan: what is admitted, which endpoint
+//! gets it, whether it is retried or hedged, when it is given up. It performs no I/O and reads no
+//! clock. The caller feeds [`Event`]s with the time to a [`Dispatcher`] and carries out its
+//! [`Action`]s: it owns the sockets, the timers, the clock and the calls to the counter service.
+//!
+//! # The way of a request
+//!
+//! 1. `dispatcher` hands [`Event::RequestReceived`] to the request's service (`service_table`).
+//! 2. `service::admission` consults `quota`, which calls the counter or decides locally; the total
+//!    comes back with [`Event::CounterReply`] and is reconciled with the customer's bucket.
+//! 3. `balancer` finds the eligible endpoints, scores them and chooses one; `load_shedding` rejects
+//!    what would overload them.
+//! 4. `service::attempts` forwards it ([`Action::Forward`]). While it waits, `service::timers` and
+//!    `service::hedging` may forward it to a second endpoint.
+//! 5. [`Event::AttemptEnded`] teaches `health`, `latency` and `load_shedding`; the request is
+//!    closed, or retried within the rules of `service::retry`.
+//!
+//! # Rules by module
+//!
+//! | module | rule |
+//! | --- | --- |
+//! | `quota` | admission by a customer's quota, with a total and without |
+//! | `quota::token_bucket` | the bucket of a rate quota |
+//! | `quota::reconciliation` | totals of the counter, peers' use between them |
+//! | `quota::ceiling` | the hard ceiling over all ingresses |
+//! | `quota::counter_sampling` | how many requests call the counter; when it is degraded |
+//! | `quota::admission_odds` | requests of infrequent customers without a total |
+//! | `quota::sharing`, `customer`, `customer_table` | a customer's state, dropped when idle |
+//! | `balancer` | eligible endpoints, then the score, then the choice |
+//! | `balancer::score` | work in flight and reported, for weight, warm-up and speed |
+//! | `balancer::slow_start` | endpoints that are warming up |
+//! | `balancer::subset`, `endpoint_ring`, `endpoint_table` | deterministic subsetting |
+//! | `health::outlier` | unresponsive and failing endpoints, ejection |
+//! | `health::circuit_breaker` | endpoints that accept no connections |
+//! | `health::health_check` | which endpoints are checked, and how often |
+//! | `latency` | mean latency by class, ratio to the latency objective |
+//! | `load_shedding` | the concurrency limit of a service, priority of classes |
+//! | `service::admission`, `attempts`, `closing`, `timers` | one request from arrival to answer |
+//! | `service::retry` | retry budget; where a request may be executed again |
+//! | `service::hedging` | when a second attempt goes out |
+//! | `service::upstream` | joins balancer, health, latency and load shedding |
+//!
+//! # Example
 //!
 //! ```
 //! use roseyard_decision::*;
@@ -78,14 +117,14 @@
 //!     is_retry: false,
 //! };
 //! dispatcher.handle(ms(1), Event::RequestReceived(request), &mut actions);
-//! // The request waits for its increment; the embedder performs the call and reports the total.
-//! let name = actions.iter().find_map(|action| match action {
-//!     Action::IncrementCounter { key: name, .. } => Some(*name),
+//! // The request waits for the total; the caller makes the call and reports it.
+//! let key = actions.iter().find_map(|action| match action {
+//!     Action::IncrementCounter { key, .. } => Some(*key),
 //!     _ => None,
 //! });
 //! actions.clear();
 //! let reply = Event::CounterReply {
-//!     key: name.unwrap(),
+//!     key: key.unwrap(),
 //!     result: CounterResult::Total(1.0),
 //!     elapsed: ms(1),
 //! };
@@ -108,6 +147,7 @@
 mod load_shedding;
 mod quota;
 mod service;
+mod service_table;
 mod settings;
 mod util;
 
--- a/crates/decision/src/service/closing.rs
+++ b/crates/decision/src/service/closing.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Rejected, if the client may safely send it again; failed otherwise. The client is told to wait
+/// Rejected, if the client may safely send it again; failed otherwise. The client should wait
 /// for `wait_seconds`.
 fn final_answer(
     id: RequestId,
