--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 fn peer(n: u64) -> IpAddr {
-    // In 4,096 neighbourhoods of 256: a million addresses are as many whole /24.
+    // In 4,096 networks of 256: a million addresses fill as many /24.
     let n = n as u32;
     IpAddr::V4(Ipv4Addr::from_bits(
         0x0a00_0000 | ((n % 4096) << 8) | (n / 4096),
     ))
 }
 
-/// A gate that has seen so many addresses, with `open` connections held.
+/// A controller that remembers so many addresses, with `open` connections.
 fn controller(tracked: usize, open: usize) -> AdmissionController {
     let rate = Some(Rate {
         per_second: 1e6,
@@ -22,30 +22,33 @@
     });
     let policy = AdmissionPolicy {
         by_address: true,
-        per_client: Some(1 << 20),
-        per_neighbourhood: Some(1 << 20),
-        rate_client: rate,
-        rate_neighbourhood: rate,
+        max_per_client: Some(1 << 20),
+        max_per_network: Some(1 << 20),
+        client_connect_rate: rate,
+        network_connect_rate: rate,
         max_remembered: tracked,
         max_idle_after_one_request: open,
         max_idle_without_request: open,
-        ..AdmissionPolicy::of(open)
+        ..AdmissionPolicy::with_capacity(open)
     };
     let mut controller = AdmissionController::new(policy, 7, Duration::ZERO);
     let mut out = Vec::new();
     for n in 0..tracked as u64 {
-        let conn = ConnectionId(n << 32);
+        let connection = ConnectionId(n << 32);
         controller.handle(
             Duration::ZERO,
             Event::Connected {
-                conn,
-                peer: peer(n),
+                connection,
+                peer_address: peer(n),
             },
             &mut out,
         );
         controller.handle(
             Duration::ZERO,
-            Event::Closed { conn, fault: false },
+            Event::Closed {
+                connection,
+                client_fault: false,
+            },
             &mut out,
         );
         out.clear();
@@ -54,8 +57,8 @@
         controller.handle(
             Duration::ZERO,
             Event::Connected {
-                conn: ConnectionId(n),
-                peer: peer(n),
+                connection: ConnectionId(n),
+                peer_address: peer(n),
             },
             &mut out,
         );
@@ -63,11 +66,16 @@
     controller
 }
 
-fn decisions(c: &mut Criterion) {
-    let mut connects = c.benchmark_group("connect, displace, close");
-    // All that are tracked come in turn, or only so many of them: the rest costs memory, and no
-    // cache.
-    for (tracked, come) in [
+/// Spreads consecutive numbers over `0..count`, so that consecutive decisions share no cache line.
+fn scatter(number: u64, count: usize) -> u64 {
+    number.wrapping_mul(2_654_435_761) % count as u64
+}
+
+fn connections(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("connect, evict, close");
+    // All remembered addresses connect in turn, or only some of them: the others take memory but
+    // no processor cache.
+    for (tracked, connecting) in [
         (100, 100),
         (10_000, 100),
         (10_000, 10_000),
@@ -81,42 +89,60 @@
             "{tracked} addresses tracked: {} bytes each in both tables",
             bytes / tracked
         );
-        let (mut n, mut out) = (0u64, Vec::new());
-        connects.bench_function(BenchmarkId::new(tracked.to_string(), come), |b| {
+        let mut number = 0;
+        let mut actions = Vec::new();
+        group.bench_function(BenchmarkId::new(tracked.to_string(), connecting), |b| {
             b.iter(|| {
-                n += 1;
-                let now = Duration::from_millis(20 * n);
-                let conn = ConnectionId(n << 32 | 64);
-                let peer = peer(n.wrapping_mul(2_654_435_761) % come as u64);
-                controller.handle(now, Event::Connected { conn, peer }, &mut out);
-                controller.handle(now, Event::Closed { conn, fault: false }, &mut out);
-                black_box(&out);
-                out.clear();
-            })
+                number += 1;
+                let now = Duration::from_millis(20 * number);
+                let connection = ConnectionId(number << 32 | 64);
+                let connected = Event::Connected {
+                    connection,
+                    peer_address: peer(scatter(number, connecting)),
+                };
+                let closed = Event::Closed {
+                    connection,
+                    client_fault: false,
+                };
+                controller.handle(now, connected, &mut actions);
+                controller.handle(now, closed, &mut actions);
+                black_box(&actions);
+                actions.clear();
+            });
         });
     }
-    connects.finish();
-    let mut requests = c.benchmark_group("ask, answer, rest");
+    group.finish();
+}
+
+fn requests(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("request, answer, idle");
     for open in [100, 10_000, 1_000_000] {
         let mut controller = controller(open, open);
-        let (mut n, mut out) = (0u64, Vec::new());
-        requests.bench_function(BenchmarkId::from_parameter(open), |b| {
+        let mut number = 0;
+        let mut actions = Vec::new();
+        group.bench_function(BenchmarkId::from_parameter(open), |b| {
             b.iter(|| {
-                n += 1;
-                let (now, conn) = (
-                    Duration::from_millis(n),
-                    ConnectionId(n.wrapping_mul(2_654_435_761) % open as u64),
-                );
-                controller.handle(now, Event::RequestReceived { conn, customer: n }, &mut out);
-                controller.handle(now, Event::Answered { conn, served: true }, &mut out);
-                controller.handle(now, Event::BecameIdle(conn), &mut out);
-                black_box(&out);
-                out.clear();
-            })
+                number += 1;
+                let now = Duration::from_millis(number);
+                let connection = ConnectionId(scatter(number, open));
+                let received = Event::RequestReceived {
+                    connection,
+                    customer: number,
+                };
+                let answered = Event::Answered {
+                    connection,
+                    served: true,
+                };
+                controller.handle(now, received, &mut actions);
+                controller.handle(now, answered, &mut actions);
+                controller.handle(now, Event::BecameIdle(connection), &mut actions);
+                black_box(&actions);
+                actions.clear();
+            });
         });
     }
-    requests.finish();
+    group.finish();
 }
 
-criterion_group!(benches, decisions);
+criterion_group!(benches, connections, requests);
 criterion_main!(benches);
--- a/crates/admission/src/controller/connect.rs
+++ b/crates/admission/src/controller/connect.rs
@@ -1,27 +1,29 @@
-//! New connections: caps, rates and room.
+//! New connections: limits by address, and capacity.
 
-use super::connections::Connection;
-use super::histories::AddressEntries;
+use super::client_histories::AddressEntries;
+use super::connection_table::Connection;
 use super::AdmissionController;
 use crate::event::{Action, ConnectionId, RejectionReason};
 use crate::reputation::Reputation;
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// What an attempt beyond the rate of its address adds to the address's faults.
-const HAMMERING_FAULT: f32 = 0.25;
+/// What a connection beyond the rate of its address adds to the faults of the address.
+const CONNECT_RATE_FAULT: f32 = 0.25;
 
 /// A limit that a new connection is beyond.
-struct Exceeded {
-    why: RejectionReason,
+struct ExceededLimit {
+    reason: RejectionReason,
+    /// Time after which the limit would admit it; zero if that is not known.
     wait: Duration,
 }
 
-/// A connection that has just come.
+/// A connection that was just accepted.
 #[derive(Clone, Copy)]
-struct Newcomer {
-    conn: ConnectionId,
+struct NewConnection {
+    id: ConnectionId,
     address: Option<AddressEntries>,
+    /// The reputation on which it is admitted: new, known or allowlisted.
     reputation: Reputation,
 }
 
@@ -29,149 +31,153 @@
     pub(super) fn on_connected(
         &mut self,
         now: Duration,
-        conn: ConnectionId,
-        peer: IpAddr,
-        out: &mut Vec<Action>,
+        id: ConnectionId,
+        peer_address: IpAddr,
+        actions: &mut Vec<Action>,
     ) {
-        // Guards against a caller that names two connections alike: the first one's counts would
-        // stay for ever.
-        self.remove(conn, now);
-        let newcomer = self.identify(conn, peer, now);
-        if let Some(exceeded) = newcomer
+        // Prevents a leak of the counts of an open connection when the caller reuses its id.
+        self.remove(id, now);
+        let new = self.identify(id, peer_address, now);
+        let exceeded = new
             .address
-            .and_then(|address| self.exceeded_limit(address, now))
-        {
-            return self.turn_away(newcomer, exceeded, out);
+            .and_then(|address| self.exceeded_limit(address, now));
+        if let Some(exceeded) = exceeded {
+            return self.reject(new, exceeded, actions);
         }
-        if !self.make_room(newcomer.reputation, now, out) {
-            let full = Exceeded {
-                why: RejectionReason::AtCapacity,
+        if !self.ensure_capacity(new.reputation, now, actions) {
+            let at_capacity = ExceededLimit {
+                reason: RejectionReason::AtCapacity,
                 wait: Duration::ZERO,
             };
-            return self.turn_away(newcomer, full, out);
+            return self.reject(new, at_capacity, actions);
         }
-        if let Some(address) = newcomer.address {
+        if let Some(address) = new.address {
             self.histories.connection_opened(address);
         }
-        let is_listed = newcomer.reputation == Reputation::AddressList;
+        let is_allowlisted = new.reputation == Reputation::Allowlisted;
         self.connections
-            .insert(Connection::new(conn, newcomer.address, is_listed, now));
-        self.line_up(conn, now, out);
+            .insert(Connection::new(id, new.address, is_allowlisted, now));
+        self.queue_idle(id, now, actions);
     }
 
-    fn identify(&mut self, conn: ConnectionId, peer: IpAddr, now: Duration) -> Newcomer {
-        if self.policy.listed.contains(peer) {
-            return Newcomer {
-                conn,
+    fn identify(&mut self, id: ConnectionId, peer_address: IpAddr, now: Duration) -> NewConnection {
+        if self.policy.allowlist.contains(peer_address) {
+            return NewConnection {
+                id,
                 address: None,
-                reputation: Reputation::AddressList,
+                reputation: Reputation::Allowlisted,
             };
         }
         if !self.policy.by_address {
-            return Newcomer {
-                conn,
+            return NewConnection {
+                id,
                 address: None,
-                reputation: Reputation::Newcomer,
+                reputation: Reputation::New,
             };
         }
-        let address = self.histories.address_entries(&self.policy, peer);
+        let address = self.histories.address_entries(&self.policy, peer_address);
         let is_known = self.policy.is_known(self.histories.client(address), now);
         let reputation = if is_known {
             Reputation::Known
         } else {
-            Reputation::Newcomer
+            Reputation::New
         };
-        Newcomer {
-            conn,
+        NewConnection {
+            id,
             address: Some(address),
             reputation,
         }
     }
 
-    /// The first cap that the address or its neighbourhood is at, or rate that it is beyond; caps
-    /// go first.
-    fn exceeded_limit(&mut self, address: AddressEntries, now: Duration) -> Option<Exceeded> {
-        let policy = &self.policy;
-        let (client, neighbourhood) = (
-            self.histories.client(address),
-            self.histories.neighbourhood(address),
-        );
-        if policy.per_client.is_some_and(|cap| client.open >= cap) {
-            return Some(Exceeded {
-                why: RejectionReason::ClientCap,
-                wait: Duration::ZERO,
-            });
-        }
-        if policy
-            .per_neighbourhood
-            .is_some_and(|cap| neighbourhood.open >= cap)
-        {
-            return Some(Exceeded {
-                why: RejectionReason::NeighbourhoodCap,
+    /// The first limit that the address or its network is beyond: caps before rates, and the client
+    /// before its network.
+    fn exceeded_limit(&mut self, address: AddressEntries, now: Duration) -> Option<ExceededLimit> {
+        if let Some(reason) = self.reached_cap(address) {
+            return Some(ExceededLimit {
+                reason,
                 wait: Duration::ZERO,
             });
         }
+        let policy = &self.policy;
         let client = self.histories.clients.get_mut(address.client);
         if let Some(Err(wait)) = policy
-            .rate_client
-            .map(|rate| client.connects.take(now, rate))
+            .client_connect_rate
+            .map(|rate| client.connect_limiter.take(now, rate))
         {
-            // Hammering speaks against an address, a full one that comes again does not.
             client
                 .faults
-                .add(HAMMERING_FAULT, now, policy.suspect_half_life);
-            return Some(Exceeded {
-                why: RejectionReason::ClientRate,
+                .add(CONNECT_RATE_FAULT, now, policy.suspect_half_life);
+            return Some(ExceededLimit {
+                reason: RejectionReason::ClientRate,
                 wait,
             });
         }
-        let neighbourhood = self.histories.neighbourhoods.get_mut(address.neighbourhood);
+        let network = self.histories.networks.get_mut(address.network);
         if let Some(Err(wait)) = policy
-            .rate_neighbourhood
-            .map(|rate| neighbourhood.connects.take(now, rate))
+            .network_connect_rate
+            .map(|rate| network.connect_limiter.take(now, rate))
         {
-            return Some(Exceeded {
-                why: RejectionReason::NeighbourhoodRate,
+            return Some(ExceededLimit {
+                reason: RejectionReason::NetworkRate,
                 wait,
             });
         }
         None
     }
 
-    /// Is there a place, or can one be had by eviction? Then it is free afterwards.
-    fn make_room(&mut self, reputation: Reputation, now: Duration, out: &mut Vec<Action>) -> bool {
-        if self.held() < self.policy.capacity {
+    /// The cap that leaves no connection more to an address.
+    fn reached_cap(&self, address: AddressEntries) -> Option<RejectionReason> {
+        let is_reached = |cap: Option<u32>, open: u32| cap.is_some_and(|cap| open >= cap);
+        let client = self.histories.client(address);
+        if is_reached(self.policy.max_per_client, client.open_connections) {
+            return Some(RejectionReason::ClientCap);
+        }
+        let network = self.histories.network(address);
+        is_reached(self.policy.max_per_network, network.open_connections)
+            .then_some(RejectionReason::NetworkCap)
+    }
+
+    /// The cap that an open connection's address is beyond, after it was lowered.
+    pub(super) fn exceeded_cap(&self, id: ConnectionId) -> Option<RejectionReason> {
+        let address = self.connections.get(id)?.address?;
+        let is_exceeded = |cap: Option<u32>, open: u32| cap.is_some_and(|cap| open > cap);
+        let client = self.histories.client(address);
+        if is_exceeded(self.policy.max_per_client, client.open_connections) {
+            return Some(RejectionReason::ClientCap);
+        }
+        let network = self.histories.network(address);
+        is_exceeded(self.policy.max_per_network, network.open_connections)
+            .then_some(RejectionReason::NetworkCap)
+    }
+
+    /// Is there capacity for one more connection? If need be, an idle one is evicted for it.
+    fn ensure_capacity(
+        &mut self,
+        reputation: Reputation,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        if self.open_connections() < self.policy.capacity {
             return true;
         }
-        let Some(victim) = self.victim(reputation, now) else {
+        let Some(evicted) = self.eviction_candidate(reputation, now) else {
             return false;
         };
-        self.close(victim, RejectionReason::Displaced, now, out);
+        self.close(evicted, RejectionReason::Evicted, now, actions);
         true
     }
 
-    fn turn_away(&mut self, newcomer: Newcomer, exceeded: Exceeded, out: &mut Vec<Action>) {
-        let Exceeded { why, wait } = exceeded;
-        self.counts[why as usize] += 1;
-        if let Some(address) = newcomer.address {
-            self.histories
-                .connection_refused(address, newcomer.reputation == Reputation::Known);
+    fn reject(&mut self, new: NewConnection, exceeded: ExceededLimit, actions: &mut Vec<Action>) {
+        let ExceededLimit { reason, wait } = exceeded;
+        self.rejection_counts.connections[reason as usize] += 1;
+        if let Some(address) = new.address {
+            let is_known = new.reputation == Reputation::Known;
+            self.histories.connection_rejected(address, is_known);
         }
-        out.push(Action::RejectConnection {
-            conn: newcomer.conn,
-            after: wait.max(self.policy.retry_after),
-            why,
+        actions.push(Action::RejectConnection {
+            connection: new.id,
+            retry_after: wait.max(self.policy.retry_after),
+            reason,
         });
     }
-
-    /// The cap that a connection's address is beyond, after one was lowered.
-    pub(super) fn exceeded_cap(&self, conn: ConnectionId) -> Option<RejectionReason> {
-        let address = self.connections.get(conn)?.address?;
-        let is_beyond = |cap: Option<u32>, open: u32| cap.is_some_and(|cap| open > cap);
-        if is_beyond(self.policy.per_client, self.histories.client(address).open) {
-            return Some(RejectionReason::ClientCap);
-        }
-        let open = self.histories.neighbourhood(address).open;
-        is_beyond(self.policy.per_neighbourhood, open).then_some(RejectionReason::NeighbourhoodCap)
-    }
 }
--- a/crates/admission/src/controller/connections.rs
+++ b/crates/admission/src/controller/connection_table.rs
@@ -1,8 +1,8 @@
-//! The table of open connections, and the idle ones in the order of eviction.
+//! The table of open connections, with the idle ones in the order of eviction.
 
-use super::histories::AddressEntries;
+use super::client_histories::AddressEntries;
 use crate::event::ConnectionId;
-use crate::lists::Lists;
+use crate::linked_lists::LinkedLists;
 use crate::reputation::{Reputation, REPUTATIONS};
 use std::time::Duration;
 
@@ -11,53 +11,62 @@
 pub(super) enum Activity {
     /// It has no request open.
     Idle,
-    /// It has requests open; it counts among the busy newcomers if it was one at the first.
-    Busy { is_newcomer: bool },
+    /// It has requests open; `as_new_client` if it was a new client's when the first was opened.
+    Busy { as_new_client: bool },
 }
 
-/// What is known of an open connection.
+/// An open connection.
 pub(super) struct Connection {
     pub id: ConnectionId,
-    /// The entries of its address, where addresses count.
+    /// The history entries of its address, if limits go by address.
     pub address: Option<AddressEntries>,
-    /// The entry of the first customer that it named, where customers vouch, and whether this one
-    /// does.
+    /// The history entry of the first customer that it named, if customers are trusted.
     pub customer: Option<u32>,
-    pub is_vouched: bool,
-    pub asked: u32,
-    pub served: u32,
-    pub faults: u32,
-    pub is_listed: bool,
-    pub is_ending: bool,
+    /// Was it trusted for its customer?
+    pub is_trusted_by_customer: bool,
+    /// Requests and other commands so far.
+    pub command_count: u32,
+    /// Requests served so far.
+    pub served_count: u32,
+    /// Protocol errors so far.
+    pub fault_count: u32,
+    /// Is its address on the allowlist?
+    pub is_allowlisted: bool,
+    pub is_half_closed: bool,
     pub activity: Activity,
+    /// When it became idle last.
     pub idle_since: Duration,
 }
 
 impl Connection {
+    /// A connection that was just accepted, and is idle.
     pub(super) fn new(
         id: ConnectionId,
         address: Option<AddressEntries>,
-        is_listed: bool,
+        is_allowlisted: bool,
         now: Duration,
     ) -> Connection {
         Connection {
             id,
             address,
             customer: None,
-            is_vouched: false,
-            asked: 0,
-            served: 0,
-            faults: 0,
-            is_listed,
-            is_ending: false,
+            is_trusted_by_customer: false,
+            command_count: 0,
+            served_count: 0,
+            fault_count: 0,
+            is_allowlisted,
+            is_half_closed: false,
             activity: Activity::Idle,
             idle_since: now,
         }
     }
 
-    /// Does it count among the newcomers with requests open?
-    pub(super) fn is_busy_newcomer(&self) -> bool {
-        self.activity == Activity::Busy { is_newcomer: true }
+    /// Does it count among the new clients with requests open?
+    pub(super) fn is_busy_new_client(&self) -> bool {
+        self.activity
+            == Activity::Busy {
+                as_new_client: true,
+            }
     }
 }
 
@@ -67,16 +76,18 @@
     slots: Vec<Option<Connection>>,
     len: usize,
     /// Slots of idle connections by reputation, the longest idle first.
-    idle: Lists<{ REPUTATIONS.len() }>,
+    idle: LinkedLists<{ REPUTATIONS.len() }>,
 }
 
 impl ConnectionTable {
+    /// The number of open connections.
     pub(super) fn len(&self) -> usize {
         self.len
     }
 
     pub(super) fn get(&self, id: ConnectionId) -> Option<&Connection> {
-        self.at(id.slot()).filter(|connection| connection.id == id)
+        self.get_slot(id.slot())
+            .filter(|connection| connection.id == id)
     }
 
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
@@ -84,7 +95,7 @@
         slot.as_mut().filter(|connection| connection.id == id)
     }
 
-    fn at(&self, slot: u32) -> Option<&Connection> {
+    fn get_slot(&self, slot: u32) -> Option<&Connection> {
         self.slots.get(slot as usize)?.as_ref()
     }
 
@@ -105,28 +116,27 @@
         Some(connection)
     }
 
-    /// Lines an idle connection up behind those of its reputation.
+    /// Queues an idle connection behind those of its reputation.
     pub(super) fn push_idle(&mut self, id: ConnectionId, reputation: Reputation) {
-        self.idle.push(reputation as usize, id.slot());
+        self.idle.push_back(reputation as usize, id.slot());
     }
 
-    /// The connection has requests open from now on.
+    /// Removes a connection from the idle ones, as it has requests open.
     pub(super) fn remove_idle(&mut self, id: ConnectionId) {
         self.idle.remove(id.slot());
     }
 
-    /// Idle connections of a reputation.
+    /// The number of idle connections of a reputation.
     pub(super) fn idle_len(&self, reputation: Reputation) -> usize {
         self.idle.len(reputation as usize)
     }
 
-    /// The one of a reputation that has been idle for longest.
+    /// The connection of a reputation that has been idle for longest.
     pub(super) fn longest_idle_of(&self, reputation: Reputation) -> Option<&Connection> {
-        self.at(self.idle.first(reputation as usize)?)
+        self.get_slot(self.idle.first(reputation as usize)?)
     }
 
-    /// The first in the order of eviction, however short it has been idle: for bounds that were
-    /// lowered.
+    /// The first idle connection in the order of eviction, whatever its idle time.
     pub(super) fn first_to_evict(&self) -> Option<ConnectionId> {
         let first = REPUTATIONS
             .into_iter()
@@ -134,21 +144,21 @@
         Some(first.id)
     }
 
-    /// All idle connections.
+    /// All idle connections, in the order of eviction.
     pub(super) fn idle_in_eviction_order(&self) -> Vec<ConnectionId> {
-        let idle_of = |reputation: Reputation| {
+        let idle_slots_of = |reputation: Reputation| {
             std::iter::successors(self.idle.first(reputation as usize), |slot| {
-                self.idle.after(*slot)
+                self.idle.next(*slot)
             })
         };
-        let slots = REPUTATIONS.into_iter().flat_map(idle_of);
+        let slots = REPUTATIONS.into_iter().flat_map(idle_slots_of);
         slots
-            .filter_map(|slot| self.at(slot))
+            .filter_map(|slot| self.get_slot(slot))
             .map(|connection| connection.id)
             .collect()
     }
 
-    /// The entries of addresses are no longer there.
+    /// Drops the history entries of all addresses.
     pub(super) fn forget_addresses(&mut self) {
         for connection in self.slots.iter_mut().flatten() {
             connection.address = None;
--- a/crates/admission/src/controller/eviction.rs
+++ b/crates/admission/src/controller/eviction.rs
@@ -1,122 +1,152 @@
-//! Idle connections, and which of them goes where one has to.
+//! Idle connections, and which of them is closed when capacity is needed.
 
-use super::connections::Activity;
+use super::connection_table::Activity;
 use super::AdmissionController;
 use crate::event::{Action, ConnectionId, RejectionReason};
 use crate::reputation::{Reputation, REPUTATIONS};
 use std::time::Duration;
 
 impl AdmissionController {
-    pub(super) fn on_ending(&mut self, now: Duration, conn: ConnectionId, out: &mut Vec<Action>) {
-        if let Some(connection) = self.connections.get_mut(conn) {
-            connection.is_ending = true;
+    pub(super) fn on_half_closed(
+        &mut self,
+        now: Duration,
+        id: ConnectionId,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.is_half_closed = true;
         }
-        self.on_rested(now, conn, out);
+        self.on_became_idle(now, id, actions);
     }
 
-    pub(super) fn on_rested(&mut self, now: Duration, conn: ConnectionId, out: &mut Vec<Action>) {
-        let Some(connection) = self.connections.get_mut(conn) else {
+    pub(super) fn on_became_idle(
+        &mut self,
+        now: Duration,
+        id: ConnectionId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         connection.idle_since = now;
-        self.busy_newcomers -= usize::from(connection.is_busy_newcomer());
+        self.busy_new_clients -= usize::from(connection.is_busy_new_client());
         connection.activity = Activity::Idle;
-        if let Some(why) = self.exceeded_cap(conn) {
-            return self.close(conn, why, now, out);
+        if let Some(reason) = self.exceeded_cap(id) {
+            return self.close(id, reason, now, actions);
         }
-        self.line_up(conn, now, out);
-        if self.held() > self.policy.capacity {
-            if let Some(victim) = self.connections.first_to_evict() {
-                self.close(victim, RejectionReason::Displaced, now, out);
+        self.queue_idle(id, now, actions);
+        if self.open_connections() > self.policy.capacity {
+            if let Some(evicted) = self.connections.first_to_evict() {
+                self.close(evicted, RejectionReason::Evicted, now, actions);
             }
         }
     }
 
-    /// Puts an idle connection behind those of its reputation; where these are more than may be,
-    /// the first goes.
-    pub(super) fn line_up(&mut self, conn: ConnectionId, now: Duration, out: &mut Vec<Action>) {
-        let Some(connection) = self.connections.get(conn) else {
+    /// Queues an idle connection behind those of its reputation. If these are too many, the first
+    /// one is closed.
+    pub(super) fn queue_idle(
+        &mut self,
+        id: ConnectionId,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(connection) = self.connections.get(id) else {
             return;
         };
         let reputation = self.reputation_of(connection, now);
-        self.connections.push_idle(conn, reputation);
+        self.connections.push_idle(id, reputation);
         if self.connections.idle_len(reputation) <= self.max_idle(reputation) {
             return;
         }
         let Some(first) = self.connections.longest_idle_of(reputation) else {
             return;
         };
-        let has_had_time = now.saturating_sub(first.idle_since) >= self.policy.first_command_grace;
-        if reputation != Reputation::Silent || has_had_time {
-            self.close(first.id, RejectionReason::IdleCapacity, now, out);
+        let idle_time = now.saturating_sub(first.idle_since);
+        let is_grace_over = idle_time >= self.policy.first_command_grace;
+        if reputation != Reputation::NoCommand || is_grace_over {
+            self.close(first.id, RejectionReason::IdleCapacity, now, actions);
         }
     }
 
     fn max_idle(&self, reputation: Reputation) -> usize {
         match reputation {
-            Reputation::Silent => self.policy.max_idle_without_request,
-            Reputation::Once => self.policy.max_idle_after_one_request,
+            Reputation::NoCommand => self.policy.max_idle_without_request,
+            Reputation::OneCommand => self.policy.max_idle_after_one_request,
             _ => usize::MAX,
         }
     }
 
-    /// The idle connection that goes first for one of this reputation, if any may go. Looks at the
-    /// longest idle of each reputation only.
-    pub(super) fn victim(&self, for_one: Reputation, now: Duration) -> Option<ConnectionId> {
+    /// The idle connection that is evicted first for one of this reputation; none if none may be.
+    /// Only the connection that has been idle for longest is considered of each reputation.
+    pub(super) fn eviction_candidate(
+        &self,
+        evicted_for: Reputation,
+        now: Duration,
+    ) -> Option<ConnectionId> {
         REPUTATIONS.into_iter().find_map(|reputation| {
             let connection = self.connections.longest_idle_of(reputation)?;
-            let idle = now.saturating_sub(connection.idle_since);
-            self.may_evict(reputation, idle, for_one)
+            let idle_time = now.saturating_sub(connection.idle_since);
+            self.may_evict(reputation, idle_time, evicted_for)
                 .then_some(connection.id)
         })
     }
 
-    /// May a connection of this reputation that has been idle for so long go for another?
-    fn may_evict(&self, reputation: Reputation, idle: Duration, for_one: Reputation) -> bool {
+    /// May a connection of this reputation and idle time be evicted for another?
+    fn may_evict(
+        &self,
+        reputation: Reputation,
+        idle_time: Duration,
+        evicted_for: Reputation,
+    ) -> bool {
         match reputation {
-            Reputation::Suspect | Reputation::Ending | Reputation::Once | Reputation::Newcomer => {
-                true
-            }
-            Reputation::Silent => {
-                for_one >= Reputation::Known || idle >= self.policy.first_command_grace
+            Reputation::Suspect
+            | Reputation::HalfClosed
+            | Reputation::OneCommand
+            | Reputation::New => true,
+            Reputation::NoCommand => {
+                evicted_for >= Reputation::Known || idle_time >= self.policy.first_command_grace
             }
-            // While some have only just come, a newcomer waits its breath rather than a known
-            // client go: guards against a flood fast enough that none of its connections has had
-            // time to speak.
+            // While connections without a command are idle, a new client waits for the end of their
+            // grace. Prevents the eviction of known clients when a flood connects so fast that all
+            // of its connections are in their grace.
             Reputation::Known => {
-                let some_just_came = self.connections.idle_len(Reputation::Silent) > 0;
-                for_one >= Reputation::Known
-                    || idle >= self.policy.known_client_grace && !some_just_came
+                let has_idle_without_command = self.connections.idle_len(Reputation::NoCommand) > 0;
+                evicted_for >= Reputation::Known
+                    || idle_time >= self.policy.known_client_grace && !has_idle_without_command
             }
-            Reputation::AddressList => for_one >= Reputation::AddressList,
+            Reputation::Allowlisted => evicted_for >= Reputation::Allowlisted,
         }
     }
 
     pub(super) fn close(
         &mut self,
-        conn: ConnectionId,
-        why: RejectionReason,
+        id: ConnectionId,
+        reason: RejectionReason,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        self.counts[why as usize] += 1;
-        self.remove(conn, now);
-        out.push(Action::Close { conn, why });
+        self.rejection_counts.connections[reason as usize] += 1;
+        self.remove(id, now);
+        actions.push(Action::Close {
+            connection: id,
+            reason,
+        });
     }
 
-    /// The connection is no more.
-    pub(super) fn remove(&mut self, conn: ConnectionId, now: Duration) {
-        let Some(connection) = self.connections.remove(conn) else {
+    /// Removes a connection that is closed, if it is in the table.
+    pub(super) fn remove(&mut self, id: ConnectionId, now: Duration) {
+        let Some(connection) = self.connections.remove(id) else {
             return;
         };
-        self.busy_newcomers -= usize::from(connection.is_busy_newcomer());
+        self.busy_new_clients -= usize::from(connection.is_busy_new_client());
         if let Some(address) = connection.address {
             let is_known = self.policy.is_known(self.histories.client(address), now);
             self.histories.connection_closed(address, is_known);
         }
-        if let Some(at) = connection.customer {
-            let is_known = self.policy.is_known(self.histories.customers.get(at), now);
-            self.histories.customers.connection_closed(at, is_known);
+        if let Some(customer) = connection.customer {
+            let customers = &mut self.histories.customers;
+            let is_known = self.policy.is_known(customers.get(customer), now);
+            customers.connection_closed(customer, is_known);
         }
     }
 }
--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -1,212 +1,258 @@
-//! The state machine: connections come, ask, are answered, become idle and go; it says which are
-//! turned away and which are closed for others.
+//! The state machine of admission.
 //!
-//! [`connect`] decides on new connections, [`request`] on requests and what they say of a client,
-//! [`eviction`] on which idle connection goes, [`histories`] keeps what is remembered of clients
-//! and [`connections`] the table of open connections.
+//! [`connect`] decides on new connections, [`request`] on requests, with what they say of a client's
+//! reputation, and [`eviction`] on which idle connection is closed. [`client_histories`] keeps the
+//! histories of clients, and [`connection_table`] the open connections.
 
+mod client_histories;
 mod connect;
-mod connections;
+mod connection_table;
 mod eviction;
-mod histories;
 mod request;
 
 use crate::event::{Action, ConnectionId, Event, RejectionReason, REJECTION_REASONS};
+use crate::gcra::Gcra;
 use crate::policy::AdmissionPolicy;
-use crate::rate::Gcra;
 use crate::reputation::Reputation;
 use crate::snapshot::Snapshot;
-use connections::{Connection, ConnectionTable};
-use histories::Histories;
+use client_histories::ClientHistories;
+use connection_table::{Connection, ConnectionTable};
 use std::time::Duration;
 
-pub use histories::CacheSizes;
+pub use client_histories::CacheSizes;
 
-/// Shortest pause of accepting, however short the policy's `first_command_grace` is.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(1);
+/// Shortest pause of accepting, if the policy's `first_command_grace` is shorter.
+const MIN_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
 
-/// Admission of connections.
+/// Served requests that make a connection known, in the time of warm-up. Many requests are rejected
+/// then that would be served later.
+const SERVED_TO_BE_KNOWN_IN_WARM_UP: u32 = 1;
+/// Served requests that make a connection known, after the time of warm-up.
+const SERVED_TO_BE_KNOWN: u32 = 2;
+
+/// What was rejected or closed since the controller was made.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RejectionCounts {
+    /// Connections rejected or closed, in the order of [`REJECTION_REASONS`].
+    pub connections: [u64; REJECTION_REASONS.len()],
+    /// Requests rejected: beyond the capacity for new clients, or beyond their rate.
+    pub requests: u64,
+}
+
+/// Decides which connections are accepted, which requests of new clients are admitted, and which
+/// idle connections are closed.
 pub struct AdmissionController {
     policy: AdmissionPolicy,
     connections: ConnectionTable,
-    histories: Histories,
-    /// Newcomers with requests open.
-    busy_newcomers: usize,
-    /// Connections that come again are known after one served request until then.
+    histories: ClientHistories,
+    /// Connections of new clients with requests open.
+    busy_new_clients: usize,
+    /// End of the time of warm-up.
     warm_until: Duration,
-    counts: [u64; REJECTION_REASONS.len()],
-    refused: u64,
-    /// Requests of all newcomers.
-    newcomer_pace: Gcra,
+    rejection_counts: RejectionCounts,
+    /// Rate limiter of the requests of all new clients.
+    new_client_request_limiter: Gcra,
 }
 
 impl AdmissionController {
-    /// An empty gate; `secret` keeps others from choosing addresses that collide in its tables.
+    /// A controller without connections or histories. `secret` is the key of its hash tables: where
+    /// it is not known, nobody can choose addresses that collide.
+    #[must_use]
     pub fn new(policy: AdmissionPolicy, secret: u64, now: Duration) -> AdmissionController {
         AdmissionController {
             connections: ConnectionTable::default(),
-            histories: Histories::new(policy.max_remembered, secret),
-            busy_newcomers: 0,
+            histories: ClientHistories::new(policy.max_remembered, secret),
+            busy_new_clients: 0,
             warm_until: now + policy.warm_up,
-            counts: [0; REJECTION_REASONS.len()],
-            refused: 0,
-            newcomer_pace: Gcra::default(),
+            rejection_counts: RejectionCounts::default(),
+            new_client_request_limiter: Gcra::default(),
             policy,
         }
     }
 
-    /// The settings in force.
+    /// The policy in force.
+    #[must_use]
     pub fn policy(&self) -> &AdmissionPolicy {
         &self.policy
     }
 
-    /// Connections held.
-    pub fn held(&self) -> usize {
+    /// The number of open connections.
+    #[must_use]
+    pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Connections turned away or closed so far, by [`REJECTION_REASONS`].
-    pub fn counts(&self) -> [u64; REJECTION_REASONS.len()] {
-        self.counts
+    /// What was rejected or closed so far.
+    #[must_use]
+    pub fn rejection_counts(&self) -> RejectionCounts {
+        self.rejection_counts
     }
 
-    /// Requests refused so far because their place was lent, or for the pace of newcomers.
-    pub fn refused(&self) -> u64 {
-        self.refused
-    }
-
-    /// How much is remembered of clients.
+    /// How many client histories are kept.
+    #[must_use]
     pub fn cache_sizes(&self) -> CacheSizes {
         self.histories.sizes()
     }
 
-    /// The reputation of a connection; none if it is not held.
-    pub fn reputation(&self, conn: ConnectionId, now: Duration) -> Option<Reputation> {
+    /// The reputation of a connection; none if it is not open.
+    #[must_use]
+    pub fn reputation(&self, id: ConnectionId, now: Duration) -> Option<Reputation> {
         self.connections
-            .get(conn)
+            .get(id)
             .map(|connection| self.reputation_of(connection, now))
     }
 
-    /// How long a connection may be idle.
-    pub fn idle_timeout_of(&self, conn: ConnectionId) -> Duration {
-        match self.connections.get(conn).map(|c| (c.is_listed, c.asked)) {
-            Some((false, 0)) | None => self.policy.idle_timeout_without_request,
-            Some((false, 1)) => self.policy.idle_timeout_after_one_request,
-            Some(_) => self.policy.idle_timeout,
+    /// The time after which the caller closes a connection that is idle.
+    #[must_use]
+    pub fn idle_timeout_of(&self, id: ConnectionId) -> Duration {
+        let Some(connection) = self.connections.get(id) else {
+            return self.policy.idle_timeout_without_request;
+        };
+        match connection.command_count {
+            _ if connection.is_allowlisted => self.policy.idle_timeout,
+            0 => self.policy.idle_timeout_without_request,
+            1 => self.policy.idle_timeout_after_one_request,
+            _ => self.policy.idle_timeout,
         }
     }
 
-    /// Until when nothing is to be accepted: every place is held, and the only connections that
-    /// could go have not yet had time to speak.
-    pub fn pause(&self, now: Duration) -> Option<Duration> {
-        if self.held() < self.policy.capacity || self.victim(Reputation::Newcomer, now).is_some() {
+    /// The time until which no connection is to be accepted; none if one may be accepted now. Set
+    /// when all capacity is in use and the only connections that could be evicted are still in
+    /// their `first_command_grace`.
+    #[must_use]
+    pub fn accept_paused_until(&self, now: Duration) -> Option<Duration> {
+        let has_capacity = self.open_connections() < self.policy.capacity;
+        if has_capacity || self.eviction_candidate(Reputation::New, now).is_some() {
             return None;
         }
-        let first = self.connections.longest_idle_of(Reputation::Silent)?;
-        Some(first.idle_since + self.policy.first_command_grace).filter(|at| *at > now)
+        let longest_idle = self.connections.longest_idle_of(Reputation::NoCommand)?;
+        let grace_end = longest_idle.idle_since + self.policy.first_command_grace;
+        Some(grace_end).filter(|until| *until > now)
     }
 
-    /// Takes in what has happened; what is to be done is added to `out`.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event; what the caller is to do is appended to `actions`, in order.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Connected { conn, peer } => self.on_connected(now, conn, peer, out),
-            Event::RequestReceived { conn, customer } => self.on_asked(now, conn, customer, out),
-            Event::CommandHandled(conn) => self.on_greeted(conn),
-            Event::ProtocolError(conn) => self.on_wrong(now, conn),
-            Event::Answered { conn, served: true } => self.on_served(now, conn),
+            Event::Connected {
+                connection,
+                peer_address,
+            } => self.on_connected(now, connection, peer_address, actions),
+            Event::RequestReceived {
+                connection,
+                customer,
+            } => self.on_request_received(now, connection, customer, actions),
+            Event::CommandHandled(connection) => self.on_command_handled(connection),
+            Event::ProtocolError(connection) => self.on_protocol_error(now, connection),
+            Event::Answered {
+                connection,
+                served: true,
+            } => self.on_request_served(now, connection),
             Event::Answered { served: false, .. } => {}
-            Event::BecameIdle(conn) => self.on_rested(now, conn, out),
-            Event::HalfClosed(conn) => self.on_ending(now, conn, out),
-            Event::Closed { conn, fault } => self.on_closed(now, conn, fault),
-            Event::DescriptorsExhausted => self.on_shortage(now, out),
+            Event::BecameIdle(connection) => self.on_became_idle(now, connection, actions),
+            Event::HalfClosed(connection) => self.on_half_closed(now, connection, actions),
+            Event::Closed {
+                connection,
+                client_fault,
+            } => self.on_closed(now, connection, client_fault),
+            Event::DescriptorsExhausted => self.on_descriptors_exhausted(now, actions),
         }
     }
 
-    fn on_closed(&mut self, now: Duration, conn: ConnectionId, fault: bool) {
-        if fault {
-            self.note_fault(conn, now);
+    fn on_closed(&mut self, now: Duration, id: ConnectionId, client_fault: bool) {
+        if client_fault {
+            self.record_fault(id, now);
         }
-        self.remove(conn, now);
+        self.remove(id, now);
     }
 
-    fn on_shortage(&mut self, now: Duration, out: &mut Vec<Action>) {
-        match self.victim(Reputation::Newcomer, now) {
-            Some(conn) => self.close(conn, RejectionReason::Displaced, now, out),
-            None => out.push(Action::Pause {
-                until: now + self.policy.first_command_grace.max(SHORTEST_PAUSE),
+    fn on_descriptors_exhausted(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        match self.eviction_candidate(Reputation::New, now) {
+            Some(id) => self.close(id, RejectionReason::Evicted, now, actions),
+            None => actions.push(Action::Pause {
+                until: now + self.policy.first_command_grace.max(MIN_ACCEPT_PAUSE),
             }),
         }
     }
 
-    /// Other settings hold from now on. What is open beyond a lowered bound goes once it is idle.
-    pub fn set_policy(&mut self, policy: AdmissionPolicy, now: Duration, out: &mut Vec<Action>) {
-        if policy.prefixes != self.policy.prefixes {
-            // Keys mean something else now: what is remembered under the old ones is dropped with
-            // its counts.
+    /// Replaces the policy. Idle connections beyond lowered limits are closed at once, busy ones
+    /// when they become idle.
+    pub fn set_policy(
+        &mut self,
+        policy: AdmissionPolicy,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        if policy.prefix_lengths != self.policy.prefix_lengths {
+            // Keys of other prefix lengths are never found again: their histories are dropped, with
+            // their counts of connections.
             self.connections.forget_addresses();
             self.histories.forget_addresses(policy.max_remembered);
         }
         self.histories.resize(policy.max_remembered);
         self.policy = policy;
-        for conn in self.connections.idle_in_eviction_order() {
-            if let Some(why) = self.exceeded_cap(conn) {
-                self.close(conn, why, now, out);
+        for id in self.connections.idle_in_eviction_order() {
+            if let Some(reason) = self.exceeded_cap(id) {
+                self.close(id, reason, now, actions);
             }
         }
-        while self.held() > self.policy.capacity {
-            let Some(conn) = self.connections.first_to_evict() else {
+        while self.open_connections() > self.policy.capacity {
+            let Some(id) = self.connections.first_to_evict() else {
                 break;
             };
-            self.close(conn, RejectionReason::Displaced, now, out);
+            self.close(id, RejectionReason::Evicted, now, actions);
         }
     }
 
-    /// What is worth keeping over a restart: up to `most` client addresses and as many customers
-    /// that were served, those with a connection open and the latest first.
-    pub fn snapshot(&self, most: usize, now: Duration) -> Snapshot {
+    /// What to store over a restart: up to `max_records` client addresses and as many customers
+    /// that were served; those with an open connection first, then the latest first.
+    #[must_use]
+    pub fn snapshot(&self, max_records: usize, now: Duration) -> Snapshot {
         self.histories
-            .snapshot(most, now, self.policy.known_half_life)
+            .snapshot(max_records, now, self.policy.known_half_life)
     }
 
-    /// Takes a snapshot in that was made so long ago.
+    /// Adds the clients of a snapshot that was written `age` ago.
     pub fn restore(&mut self, snapshot: &Snapshot, age: Duration, now: Duration) {
         self.histories.restore(snapshot, age, now, &self.policy);
     }
 
-    /// The reputation of a connection. Its own conduct goes first; its address speaks where
-    /// addresses count, and never for one that has asked nothing: guards against a known address
-    /// that only connects.
+    /// The reputation of a connection. Its own behaviour counts before its address's history, which
+    /// counts only after the first command. Prevents connections from a known address that send
+    /// nothing from being protected.
     fn reputation_of(&self, connection: &Connection, now: Duration) -> Reputation {
-        let client = connection
-            .address
-            .map(|address| self.histories.client(address));
-        let is_suspect = |connection: &Connection| {
-            connection.faults > connection.served
-                || connection.served == 0
-                    && client.is_some_and(|history| self.policy.is_suspect(history, now))
-        };
-        let is_known = |connection: &Connection| {
-            connection.asked > 1 && connection.served >= self.served_to_be_known(now)
-                || client.is_some_and(|history| self.policy.is_known(history, now))
-        };
         match connection {
-            c if c.is_ending => Reputation::Ending,
-            c if c.is_listed => Reputation::AddressList,
-            c if is_suspect(c) => Reputation::Suspect,
-            c if c.asked == 0 => Reputation::Silent,
-            c if is_known(c) => Reputation::Known,
-            c if c.asked > 1 || c.is_vouched => Reputation::Newcomer,
-            _ => Reputation::Once,
+            c if c.is_half_closed => Reputation::HalfClosed,
+            c if c.is_allowlisted => Reputation::Allowlisted,
+            c if self.is_suspect(c, now) => Reputation::Suspect,
+            c if c.command_count == 0 => Reputation::NoCommand,
+            c if self.is_known(c, now) => Reputation::Known,
+            c if c.command_count > 1 || c.is_trusted_by_customer => Reputation::New,
+            _ => Reputation::OneCommand,
         }
     }
 
-    /// Served requests that make a connection known. After a start many requests are refused that
-    /// would not be later: one is enough.
-    fn served_to_be_known(&self, now: Duration) -> u32 {
-        if now < self.warm_until {
-            1
+    fn is_suspect(&self, connection: &Connection, now: Duration) -> bool {
+        let is_address_suspect = || {
+            connection
+                .address
+                .is_some_and(|address| self.policy.is_suspect(self.histories.client(address), now))
+        };
+        connection.fault_count > connection.served_count
+            || connection.served_count == 0 && is_address_suspect()
+    }
+
+    fn is_known(&self, connection: &Connection, now: Duration) -> bool {
+        let served_to_be_known = if now < self.warm_until {
+            SERVED_TO_BE_KNOWN_IN_WARM_UP
         } else {
-            2
-        }
+            SERVED_TO_BE_KNOWN
+        };
+        let is_address_known = || {
+            connection
+                .address
+                .is_some_and(|address| self.policy.is_known(self.histories.client(address), now))
+        };
+        connection.command_count > 1 && connection.served_count >= served_to_be_known
+            || is_address_known()
     }
 }
--- a/crates/admission/src/controller/request.rs
+++ b/crates/admission/src/controller/request.rs
@@ -1,142 +1,133 @@
-//! Requests on open connections, and what they say of a client.
+//! Requests on open connections, and what they add to a client's reputation.
 
-use super::connections::Activity;
+use super::connection_table::Activity;
 use super::AdmissionController;
 use crate::event::{Action, ConnectionId};
 use crate::reputation::Reputation;
 use std::time::Duration;
 
 impl AdmissionController {
-    pub(super) fn on_asked(
+    pub(super) fn on_request_received(
         &mut self,
         now: Duration,
-        conn: ConnectionId,
+        id: ConnectionId,
         customer: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(connection) = self.connections.get_mut(conn) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        connection.asked = connection.asked.saturating_add(1);
+        connection.command_count = connection.command_count.saturating_add(1);
         if connection.activity == Activity::Idle {
-            if let Err(wait) = self.begin_request(conn, now) {
-                self.refused += 1;
-                out.push(Action::RejectRequest {
-                    after: wait.max(self.policy.retry_after),
+            if let Err(wait) = self.begin_request(id, now) {
+                self.rejection_counts.requests += 1;
+                actions.push(Action::RejectRequest {
+                    retry_after: wait.max(self.policy.retry_after),
                 });
                 return;
             }
         }
-        self.note_customer(conn, customer, now);
+        self.record_customer(id, customer, now);
     }
 
-    /// The first request of an idle connection; an error tells how long a refused one has to wait
-    /// at the least.
-    fn begin_request(&mut self, conn: ConnectionId, now: Duration) -> Result<(), Duration> {
-        let Some(connection) = self.connections.get(conn) else {
+    /// Begins the first request of an idle connection. The error is the time after which a request
+    /// that is not admitted could be; zero if that is not known.
+    fn begin_request(&mut self, id: ConnectionId, now: Duration) -> Result<(), Duration> {
+        let Some(connection) = self.connections.get(id) else {
             return Ok(());
         };
-        let is_newcomer = self.reputation_of(connection, now) < Reputation::Known;
-        if is_newcomer {
-            let capacity = self.newcomer_places(connection.asked);
-            self.take_newcomer_pace(now)?;
-            if self.busy_newcomers >= capacity {
+        let as_new_client = self.reputation_of(connection, now) < Reputation::Known;
+        if as_new_client {
+            let capacity = self.new_client_capacity(connection.command_count);
+            self.limit_new_client_request(now)?;
+            if self.busy_new_clients >= capacity {
                 return Err(Duration::ZERO);
             }
-            self.busy_newcomers += 1;
+            self.busy_new_clients += 1;
         }
-        if let Some(connection) = self.connections.get_mut(conn) {
-            connection.activity = Activity::Busy { is_newcomer };
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.activity = Activity::Busy { as_new_client };
         }
-        self.connections.remove_idle(conn);
+        self.connections.remove_idle(id);
         Ok(())
     }
 
-    /// Places on which newcomers may have requests open. The reserve is lent to them only while
-    /// they are idle, so that it can be given back at once. One that comes again may have half of
-    /// it: guards against a flood of first requests that keeps a client which lost its connection
-    /// from ever being served, and so from being known again.
-    fn newcomer_places(&self, asked: u32) -> usize {
-        let kept = if asked > 1 {
+    /// Connections of new clients that may have requests open. On the reserve they may only be
+    /// idle, so that they can be evicted at once. A client that has sent several commands may use
+    /// half of the reserve. Prevents a flood of first requests from keeping a client that lost its
+    /// connection from being served, and so from becoming known again.
+    fn new_client_capacity(&self, command_count: u32) -> usize {
+        let reserve = if command_count > 1 {
             self.policy.reserve / 2
         } else {
             self.policy.reserve
         };
-        self.policy.capacity.saturating_sub(kept)
+        self.policy.capacity.saturating_sub(reserve)
     }
 
-    fn take_newcomer_pace(&mut self, now: Duration) -> Result<(), Duration> {
+    fn limit_new_client_request(&mut self, now: Duration) -> Result<(), Duration> {
         match self.policy.new_client_request_rate {
-            Some(rate) => self.newcomer_pace.take(now, rate),
+            Some(rate) => self.new_client_request_limiter.take(now, rate),
             None => Ok(()),
         }
     }
 
-    /// The first customer that a connection names may vouch for it.
-    fn note_customer(&mut self, conn: ConnectionId, customer: u64, now: Duration) {
-        let Some(connection) = self.connections.get_mut(conn) else {
+    /// Records the first customer that a connection names, and whether the connection is trusted
+    /// for it.
+    fn record_customer(&mut self, id: ConnectionId, customer: u64, now: Duration) {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        if self.policy.customer_trusted_connections == 0 || connection.customer.is_some() {
+        let max_trusted = self.policy.customer_trusted_connections;
+        if max_trusted == 0 || connection.customer.is_some() {
             return;
         }
         let customers = &mut self.histories.customers;
-        let at = customers.find_or_insert(customer);
-        let history = customers.get(at);
-        connection.is_vouched = history.open < self.policy.customer_trusted_connections
-            && self.policy.is_known(history, now);
-        connection.customer = Some(at);
-        customers.connection_opened(at);
+        let index = customers.find_or_insert(customer);
+        let history = customers.get(index);
+        connection.is_trusted_by_customer =
+            history.open_connections < max_trusted && self.policy.is_known(history, now);
+        connection.customer = Some(index);
+        customers.connection_opened(index);
     }
 
-    pub(super) fn on_greeted(&mut self, conn: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(conn) {
-            connection.asked = connection.asked.saturating_add(1);
+    pub(super) fn on_command_handled(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.command_count = connection.command_count.saturating_add(1);
         }
     }
 
-    pub(super) fn on_wrong(&mut self, now: Duration, conn: ConnectionId) {
-        if let Some(connection) = self.connections.get_mut(conn) {
-            connection.faults = connection.faults.saturating_add(1);
+    pub(super) fn on_protocol_error(&mut self, now: Duration, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.fault_count = connection.fault_count.saturating_add(1);
         }
-        self.note_fault(conn, now);
+        self.record_fault(id, now);
     }
 
-    pub(super) fn on_served(&mut self, now: Duration, conn: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(conn) else {
+    pub(super) fn on_request_served(&mut self, now: Duration, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        connection.served = connection.served.saturating_add(1);
+        connection.served_count = connection.served_count.saturating_add(1);
         let half_life = self.policy.known_half_life;
         if let Some(address) = connection.address {
-            self.histories
-                .clients
-                .get_mut(address.client)
-                .served
-                .add(1.0, now, half_life);
+            let client = self.histories.clients.get_mut(address.client);
+            client.served.add(1.0, now, half_life);
         }
-        if let Some(at) = connection.customer {
-            self.histories
-                .customers
-                .get_mut(at)
-                .served
-                .add(1.0, now, half_life);
+        if let Some(index) = connection.customer {
+            let customer = self.histories.customers.get_mut(index);
+            customer.served.add(1.0, now, half_life);
         }
     }
 
-    /// Something speaks against the address of a connection.
-    pub(super) fn note_fault(&mut self, conn: ConnectionId, now: Duration) {
-        let half_life = self.policy.suspect_half_life;
-        if let Some(address) = self
-            .connections
-            .get(conn)
-            .and_then(|connection| connection.address)
-        {
-            self.histories
-                .clients
-                .get_mut(address.client)
-                .faults
-                .add(1.0, now, half_life);
+    /// Counts a fault against the address of a connection.
+    pub(super) fn record_fault(&mut self, id: ConnectionId, now: Duration) {
+        let Some(connection) = self.connections.get(id) else {
+            return;
+        };
+        if let Some(address) = connection.address {
+            let client = self.histories.clients.get_mut(address.client);
+            client.faults.add(1.0, now, self.policy.suspect_half_life);
         }
     }
 }
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,137 +1,139 @@
-//! What goes into the state machine and what comes out of it.
+//! Input and output of the state machine: what happens to connections and what is to be done.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Names a connection. The lower 32 bits are its slot in the caller's table, which is used again
-/// after it has closed; the rest tells apart those that had the same slot.
+/// Identifies a connection. The lower 32 bits are its slot in the caller's table, which is reused
+/// once it has closed; the others are the slot's generation, which tells its users apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
 impl ConnectionId {
-    /// Its slot in the caller's table.
+    /// The connection's slot in the caller's table.
     pub(crate) fn slot(self) -> u32 {
         self.0 as u32
     }
 }
 
-/// What has happened.
+/// What has happened. Events of connections that are not open are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A connection was accepted.
+    /// A connection was accepted. Answered by [`Action::RejectConnection`] if it is not kept; if
+    /// the id is that of an open connection, that one counts as closed first.
     Connected {
         /// The connection.
-        conn: ConnectionId,
-        /// Where it comes from.
-        peer: IpAddr,
+        connection: ConnectionId,
+        /// The client's address.
+        peer_address: IpAddr,
     },
-    /// A request has come whole and is to be taken in. Answered by [`Action::RejectRequest`] or by
-    /// nothing.
+    /// A complete request was read. Answered by [`Action::RejectRequest`] if it is not admitted.
     RequestReceived {
-        /// Its connection.
-        conn: ConnectionId,
-        /// The customer that it names.
+        /// The connection that it was read from.
+        connection: ConnectionId,
+        /// The number of the customer that it names.
         customer: u64,
     },
-    /// Another command has come whole and is answered at once.
+    /// Another complete command was read and is answered at once.
     CommandHandled(ConnectionId),
-    /// Something has come that cannot be read or carried out.
+    /// Something was read that is malformed or cannot be carried out.
     ProtocolError(ConnectionId),
-    /// A request has got its final answer.
+    /// A request got its final answer.
     Answered {
-        /// Its connection.
-        conn: ConnectionId,
-        /// Was it a value?
+        /// The connection of the request.
+        connection: ConnectionId,
+        /// Was it served, with a value as its answer?
         served: bool,
     },
-    /// The connection is idle: it waits for nothing, and all answers are written.
+    /// The connection became idle: no request is open, and all answers are written.
     BecameIdle(ConnectionId),
-    /// No further command is read on it; only its other side's end is awaited.
+    /// No further command is read from the connection; only the client's end of it is awaited.
     HalfClosed(ConnectionId),
-    /// It has closed; `fault` if it was closed for silence or amid a command.
+    /// The connection was closed.
     Closed {
         /// The connection.
-        conn: ConnectionId,
-        /// Whether that speaks against its address.
-        fault: bool,
+        connection: ConnectionId,
+        /// Was it closed for a timeout before the first command or amid one? Such a fault counts
+        /// against the client's address.
+        client_fault: bool,
     },
-    /// The system has no descriptor left for a connection that waits.
+    /// The system had no file descriptor for a connection that waits to be accepted.
     DescriptorsExhausted,
 }
 
-/// Why a connection is not kept, or not taken.
+/// Why a connection is closed or rejected. Ids in log lines are those of [`Self::as_str`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// Its address has as many connections as it may have.
+    /// The client has as many connections as one client may have.
     ClientCap,
-    /// Its neighbourhood has.
-    NeighbourhoodCap,
-    /// Its address connects too often.
+    /// The client's network has as many connections as one network may have.
+    NetworkCap,
+    /// The client connects faster than one client may.
     ClientRate,
-    /// Its neighbourhood does.
-    NeighbourhoodRate,
-    /// Every place is taken by a connection that is not to be evicted for it.
+    /// The client's network connects faster than one network may.
+    NetworkRate,
+    /// All capacity is in use and no connection may be evicted for this one.
     AtCapacity,
-    /// Another connection needed its place.
-    Displaced,
-    /// Too many connections of its reputation are idle.
+    /// Evicted for another connection.
+    Evicted,
+    /// Too many idle connections have the same low reputation.
     IdleCapacity,
 }
 
-/// Reasons, in the order of [`AdmissionController::counts`](crate::Gate::counts).
+/// All reasons, by their index in [`RejectionCounts::connections`](crate::RejectionCounts).
 pub const REJECTION_REASONS: [RejectionReason; 7] = [
     RejectionReason::ClientCap,
-    RejectionReason::NeighbourhoodCap,
+    RejectionReason::NetworkCap,
     RejectionReason::ClientRate,
-    RejectionReason::NeighbourhoodRate,
+    RejectionReason::NetworkRate,
     RejectionReason::AtCapacity,
-    RejectionReason::Displaced,
+    RejectionReason::Evicted,
     RejectionReason::IdleCapacity,
 ];
 
 impl RejectionReason {
-    /// The text for log lines.
+    /// The reason's id in log lines.
+    #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             RejectionReason::ClientCap => "client-cap",
-            RejectionReason::NeighbourhoodCap => "neighbourhood-cap",
+            RejectionReason::NetworkCap => "neighbourhood-cap",
             RejectionReason::ClientRate => "client-rate",
-            RejectionReason::NeighbourhoodRate => "neighbourhood-rate",
+            RejectionReason::NetworkRate => "neighbourhood-rate",
             RejectionReason::AtCapacity => "full",
-            RejectionReason::Displaced => "displaced",
+            RejectionReason::Evicted => "displaced",
             RejectionReason::IdleCapacity => "room",
         }
     }
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Close this connection, which is idle. It counts as closed already.
+    /// Close this idle connection. It counts as closed already: no [`Event::Closed`] is due.
     Close {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// Why.
-        why: RejectionReason,
+        reason: RejectionReason,
     },
-    /// The connection that has just come is not taken: say when to come again and close it. It
-    /// counts as closed already.
+    /// Reject the connection that was just accepted, with a retry time, and close it. It counts as
+    /// closed already.
     RejectConnection {
         /// The connection.
-        conn: ConnectionId,
-        /// When to come again.
-        after: Duration,
+        connection: ConnectionId,
+        /// Time after which the client may connect again, as far as is known now.
+        retry_after: Duration,
         /// Why.
-        why: RejectionReason,
+        reason: RejectionReason,
     },
-    /// The request that has just come is refused with this advice; its connection stays.
+    /// Reject the request that was just received, with a retry time; its connection stays open.
     RejectRequest {
-        /// When to come again.
-        after: Duration,
+        /// Time after which the client may send it again, as far as is known now.
+        retry_after: Duration,
     },
-    /// Accept nothing until then.
+    /// Accept no connections for a while.
     Pause {
-        /// The time.
+        /// When to accept again, on the caller's clock.
         until: Duration,
     },
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,43 +1,50 @@
-//! Who may connect, how many, and who goes first when there is no room: decisions without I/O and
-//! clock.
+//! Admission of client connections: which are accepted, how many, and which idle one is closed
+//! when there is no capacity left. Decisions without I/O and without a clock.
 //!
-//! [`AdmissionController`] is a state machine: it is told of connections ([`Event`]) and says what
-//! is to be done ([`Action`]). [`DescriptorBudget`] owns the descriptors of the process.
-//! [`Snapshot`] is what is known of clients, for a restart. Times are counted from any fixed
-//! moment; all of a gate's must be counted from the same one.
+//! [`AdmissionController`] is a state machine: the caller reports what happens to connections
+//! ([`Event`]) and carries out what comes back ([`Action`]). [`AdmissionPolicy`] holds its limits.
+//! [`DescriptorBudget`] divides the file descriptors of the process among their uses.
+//! [`Snapshot`] stores client reputations over a restart. Times are counted from any fixed moment;
+//! all times of one controller must be counted from the same one.
 //!
 //! ```
-//! use roseyard_admission::{Action, ConnectionId, Event, AdmissionController, AdmissionPolicy, RejectionReason};
+//! use roseyard_admission::{Action, AdmissionController, AdmissionPolicy, ConnectionId, Event, RejectionReason};
 //! use std::time::Duration;
 //!
 //! let at = |ms| Duration::from_secs(60) + Duration::from_millis(ms);
-//! let mut controller = AdmissionController::new(AdmissionPolicy { capacity: 2, ..AdmissionPolicy::of(2) }, 0x5eed, at(0));
-//! let mut out = Vec::new();
+//! let policy = AdmissionPolicy { capacity: 2, ..AdmissionPolicy::with_capacity(2) };
+//! let mut controller = AdmissionController::new(policy, 0x5eed, at(0));
+//! let mut actions = Vec::new();
 //! for n in 0..3 {
-//!     let peer = "192.0.2.1".parse().unwrap();
-//!     controller.handle(at(50 * n), Event::Connected { conn: ConnectionId(n), peer }, &mut out);
+//!     let connected = Event::Connected {
+//!         connection: ConnectionId(n),
+//!         peer_address: "192.0.2.1".parse().unwrap(),
+//!     };
+//!     controller.handle(at(50 * n), connected, &mut actions);
 //! }
-//! assert!(matches!(out[..], [Action::Close { conn: ConnectionId(0), why: RejectionReason::IdleCapacity }, ..]));
+//! let closed = Action::Close { connection: ConnectionId(0), reason: RejectionReason::IdleCapacity };
+//! assert_eq!(actions[0], closed);
 //! ```
 
 mod address;
-mod budget;
 mod controller;
+mod decaying_score;
+mod descriptor_budget;
 mod event;
-mod history;
-mod lists;
+mod gcra;
+mod history_cache;
+mod linked_lists;
 mod policy;
-mod rate;
 mod reputation;
 mod snapshot;
 
-pub use address::{AddressList, Prefixes};
-pub use budget::{
-    DescriptorBudget, DescriptorShare, DescriptorUse, InsufficientDescriptors, DESCRIPTOR_USES,
+pub use address::{AddressList, PrefixLengths};
+pub use controller::{AdmissionController, CacheSizes, RejectionCounts};
+pub use descriptor_budget::{
+    DescriptorBudget, DescriptorLimits, DescriptorUse, InsufficientDescriptors, DESCRIPTOR_USES,
 };
-pub use controller::{AdmissionController, CacheSizes};
 pub use event::{Action, ConnectionId, Event, RejectionReason, REJECTION_REASONS};
+pub use gcra::{Gcra, Rate};
 pub use policy::AdmissionPolicy;
-pub use rate::{Gcra, Rate};
 pub use reputation::Reputation;
-pub use snapshot::{ClientRecord, Snapshot, SnapshotError, MOST_BYTES};
+pub use snapshot::{ClientRecord, Snapshot, SnapshotError, StoredSnapshot, MAX_SNAPSHOT_BYTES};
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,92 +1,108 @@
-//! What the operator decides.
+//! The limits of admission.
 
-use crate::address::{AddressList, Prefixes};
-use crate::history::History;
-use crate::rate::Rate;
+use crate::address::{AddressList, PrefixLengths};
+use crate::gcra::Rate;
+use crate::history_cache::ClientHistory;
 use std::time::Duration;
 
-/// Settings of admission. Counts are connections unless said otherwise.
+/// The limits of admission. Counts are connections unless stated otherwise; defaults are those of
+/// [`AdmissionPolicy::with_capacity`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Client connections in all.
+    /// Client connections in all. At the limit a new connection evicts an idle one of lower
+    /// reputation or is rejected.
     pub capacity: usize,
-    /// Of these, places on which newcomers may connect but not have requests open, so that listed
-    /// and known clients find them at once. Newcomers that come again may use half of it.
+    /// Part of `capacity` on which new clients may be connected but have no requests open, so that
+    /// it can be given to known clients at once; requests of new clients beyond the rest of the
+    /// capacity are rejected. Clients that have sent several commands may use half of it. By default
+    /// an eighth of the capacity.
     pub reserve: usize,
-    /// Connections that have asked nothing yet and wait; beyond it the one that has waited longest
-    /// goes.
+    /// Idle connections that have sent no command. Beyond it the one that has been idle for longest
+    /// is closed. By default half of the capacity, at least 1.
     pub max_idle_without_request: usize,
-    /// Connections between requests that have asked once; beyond it the one that has rested longest
-    /// goes.
+    /// Idle connections that have sent one command. Beyond it the one that has been idle for
+    /// longest is closed. By default three tenths of the capacity, at least 1.
     pub max_idle_after_one_request: usize,
-    /// Does the address tell clients apart? Not behind a front that brings all of them from a few
-    /// addresses.
+    /// Does the address tell clients apart? False by default, for a proxy in front that connects for
+    /// all clients from a few addresses; then no limit or history goes by address.
     pub by_address: bool,
-    /// Connections of one client address.
-    pub per_client: Option<u32>,
-    /// Connections of one neighbourhood of addresses.
-    pub per_neighbourhood: Option<u32>,
-    /// New connections of one client address.
-    pub rate_client: Option<Rate>,
-    /// New connections of one neighbourhood.
-    pub rate_neighbourhood: Option<Rate>,
-    /// Requests of all newcomers together: guards known clients' share of the servers against a
-    /// flood that asks for what its customers' quotas allow and begins again whenever it is closed.
+    /// Connections of one client address. At the limit new ones are rejected. No limit by default.
+    pub max_per_client: Option<u32>,
+    /// Connections of one network. At the limit new ones are rejected. No limit by default.
+    pub max_per_network: Option<u32>,
+    /// New connections of one client address. Those beyond it are rejected with the time after
+    /// which one is admitted, and count against the address. No limit by default.
+    pub client_connect_rate: Option<Rate>,
+    /// New connections of one network. Those beyond it are rejected with the time after which one
+    /// is admitted. No limit by default.
+    pub network_connect_rate: Option<Rate>,
+    /// Requests of all new clients together, as far as their connections were idle; those beyond it
+    /// are rejected. Prevents a flood within its customers' quotas, which reconnects whenever it is
+    /// closed, from taking the known clients' part of the servers. No limit by default.
     pub new_client_request_rate: Option<Rate>,
-    /// What of an address names a client and its neighbourhood.
-    pub prefixes: Prefixes,
-    /// The operator's own addresses.
-    pub listed: AddressList,
-    /// Served requests, halving with `known_half_life`, from which on an address or a customer is
-    /// known.
-    pub known_after: f32,
-    /// Half-life of what was served.
+    /// How many bits of an address identify a client and a network.
+    pub prefix_lengths: PrefixLengths,
+    /// The operator's own addresses: exempt from limits by address, and evicted last. Empty by
+    /// default.
+    pub allowlist: AddressList,
+    /// Requests served, decaying with `known_half_life`, from which on an address or a customer is
+    /// known; 3 by default.
+    pub known_after_served: f32,
+    /// Half-life of requests served; 1 hour by default.
     pub known_half_life: Duration,
-    /// Faults, halving with `suspect_half_life`, from which on an address is suspect.
-    pub suspect_after: f32,
-    /// Half-life of faults.
+    /// Faults, decaying with `suspect_half_life`, from which on an address is suspect; 5 by default.
+    pub suspect_after_faults: f32,
+    /// Half-life of faults; 30 s by default.
     pub suspect_half_life: Duration,
-    /// Connections at a time that are taken for more than newcomers because their customer is
-    /// known; 0 for none: a customer's name is easily said.
+    /// Open connections of one customer up to which a new one counts as [`Reputation::New`] at its
+    /// first request because the customer is known. 0, the default, trusts no customer: anybody can
+    /// send a customer's name.
+    ///
+    /// [`Reputation::New`]: crate::Reputation::New
     pub customer_trusted_connections: u32,
-    /// Addresses remembered without a connection open, and as many neighbourhoods and customers.
+    /// Addresses without an open connection whose history is kept, and as many networks and
+    /// customers; 16,384 by default. Beyond it old ones are evicted, new clients first.
     pub max_remembered: usize,
-    /// A connection that has asked nothing is ended after this.
+    /// Idle time after which a connection that has sent no command is closed; 2.2 s by default.
     pub idle_timeout_without_request: Duration,
-    /// And one that has asked once.
+    /// Idle time after which a connection that has sent one command is closed; 2.2 s by default.
     pub idle_timeout_after_one_request: Duration,
-    /// And one that comes again.
+    /// Idle time after which any other connection is closed; 6 s by default.
     pub idle_timeout: Duration,
-    /// A known client's connection is not closed for a newcomer's until it has rested for this.
+    /// Idle time before which a known client's connection is not evicted for a new client's; 1 s by
+    /// default.
     pub known_client_grace: Duration,
-    /// No connection is closed for another before it has had this long to say its first command.
+    /// Time that a connection has to send its first command before it is evicted for a new
+    /// client's; 10 ms by default.
     pub first_command_grace: Duration,
-    /// When those that are turned away are told to come again.
+    /// Shortest time after which rejected clients are asked to retry; 500 ms by default.
     pub retry_after: Duration,
-    /// For so long after the start one served request makes a connection known that comes again; it
-    /// takes two later.
+    /// Time after the start in which one served request, instead of two, makes a connection that
+    /// has sent several commands known; 10 s by default.
     pub warm_up: Duration,
 }
 
 impl AdmissionPolicy {
-    /// Defaults under so many places: addresses decide nothing, and conduct decides who goes first.
-    pub fn of(capacity: usize) -> AdmissionPolicy {
+    /// The defaults at this capacity: no limits by address; connections are evicted by their own
+    /// behaviour.
+    #[must_use]
+    pub fn with_capacity(capacity: usize) -> AdmissionPolicy {
         AdmissionPolicy {
             capacity,
             reserve: capacity / 8,
             max_idle_without_request: (capacity / 2).max(1),
             max_idle_after_one_request: (capacity * 3 / 10).max(1),
             by_address: false,
-            per_client: None,
-            per_neighbourhood: None,
-            rate_client: None,
-            rate_neighbourhood: None,
+            max_per_client: None,
+            max_per_network: None,
+            client_connect_rate: None,
+            network_connect_rate: None,
             new_client_request_rate: None,
-            prefixes: Prefixes::default(),
-            listed: AddressList::default(),
-            known_after: 3.0,
+            prefix_lengths: PrefixLengths::default(),
+            allowlist: AddressList::default(),
+            known_after_served: 3.0,
             known_half_life: Duration::from_secs(3600),
-            suspect_after: 5.0,
+            suspect_after_faults: 5.0,
             suspect_half_life: Duration::from_secs(30),
             customer_trusted_connections: 0,
             max_remembered: 16_384,
@@ -99,13 +115,14 @@
             warm_up: Duration::from_secs(10),
         }
     }
-    /// Has the key of this history been served enough?
-    pub(crate) fn is_known(&self, history: &History, now: Duration) -> bool {
-        history.served.at(now, self.known_half_life) >= self.known_after
+
+    /// Does a history make its address or customer known?
+    pub(crate) fn is_known(&self, history: &ClientHistory, now: Duration) -> bool {
+        history.served.at(now, self.known_half_life) >= self.known_after_served
     }
 
-    /// Does enough speak against the key of this history?
-    pub(crate) fn is_suspect(&self, history: &History, now: Duration) -> bool {
-        history.faults.at(now, self.suspect_half_life) >= self.suspect_after
+    /// Does a history make its address suspect?
+    pub(crate) fn is_suspect(&self, history: &ClientHistory, now: Duration) -> bool {
+        history.faults.at(now, self.suspect_half_life) >= self.suspect_after_faults
     }
 }
--- a/crates/admission/src/snapshot.rs
+++ b/crates/admission/src/snapshot.rs
@@ -1,118 +1,147 @@
-//! What is known of clients, as bytes that outlast a restart.
+//! Client reputations as bytes, stored over a restart.
 //!
-//! Layout, little-endian: the magic `RYSTAND\n`, the version (u16), 2 bytes of zero, the length of
-//! the body (u32), its CRC-32 (u32, IEEE 802.3), the Unix time of writing in milliseconds (u64),
-//! and the body in postcard's format. The checksum covers the time too.
+//! Layout, little-endian: the magic `RYSTAND\n`, the version (u16), 2 reserved bytes of zero, the
+//! length of the body (u32), a CRC-32 (u32, IEEE 802.3) of the time and the body, the Unix time of
+//! writing in milliseconds (u64), and the body in postcard's format.
 
 use serde::{Deserialize, Serialize};
 
 const MAGIC: [u8; 8] = *b"RYSTAND\n";
 const VERSION: u16 = 1;
-const HEAD: usize = 28;
-/// Longest file that is read: some 500,000 addresses.
-pub const MOST_BYTES: usize = 16 << 20;
+/// Length of what precedes the body.
+const HEADER_BYTES: usize = 28;
+const VERSION_OFFSET: usize = 8;
+const BODY_LENGTH_OFFSET: usize = 12;
+const CHECKSUM_OFFSET: usize = 16;
+const WRITTEN_LOW_OFFSET: usize = 20;
+const WRITTEN_HIGH_OFFSET: usize = 24;
+/// Longest snapshot that is read, in bytes: some 500,000 addresses.
+pub const MAX_SNAPSHOT_BYTES: usize = 16 << 20;
 
-/// One address or customer that was served.
+/// One client address or customer that was served.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientRecord<K> {
-    /// What names it.
+    /// The key of the address, or the number of the customer.
     pub key: K,
-    /// Served requests, as they had faded when this was written.
+    /// Requests served, decayed up to the time of writing.
     pub served: f32,
 }
 
-/// What is known of clients, the latest first.
+/// Clients that were served, the latest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Client addresses in their key form.
+    /// Client addresses by [`PrefixLengths::client_key`](crate::PrefixLengths::client_key).
     pub clients: Vec<ClientRecord<u128>>,
     /// Customers by their numbers.
     pub customers: Vec<ClientRecord<u64>>,
 }
 
-/// Why a file is passed over.
+/// A snapshot that was read, with its age.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoredSnapshot {
+    /// The snapshot.
+    pub snapshot: Snapshot,
+    /// When it was written, in milliseconds of Unix time.
+    pub written_unix_ms: u64,
+}
+
+/// Why bytes are not read as a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It does not begin as a snapshot does.
+    /// They do not begin with the magic.
     #[error("this is no snapshot of standing")]
-    Foreign,
-    /// Another version of the program wrote it.
+    WrongMagic,
+    /// They are of another version of the format.
     #[error("version {0} is not the one that is read (1)")]
-    Version(u16),
-    /// It ends early, or goes on after its end.
-    #[error("torn: {held} bytes where {wanted} were written")]
-    Torn {
-        /// Bytes there are.
-        held: usize,
+    UnsupportedVersion(u16),
+    /// They are fewer or more than were written.
+    #[error("torn: {actual} bytes where {expected} were written")]
+    WrongLength {
+        /// Bytes that there are.
+        actual: usize,
         /// Bytes that there should be.
-        wanted: usize,
+        expected: usize,
     },
-    /// Its bytes are not the ones that were written.
+    /// The checksum does not match.
     #[error("the checksum does not match")]
-    Checksum,
-    /// It is longer than any that is written.
+    ChecksumMismatch,
+    /// They are more than [`MAX_SNAPSHOT_BYTES`].
     #[error("longer than 16 MiB")]
-    Long,
-    /// The checksum matches and the body cannot be read all the same.
+    TooLong,
+    /// The checksum matches but the body is malformed.
     #[error("the body cannot be read")]
-    Body,
+    MalformedBody,
 }
 
 impl Snapshot {
-    /// The file's bytes; `unix_ms` is the time of writing.
-    pub fn encode(&self, unix_ms: u64) -> Vec<u8> {
+    /// The bytes to store; `written_unix_ms` is the time of writing, in milliseconds of Unix time.
+    #[must_use]
+    pub fn encode(&self, written_unix_ms: u64) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
-        let mut out = Vec::with_capacity(HEAD + body.len());
-        out.extend(MAGIC);
-        out.extend(VERSION.to_le_bytes());
-        out.extend([0; 2]);
-        out.extend((body.len() as u32).to_le_bytes());
-        out.extend(checksum(unix_ms, &body).to_le_bytes());
-        out.extend(unix_ms.to_le_bytes());
-        out.extend(body);
-        out
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+        bytes.extend(MAGIC);
+        bytes.extend(VERSION.to_le_bytes());
+        bytes.extend([0; 2]);
+        bytes.extend((body.len() as u32).to_le_bytes());
+        bytes.extend(checksum(written_unix_ms, &body).to_le_bytes());
+        bytes.extend(written_unix_ms.to_le_bytes());
+        bytes.extend(body);
+        bytes
     }
 
-    /// Reads a file's bytes; the Unix time of its writing in milliseconds goes with it.
-    pub fn decode(bytes: &[u8]) -> Result<(Snapshot, u64), SnapshotError> {
-        if bytes.len() > MOST_BYTES {
-            return Err(SnapshotError::Long);
+    /// Reads stored bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are not a complete snapshot of this version.
+    pub fn decode(bytes: &[u8]) -> Result<StoredSnapshot, SnapshotError> {
+        if bytes.len() > MAX_SNAPSHOT_BYTES {
+            return Err(SnapshotError::TooLong);
         }
         let magic = &bytes[..bytes.len().min(MAGIC.len())];
         if magic.is_empty() || !MAGIC.starts_with(magic) {
-            return Err(SnapshotError::Foreign);
+            return Err(SnapshotError::WrongMagic);
         }
-        let torn = |wanted| SnapshotError::Torn {
-            held: bytes.len(),
-            wanted,
-        };
-        let (head, body) = bytes.split_at_checked(HEAD).ok_or(torn(HEAD))?;
-        let field = |at: usize| {
-            head[at..at + 4]
-                .iter()
-                .rev()
-                .fold(0, |n, b| n << 8 | u32::from(*b))
+        let wrong_length = |expected| SnapshotError::WrongLength {
+            actual: bytes.len(),
+            expected,
         };
-        let version = field(8) as u16;
+        let (header, body) = bytes
+            .split_at_checked(HEADER_BYTES)
+            .ok_or(wrong_length(HEADER_BYTES))?;
+        let version = read_u32(header, VERSION_OFFSET) as u16;
         if version != VERSION {
-            return Err(SnapshotError::Version(version));
+            return Err(SnapshotError::UnsupportedVersion(version));
         }
-        let wanted = HEAD + field(12) as usize;
-        if bytes.len() != wanted {
-            return Err(torn(wanted));
+        let expected = HEADER_BYTES + read_u32(header, BODY_LENGTH_OFFSET) as usize;
+        if bytes.len() != expected {
+            return Err(wrong_length(expected));
         }
-        let written = u64::from(field(20)) | u64::from(field(24)) << 32;
-        if checksum(written, body) != field(16) {
-            return Err(SnapshotError::Checksum);
+        let written_low = u64::from(read_u32(header, WRITTEN_LOW_OFFSET));
+        let written_high = u64::from(read_u32(header, WRITTEN_HIGH_OFFSET));
+        let written_unix_ms = written_low | written_high << 32;
+        if checksum(written_unix_ms, body) != read_u32(header, CHECKSUM_OFFSET) {
+            return Err(SnapshotError::ChecksumMismatch);
         }
-        let snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Body)?;
-        Ok((snapshot, written))
+        let snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::MalformedBody)?;
+        Ok(StoredSnapshot {
+            snapshot,
+            written_unix_ms,
+        })
     }
 }
 
-fn checksum(unix_ms: u64, body: &[u8]) -> u32 {
+/// The little-endian number at an offset that lies within the header.
+fn read_u32(header: &[u8], offset: usize) -> u32 {
+    header[offset..offset + 4]
+        .iter()
+        .rev()
+        .fold(0, |number, byte| number << 8 | u32::from(*byte))
+}
+
+fn checksum(written_unix_ms: u64, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&unix_ms.to_le_bytes());
+    hasher.update(&written_unix_ms.to_le_bytes());
     hasher.update(body);
     hasher.finalize()
 }
--- /dev/null
+++ b/crates/admission/tests/descriptor_budget.rs
@@ -0,0 +1,56 @@
+//! The descriptor budget against its invariants, under random steps.
+
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
+use roseyard_admission::*;
+
+/// The runner prints it with every failure; another seed plays other steps.
+const SEED: u64 = 20_261_201;
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 400,
+        rng_seed: RngSeed::Fixed(SEED),
+        ..ProptestConfig::default()
+    })]
+
+    #[test]
+    fn uses_never_exceed_the_total_and_guaranteed_minima_stay_available(
+        total in 30usize..60,
+        steps in prop::collection::vec((0usize..8, any::<bool>()), 1..400),
+    ) {
+        let guaranteed = [3, 8, 6, 2, 1, 1, 1, 1];
+        let limits = guaranteed.map(|guaranteed| DescriptorLimits {
+            guaranteed,
+            max: guaranteed * 4,
+        });
+        let mut budget = DescriptorBudget::new(total, limits).unwrap();
+        for (use_index, take) in steps {
+            let descriptor_use = DESCRIPTOR_USES[use_index];
+            let used_before = budget.used(descriptor_use);
+            if take {
+                let granted = budget.take(descriptor_use);
+                prop_assert!(
+                    granted || used_before >= budget.limits(descriptor_use).guaranteed,
+                    "a guaranteed minimum was denied"
+                );
+                prop_assert_eq!(
+                    budget.used(descriptor_use),
+                    used_before + usize::from(granted)
+                );
+            } else {
+                budget.release(descriptor_use);
+            }
+            let used: usize = DESCRIPTOR_USES.iter().map(|u| budget.used(*u)).sum();
+            prop_assert!(used <= total);
+            let used_or_guaranteed: usize = DESCRIPTOR_USES
+                .iter()
+                .map(|u| budget.used(*u).max(budget.limits(*u).guaranteed))
+                .sum();
+            prop_assert!(
+                used_or_guaranteed <= total,
+                "a guaranteed minimum is no longer available"
+            );
+        }
+    }
+}
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -1,5 +1,5 @@
-//! Random steps against a naive reference: a plain list of connections that is scanned whole for
-//! every decision.
+//! The controller against a reference model, under random steps. The model holds a plain list of
+//! connections and scans all of it for every decision.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -8,364 +8,475 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// Told with every failure by the runner; another seed plays other steps.
+/// The runner prints it with every failure; another seed plays other steps.
 const SEED: u64 = 20_261_201;
 
+/// One step; a `usize` selects a connection among the open ones.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Connect(u8),
-    Ask(usize),
-    Greet(usize),
-    Wrong(usize),
+    Request(usize),
+    Command(usize),
+    ProtocolError(usize),
     Answer(usize, bool),
-    End(usize),
+    HalfClose(usize),
     Close(usize),
-    Shortage,
-    Places(usize),
-    Wait(u64),
+    ExhaustDescriptors,
+    SetCapacity(usize),
+    WaitMs(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let n = 0usize..64;
     prop_oneof![
         6 => (0u8..6).prop_map(Step::Connect),
-        6 => n.clone().prop_map(Step::Ask),
-        1 => n.clone().prop_map(Step::Greet),
-        1 => n.clone().prop_map(Step::Wrong),
+        6 => n.clone().prop_map(Step::Request),
+        1 => n.clone().prop_map(Step::Command),
+        1 => n.clone().prop_map(Step::ProtocolError),
         6 => (n.clone(), any::<bool>()).prop_map(|(n, served)| Step::Answer(n, served)),
-        1 => n.clone().prop_map(Step::End),
+        1 => n.clone().prop_map(Step::HalfClose),
         1 => n.prop_map(Step::Close),
-        1 => Just(Step::Shortage),
-        1 => (2usize..14).prop_map(Step::Places),
-        6 => (1u64..900).prop_map(Step::Wait),
+        1 => Just(Step::ExhaustDescriptors),
+        1 => (2usize..14).prop_map(Step::SetCapacity),
+        6 => (1u64..900).prop_map(Step::WaitMs),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct Held {
-    conn: ConnectionId,
+struct ModelConnection {
+    id: ConnectionId,
     address: u8,
-    asked: u32,
+    commands: u32,
     served: u32,
     faults: u32,
-    ending: bool,
-    busy: Option<bool>,
-    /// Its standing when it was last lined up, when that was, and the order of line-ups.
-    rank: Reputation,
-    since: Duration,
-    order: u64,
+    half_closed: bool,
+    /// Some while requests are open; true if they count as a new client's.
+    busy_as_new_client: Option<bool>,
+    /// The reputation under which it was queued as idle, and its place in the order of queueing.
+    queued_reputation: Reputation,
+    queue_order: u64,
+    idle_since: Duration,
 }
 
-/// The reference.
-struct Naive {
+struct Model {
     policy: AdmissionPolicy,
-    held: Vec<Held>,
-    served: BTreeMap<u8, u32>,
-    faults: BTreeMap<u8, u32>,
-    order: u64,
+    now: Duration,
+    connections: Vec<ModelConnection>,
+    served_by_address: BTreeMap<u8, u32>,
+    faults_by_address: BTreeMap<u8, u32>,
+    queue_order: u64,
     warm_until: Duration,
+    generation: u64,
+    /// What the controller is expected to do in the current step.
+    expected: Vec<Action>,
 }
 
-impl Naive {
-    fn known(&self, address: u8) -> bool {
+impl Model {
+    fn new(policy: AdmissionPolicy, now: Duration) -> Model {
+        Model {
+            now,
+            connections: Vec::new(),
+            served_by_address: BTreeMap::new(),
+            faults_by_address: BTreeMap::new(),
+            queue_order: 0,
+            warm_until: now + policy.warm_up,
+            generation: 0,
+            expected: Vec::new(),
+            policy,
+        }
+    }
+
+    fn is_address_known(&self, address: u8) -> bool {
+        let served = self.served_by_address.get(&address);
+        self.policy.by_address
+            && served.is_some_and(|n| *n as f32 >= self.policy.known_after_served)
+    }
+
+    fn is_address_suspect(&self, address: u8) -> bool {
+        let faults = self.faults_by_address.get(&address);
         self.policy.by_address
-            && self
-                .served
-                .get(&address)
-                .is_some_and(|n| *n as f32 >= self.policy.known_after)
+            && faults.is_some_and(|n| *n as f32 >= self.policy.suspect_after_faults)
     }
 
-    fn rank(&self, c: &Held, now: Duration) -> Reputation {
-        let suspect = self.policy.by_address
-            && self
-                .faults
-                .get(&c.address)
-                .is_some_and(|n| *n as f32 >= self.policy.suspect_after);
-        let own = if now < self.warm_until { 1 } else { 2 };
+    fn reputation(&self, connection: &ModelConnection) -> Reputation {
+        let c = connection;
+        let served_to_be_known = if self.now < self.warm_until { 1 } else { 2 };
+        let is_known =
+            c.commands > 1 && c.served >= served_to_be_known || self.is_address_known(c.address);
         match () {
-            () if c.ending => Reputation::Ending,
-            () if c.faults > c.served || c.served == 0 && suspect => Reputation::Suspect,
-            () if c.asked == 0 => Reputation::Silent,
-            () if c.asked > 1 && c.served >= own || self.known(c.address) => Reputation::Known,
-            () if c.asked > 1 => Reputation::Newcomer,
-            () => Reputation::Once,
+            () if c.half_closed => Reputation::HalfClosed,
+            () if c.faults > c.served => Reputation::Suspect,
+            () if c.served == 0 && self.is_address_suspect(c.address) => Reputation::Suspect,
+            () if c.commands == 0 => Reputation::NoCommand,
+            () if is_known => Reputation::Known,
+            () if c.commands > 1 => Reputation::New,
+            () => Reputation::OneCommand,
         }
     }
 
-    fn resting(&self) -> Vec<Held> {
-        let mut resting: Vec<Held> = self
-            .held
+    fn get(&self, n: usize) -> Option<ModelConnection> {
+        self.connections
+            .get(n % self.connections.len().max(1))
+            .cloned()
+    }
+
+    fn get_mut(&mut self, id: ConnectionId) -> &mut ModelConnection {
+        self.connections.iter_mut().find(|c| c.id == id).unwrap()
+    }
+
+    fn open_connections_of(&self, address: u8) -> usize {
+        self.connections
             .iter()
-            .filter(|c| c.busy.is_none())
+            .filter(|c| c.address == address)
+            .count()
+    }
+
+    fn idle_in_eviction_order(&self) -> Vec<ModelConnection> {
+        let mut idle: Vec<ModelConnection> = self
+            .connections
+            .iter()
+            .filter(|c| c.busy_as_new_client.is_none())
             .cloned()
             .collect();
-        resting.sort_by_key(|c| (c.rank, c.order));
-        resting
+        idle.sort_by_key(|c| (c.queued_reputation, c.queue_order));
+        idle
     }
 
-    fn victim(&self, for_one: Reputation, now: Duration) -> Option<ConnectionId> {
-        let mut seen = Vec::new();
-        self.resting()
-            .into_iter()
-            .find(|c| {
-                let first = !seen.contains(&c.rank);
-                seen.push(c.rank);
-                let rested = now - c.since;
-                first
-                    && match c.rank {
-                        Reputation::Silent => {
-                            for_one >= Reputation::Known
-                                || rested >= self.policy.first_command_grace
-                        }
-                        Reputation::Known => {
-                            let just_came = self
-                                .held
-                                .iter()
-                                .any(|c| c.busy.is_none() && c.rank == Reputation::Silent);
-                            for_one >= Reputation::Known
-                                || rested >= self.policy.known_client_grace && !just_came
-                        }
-                        _ => true,
-                    }
-            })
-            .map(|c| c.conn)
+    fn eviction_candidate(&self, evicted_for: Reputation) -> Option<ConnectionId> {
+        let idle = self.idle_in_eviction_order();
+        let has_idle_without_command = idle
+            .iter()
+            .any(|c| c.queued_reputation == Reputation::NoCommand);
+        let is_first_of_its_reputation = |at: usize| {
+            idle[..at]
+                .iter()
+                .all(|c| c.queued_reputation != idle[at].queued_reputation)
+        };
+        let may_be_evicted = |c: &ModelConnection| {
+            let idle_time = self.now - c.idle_since;
+            match c.queued_reputation {
+                Reputation::NoCommand => {
+                    evicted_for >= Reputation::Known || idle_time >= self.policy.first_command_grace
+                }
+                Reputation::Known => {
+                    evicted_for >= Reputation::Known
+                        || idle_time >= self.policy.known_client_grace && !has_idle_without_command
+                }
+                _ => true,
+            }
+        };
+        (0..idle.len())
+            .find(|at| is_first_of_its_reputation(*at) && may_be_evicted(&idle[*at]))
+            .map(|at| idle[at].id)
     }
 
-    fn drop(&mut self, conn: ConnectionId, why: RejectionReason, out: &mut Vec<Action>) {
-        self.held.retain(|c| c.conn != conn);
-        out.push(Action::Close { conn, why });
+    fn close(&mut self, connection: ConnectionId, reason: RejectionReason) {
+        self.connections.retain(|c| c.id != connection);
+        self.expected.push(Action::Close { connection, reason });
     }
 
-    fn line_up(&mut self, conn: ConnectionId, now: Duration, out: &mut Vec<Action>) {
-        let Some(at) = self.held.iter().position(|c| c.conn == conn) else {
+    fn reject(&mut self, connection: ConnectionId, reason: RejectionReason) {
+        self.expected.push(Action::RejectConnection {
+            connection,
+            retry_after: self.policy.retry_after,
+            reason,
+        });
+    }
+
+    fn queue_idle(&mut self, id: ConnectionId) {
+        let Some(at) = self.connections.iter().position(|c| c.id == id) else {
             return;
         };
-        let rank = self.rank(&self.held[at], now);
-        self.order += 1;
-        (self.held[at].rank, self.held[at].order) = (rank, self.order);
-        let room = match rank {
-            Reputation::Silent => self.policy.max_idle_without_request,
-            Reputation::Once => self.policy.max_idle_after_one_request,
+        let reputation = self.reputation(&self.connections[at]);
+        self.queue_order += 1;
+        self.connections[at].queued_reputation = reputation;
+        self.connections[at].queue_order = self.queue_order;
+        let max_idle = match reputation {
+            Reputation::NoCommand => self.policy.max_idle_without_request,
+            Reputation::OneCommand => self.policy.max_idle_after_one_request,
             _ => usize::MAX,
         };
-        let alike: Vec<Held> = self
-            .resting()
+        let queue: Vec<ModelConnection> = self
+            .idle_in_eviction_order()
             .into_iter()
-            .filter(|c| c.rank == rank)
+            .filter(|c| c.queued_reputation == reputation)
             .collect();
-        if alike.len() > room
-            && (rank != Reputation::Silent
-                || now - alike[0].since >= self.policy.first_command_grace)
-        {
-            self.drop(alike[0].conn, RejectionReason::IdleCapacity, out);
+        let is_grace_over = self.now - queue[0].idle_since >= self.policy.first_command_grace;
+        if queue.len() > max_idle && (reputation != Reputation::NoCommand || is_grace_over) {
+            self.close(queue[0].id, RejectionReason::IdleCapacity);
         }
     }
 
-    fn rest(&mut self, conn: ConnectionId, now: Duration, out: &mut Vec<Action>) {
-        let Some(c) = self.held.iter_mut().find(|c| c.conn == conn) else {
+    fn become_idle(&mut self, id: ConnectionId) {
+        let now = self.now;
+        let Some(connection) = self.connections.iter_mut().find(|c| c.id == id) else {
             return;
         };
-        (c.busy, c.since) = (None, now);
-        let address = c.address;
-        let open = self.held.iter().filter(|c| c.address == address).count();
-        if self
-            .policy
-            .per_client
-            .is_some_and(|cap| self.policy.by_address && open > cap as usize)
-        {
-            return self.drop(conn, RejectionReason::ClientCap, out);
+        connection.busy_as_new_client = None;
+        connection.idle_since = now;
+        let address = connection.address;
+        let open = self.open_connections_of(address);
+        let max_per_client = self.policy.max_per_client;
+        if self.policy.by_address && max_per_client.is_some_and(|cap| open > cap as usize) {
+            return self.close(id, RejectionReason::ClientCap);
         }
-        self.line_up(conn, now, out);
-        if self.held.len() > self.policy.capacity {
-            if let Some(first) = self.resting().first().map(|c| c.conn) {
-                self.drop(first, RejectionReason::Displaced, out);
+        self.queue_idle(id);
+        if self.connections.len() > self.policy.capacity {
+            if let Some(first) = self.idle_in_eviction_order().first() {
+                self.close(first.id, RejectionReason::Evicted);
             }
         }
     }
 
-    fn connect(&mut self, conn: ConnectionId, address: u8, now: Duration, out: &mut Vec<Action>) {
-        let open = self.held.iter().filter(|c| c.address == address).count();
-        let after = self.policy.retry_after;
-        if self
-            .policy
-            .per_client
-            .is_some_and(|cap| self.policy.by_address && open >= cap as usize)
-        {
-            return out.push(Action::RejectConnection {
-                conn,
-                after,
-                why: RejectionReason::ClientCap,
-            });
+    /// An id in the first free slot, of a generation of its own.
+    fn next_id(&mut self) -> ConnectionId {
+        self.generation += 1;
+        let is_free = |slot: &u32| self.connections.iter().all(|c| c.id.0 as u32 != *slot);
+        let slot = (0..).find(is_free).unwrap();
+        ConnectionId(self.generation << 32 | u64::from(slot))
+    }
+
+    fn connect(&mut self, id: ConnectionId, address: u8) {
+        let open = self.open_connections_of(address);
+        let max_per_client = self.policy.max_per_client;
+        if self.policy.by_address && max_per_client.is_some_and(|cap| open >= cap as usize) {
+            return self.reject(id, RejectionReason::ClientCap);
         }
-        if self.held.len() >= self.policy.capacity {
-            let standing = if self.known(address) {
+        if self.connections.len() >= self.policy.capacity {
+            let reputation = if self.is_address_known(address) {
                 Reputation::Known
             } else {
-                Reputation::Newcomer
+                Reputation::New
             };
-            match self.victim(standing, now) {
-                Some(victim) => self.drop(victim, RejectionReason::Displaced, out),
-                None => {
-                    return out.push(Action::RejectConnection {
-                        conn,
-                        after,
-                        why: RejectionReason::AtCapacity,
-                    })
-                }
+            match self.eviction_candidate(reputation) {
+                Some(evicted) => self.close(evicted, RejectionReason::Evicted),
+                None => return self.reject(id, RejectionReason::AtCapacity),
             }
         }
-        let rank = Reputation::Silent;
-        let (asked, served, faults, ending, busy) = (0, 0, 0, false, None);
-        let order = self.order;
-        let since = now;
-        self.held.push(Held {
-            conn,
+        self.connections.push(ModelConnection {
+            id,
             address,
-            asked,
-            served,
-            faults,
-            ending,
-            busy,
-            rank,
-            since,
-            order,
+            commands: 0,
+            served: 0,
+            faults: 0,
+            half_closed: false,
+            busy_as_new_client: None,
+            queued_reputation: Reputation::NoCommand,
+            queue_order: self.queue_order,
+            idle_since: self.now,
         });
-        self.line_up(conn, now, out);
+        self.queue_idle(id);
+    }
+
+    fn request(&mut self, id: ConnectionId) {
+        let connection = self.get_mut(id).clone();
+        let reserve = if connection.commands > 0 {
+            self.policy.reserve / 2
+        } else {
+            self.policy.reserve
+        };
+        let new_client_capacity = self.policy.capacity.saturating_sub(reserve);
+        let busy_new_clients = self
+            .connections
+            .iter()
+            .filter(|c| c.busy_as_new_client == Some(true))
+            .count();
+        self.get_mut(id).commands += 1;
+        if connection.busy_as_new_client.is_some() {
+            return;
+        }
+        let connection = self.get_mut(id).clone();
+        let is_new_client = self.reputation(&connection) < Reputation::Known;
+        if is_new_client && busy_new_clients >= new_client_capacity {
+            self.expected.push(Action::RejectRequest {
+                retry_after: self.policy.retry_after,
+            });
+        } else {
+            self.get_mut(id).busy_as_new_client = Some(is_new_client);
+        }
+    }
+
+    fn answer(&mut self, id: ConnectionId, served: bool) {
+        if served {
+            let connection = self.get_mut(id);
+            connection.served += 1;
+            let address = connection.address;
+            *self.served_by_address.entry(address).or_default() += 1;
+        }
+        self.become_idle(id);
+    }
+
+    fn protocol_error(&mut self, id: ConnectionId) {
+        let connection = self.get_mut(id);
+        connection.faults += 1;
+        let address = connection.address;
+        *self.faults_by_address.entry(address).or_default() += 1;
+        self.become_idle(id);
+    }
+
+    fn exhaust_descriptors(&mut self) {
+        match self.eviction_candidate(Reputation::New) {
+            Some(id) => self.close(id, RejectionReason::Evicted),
+            None => self.expected.push(Action::Pause {
+                until: self.now + self.policy.first_command_grace,
+            }),
+        }
+    }
+
+    fn set_capacity(&mut self, capacity: usize) {
+        self.policy.capacity = capacity;
+        while self.connections.len() > capacity {
+            let Some(first) = self.idle_in_eviction_order().first().map(|c| c.id) else {
+                break;
+            };
+            self.close(first, RejectionReason::Evicted);
+        }
+    }
+}
+
+/// Plays one step on the controller and on the model; what the controller does is returned, what it
+/// should do stands in `model.expected`.
+fn play(step: Step, controller: &mut AdmissionController, model: &mut Model) -> Vec<Action> {
+    let mut actions = Vec::new();
+    let now = model.now;
+    let mut handle = |event| controller.handle(now, event, &mut actions);
+    match step {
+        Step::WaitMs(ms) => model.now += Duration::from_millis(ms),
+        Step::Connect(address) => {
+            let connection = model.next_id();
+            let peer_address = IpAddr::V4(Ipv4Addr::new(192, 0, 2, address));
+            handle(Event::Connected {
+                connection,
+                peer_address,
+            });
+            model.connect(connection, address);
+        }
+        Step::ExhaustDescriptors => {
+            handle(Event::DescriptorsExhausted);
+            model.exhaust_descriptors();
+        }
+        Step::SetCapacity(capacity) => {
+            model.set_capacity(capacity);
+            controller.set_policy(model.policy.clone(), now, &mut actions);
+        }
+        Step::Request(n)
+        | Step::Command(n)
+        | Step::ProtocolError(n)
+        | Step::Answer(n, _)
+        | Step::HalfClose(n)
+        | Step::Close(n) => {
+            if let Some(connection) = model.get(n) {
+                play_on_connection(step, &connection, model, handle);
+            }
+        }
+    }
+    actions
+}
+
+/// Plays a step on an open connection, if it can happen in the connection's state.
+fn play_on_connection(
+    step: Step,
+    connection: &ModelConnection,
+    model: &mut Model,
+    mut handle: impl FnMut(Event),
+) {
+    let id = connection.id;
+    let is_idle = connection.busy_as_new_client.is_none();
+    let may_send = !connection.half_closed;
+    match step {
+        Step::Request(_) if may_send => {
+            handle(Event::RequestReceived {
+                connection: id,
+                customer: 1,
+            });
+            model.request(id);
+        }
+        Step::Command(_) if is_idle && may_send => {
+            handle(Event::CommandHandled(id));
+            handle(Event::BecameIdle(id));
+            model.get_mut(id).commands += 1;
+            model.become_idle(id);
+        }
+        Step::ProtocolError(_) if is_idle && may_send => {
+            handle(Event::ProtocolError(id));
+            handle(Event::BecameIdle(id));
+            model.protocol_error(id);
+        }
+        Step::Answer(_, served) if !is_idle => {
+            handle(Event::Answered {
+                connection: id,
+                served,
+            });
+            handle(Event::BecameIdle(id));
+            model.answer(id, served);
+        }
+        Step::HalfClose(_) if is_idle => {
+            handle(Event::HalfClosed(id));
+            model.get_mut(id).half_closed = true;
+            model.become_idle(id);
+        }
+        Step::Close(_) => {
+            handle(Event::Closed {
+                connection: id,
+                client_fault: false,
+            });
+            model.connections.retain(|other| other.id != id);
+        }
+        _ => {}
     }
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 400,
+        rng_seed: RngSeed::Fixed(SEED),
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn every_decision_is_the_naive_reference_s(
+    fn every_decision_is_that_of_the_reference_model(
         by_address in any::<bool>(),
-        per_client in prop::option::of(1u32..5),
+        max_per_client in prop::option::of(1u32..5),
         reserve in 0usize..4,
         steps in prop::collection::vec(step(), 1..300),
     ) {
-        let mut now = Duration::from_secs(100);
+        let now = Duration::from_secs(100);
         let policy = AdmissionPolicy {
-            reserve, by_address, per_client, max_remembered: 8, max_idle_after_one_request: 3, max_idle_without_request: 4,
-            known_half_life: Duration::from_secs(1 << 30), suspect_half_life: Duration::from_secs(1 << 30),
-            warm_up: Duration::from_secs(5), ..AdmissionPolicy::of(8)
+            reserve,
+            by_address,
+            max_per_client,
+            max_remembered: 8,
+            max_idle_after_one_request: 3,
+            max_idle_without_request: 4,
+            known_half_life: Duration::from_secs(1 << 30),
+            suspect_half_life: Duration::from_secs(1 << 30),
+            warm_up: Duration::from_secs(5),
+            ..AdmissionPolicy::with_capacity(8)
         };
-        let mut naive = Naive {
-            policy: policy.clone(), held: Vec::new(), served: BTreeMap::new(), faults: BTreeMap::new(),
-            order: 0, warm_until: now + policy.warm_up,
-        };
-        let mut controller = AdmissionController::new(policy, 7, now);
-        let mut generation = 0u64;
+        let mut controller = AdmissionController::new(policy.clone(), 7, now);
+        let mut model = Model::new(policy, now);
         for step in steps {
-            let (mut done, mut wanted) = (Vec::new(), Vec::new());
-            let pick = |n: usize| naive.held.get(n % naive.held.len().max(1)).cloned();
-            match step {
-                Step::Wait(ms) => now += Duration::from_millis(ms),
-                Step::Connect(address) => {
-                    generation += 1;
-                    let slot = (0..).find(|s| naive.held.iter().all(|c| c.conn.0 as u32 != *s)).unwrap();
-                    let conn = ConnectionId(generation << 32 | u64::from(slot));
-                    let peer = IpAddr::V4(Ipv4Addr::new(192, 0, 2, address));
-                    controller.handle(now, Event::Connected { conn, peer }, &mut done);
-                    naive.connect(conn, address, now, &mut wanted);
-                }
-                Step::Ask(n) => if let Some(c) = pick(n).filter(|c| !c.ending) {
-                    controller.handle(now, Event::RequestReceived { conn: c.conn, customer: 1 }, &mut done);
-                    let kept = if c.asked > 0 { naive.policy.reserve / 2 } else { naive.policy.reserve };
-                    let lent = naive.policy.capacity.saturating_sub(kept);
-                    let guests = naive.held.iter().filter(|c| c.busy == Some(true)).count();
-                    let at = naive.held.iter().position(|h| h.conn == c.conn).unwrap();
-                    naive.held[at].asked += 1;
-                    if c.busy.is_none() {
-                        let guest = naive.rank(&naive.held[at], now) < Reputation::Known;
-                        if guest && guests >= lent {
-                            wanted.push(Action::RejectRequest { after: naive.policy.retry_after });
-                        } else {
-                            naive.held[at].busy = Some(guest);
-                        }
-                    }
-                },
-                Step::Greet(n) => if let Some(c) = pick(n).filter(|c| c.busy.is_none() && !c.ending) {
-                    controller.handle(now, Event::CommandHandled(c.conn), &mut done);
-                    controller.handle(now, Event::BecameIdle(c.conn), &mut done);
-                    naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().asked += 1;
-                    naive.rest(c.conn, now, &mut wanted);
-                },
-                Step::Wrong(n) => if let Some(c) = pick(n).filter(|c| c.busy.is_none() && !c.ending) {
-                    controller.handle(now, Event::ProtocolError(c.conn), &mut done);
-                    controller.handle(now, Event::BecameIdle(c.conn), &mut done);
-                    naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().faults += 1;
-                    *naive.faults.entry(c.address).or_default() += 1;
-                    naive.rest(c.conn, now, &mut wanted);
-                },
-                Step::Answer(n, served) => if let Some(c) = pick(n).filter(|c| c.busy.is_some()) {
-                    controller.handle(now, Event::Answered { conn: c.conn, served }, &mut done);
-                    controller.handle(now, Event::BecameIdle(c.conn), &mut done);
-                    if served {
-                        naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().served += 1;
-                        *naive.served.entry(c.address).or_default() += 1;
-                    }
-                    naive.rest(c.conn, now, &mut wanted);
-                },
-                Step::End(n) => if let Some(c) = pick(n).filter(|c| c.busy.is_none()) {
-                    controller.handle(now, Event::HalfClosed(c.conn), &mut done);
-                    naive.held.iter_mut().find(|h| h.conn == c.conn).unwrap().ending = true;
-                    naive.rest(c.conn, now, &mut wanted);
-                },
-                Step::Close(n) => if let Some(c) = pick(n) {
-                    controller.handle(now, Event::Closed { conn: c.conn, fault: false }, &mut done);
-                    naive.held.retain(|h| h.conn != c.conn);
-                },
-                Step::Shortage => {
-                    controller.handle(now, Event::DescriptorsExhausted, &mut done);
-                    match naive.victim(Reputation::Newcomer, now) {
-                        Some(conn) => naive.drop(conn, RejectionReason::Displaced, &mut wanted),
-                        None => wanted.push(Action::Pause { until: now + naive.policy.first_command_grace }),
-                    }
-                }
-                Step::Places(capacity) => {
-                    naive.policy.capacity = capacity;
-                    controller.set_policy(naive.policy.clone(), now, &mut done);
-                    while naive.held.len() > capacity {
-                        let Some(first) = naive.resting().first().map(|c| c.conn) else { break };
-                        naive.drop(first, RejectionReason::Displaced, &mut wanted);
-                    }
-                }
-            }
-            prop_assert_eq!(&done, &wanted, "{:?}", step);
-            let busy = naive.held.iter().filter(|c| c.busy.is_some()).count();
-            prop_assert_eq!(controller.held(), naive.held.len());
-            prop_assert!(controller.held() <= naive.policy.capacity.max(busy), "beyond the places only with requests open");
+            model.expected.clear();
+            let actions = play(step, &mut controller, &mut model);
+            prop_assert_eq!(&actions, &model.expected, "{:?}", step);
+            let open = controller.open_connections();
+            prop_assert_eq!(open, model.connections.len());
+            let is_busy = |c: &&ModelConnection| c.busy_as_new_client.is_some();
+            let busy = model.connections.iter().filter(is_busy).count();
+            prop_assert!(
+                open <= model.policy.capacity.max(busy),
+                "only connections with requests open may be beyond the capacity"
+            );
             let sizes = controller.cache_sizes();
-            prop_assert!(sizes.clients <= 8 + controller.held() && sizes.neighbourhoods <= 8 + controller.held());
+            prop_assert!(sizes.clients <= 8 + open);
+            prop_assert!(sizes.networks <= 8 + open);
             prop_assert!(sizes.customers <= 8);
-            for c in &naive.held {
-                prop_assert_eq!(controller.reputation(c.conn, now), Some(naive.rank(c, now)));
-            }
-        }
-    }
-
-    #[test]
-    fn shares_never_pass_the_total_and_minima_are_always_there(
-        total in 30usize..60,
-        steps in prop::collection::vec((0usize..8, any::<bool>()), 1..400),
-    ) {
-        let least = [3, 8, 6, 2, 1, 1, 1, 1];
-        let shares = least.map(|least| DescriptorShare { least, most: least * 4 });
-        let mut budget = DescriptorBudget::new(total, shares).unwrap();
-        for (of, take) in steps {
-            let (of, held) = (DESCRIPTOR_USES[of], budget.used(DESCRIPTOR_USES[of]));
-            match take {
-                true => {
-                    let granted = budget.take(of);
-                    prop_assert!(granted || held >= budget.share(of).least, "a minimum was refused");
-                    prop_assert_eq!(budget.used(of), held + usize::from(granted));
-                }
-                false => budget.give(of),
+            for c in &model.connections {
+                prop_assert_eq!(
+                    controller.reputation(c.id, model.now),
+                    Some(model.reputation(c))
+                );
             }
-            prop_assert!(DESCRIPTOR_USES.iter().map(|u| budget.used(*u)).sum::<usize>() <= total);
-            let owed: usize = DESCRIPTOR_USES.iter().map(|u| budget.used(*u).max(budget.share(*u).least)).sum();
-            prop_assert!(owed <= total, "what is guaranteed is no longer there");
         }
     }
 }
--- a/crates/admission/tests/snapshot.rs
+++ b/crates/admission/tests/snapshot.rs
@@ -1,9 +1,9 @@
-//! A snapshot is read as it was written, or refused for its reason.
+//! The stored form of snapshots.
 
 use roseyard_admission::*;
 
 #[test]
-fn what_was_written_is_read_and_every_torn_or_spoilt_file_is_told_apart() {
+fn a_written_snapshot_is_read_and_each_kind_of_damage_has_its_error() {
     let clients = (0..40)
         .map(|n| ClientRecord {
             key: n << 90,
@@ -18,32 +18,41 @@
         }],
     };
     let bytes = snapshot.encode(1_790_000_000_123);
-    assert_eq!(Snapshot::decode(&bytes), Ok((snapshot, 1_790_000_000_123)));
+    assert_eq!(
+        Snapshot::decode(&bytes),
+        Ok(StoredSnapshot {
+            snapshot,
+            written_unix_ms: 1_790_000_000_123
+        })
+    );
     for len in 0..bytes.len() {
-        let wrong = Snapshot::decode(&bytes[..len]).unwrap_err();
-        let named = if len == 0 {
-            wrong == SnapshotError::Foreign
+        let error = Snapshot::decode(&bytes[..len]).unwrap_err();
+        let is_expected = if len == 0 {
+            error == SnapshotError::WrongMagic
         } else {
-            matches!(wrong, SnapshotError::Torn { .. })
+            matches!(error, SnapshotError::WrongLength { .. })
         };
-        assert!(named, "{len}: {wrong}");
+        assert!(is_expected, "{len}: {error}");
     }
     for at in 0..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 0x10;
-        // Two bytes of the head are room for later and say nothing.
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 0x10;
+        // The two reserved bytes of the header are not checked.
         assert_eq!(
-            Snapshot::decode(&spoilt).is_err(),
+            Snapshot::decode(&damaged).is_err(),
             !(10..12).contains(&at),
             "byte {at}"
         );
     }
     let mut newer = bytes.clone();
     newer[8] = 9;
-    assert_eq!(Snapshot::decode(&newer), Err(SnapshotError::Version(9)));
+    assert_eq!(
+        Snapshot::decode(&newer),
+        Err(SnapshotError::UnsupportedVersion(9))
+    );
     assert_eq!(
         Snapshot::decode(b"{\"name\":1}"),
-        Err(SnapshotError::Foreign)
+        Err(SnapshotError::WrongMagic)
     );
     assert_eq!(
         Snapshot::decode(&[bytes, vec![0]].concat())
--- a/crates/admission/tests/stored_snapshot.rs
+++ b/crates/admission/tests/stored_snapshot.rs
@@ -1,7 +1,7 @@
 //! A snapshot file of version 1, written by the release before the packages were renamed, stays
 //! readable and is written again byte for byte.
 
-use roseyard_admission::{ClientRecord, Snapshot};
+use roseyard_admission::{ClientRecord, Snapshot, StoredSnapshot};
 
 const STORED: &[u8] = include_bytes!("data/reputation-snapshot.bin");
 const WRITTEN_UNIX_MS: u64 = 1_790_000_000_123;
@@ -20,7 +20,13 @@
 
 #[test]
 fn a_stored_snapshot_is_read() {
-    assert_eq!(Snapshot::decode(STORED), Ok((expected(), WRITTEN_UNIX_MS)));
+    assert_eq!(
+        Snapshot::decode(STORED),
+        Ok(StoredSnapshot {
+            snapshot: expected(),
+            written_unix_ms: WRITTEN_UNIX_MS
+        })
+    );
 }
 
 #[test]
--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -179,7 +179,7 @@
             held_bytes: memory / 4,
             requests: options.max_open().unwrap_or(20_000),
             pipelined: 1024,
-            counters: operator.share(DescriptorUse::Counter).most,
+            counters: operator.share(DescriptorUse::Counter).max,
             counter_bytes: 4 << 20,
             counter_calls: 4096,
             busy_again: ms(500),
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -262,7 +262,7 @@
         match read.and_then(fits) {
             Ok((config, operator, file)) => {
                 // The shares fit: they were held against the total just now.
-                if let Err(e) = io.budget.set(operator.sockets, operator.shares) {
+                if let Err(e) = io.budget.set_limits(operator.sockets, operator.shares) {
                     tracing::warn!(event = "reload.descriptors", error = %e, "descriptor limits not reloaded");
                 }
                 self.front.set_policy(operator.policy, io);
--- a/crates/ingress/src/program/standing.rs
+++ b/crates/ingress/src/program/standing.rs
@@ -20,14 +20,14 @@
 fn read(path: &Path) -> Result<(Snapshot, Duration), String> {
     let mut bytes = Vec::new();
     let file = fs::File::open(path).map_err(|e| e.to_string())?;
-    let most = roseyard_admission::MOST_BYTES as u64 + 1;
+    let most = roseyard_admission::MAX_SNAPSHOT_BYTES as u64 + 1;
     file.take(most)
         .read_to_end(&mut bytes)
         .map_err(|e| e.to_string())?;
-    let (snapshot, written) = Snapshot::decode(&bytes).map_err(|e| e.to_string())?;
+    let stored = Snapshot::decode(&bytes).map_err(|e| e.to_string())?;
     Ok((
-        snapshot,
-        Duration::from_millis(unix_ms().saturating_sub(written)),
+        stored.snapshot,
+        Duration::from_millis(unix_ms().saturating_sub(stored.written_unix_ms)),
     ))
 }
 
--- a/crates/ingress/src/routing/attempts.rs
+++ b/crates/ingress/src/routing/attempts.rs
@@ -214,7 +214,7 @@
             );
         }
         let Ok(stream) = self.connect(&address, io) else {
-            io.budget.give(DescriptorUse::Upstream);
+            io.budget.release(DescriptorUse::Upstream);
             return self.on_attempt_ended(
                 job,
                 endpoint,
@@ -378,7 +378,7 @@
         let Some(mut link) = self.links.remove(key) else {
             return;
         };
-        io.budget.give(DescriptorUse::Upstream);
+        io.budget.release(DescriptorUse::Upstream);
         self.idle.remove(&(link.used, key));
         io.deadlines.set(&mut link.due, None, Party::Link(key));
         if let Some(pool) = self.pools.get_mut(&link.endpoint) {
--- a/crates/ingress/src/routing/front/input.rs
+++ b/crates/ingress/src/routing/front/input.rs
@@ -224,12 +224,12 @@
     fn refusal(&mut self, key: Key, customer: u64, io: &mut Io) -> Option<Duration> {
         let mut refused = None;
         let event = Event::RequestReceived {
-            conn: connection_id(key),
+            connection: connection_id(key),
             customer,
         };
         self.listener.handle(event, io, |action, _| {
-            if let Action::RejectRequest { after } = action {
-                refused = Some(after);
+            if let Action::RejectRequest { retry_after } = action {
+                refused = Some(retry_after);
             }
         });
         refused
--- a/crates/ingress/src/routing/front/mod.rs
+++ b/crates/ingress/src/routing/front/mod.rs
@@ -43,7 +43,7 @@
 fn close(key: Key, clients: &mut Slots<Client>, held: &mut usize, io: &mut Io) -> Option<Client> {
     let mut client = clients.remove(key)?;
     io.deadlines.set(&mut client.due, None, Party::Client(key));
-    io.budget.give(DescriptorUse::Clients);
+    io.budget.release(DescriptorUse::Clients);
     *held -= client.held;
     Some(client)
 }
@@ -51,8 +51,8 @@
 /// Closes a connection that admission has named. Whom it turns away or refuses is seen to where
 /// that was asked.
 fn carry_out(action: Action, clients: &mut Slots<Client>, held: &mut usize, io: &mut Io) {
-    if let Action::Close { conn, .. } = action {
-        close(Key::unpack(conn.0), clients, held, io);
+    if let Action::Close { connection, .. } = action {
+        close(Key::unpack(connection.0), clients, held, io);
     }
 }
 
@@ -156,12 +156,12 @@
         let key = self.clients.insert_with(|_| Client::new(stream, io.now));
         let mut away = None;
         let event = Event::Connected {
-            conn: connection_id(key),
-            peer,
+            connection: connection_id(key),
+            peer_address: peer,
         };
         let (listener, clients, held) = (&mut self.listener, &mut self.clients, &mut self.held);
         listener.handle(event, io, |action, io| match action {
-            Action::RejectConnection { after, .. } => away = Some(after),
+            Action::RejectConnection { retry_after, .. } => away = Some(retry_after),
             _ => carry_out(action, clients, held, io),
         });
         if let Some(after) = away {
@@ -174,8 +174,8 @@
         if !core.take_descriptor(DescriptorUse::Clients, io) {
             self.listener.handle(
                 Event::Closed {
-                    conn: connection_id(key),
-                    fault: false,
+                    connection: connection_id(key),
+                    client_fault: false,
                 },
                 io,
                 |_, _| (),
@@ -241,8 +241,8 @@
         let client = close(key, &mut self.clients, &mut self.held, io)?;
         self.tell(
             Event::Closed {
-                conn: connection_id(key),
-                fault,
+                connection: connection_id(key),
+                client_fault: fault,
             },
             io,
         );
@@ -357,7 +357,7 @@
                 .listener
                 .controller
                 .reputation(connection_id(key), io.now)
-                <= Some(Reputation::Silent);
+                <= Some(Reputation::NoCommand);
         }
         self.gone(key, fault, core, io);
     }
--- a/crates/ingress/src/routing/front/output.rs
+++ b/crates/ingress/src/routing/front/output.rs
@@ -33,7 +33,7 @@
             self.open.remove(&id);
             self.tell(
                 Event::Answered {
-                    conn: connection_id(key),
+                    connection: connection_id(key),
                     served,
                 },
                 io,
--- a/crates/ingress/src/routing/listener.rs
+++ b/crates/ingress/src/routing/listener.rs
@@ -5,7 +5,7 @@
 use crate::transport::{accept, is_fd_shortage, listening_at, spare, Key, Stream};
 use roseyard_admission::{
     Action, AdmissionController, AdmissionPolicy, ConnectionId, DescriptorUse, Event,
-    RejectionReason, REJECTION_REASONS,
+    RejectionCounts, RejectionReason, REJECTION_REASONS,
 };
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
@@ -38,9 +38,8 @@
     paused: Option<Duration>,
     /// Room for what is to be done, kept from event to event.
     actions: Vec<Action>,
-    /// What was reported last of [`AdmissionController::counts`] and
-    /// [`AdmissionController::refused`].
-    reported: ([u64; REJECTION_REASONS.len()], u64),
+    /// What was reported last.
+    reported: RejectionCounts,
     /// When that is reported again.
     report_due: Option<Duration>,
 }
@@ -62,14 +61,14 @@
             DescriptorUse::Spare,
             DescriptorUse::Peers,
         ] {
-            while io.budget.used(of) < io.budget.share(of).least && io.budget.take(of) {}
+            while io.budget.used(of) < io.budget.limits(of).guaranteed && io.budget.take(of) {}
         }
         Ok(Listener {
             socket: Some(socket),
             controller: AdmissionController::new(policy, secret, io.now),
             paused: None,
             actions: Vec::new(),
-            reported: Default::default(),
+            reported: RejectionCounts::default(),
             report_due: None,
         })
     }
@@ -112,7 +111,7 @@
 
     /// Takes the next connection that waits, unless nothing is to be accepted just now.
     pub(super) fn accept(&mut self, io: &mut Io) -> Accepted {
-        if let Some(until) = self.controller.pause(io.now) {
+        if let Some(until) = self.controller.accept_paused_until(io.now) {
             self.pause(until, io);
             return Accepted::Nothing;
         }
@@ -189,17 +188,19 @@
     /// It is time to report what was done, each limit for itself.
     pub(super) fn on_report_due(&mut self) {
         self.report_due = None;
-        let (counts, refused) = (self.controller.counts(), self.controller.refused());
-        let (before, refused_before) = std::mem::replace(&mut self.reported, (counts, refused));
-        let since = |why: RejectionReason| counts[why as usize] - before[why as usize];
+        let counts = self.controller.rejection_counts();
+        let before = std::mem::replace(&mut self.reported, counts);
+        let since = |why: RejectionReason| {
+            counts.connections[why as usize] - before.connections[why as usize]
+        };
         let changed = REJECTION_REASONS.iter().filter(|why| since(**why) > 0);
         let mut words: Vec<String> = changed
             .map(|why| format!("{} {}", why.as_str(), since(*why)))
             .collect();
-        if refused > refused_before {
-            words.push(format!("refused {}", refused - refused_before));
+        if counts.requests > before.requests {
+            words.push(format!("refused {}", counts.requests - before.requests));
         }
-        let (held, words) = (self.controller.held(), words.join(", "));
+        let (held, words) = (self.controller.open_connections(), words.join(", "));
         tracing::info!(event = "admission.summary", clients = held, rejected = %words, "admission summary");
     }
 }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Longest file that is read: room for the services of a large platform with a uid for each server.
-const MOST_BYTES: u64 = 4 << 20;
+const MAX_SNAPSHOT_BYTES: u64 = 4 << 20;
 
 /// A file whose every setting can be read.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     /// Reads and checks a file. The outer error says why it cannot be read at all.
     pub fn load(path: &Path) -> Result<Result<File, ConfigErrors>, String> {
         let named = |e: std::io::Error| format!("{}: {e}", path.display());
-        if std::fs::metadata(path).map_err(named)?.len() > MOST_BYTES {
+        if std::fs::metadata(path).map_err(named)?.len() > MAX_SNAPSHOT_BYTES {
             return Err(format!("{}: longer than 4 MiB", path.display()));
         }
         let text = std::fs::read_to_string(path).map_err(named)?;
@@ -161,7 +161,7 @@
             }
         }
         // Guards against places for clients that no descriptor stands for.
-        let most = effective.share(DescriptorUse::Clients).most;
+        let most = effective.share(DescriptorUse::Clients).max;
         effective.policy.capacity = effective.policy.capacity.min(most).max(1);
         // An answer that may come after the probe's end would be awaited in vain.
         let Membership {
--- a/crates/operator-config/src/schema/admission.rs
+++ b/crates/operator-config/src/schema/admission.rs
@@ -15,13 +15,13 @@
         name: "places",
         kind: Kind::Count(1, 1 << 20),
         about: "client connections in all; never more than 'descriptors' leaves them",
-        apply: |e, v| e.policy = AdmissionPolicy::of(v.count().min(e.share(DescriptorUse::Clients).most)),
+        apply: |e, v| e.policy = AdmissionPolicy::with_capacity(v.count().min(e.share(DescriptorUse::Clients).max)),
         show: |e| e.policy.capacity.to_string(),
     },
     Setting {
         section: "admission",
         name: "reserve",
-        kind: Kind::DescriptorShare,
+        kind: Kind::Ratio,
         about: "share of the places on which newcomers may rest, but not have requests open",
         apply: |e, v| e.policy.reserve = share_of(e.policy.capacity, v.number()),
         show: |e| e.policy.reserve.to_string(),
@@ -29,7 +29,7 @@
     Setting {
         section: "admission",
         name: "silent-room",
-        kind: Kind::DescriptorShare,
+        kind: Kind::Ratio,
         about: "share of the places for connections that have asked nothing yet",
         apply: |e, v| e.policy.max_idle_without_request = share_of(e.policy.capacity, v.number()).max(1),
         show: |e| e.policy.max_idle_without_request.to_string(),
@@ -37,7 +37,7 @@
     Setting {
         section: "admission",
         name: "once-room",
-        kind: Kind::DescriptorShare,
+        kind: Kind::Ratio,
         about: "share of the places for connections that rest and have asked once",
         apply: |e, v| e.policy.max_idle_after_one_request = share_of(e.policy.capacity, v.number()).max(1),
         show: |e| e.policy.max_idle_after_one_request.to_string(),
@@ -55,32 +55,32 @@
         name: "per-client",
         kind: Kind::Count(1, 1 << 20),
         about: "connections of one client address (needs by-address)",
-        apply: |e, v| e.policy.per_client = Some(v.count() as u32),
-        show: |e| optional(e.policy.per_client),
+        apply: |e, v| e.policy.max_per_client = Some(v.count() as u32),
+        show: |e| optional(e.policy.max_per_client),
     },
     Setting {
         section: "admission",
         name: "per-neighbourhood",
         kind: Kind::Count(1, 1 << 20),
         about: "connections of one neighbourhood of addresses (needs by-address)",
-        apply: |e, v| e.policy.per_neighbourhood = Some(v.count() as u32),
-        show: |e| optional(e.policy.per_neighbourhood),
+        apply: |e, v| e.policy.max_per_network = Some(v.count() as u32),
+        show: |e| optional(e.policy.max_per_network),
     },
     Setting {
         section: "admission",
         name: "rate-client",
         kind: Kind::Rate,
         about: "new connections a second of one client address (needs by-address)",
-        apply: |e, v| e.policy.rate_client = v.rate(),
-        show: |e| rate(e.policy.rate_client),
+        apply: |e, v| e.policy.client_connect_rate = v.rate(),
+        show: |e| rate(e.policy.client_connect_rate),
     },
     Setting {
         section: "admission",
         name: "rate-neighbourhood",
         kind: Kind::Rate,
         about: "new connections a second of one neighbourhood (needs by-address)",
-        apply: |e, v| e.policy.rate_neighbourhood = v.rate(),
-        show: |e| rate(e.policy.rate_neighbourhood),
+        apply: |e, v| e.policy.network_connect_rate = v.rate(),
+        show: |e| rate(e.policy.network_connect_rate),
     },
     Setting {
         section: "admission",
@@ -96,14 +96,15 @@
         kind: Kind::Prefixes,
         about: "bits of an address that name a neighbourhood (v4, v6) and an IPv6 client (v6-client)",
         apply: |e, v| {
-            let held = &mut e.policy.prefixes;
+            let held = &mut e.policy.prefix_lengths;
             let bits = |name, old: u8| v.named(name).map_or(old, |n| n as u8);
-            (held.v4, held.v6) = (bits("v4", held.v4), bits("v6", held.v6));
-            held.v6_client = bits("v6-client", held.v6_client);
+            held.ipv4_network = bits("v4", held.ipv4_network);
+            held.ipv6_network = bits("v6", held.ipv6_network);
+            held.ipv6_client = bits("v6-client", held.ipv6_client);
         },
         show: |e| {
-            let held = e.policy.prefixes;
-            format!("v4={} v6-client={} v6={}", held.v4, held.v6_client, held.v6)
+            let held = e.policy.prefix_lengths;
+            format!("v4={} v6-client={} v6={}", held.ipv4_network, held.ipv6_client, held.ipv6_network)
         },
     },
     Setting {
@@ -113,10 +114,10 @@
         about: "the operator's own addresses and ranges: no cap holds for them, and they go last",
         apply: |e, v| {
             if let Value::Ranges(ranges) = v {
-                e.policy.listed = AddressList::new(ranges.iter().copied());
+                e.policy.allowlist = AddressList::new(ranges.iter().copied());
             }
         },
-        show: |e| match e.policy.listed.len() {
+        show: |e| match e.policy.allowlist.len() {
             0 => "none".into(),
             n => format!("{n} ranges"),
         },
@@ -126,8 +127,8 @@
         name: "known-after",
         kind: Kind::Number(0.5, 1e6),
         about: "served requests, fading, from which on an address or a customer is known",
-        apply: |e, v| e.policy.known_after = v.number() as f32,
-        show: |e| e.policy.known_after.to_string(),
+        apply: |e, v| e.policy.known_after_served = v.number() as f32,
+        show: |e| e.policy.known_after_served.to_string(),
     },
     Setting {
         section: "admission",
@@ -142,8 +143,8 @@
         name: "suspect-after",
         kind: Kind::Number(0.5, 1e6),
         about: "faults, fading, from which on an address is suspect",
-        apply: |e, v| e.policy.suspect_after = v.number() as f32,
-        show: |e| e.policy.suspect_after.to_string(),
+        apply: |e, v| e.policy.suspect_after_faults = v.number() as f32,
+        show: |e| e.policy.suspect_after_faults.to_string(),
     },
     Setting {
         section: "admission",
--- a/crates/operator-config/src/schema/descriptors.rs
+++ b/crates/operator-config/src/schema/descriptors.rs
@@ -4,17 +4,17 @@
 use super::Setting;
 use crate::settings::{MachineLimits, OperatorSettings};
 use crate::value::{Kind, Value};
-use roseyard_admission::{AdmissionPolicy, DescriptorShare, DescriptorUse};
+use roseyard_admission::{AdmissionPolicy, DescriptorLimits, DescriptorUse};
 
 fn set_bounds(e: &mut OperatorSettings, of: DescriptorUse, value: &Value) {
     let share = &mut e.shares[of as usize];
     if let Some(least) = value.named("least") {
-        share.least = least as usize;
-        share.most = share.most.max(share.least);
+        share.guaranteed = least as usize;
+        share.max = share.max.max(share.guaranteed);
     }
     if let Some(most) = value.named("most") {
-        share.most = most as usize;
-        share.least = share.least.min(share.most);
+        share.max = most as usize;
+        share.guaranteed = share.guaranteed.min(share.max);
     }
 }
 
@@ -34,7 +34,7 @@
         about: "connections of clients: always there, and at most",
         apply: |e, v| {
             set_bounds(e, DescriptorUse::Clients, v);
-            e.policy = AdmissionPolicy::of(e.share(DescriptorUse::Clients).most);
+            e.policy = AdmissionPolicy::with_capacity(e.share(DescriptorUse::Clients).max);
         },
         show: |e| bounds(e.share(DescriptorUse::Clients)),
     },
@@ -51,7 +51,7 @@
         name: "counter",
         kind: Kind::Count(1, 32),
         about: "connections to the counter",
-        apply: |e, v| e.shares[DescriptorUse::Counter as usize] = DescriptorShare { least: v.count(), most: v.count() },
-        show: |e| e.share(DescriptorUse::Counter).most.to_string(),
+        apply: |e, v| e.shares[DescriptorUse::Counter as usize] = DescriptorLimits { guaranteed: v.count(), max: v.count() },
+        show: |e| e.share(DescriptorUse::Counter).max.to_string(),
     },
 ];
--- a/crates/operator-config/src/schema/membership.rs
+++ b/crates/operator-config/src/schema/membership.rs
@@ -3,7 +3,7 @@
 use super::show::{all, file, optional, time};
 use super::Setting;
 use crate::value::{Kind, Value};
-use roseyard_admission::{DescriptorShare, DescriptorUse};
+use roseyard_admission::{DescriptorLimits, DescriptorUse};
 
 pub(super) const SETTINGS: &[Setting] = &[
     Setting {
@@ -13,7 +13,7 @@
         about: "where this ingress listens for the others; without it no socket is opened (next start)",
         apply: |e, v| {
             e.membership.listen = v.addresses().first().copied();
-            e.shares[DescriptorUse::Peers as usize] = DescriptorShare { least: 1, most: 1 };
+            e.shares[DescriptorUse::Peers as usize] = DescriptorLimits { guaranteed: 1, max: 1 };
         },
         show: |e| optional(e.membership.listen),
     },
--- a/crates/operator-config/src/schema/show.rs
+++ b/crates/operator-config/src/schema/show.rs
@@ -1,6 +1,6 @@
 //! How values are worded in explanations, as the file would have them.
 
-use roseyard_admission::{DescriptorShare, Rate};
+use roseyard_admission::{DescriptorLimits, Rate};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -29,6 +29,6 @@
     optional(rate.map(|r| format!("{} burst={}", r.per_second, r.burst)))
 }
 
-pub(super) fn bounds(share: DescriptorShare) -> String {
-    format!("least={} most={}", share.least, share.most)
+pub(super) fn bounds(share: DescriptorLimits) -> String {
+    format!("least={} most={}", share.guaranteed, share.max)
 }
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -1,6 +1,6 @@
 //! All settings after defaults, as the program goes by them.
 
-use roseyard_admission::{AdmissionPolicy, DescriptorShare, DescriptorUse, DESCRIPTOR_USES};
+use roseyard_admission::{AdmissionPolicy, DescriptorLimits, DescriptorUse, DESCRIPTOR_USES};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -66,7 +66,7 @@
     /// Descriptors in all.
     pub sockets: usize,
     /// Descriptors by use, in the order of [`DESCRIPTOR_USES`].
-    pub shares: [DescriptorShare; DESCRIPTOR_USES.len()],
+    pub shares: [DescriptorLimits; DESCRIPTOR_USES.len()],
     /// Admission of connections.
     pub policy: AdmissionPolicy,
     /// Standing over a restart.
@@ -88,7 +88,7 @@
     /// them unused.
     pub fn new(machine: &MachineLimits) -> OperatorSettings {
         let sockets = machine.sockets.min(machine.allowed);
-        let share = |least: usize, most: usize| DescriptorShare { least, most };
+        let share = |guaranteed: usize, max: usize| DescriptorLimits { guaranteed, max };
         let kept = FIXED + 8 + 2 + 2 + 1;
         let left = sockets.saturating_sub(kept).max(4);
         let shares = [
@@ -104,7 +104,7 @@
         OperatorSettings {
             sockets,
             shares,
-            policy: AdmissionPolicy::of(left - left / 4),
+            policy: AdmissionPolicy::with_capacity(left - left / 4),
             standing: SnapshotSettings {
                 file: None,
                 every: Duration::from_secs(30),
@@ -133,7 +133,7 @@
     }
 
     /// What a use of descriptors may hold.
-    pub fn share(&self, of: DescriptorUse) -> DescriptorShare {
+    pub fn share(&self, of: DescriptorUse) -> DescriptorLimits {
         self.shares[of as usize]
     }
 }
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -17,7 +17,7 @@
     /// A number.
     Number(f64, f64),
     /// A share of something, 0 to 1.
-    DescriptorShare,
+    Ratio,
     /// A time such as "250ms" or "1h 30m", bounds in milliseconds.
     Time(u64, u64),
     /// So many a second, and `burst=` at once.
@@ -139,7 +139,7 @@
             Kind::Flag => "#true or #false".into(),
             Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
             Kind::Number(least, most) => format!("a number from {least} to {most}"),
-            Kind::DescriptorShare => "a share from 0 to 1".into(),
+            Kind::Ratio => "a share from 0 to 1".into(),
             Kind::Time(least, most) => {
                 let shown =
                     |ms: &u64| humantime::format_duration(Duration::from_millis(*ms)).to_string();
@@ -251,7 +251,7 @@
             }
             Kind::Count(least, most) => Value::Count(whole(one()?, *least, *most)?),
             Kind::Number(least, most) => Value::Number(number(one()?, *least, *most)?),
-            Kind::DescriptorShare => Value::Number(number(one()?, 0.0, 1.0)?),
+            Kind::Ratio => Value::Number(number(one()?, 0.0, 1.0)?),
             Kind::Time(least, most) => {
                 let entry = one()?;
                 let time = humantime::parse_duration(&text(entry)?).map_err(|_| bad(entry))?;
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -29,22 +29,23 @@
     );
     assert_eq!(
         (
-            held.share(DescriptorUse::Upstream).least,
-            held.share(DescriptorUse::Upstream).most
+            held.share(DescriptorUse::Upstream).guaranteed,
+            held.share(DescriptorUse::Upstream).max
         ),
         (40, 200)
     );
     assert_eq!(
-        held.policy.rate_client,
+        held.policy.client_connect_rate,
         Some(Rate {
             per_second: 2.5,
             burst: 10.0
         })
     );
-    assert_eq!((held.policy.prefixes.v4, held.policy.prefixes.v6), (16, 48));
+    let lengths = held.policy.prefix_lengths;
+    assert_eq!((lengths.ipv4_network, lengths.ipv6_network), (16, 48));
     assert_eq!(
         (
-            held.policy.listed.len(),
+            held.policy.allowlist.len(),
             held.policy.idle_timeout_without_request
         ),
         (2, Duration::from_millis(1500))
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -54,32 +54,35 @@
     });
     let policy = AdmissionPolicy {
         by_address: true,
-        per_client: Some(1 << 20),
-        per_neighbourhood: Some(1 << 20),
-        rate_client: rate,
-        rate_neighbourhood: rate,
+        max_per_client: Some(1 << 20),
+        max_per_network: Some(1 << 20),
+        client_connect_rate: rate,
+        network_connect_rate: rate,
         max_remembered: addresses,
         max_idle_after_one_request: OPEN,
         max_idle_without_request: OPEN,
-        ..AdmissionPolicy::of(OPEN)
+        ..AdmissionPolicy::with_capacity(OPEN)
     };
     let (mut controller, mut out) = (
         AdmissionController::new(policy, 7, Duration::ZERO),
         Vec::new(),
     );
     for number in 0..addresses as u64 {
-        let conn = ConnectionId(number << 32);
+        let connection = ConnectionId(number << 32);
         controller.handle(
             Duration::ZERO,
             Event::Connected {
-                conn,
-                peer: peer(number),
+                connection,
+                peer_address: peer(number),
             },
             &mut out,
         );
         controller.handle(
             Duration::ZERO,
-            Event::Closed { conn, fault: false },
+            Event::Closed {
+                connection,
+                client_fault: false,
+            },
             &mut out,
         );
         out.clear();
@@ -88,8 +91,8 @@
         controller.handle(
             Duration::ZERO,
             Event::Connected {
-                conn: ConnectionId(number),
-                peer: peer(number),
+                connection: ConnectionId(number),
+                peer_address: peer(number),
             },
             &mut out,
         );
@@ -104,16 +107,23 @@
             let serial = round * DECISIONS + n + 1;
             let now = Duration::from_millis(20 * serial);
             // Slots are used in turn: the next one is the longest rested.
-            let conn = ConnectionId((serial << 32) + serial % OPEN as u64 + OPEN as u64);
+            let connection = ConnectionId((serial << 32) + serial % OPEN as u64 + OPEN as u64);
             controller.handle(
                 now,
                 Event::Connected {
-                    conn,
-                    peer: peer(serial % addresses),
+                    connection,
+                    peer_address: peer(serial % addresses),
+                },
+                &mut out,
+            );
+            controller.handle(
+                now,
+                Event::Closed {
+                    connection,
+                    client_fault: false,
                 },
                 &mut out,
             );
-            controller.handle(now, Event::Closed { conn, fault: false }, &mut out);
             out.clear();
         }
     });
