--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -449,6 +449,8 @@
             max_idle_after_one_request: 3,
             max_idle_without_request: 4,
             known_half_life: Duration::from_secs(1 << 30),
+            // Low enough that the few protocol errors of a run make addresses suspect.
+            suspect_after_faults: 2.0,
             suspect_half_life: Duration::from_secs(1 << 30),
             warm_up: Duration::from_secs(5),
             ..AdmissionPolicy::with_capacity(8)
