--- a/crates/ingress/src/program/cli.rs
+++ b/crates/ingress/src/program/cli.rs
@@ -5,7 +5,9 @@
 use super::ProgramError;
 use clap::{Parser, Subcommand, ValueEnum};
 use roseyard_operator_config::log::{self, LogFormat};
-use roseyard_operator_config::{ConfigErrors, File, MachineLimits, OperatorSettings, SettingRow};
+use roseyard_operator_config::{
+    ConfigErrors, File, FileError, MachineLimits, OperatorSettings, SettingRow,
+};
 use std::path::{Path, PathBuf};
 
 /// Descriptors that are assumed where neither the command line nor a configuration says how many.
@@ -93,8 +95,8 @@
     #[error(transparent)]
     Status(#[from] StatusError),
     /// The operator's file cannot be read.
-    #[error("{0}")]
-    Unreadable(String),
+    #[error(transparent)]
+    Unreadable(FileError),
     /// The operator's file has errors: their number and a report that shows each in its line.
     #[error("{file}: {count} mistakes\n{report}")]
     Invalid {
@@ -111,8 +113,8 @@
     fn machine(&self) -> MachineLimits {
         let configured = || Config::read().ok().map(|config| config.limits.sockets);
         MachineLimits {
-            sockets: self.sockets.or_else(configured).unwrap_or(DEFAULT_SOCKETS),
-            allowed: crate::transport::allowed(),
+            platform_descriptors: self.sockets.or_else(configured).unwrap_or(DEFAULT_SOCKETS),
+            system_descriptors: crate::transport::allowed(),
         }
     }
 }
@@ -120,10 +122,10 @@
 impl RunOptions {
     /// Reads the operator's file; without one, the defaults.
     pub fn operator_file(&self) -> Result<File, ProgramError> {
-        let Some(path) = &self.settings else {
-            return Ok(File::none());
-        };
-        File::read(path).map_err(|error| ProgramError::OperatorFile(error.to_string()))
+        match &self.settings {
+            Some(path) => Ok(File::load(path)?),
+            None => Ok(File::none()),
+        }
     }
 
     /// Sets up the log. The command line goes before the operator's file.
@@ -131,10 +133,9 @@
         let format = match self.log {
             Some(LogForm::Json) => LogFormat::Json,
             Some(LogForm::Text) => LogFormat::Text,
-            None if settings.log_json => LogFormat::Json,
-            None => LogFormat::Text,
+            None => settings.log_format,
         };
-        log::init(format, settings.log_lines);
+        log::init(format, settings.max_log_lines_per_second);
     }
 }
 
@@ -166,7 +167,7 @@
     print!("{}", table(&checked.rows));
     println!(
         "sockets of the platform {}, allowed by the system {}",
-        machine.sockets, machine.allowed
+        machine.platform_descriptors, machine.system_descriptors
     );
     Ok(())
 }
@@ -186,11 +187,13 @@
             count: errors.iter().count(),
             report: errors.report(),
         };
-        let file = path
-            .map_or_else(|| Ok(Ok(File::none())), File::load)
-            .map_err(|error| CommandError::Unreadable(error.to_string()))?
-            .map_err(invalid)?;
-        let rows = file.explain(machine).map_err(invalid)?;
+        let file = match path.map(File::load) {
+            None => File::none(),
+            Some(Ok(file)) => file,
+            Some(Err(FileError::Invalid(errors))) => return Err(invalid(errors)),
+            Some(Err(error)) => return Err(CommandError::Unreadable(error)),
+        };
+        let rows = file.setting_rows(machine).map_err(invalid)?;
         Ok(CheckedFile { file, rows })
     }
 }
--- a/crates/ingress/src/program/error.rs
+++ b/crates/ingress/src/program/error.rs
@@ -36,9 +36,12 @@
     /// The platform's configuration could not be read.
     #[error(transparent)]
     Configuration(#[from] super::config::ConfigurationError),
-    /// The operator's file could not be read or does not fit this machine.
-    #[error("{0}")]
-    OperatorFile(String),
+    /// The operator's file cannot be read, or has errors.
+    #[error(transparent)]
+    OperatorFile(#[from] roseyard_operator_config::FileError),
+    /// The operator's settings do not fit this machine.
+    #[error(transparent)]
+    OperatorSettings(roseyard_operator_config::ConfigErrors),
     /// The platform's settings hold a value that is not known.
     #[error(transparent)]
     PlatformSettings(#[from] roseyard_platform_config::PlatformConfigError),
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -84,8 +84,8 @@
     let config = Config::read()?;
     let file = options.operator_file()?;
     let settings = file
-        .effective(&start::machine_limits(&config))
-        .map_err(|error| ProgramError::OperatorFile(error.to_string()))?;
+        .resolve(&start::machine_limits(&config))
+        .map_err(ProgramError::OperatorSettings)?;
     options.start_log(&settings);
     let mut program = Program::start(&config, &file, clock)?;
     program.handle_signals(signals, options.clone())?;
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -43,8 +43,8 @@
 
     fn check(&self, config: Config, file: File) -> Result<NewConfiguration, ProgramError> {
         let operator = file
-            .effective(&self.machine)
-            .map_err(|error| ProgramError::OperatorFile(error.to_string()))?;
+            .resolve(&self.machine)
+            .map_err(ProgramError::OperatorSettings)?;
         Ok(NewConfiguration {
             config,
             operator,
@@ -60,7 +60,8 @@
         } = new;
         let io = &mut self.io;
         // Cannot fail: the shares were checked against the total just now.
-        if let Err(error) = io.budget.set(operator.sockets, operator.shares) {
+        let limits = operator.descriptor_limits;
+        if let Err(error) = io.budget.set_limits(operator.descriptors, limits) {
             tracing::warn!(
                 event = "reload.descriptors",
                 %error,
@@ -68,7 +69,7 @@
             );
         }
         self.front.set_policy(operator.policy, io);
-        self.snapshots.set(operator.standing);
+        self.snapshots.set(operator.reputation_snapshot);
         self.snapshots.schedule(&mut self.snapshot_due, io);
         if let Some(members) = &mut self.members {
             members.set(&operator.membership);
--- a/crates/ingress/src/program/snapshot_store.rs
+++ b/crates/ingress/src/program/snapshot_store.rs
@@ -17,7 +17,7 @@
 }
 
 /// A snapshot and the time since it was written.
-struct StoredSnapshot {
+struct AgedSnapshot {
     snapshot: Snapshot,
     age: Duration,
 }
@@ -59,7 +59,7 @@
             .settings
             .file
             .as_ref()
-            .map(|_| io.now + self.settings.every);
+            .map(|_| io.now + self.settings.interval);
         io.deadlines.set(due, at, Party::SnapshotSettings);
     }
 
@@ -86,7 +86,7 @@
 
     fn encode(&self, controller: &AdmissionController, now: Duration) -> Vec<u8> {
         controller
-            .snapshot(self.settings.most, now)
+            .snapshot(self.settings.max_records, now)
             .encode(unix_ms())
     }
 }
@@ -94,7 +94,7 @@
 fn restore(path: &Path, controller: &mut AdmissionController, now: Duration) {
     let file = path.display();
     match read(path) {
-        Ok(StoredSnapshot { snapshot, age }) => {
+        Ok(AgedSnapshot { snapshot, age }) => {
             controller.restore(&snapshot, age, now);
             let clients = snapshot.clients.len();
             let customers = snapshot.customers.len();
@@ -116,12 +116,15 @@
     }
 }
 
-fn read(path: &Path) -> Result<StoredSnapshot, RestoreError> {
+fn read(path: &Path) -> Result<AgedSnapshot, RestoreError> {
     // One byte over the limit shows that a file is too long.
-    let most = roseyard_admission::MOST_BYTES as u64 + 1;
+    let most = roseyard_admission::MAX_SNAPSHOT_BYTES as u64 + 1;
     let mut bytes = Vec::new();
     File::open(path)?.take(most).read_to_end(&mut bytes)?;
-    let (snapshot, written) = Snapshot::decode(&bytes)?;
-    let age = Duration::from_millis(unix_ms().saturating_sub(written));
-    Ok(StoredSnapshot { snapshot, age })
+    let stored = Snapshot::decode(&bytes)?;
+    let age_ms = unix_ms().saturating_sub(stored.written_unix_ms);
+    Ok(AgedSnapshot {
+        snapshot: stored.snapshot,
+        age: Duration::from_millis(age_ms),
+    })
 }
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -20,8 +20,8 @@
 /// The machine's limits by the platform's configuration and by the system.
 pub(super) fn machine_limits(config: &Config) -> MachineLimits {
     MachineLimits {
-        sockets: config.limits.sockets,
-        allowed: allowed(),
+        platform_descriptors: config.limits.sockets,
+        system_descriptors: allowed(),
     }
 }
 
@@ -30,12 +30,12 @@
     pub fn start(config: &Config, file: &File, clock: Clock) -> Result<Program, ProgramError> {
         let machine = machine_limits(config);
         let operator = file
-            .effective(&machine)
-            .map_err(|error| ProgramError::OperatorFile(error.to_string()))?;
+            .resolve(&machine)
+            .map_err(ProgramError::OperatorSettings)?;
         let limits = Limits::new(&operator, config.limits.memory_mb, &config.settings);
         let mut io = open_io(&operator, limits, clock)?;
         let mut front = open_frontend(config, file, &operator, &mut io)?;
-        let snapshots = SnapshotStore::open(operator.standing, front.gate_mut(), io.now);
+        let snapshots = SnapshotStore::open(operator.reputation_snapshot, front.gate_mut(), io.now);
         if let Some(address) = front.address() {
             let name = &config.name;
             tracing::info!(event = "listening", name, %address, "listening");
@@ -56,7 +56,7 @@
             &mut io,
         )
         .map_err(|error| ProgramError::Membership(error.to_string()))?;
-        let status_path = membership.status.as_deref();
+        let status_path = membership.status_file.as_deref();
         let status_file = status_path
             .filter(|_| members.is_some())
             .map(StatusFile::new);
@@ -97,7 +97,7 @@
 
 fn open_io(operator: &OperatorSettings, limits: Limits, clock: Clock) -> Result<Io, ProgramError> {
     let poller = Poller::new(limits.batch).map_err(ProgramError::Poller)?;
-    let budget = DescriptorBudget::new(operator.sockets, operator.shares)
+    let budget = DescriptorBudget::new(operator.descriptors, operator.descriptor_limits)
         .map_err(ProgramError::Descriptors)?;
     Ok(Io {
         poller,
--- a/crates/ingress/tests/common/mod.rs
+++ b/crates/ingress/tests/common/mod.rs
@@ -23,8 +23,8 @@
 /// The limits of an ordinary machine under these settings.
 pub(crate) fn limits() -> Limits {
     let operator = OperatorSettings::new(&MachineLimits {
-        sockets: 1024,
-        allowed: 1024,
+        platform_descriptors: 1024,
+        system_descriptors: 1024,
     });
     Limits::new(
         &operator,
@@ -371,7 +371,7 @@
 /// An operator's file that is in order.
 /// A configuration that cannot be read, as the program sees it at a reload.
 pub(crate) fn rejected(error: impl std::fmt::Display) -> ProgramError {
-    ProgramError::OperatorFile(error.to_string())
+    ProgramError::Membership(error.to_string())
 }
 
 pub(crate) fn operator(text: &str) -> File {
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -59,14 +59,14 @@
     fn new(addresses: usize) -> Controller {
         let policy = AdmissionPolicy {
             by_address: true,
-            per_client: Some(MAX_PER_CLIENT),
-            per_neighbourhood: Some(MAX_PER_CLIENT),
-            rate_client: Some(UNLIMITED),
-            rate_neighbourhood: Some(UNLIMITED),
+            max_per_client: Some(MAX_PER_CLIENT),
+            max_per_network: Some(MAX_PER_CLIENT),
+            client_connect_rate: Some(UNLIMITED),
+            network_connect_rate: Some(UNLIMITED),
             max_remembered: addresses,
             max_idle_after_one_request: OPEN,
             max_idle_without_request: OPEN,
-            ..AdmissionPolicy::of(OPEN)
+            ..AdmissionPolicy::with_capacity(OPEN)
         };
         let mut controller = Controller {
             controller: AdmissionController::new(policy, 7, Duration::ZERO),
@@ -83,13 +83,19 @@
         controller
     }
 
-    fn connect(&mut self, now: Duration, conn: ConnectionId, peer: IpAddr) {
-        let event = Event::Connected { conn, peer };
+    fn connect(&mut self, now: Duration, connection: ConnectionId, peer_address: IpAddr) {
+        let event = Event::Connected {
+            connection,
+            peer_address,
+        };
         self.controller.handle(now, event, &mut self.actions);
     }
 
-    fn close(&mut self, now: Duration, conn: ConnectionId) {
-        let event = Event::Closed { conn, fault: false };
+    fn close(&mut self, now: Duration, connection: ConnectionId) {
+        let event = Event::Closed {
+            connection,
+            client_fault: false,
+        };
         self.controller.handle(now, event, &mut self.actions);
         self.actions.clear();
     }
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -132,8 +132,8 @@
 /// The limits of an ingress of the planned size.
 pub(super) fn limits() -> Limits {
     let machine = MachineLimits {
-        sockets: DESCRIPTORS,
-        allowed: DESCRIPTORS,
+        platform_descriptors: DESCRIPTORS,
+        system_descriptors: DESCRIPTORS,
     };
     let operator = OperatorSettings::new(&machine);
     Limits::new(
