--- a/crates/ingress/tests/scale.rs
+++ b/crates/ingress/tests/scale.rs
@@ -3,7 +3,7 @@
 
 use roseyard_testbed::scale::daemon::faults::Fault;
 use roseyard_testbed::scale::daemon::{self, DaemonOptions};
-use roseyard_testbed::scale::Run;
+use roseyard_testbed::scale::RunOptions;
 
 /// A request may cost so many times as much with 200 times the servers in 200 times the services.
 const GROWTH: f64 = 2.0;
@@ -16,11 +16,11 @@
         before: None,
         all_tenants: false,
         counter: true,
-        probes: true,
+        health_checks: true,
         servers_close: false,
         rate: 256.0,
-        spread: 1,
-        run: Run {
+        ingress_count: 1,
+        run: RunOptions {
             sizes: sizes.to_vec(),
             seconds,
             seed: 11,
--- a/crates/testbed/src/cli/flood.rs
+++ b/crates/testbed/src/cli/flood.rs
@@ -6,12 +6,13 @@
 use roseyard_testbed::daemon::{daemon_program, Daemon, LaunchOptions};
 use roseyard_testbed::fakes::FakePlatform;
 use roseyard_testbed::flood::{self, Flood, FloodCounters, FloodShape};
+use roseyard_testbed::runtime::single_thread_runtime;
 use std::io;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::runtime::{Builder, Runtime};
+use tokio::runtime::Runtime;
 
 const FORM_SERVERS: usize = 12;
 const CUSTOMERS: u64 = 60;
@@ -129,17 +130,10 @@
 
 impl Runtimes {
     fn start() -> io::Result<Runtimes> {
-        let single_thread = |name: &str| {
-            Builder::new_multi_thread()
-                .worker_threads(1)
-                .thread_name(name)
-                .enable_all()
-                .build()
-        };
         Ok(Runtimes {
-            platform: single_thread("platform")?,
-            clients: single_thread("clients")?,
-            flood: single_thread("flood")?,
+            platform: single_thread_runtime("platform")?,
+            clients: single_thread_runtime("clients")?,
+            flood: single_thread_runtime("flood")?,
         })
     }
 }
--- a/crates/testbed/src/cli/scale.rs
+++ b/crates/testbed/src/cli/scale.rs
@@ -4,7 +4,7 @@
 use clap::CommandFactory;
 use roseyard_testbed::daemon::daemon_program;
 use roseyard_testbed::scale::daemon::{self, faults, DaemonOptions};
-use roseyard_testbed::scale::{self, report::RoleReport, Role, Run};
+use roseyard_testbed::scale::{self, report::RoleReport, Role, RunOptions};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -93,13 +93,13 @@
 }
 
 /// What the role is run with; ends the program if the sizes are not allowed.
-fn run_options(args: &ScaleArgs) -> Run {
+fn run_options(args: &ScaleArgs) -> RunOptions {
     let sizes = args.role.sizes(&args.sizes).unwrap_or_else(|error| {
         Cli::command()
             .error(clap::error::ErrorKind::ValueValidation, error)
             .exit();
     });
-    Run {
+    RunOptions {
         sizes,
         seconds: args.seconds,
         seed: args.seed,
@@ -125,17 +125,17 @@
     }
 }
 
-fn daemon_options(args: &ScaleArgs, run: &Run) -> io::Result<DaemonOptions> {
+fn daemon_options(args: &ScaleArgs, run: &RunOptions) -> io::Result<DaemonOptions> {
     let before = args.daemon_before.as_deref();
     Ok(DaemonOptions {
         daemon: daemon_program(args.daemon.as_deref())?,
         before: before.map(|path| daemon_program(Some(path))).transpose()?,
         all_tenants: args.all_tenants,
         counter: !args.without_counter,
-        probes: !args.without_probes,
+        health_checks: !args.without_probes,
         servers_close: args.servers_close,
         rate: args.rate,
-        spread: args.spread,
+        ingress_count: args.spread,
         run: run.clone(),
     })
 }
--- a/crates/testbed/src/client_connection.rs
+++ b/crates/testbed/src/client_connection.rs
@@ -44,7 +44,7 @@
 }
 
 /// Opens a connection from an address of loopback.
-pub async fn connect(source: Ipv4Addr, destination: SocketAddr) -> io::Result<TcpStream> {
+pub(crate) async fn connect(source: Ipv4Addr, destination: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::new(IpAddr::V4(source), 0))?;
     let stream = socket.connect(destination).await?;
--- a/crates/testbed/src/daemon.rs
+++ b/crates/testbed/src/daemon.rs
@@ -137,7 +137,7 @@
             let first = account
                 .split_whitespace()
                 .next()
-                .and_then(|n| n.parse::<u64>().ok());
+                .and_then(|field| field.parse::<u64>().ok());
             nanos += first.ok_or_else(|| io::Error::other("no number in schedstat"))?;
         }
         Ok(Duration::from_nanos(nanos))
--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -190,8 +190,8 @@
             FloodShape::Silent | FloodShape::ConnectClose => Ok(()),
             FloodShape::Drip => stream.write_all(b"*").await,
             FloodShape::Half => {
-                let whole = request(FIRST_FLOOD_CUSTOMER, id);
-                stream.write_all(&whole[..PARTIAL_REQUEST_BYTES]).await
+                let complete = request(FIRST_FLOOD_CUSTOMER, id);
+                stream.write_all(&complete[..PARTIAL_REQUEST_BYTES]).await
             }
             FloodShape::Once | FloodShape::Again | FloodShape::Active => {
                 stream.write_all(&request(customer, id)).await
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //! Everything stays on loopback.
 
 pub mod checker;
-pub mod client_connection;
+mod client_connection;
 pub mod client_load;
 pub mod daemon;
 pub mod fakes;
@@ -12,5 +12,6 @@
 pub mod flood;
 pub mod platform_settings;
 pub mod request;
+pub mod runtime;
 pub mod scale;
 pub mod scenario;
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -2,7 +2,7 @@
 
 use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::Run;
+use super::RunOptions;
 use roseyard_admission::{Action, AdmissionController, AdmissionPolicy, ConnectionId, Event, Rate};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 const MAX_PER_CLIENT: u32 = 1 << 20;
 
 /// Runs one controller at each number of addresses.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut decision = SizeSeries::measured("processor time of connect, displace and close", "us");
     let mut tables = SizeSeries::measured("tables by their own count", "MiB");
     let mut memory = SizeSeries::measured("memory of the gate", "MiB");
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use kdl::KdlDocument;
 use roseyard_operator_config::File;
 
@@ -10,7 +10,7 @@
 const MAX_FILE_BYTES: usize = 1 << 20;
 
 /// Reads a file of so many routes, with services and servers in proportion to the planned size.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
     for &size in &run.sizes {
@@ -30,7 +30,7 @@
     run.report("configuration", "routes", figures.series(), notes)
 }
 
-fn measure(run: &Run, size: usize, text: &str, figures: &mut Figures) {
+fn measure(run: &RunOptions, size: usize, text: &str, figures: &mut Figures) {
     let changes_a_second = targets::CHANGES_A_DAY / targets::SECONDS_A_DAY;
     let bytes = text.len() as f64;
     figures.bytes.push(size, &[bytes]);
@@ -51,7 +51,7 @@
 }
 
 /// Milliseconds of processor time of each repeat.
-fn samples<T>(run: &Run, work: impl Fn() -> T) -> Vec<f64> {
+fn samples<T>(run: &RunOptions, work: impl Fn() -> T) -> Vec<f64> {
     let sample = |_| {
         let (_, took) = timed(|| std::hint::black_box(work()));
         millis(took)
@@ -114,7 +114,10 @@
 /// A file that the program accepts, with a list of addresses in place of routes.
 fn file_of_addresses(count: usize) -> String {
     let list: Vec<String> = (0..count)
-        .map(|n| format!("\"10.{}.{}.{}/32\"", n >> 16, (n >> 8) & 0xff, n & 0xff))
+        .map(|number| {
+            let (high, middle, low) = (number >> 16, (number >> 8) & 0xff, number & 0xff);
+            format!("\"10.{high}.{middle}.{low}/32\"")
+        })
         .collect();
     format!(
         "admission {{\n    by-address #true\n    listed {}\n}}\n",
--- a/crates/testbed/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -6,7 +6,7 @@
 use super::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet, Traffic,
 };
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 };
 
 /// Runs all of so many ingresses under the load of the peak.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
     for &size in &run.sizes {
@@ -34,7 +34,7 @@
     run.report("counter", "ingresses", figures.series(), vec![note])
 }
 
-fn measure(run: &Run, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
     let mut environment = SimulatedEnvironment::new(run.seed);
     let resident_before = resident_bytes();
     let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
--- a/crates/testbed/src/scale/daemon/faults/testbed.rs
+++ b/crates/testbed/src/scale/daemon/faults/testbed.rs
@@ -95,28 +95,14 @@
         let settings = options.settings_for(ingresses);
         let daemon = MeasuredDaemon::start(&options.daemon, &topology, &platform, &settings)?;
         let services = topology.services.len() as u32;
-        let victim = TenantLoad {
-            rate: VICTIM_RATE,
-            tenants: TENANTS,
-            ingress_count: options.spread,
-            seed: options.run.seed + 1,
-            idempotent: true,
-            routes: Routes::of(&topology, VICTIM..VICTIM + 1),
-        };
-        let others = TenantLoad {
-            rate: OTHERS_RATE,
-            tenants: TENANTS,
-            ingress_count: options.spread,
-            seed: options.run.seed + 2,
-            idempotent: true,
-            routes: Routes::of(&topology, VICTIM + 1..services),
-        };
+        let victim_routes = Routes::of(&topology, VICTIM..VICTIM + 1);
+        let other_routes = Routes::of(&topology, VICTIM + 1..services);
         Ok(FaultTestbed {
             topology,
             platform,
             daemon,
-            victim,
-            others,
+            victim: load(options, VICTIM_RATE, 1, victim_routes),
+            others: load(options, OTHERS_RATE, 2, other_routes),
             length: Duration::from_secs(options.run.seconds),
             repeats: options.run.repeats,
             runtimes,
@@ -130,14 +116,7 @@
         rate: f64,
         seed_offset: u64,
     ) -> TenantLoad {
-        TenantLoad {
-            rate,
-            tenants: TENANTS,
-            ingress_count: options.spread,
-            seed: options.run.seed + seed_offset,
-            idempotent: true,
-            routes: Routes::of_all(&self.topology),
-        }
+        load(options, rate, seed_offset, Routes::of_all(&self.topology))
     }
 
     fn address(&self) -> SocketAddr {
@@ -225,6 +204,17 @@
     }
 }
 
+fn load(options: &DaemonOptions, rate: f64, seed_offset: u64, routes: Routes) -> TenantLoad {
+    TenantLoad {
+        rate,
+        tenants: TENANTS,
+        ingress_count: options.ingress_count,
+        idempotent: true,
+        seed: options.run.seed + seed_offset,
+        routes,
+    }
+}
+
 /// The outcomes of the others without and with a fault, pair by pair.
 #[derive(Default)]
 pub(super) struct PairedOutcomes {
--- a/crates/testbed/src/scale/daemon/mod.rs
+++ b/crates/testbed/src/scale/daemon/mod.rs
@@ -16,10 +16,12 @@
 use super::measure;
 use super::report::RoleReport;
 use super::topology::ServiceTopology;
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use crate::platform_settings;
+use crate::runtime::single_thread_runtime;
 use case::{cases, CaseSeries, Division, SOME_TENANTS};
 use load::{Routes, TenantLoad};
+use platform::LoopbackPlatform;
 use quantities::{empty_figures, push_samples, Sample};
 use sample::{direct_latency_note, sample};
 use serde_json::Value;
@@ -27,7 +29,7 @@
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
-use tokio::runtime::{Builder, Runtime};
+use tokio::runtime::Runtime;
 
 /// Ingresses that the settings name.
 const INGRESSES: u32 = targets::INGRESSES as u32;
@@ -48,17 +50,17 @@
     /// Does the daemon have a shared counter?
     pub counter: bool,
     /// May the daemon check the health of servers?
-    pub probes: bool,
+    pub health_checks: bool,
     /// Do servers close a connection once they have responded to a request on it? Each request then
     /// needs a new one.
     pub servers_close: bool,
     /// Requests a second.
     pub rate: f64,
     /// Ingresses through which each tenant's requests come; 1 needs no shared counter.
-    pub spread: u32,
+    pub ingress_count: u32,
     /// Sizes in servers, real seconds of load, samples, whether servers are divided into services
     /// too, and the seed for times, tenants and services.
-    pub run: Run,
+    pub run: RunOptions,
 }
 
 impl DaemonOptions {
@@ -69,6 +71,19 @@
         }
     }
 
+    /// Starts a platform of these servers.
+    fn start_platform(
+        &self,
+        topology: &ServiceTopology,
+        runtimes: &Runtimes,
+    ) -> io::Result<LoopbackPlatform> {
+        runtimes.platform.block_on(LoopbackPlatform::start(
+            topology,
+            self.server_options(),
+            self.counter,
+        ))
+    }
+
     /// The platform's settings for one of the planned ingresses.
     fn settings(&self) -> Value {
         self.settings_for(INGRESSES)
@@ -77,7 +92,7 @@
     /// The platform's settings for one of so many ingresses.
     fn settings_for(&self, ingresses: u32) -> Value {
         let mut settings = platform_settings::settings_for(ingresses, QUOTA_UNITS_PER_SECOND);
-        settings["Ceilings"]["Probes"] = self.probes.into();
+        settings["Ceilings"]["Probes"] = self.health_checks.into();
         settings
     }
 
@@ -86,7 +101,7 @@
         TenantLoad {
             rate: self.rate,
             tenants: SOME_TENANTS,
-            ingress_count: self.spread,
+            ingress_count: self.ingress_count,
             idempotent: true,
             seed,
             routes: Routes::of_all(topology),
@@ -102,16 +117,9 @@
 
 impl Runtimes {
     fn start() -> io::Result<Runtimes> {
-        let single_thread = |name| {
-            Builder::new_multi_thread()
-                .worker_threads(1)
-                .thread_name(name)
-                .enable_all()
-                .build()
-        };
         Ok(Runtimes {
-            platform: single_thread("platform")?,
-            clients: single_thread("clients")?,
+            platform: single_thread_runtime("platform")?,
+            clients: single_thread_runtime("clients")?,
         })
     }
 }
--- a/crates/testbed/src/scale/daemon/sample.rs
+++ b/crates/testbed/src/scale/daemon/sample.rs
@@ -32,11 +32,7 @@
 pub(super) fn sample(options: &DaemonOptions, case: &Case, seed: u64) -> io::Result<Sample> {
     let topology = case.topology();
     let runtimes = Runtimes::start()?;
-    let platform = runtimes.platform.block_on(LoopbackPlatform::start(
-        &topology,
-        options.server_options(),
-        options.counter,
-    ))?;
+    let platform = options.start_platform(&topology, &runtimes)?;
     let program = match &options.before {
         Some(before) if case.before => before,
         _ => &options.daemon,
@@ -196,11 +192,7 @@
 pub(super) fn direct_latency_note(options: &DaemonOptions) -> io::Result<String> {
     let topology = ServiceTopology::unnamed(1);
     let runtimes = Runtimes::start()?;
-    let platform = runtimes.platform.block_on(LoopbackPlatform::start(
-        &topology,
-        options.server_options(),
-        options.counter,
-    ))?;
+    let platform = options.start_platform(&topology, &runtimes)?;
     let Some(server) = topology.services[0].addresses().next() else {
         return Ok(String::new());
     };
--- a/crates/testbed/src/scale/decision.rs
+++ b/crates/testbed/src/scale/decision.rs
@@ -6,7 +6,7 @@
 use super::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress, Traffic,
 };
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(8);
 
 /// Runs one ingress at each number of servers.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     // Kept to the end, so that the memory of each is its own.
     let mut ingresses = Vec::new();
@@ -34,7 +34,7 @@
     )
 }
 
-fn measure(run: &Run, size: usize, figures: &mut Figures) -> SimulatedIngress {
+fn measure(run: &RunOptions, size: usize, figures: &mut Figures) -> SimulatedIngress {
     let mut environment = SimulatedEnvironment::new(run.seed);
     let resident_before = resident_bytes();
     let endpoints = Arc::new(EndpointSet::new(size, run.services));
@@ -135,7 +135,7 @@
 }
 
 fn samples(
-    run: &Run,
+    run: &RunOptions,
     ingress: &mut SimulatedIngress,
     demand: Demand,
     environment: &mut SimulatedEnvironment,
@@ -157,7 +157,7 @@
 
 /// One sample, and the processor time that it took.
 fn sample(
-    run: &Run,
+    run: &RunOptions,
     ingress: &mut SimulatedIngress,
     load: RequestLoad,
     environment: &mut SimulatedEnvironment,
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -1,29 +1,23 @@
 //! What discovery sends to all ingresses together while servers restart.
 
-use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
+use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState, RESTART_STATES};
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
 use super::simulated_ingress::{SimulatedEnvironment, SimulatedFleet};
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use std::sync::Arc;
 
 /// Servers of each ingress here: the cost of a change by the servers is the endpoint list's role.
 const SERVERS: usize = 170;
 /// Restarts that are measured.
 const RESTARTS: usize = 20;
-/// The changes of a restart: the server drains, is removed, and another serves.
-const CHANGES: [EndpointState; 3] = [
-    EndpointState::Draining,
-    EndpointState::Deleted,
-    EndpointState::Serving,
-];
 /// An empty line in its chunk, each 2 s.
 const HEARTBEAT_BYTES_A_SECOND: f64 = 3.0;
 /// Framing of a chunk around a line.
 const CHUNK_BYTES: usize = 8;
 
 /// Sends the restarts of servers to all of so many ingresses.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
     for &size in &run.sizes {
@@ -34,7 +28,7 @@
     run.report("discovery", "ingresses", figures.series(), vec![note])
 }
 
-fn measure(run: &Run, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
     let mut environment = SimulatedEnvironment::new(run.seed);
     let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
     let mut bytes = Vec::new();
@@ -119,8 +113,8 @@
             state: *state,
             ..EndpointEntry::serving(restart)
         };
-        let revision = 2 + (restart * CHANGES.len() + step) as u64;
+        let revision = 2 + (restart * RESTART_STATES.len() + step) as u64;
         endpoints.watch_line(revision, false, &[entry])
     };
-    CHANGES.iter().enumerate().map(line).collect()
+    RESTART_STATES.iter().enumerate().map(line).collect()
 }
--- a/crates/testbed/src/scale/endpoint_set.rs
+++ b/crates/testbed/src/scale/endpoint_set.rs
@@ -27,6 +27,13 @@
     Deleted,
 }
 
+/// The states of a server's restart in their order: it drains, is removed, and another serves.
+pub const RESTART_STATES: [EndpointState; 3] = [
+    EndpointState::Draining,
+    EndpointState::Deleted,
+    EndpointState::Serving,
+];
+
 /// One server of an endpoint list. A replaced server keeps its address and gets another generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointEntry {
@@ -37,7 +44,7 @@
     /// Its state.
     pub state: EndpointState,
     /// Unix time of its start in milliseconds; 0 for long ago.
-    pub started_ms: u64,
+    pub started_unix_ms: u64,
 }
 
 impl EndpointEntry {
@@ -48,7 +55,7 @@
             server,
             generation: 0,
             state: EndpointState::Serving,
-            started_ms: 0,
+            started_unix_ms: 0,
         }
     }
 }
@@ -186,7 +193,7 @@
                 .expect("the testbed's directory is valid");
         };
         let names: Vec<Arc<str>> = (0..self.topology.services.len())
-            .map(|n| format!("service-{n:04}").into())
+            .map(|number| format!("service-{number:04}").into())
             .collect();
         for (name, service) in names.iter().zip(&self.topology.services) {
             apply(DirectoryChange::AddService {
@@ -240,12 +247,12 @@
         let EndpointEntry {
             server,
             generation,
-            started_ms,
+            started_unix_ms,
             ..
         } = entry;
         let (zone, pod, at) = (server % ZONES, server % 1_000, self.addresses[*server]);
         format!(
-            r#"{{"uid":"fs-{server:05}-{generation}","endpoint":"{at}:{PORT}","az":"zone-{zone:02}","model":"std","pod_group":{pod},"state":"{state}","capacity_hint":1.0,"boot_ms":{started_ms}}}"#
+            r#"{{"uid":"fs-{server:05}-{generation}","endpoint":"{at}:{PORT}","az":"zone-{zone:02}","model":"std","pod_group":{pod},"state":"{state}","capacity_hint":1.0,"boot_ms":{started_unix_ms}}}"#
         )
     }
 }
--- a/crates/testbed/src/scale/events/mod.rs
+++ b/crates/testbed/src/scale/events/mod.rs
@@ -11,7 +11,7 @@
 use super::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet, SimulatedIngress, Traffic,
 };
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use std::time::Duration;
 
 /// Virtual time for which one ingress runs before the others follow.
@@ -24,7 +24,7 @@
 };
 
 /// Runs each event with so many ingresses.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::default();
     let first = run.sizes[0];
     run.progress("events: one ingress restarts");
@@ -43,7 +43,7 @@
     run.report("events", "ingresses", figures.0, notes(run))
 }
 
-fn notes(run: &Run) -> Vec<String> {
+fn notes(run: &RunOptions) -> Vec<String> {
     vec![
         run.division(),
         format!(
--- a/crates/testbed/src/scale/events/rack.rs
+++ b/crates/testbed/src/scale/events/rack.rs
@@ -3,7 +3,7 @@
 use super::{line_bytes, run_until, Figures};
 use crate::scale::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
 use crate::scale::simulated_ingress::{Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet};
-use crate::scale::{targets, Run};
+use crate::scale::{targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const FAILS_AT: Duration = Duration::from_secs(60);
 const REPORTED_AT: Duration = Duration::from_secs(70);
 
-pub(super) fn run(run: &Run, size: usize, figures: &mut Figures) {
+pub(super) fn run(run: &RunOptions, size: usize, figures: &mut Figures) {
     let mut environment = SimulatedEnvironment::new(run.seed);
     let endpoints = Arc::new(EndpointSet::single(SERVICE_SERVERS));
     let ingresses = targets::INGRESSES;
--- a/crates/testbed/src/scale/events/regions.rs
+++ b/crates/testbed/src/scale/events/regions.rs
@@ -6,7 +6,7 @@
 use crate::scale::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet, Split,
 };
-use crate::scale::{targets, Run};
+use crate::scale::{targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     demand: Demand::ByServers,
 };
 
-pub(super) fn run(run: &Run, ingresses: usize, figures: &mut Figures) {
+pub(super) fn run(run: &RunOptions, ingresses: usize, figures: &mut Figures) {
     let mut environment = SimulatedEnvironment::new(run.seed);
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
     let mut fleet = SimulatedFleet::new(&endpoints, ingresses, run.seed, &mut environment);
--- a/crates/testbed/src/scale/events/restart.rs
+++ b/crates/testbed/src/scale/events/restart.rs
@@ -4,12 +4,12 @@
 use crate::scale::endpoint_set::EndpointSet;
 use crate::scale::measure::{millis, timed};
 use crate::scale::simulated_ingress::{SimulatedEnvironment, SimulatedIngress};
-use crate::scale::{list, targets, Run};
+use crate::scale::{list, targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// One ingress starts with nothing and receives the complete list.
-pub(super) fn ingress(run: &Run, size: usize, figures: &mut Figures) {
+pub(super) fn ingress(run: &RunOptions, size: usize, figures: &mut Figures) {
     let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
     let line = endpoints.complete_list();
     let mut environment = SimulatedEnvironment::new(run.seed);
--- a/crates/testbed/src/scale/events/zone.rs
+++ b/crates/testbed/src/scale/events/zone.rs
@@ -7,7 +7,7 @@
 use crate::scale::simulated_ingress::{
     Arrival, SimulatedEnvironment, SimulatedFleet, SimulatedIngress, VIRTUAL_START_UNIX_MS,
 };
-use crate::scale::{targets, Run};
+use crate::scale::{targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 /// Runs only a zone's return, at each size.
 #[must_use]
-pub fn zone_returns(run: &Run) -> RoleReport {
+pub fn zone_returns(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::default();
     for &size in &run.sizes {
         self::run(run, size, &mut figures);
@@ -51,7 +51,7 @@
 }
 
 /// A zone's servers fail and return cold, in proportion to the planned size.
-pub(super) fn run(run: &Run, ingresses: usize, figures: &mut Figures) {
+pub(super) fn run(run: &RunOptions, ingresses: usize, figures: &mut Figures) {
     let servers = ingresses * targets::SERVERS / targets::INGRESSES;
     let mut environment = SimulatedEnvironment::new(run.seed);
     let endpoints = Arc::new(EndpointSet::new(servers, run.services));
@@ -61,7 +61,7 @@
     let without = run_until(&mut fleet, RETURNS_AT, PEAK_LOAD, &mut environment);
     let cold = |server| EndpointEntry {
         generation: 1,
-        started_ms: VIRTUAL_START_UNIX_MS + RETURNS_AT.as_millis() as u64,
+        started_unix_ms: VIRTUAL_START_UNIX_MS + RETURNS_AT.as_millis() as u64,
         ..EndpointEntry::serving(server)
     };
     fleet.receive_line(&zone_line(&endpoints, 3, cold), &mut environment);
@@ -109,7 +109,7 @@
 }
 
 /// The changes of a zone at an ingress that has all servers of the planned size.
-pub(super) fn in_complete_list(run: &Run, size: usize, figures: &mut Figures) {
+pub(super) fn in_complete_list(run: &RunOptions, size: usize, figures: &mut Figures) {
     let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
     let mut environment = SimulatedEnvironment::new(run.seed);
     let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -1,10 +1,10 @@
 //! What the endpoint list costs: the complete list of a start, and the change of one server.
 
-use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
+use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState, RESTART_STATES};
 use super::measure::{millis, resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
 use super::simulated_ingress::{settings_of_ingress, SimulatedEnvironment, SimulatedIngress};
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use roseyard_ingress::limits::Limits;
 use roseyard_ingress::protocol::list;
 use roseyard_operator_config::{MachineLimits, OperatorSettings};
@@ -12,21 +12,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The changes of a restart: the server drains, is removed, and another serves.
-const CHANGES: [EndpointState; 3] = [
-    EndpointState::Draining,
-    EndpointState::Deleted,
-    EndpointState::Serving,
-];
 const RESTARTS_A_SAMPLE: usize = 10;
-const CHANGES_A_SAMPLE: usize = RESTARTS_A_SAMPLE * CHANGES.len();
+const CHANGES_A_SAMPLE: usize = RESTARTS_A_SAMPLE * RESTART_STATES.len();
 /// Memory of an ingress at the planned size.
 const MEMORY_MB: usize = 192;
 /// Descriptors of an ingress at the planned size.
 const DESCRIPTORS: usize = 1024;
 
 /// Runs one ingress at each number of servers.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = vec![run.division()];
     let max_bytes = limits().list_bytes;
@@ -100,7 +94,7 @@
 /// Decodes and applies the complete list at an ingress that starts, for each repeat; returns the
 /// last ingress.
 fn complete_lists(
-    run: &Run,
+    run: &RunOptions,
     endpoints: &Arc<EndpointSet>,
     line: &[u8],
     environment: &mut SimulatedEnvironment,
@@ -159,7 +153,7 @@
 
 /// Restarts random servers.
 fn changes(
-    run: &Run,
+    run: &RunOptions,
     endpoints: &EndpointSet,
     ingress: &mut SimulatedIngress,
     environment: &mut SimulatedEnvironment,
@@ -174,7 +168,7 @@
         let mut spent = Duration::ZERO;
         for _ in 0..RESTARTS_A_SAMPLE {
             let server = random.usize(0..endpoints.servers());
-            for state in CHANGES {
+            for state in RESTART_STATES {
                 generations[server] += u32::from(state == EndpointState::Serving);
                 let entry = EndpointEntry {
                     generation: generations[server],
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -25,7 +25,7 @@
     let pages: u64 = text
         .split(' ')
         .nth(1)
-        .and_then(|n| n.parse().ok())
+        .and_then(|field| field.parse().ok())
         .unwrap_or(0);
     pages * rustix::param::page_size() as u64
 }
--- a/crates/testbed/src/scale/membership/mod.rs
+++ b/crates/testbed/src/scale/membership/mod.rs
@@ -7,7 +7,7 @@
 
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use fleet::VirtualFleet;
 use roseyard_membership::Settings;
 use single_member::SingleMember;
@@ -24,7 +24,7 @@
 const SPLIT_DURATION: Duration = Duration::from_secs(300);
 
 /// Runs fleets and single members of each size.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
     for &size in &run.sizes {
@@ -50,7 +50,7 @@
     run.report("membership", "members", figures.series(), notes)
 }
 
-fn measure_single_member(run: &Run, size: usize, figures: &mut Figures) {
+fn measure_single_member(run: &RunOptions, size: usize, figures: &mut Figures) {
     let mut member = SingleMember::new(size, run.seed);
     let join = member.receive_all_records(size);
     figures.join.push(size, &[millis(join.processor_time)]);
@@ -71,7 +71,7 @@
 }
 
 /// Measures a complete fleet; false if it does not agree.
-fn measure_fleet(run: &Run, size: usize, figures: &mut Figures) -> bool {
+fn measure_fleet(run: &RunOptions, size: usize, figures: &mut Figures) -> bool {
     let mut fleet = VirtualFleet::new(size, run.seed);
     let (agreed, spent) = timed(|| fleet.run_until_agreed());
     if !agreed {
--- a/crates/testbed/src/scale/membership/single_member.rs
+++ b/crates/testbed/src/scale/membership/single_member.rs
@@ -8,7 +8,7 @@
 
 /// Updates of a sample.
 const UPDATES: usize = 40;
-/// Peers that the guard of a simulated peer has room for.
+/// Peers of the guard of a simulated peer.
 const PEER_GUARD_MEMBERS: usize = 4;
 /// The protocol period, in which one of the peers pings the member.
 const PERIOD: Duration = Duration::from_secs(1);
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -31,7 +31,7 @@
 
 /// What a role is run with.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct RunOptions {
     /// Sizes, the smallest first.
     pub sizes: Vec<usize>,
     /// Virtual seconds of a sample, where it is one of time.
@@ -46,7 +46,7 @@
     pub progress: bool,
 }
 
-impl Run {
+impl RunOptions {
     fn progress(&self, step: &str) {
         if self.progress {
             eprintln!("{step}");
--- a/crates/testbed/src/scale/quotas.rs
+++ b/crates/testbed/src/scale/quotas.rs
@@ -6,7 +6,7 @@
 use super::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress, Traffic,
 };
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 const FILL_TIME: Duration = Duration::from_secs(20);
 
 /// Runs one ingress at each number of tenants, each of whom has sent a request.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     // Kept to the end, so that the memory of each is its own.
     let mut ingresses = Vec::new();
@@ -29,7 +29,7 @@
     run.report("quotas", "tenants", figures.series(), notes)
 }
 
-fn measure(run: &Run, size: usize, figures: &mut Figures) -> SimulatedIngress {
+fn measure(run: &RunOptions, size: usize, figures: &mut Figures) -> SimulatedIngress {
     let mut environment = SimulatedEnvironment::new(run.seed);
     let servers = if run.services {
         targets::SERVERS
@@ -55,7 +55,7 @@
 
 /// Measures an ingress without and under load in turn; returns its traffic under load.
 fn samples(
-    run: &Run,
+    run: &RunOptions,
     size: usize,
     ingress: &mut SimulatedIngress,
     environment: &mut SimulatedEnvironment,
--- a/crates/testbed/src/scale/role.rs
+++ b/crates/testbed/src/scale/role.rs
@@ -3,7 +3,7 @@
 use super::report::RoleReport;
 use super::{
     admission, configuration, counter, decision, discovery, events, list, membership, quotas,
-    servers, targets, Run,
+    servers, targets, RunOptions,
 };
 use std::ops::RangeInclusive;
 
@@ -59,7 +59,7 @@
 struct Entry {
     role: Role,
     sizes: Sizes,
-    run: fn(&Run) -> RoleReport,
+    run: fn(&RunOptions) -> RoleReport,
 }
 
 /// All roles that run in this process.
@@ -232,7 +232,7 @@
 
     /// Runs it in this process; nothing for [`Role::All`], [`Role::Daemon`] and [`Role::Faults`].
     #[must_use]
-    pub fn run(self, run: &Run) -> Option<RoleReport> {
+    pub fn run(self, run: &RunOptions) -> Option<RoleReport> {
         self.entry().map(|entry| (entry.run)(run))
     }
 }
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -5,7 +5,7 @@
 use super::simulated_ingress::{
     Arrival, Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet,
 };
-use super::{targets, Run};
+use super::{targets, RunOptions};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const STEP: Duration = Duration::from_secs(1);
 
 /// Runs one service's share of the traffic through all of so many ingresses.
-pub(super) fn run(run: &Run) -> RoleReport {
+pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
     for &size in &run.sizes {
@@ -34,7 +34,7 @@
     run.report("servers", "ingresses", figures.series(), notes)
 }
 
-fn measure(run: &Run, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
     // Of an ingress's requests each service gets an even share.
     let load = RequestLoad {
         rate: targets::REQUESTS_PER_INGRESS / targets::SERVICES as f64,
--- a/crates/testbed/src/scale/simulated_ingress/mod.rs
+++ b/crates/testbed/src/scale/simulated_ingress/mod.rs
@@ -188,7 +188,8 @@
                 self.engine.on_due();
                 self.process_outputs(environment);
             }
-            if let Some(entry) = self.pending.first_entry().filter(|e| e.key().0 <= self.now) {
+            let first = self.pending.first_entry();
+            if let Some(entry) = first.filter(|entry| entry.key().0 <= self.now) {
                 let pending = entry.remove();
                 self.finish(pending, environment);
             }
--- a/crates/testbed/src/scale/targets.rs
+++ b/crates/testbed/src/scale/targets.rs
@@ -22,15 +22,9 @@
 pub const CHANGES_A_DAY: f64 = 21_000.0;
 /// Machines set aside for control.
 pub const CONTROL_MACHINES: usize = 9;
-/// Share of a core that control may take at each ingress.
-pub const CORE_SHARE: f64 = 0.031;
-/// Memory that control may use at each ingress.
-pub const MEMORY_BYTES: u64 = 128 << 20;
 /// Bytes a second that control may move at each ingress.
 pub const BYTES_PER_SECOND: f64 = 12_000.0;
 /// Time in which a started ingress is ready.
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Time in which a change of configuration is in force everywhere.
-pub const CHANGE_WITHIN: Duration = Duration::from_secs(15);
 /// Seconds of a day.
 pub const SECONDS_A_DAY: f64 = 86_400.0;
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -2,13 +2,13 @@
 //! on absolute times. Cost is processor time of the test's own thread, so that tests may run side by
 //! side.
 
-use roseyard_testbed::scale::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
+use roseyard_testbed::scale::endpoint_set::{EndpointEntry, EndpointSet, RESTART_STATES};
 use roseyard_testbed::scale::measure::{exponent, timed};
 use roseyard_testbed::scale::report::RoleReport;
 use roseyard_testbed::scale::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress,
 };
-use roseyard_testbed::scale::{targets, Role, Run};
+use roseyard_testbed::scale::{targets, Role, RunOptions};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 fn run(role: Role, sizes: &[usize], repeats: usize) -> RoleReport {
     let sizes = role.sizes(sizes).expect("sizes that the role takes");
-    let run = Run {
+    let run = RunOptions {
         sizes,
         seconds: 1,
         seed: SEED,
@@ -117,11 +117,7 @@
             let mut spent = Duration::ZERO;
             for server in 0..FEW {
                 generation += 1;
-                for state in [
-                    EndpointState::Draining,
-                    EndpointState::Deleted,
-                    EndpointState::Serving,
-                ] {
+                for state in RESTART_STATES {
                     revision += 1;
                     let entry = EndpointEntry {
                         generation,
@@ -165,7 +161,9 @@
             timed(|| ingress.receive_line(&line, &mut SimulatedEnvironment::new(SEED))).1
         })
     };
-    let points: Vec<(f64, f64)> = [170, 900, MANY].map(|n| (n as f64, cost(n))).to_vec();
+    let points: Vec<(f64, f64)> = [170, 900, MANY]
+        .map(|servers| (servers as f64, cost(servers)))
+        .to_vec();
     let slope = exponent(&points).expect("three sizes");
     assert!(
         slope < 1.35,
@@ -200,7 +198,7 @@
     assert!(bytes < 1.5, "{bytes:.2} times the bytes among 60 members");
     let join = report
         .figure("one member: bytes of all records")
-        .and_then(|f| f.exponent)
+        .and_then(|figure| figure.exponent)
         .expect("two sizes");
     assert!(
         join < 1.2,
@@ -228,7 +226,7 @@
     let report = run(Role::Configuration, &[30, 900], 3);
     let slope = report
         .figure("processor time to parse the file")
-        .and_then(|f| f.exponent);
+        .and_then(|figure| figure.exponent);
     let slope = slope.expect("two sizes");
     assert!(
         slope < 1.35,
@@ -247,7 +245,7 @@
     let report = run(Role::Discovery, &[3, 90], 1);
     let slope = report
         .figure("bytes from discovery for one restart")
-        .and_then(|f| f.exponent);
+        .and_then(|figure| figure.exponent);
     let slope = slope.expect("two sizes");
     assert!(
         (0.99..1.01).contains(&slope),
@@ -257,7 +255,7 @@
 
 #[test]
 fn cold_zone_gets_less_than_a_warm_one() {
-    let run = Run {
+    let run = RunOptions {
         sizes: vec![10],
         seconds: 1,
         seed: SEED,
@@ -266,14 +264,13 @@
         progress: false,
     };
     let report = roseyard_testbed::scale::zone_returns(&run);
-    let most = report
+    let mean = report
         .figure("zone: sends at a cold server in its first 3 s, mean")
-        .and_then(|f| f.at(10));
-    // A cold server bears 0.15 of its capacity, three times over for 3 s; a warm one here has a
-    // part of its own.
+        .and_then(|figure| figure.at(10));
+    // A cold server may get 0.15 of its capacity, times an overload multiple of 3, for 3 s.
     assert!(
-        most.expect("a figure") < 0.45,
-        "{most:?} of what a warm one is sent"
+        mean.expect("a figure") < 0.45,
+        "{mean:?} of what a warm one is sent"
     );
 }
 
