--- a/crates/ingress/src/routing/members.rs
+++ b/crates/ingress/src/routing/members.rs
@@ -164,7 +164,7 @@
             sync_interval: operator.sync_interval,
             suspicion_multiplier: operator.suspicion_periods,
             seeds: operator.seeds.clone(),
-            paths: operator.address_overrides.iter().filter_map(path).collect(),
+            address_overrides: operator.address_overrides.iter().filter_map(path).collect(),
             ..Settings::new(operator.expected_members)
         };
         let zone = operator.zone.as_str().try_into().unwrap_or_default();
@@ -239,14 +239,14 @@
             self.count("received");
             let heard = match self.guard.open(&space[..length]) {
                 Ok(opened) => wire::read(opened.body)
-                    .map(|(message, updates)| {
+                    .map(|contents| {
                         let (sender, generation) = (opened.sender, opened.generation);
                         Event::Received(Received {
                             source: at,
                             sender,
                             generation,
-                            message,
-                            updates,
+                            message: contents.message,
+                            updates: contents.records,
                         })
                     })
                     .ok_or(Dropped::Malformed),
--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -1,4 +1,4 @@
-//! Members in virtual time: detection, agreement, false suspicions, traffic and cost, as tables in
+//! Members in virtual time: detection, convergence, false reports, traffic and cost, as tables in
 //! Markdown.
 //!
 //!     cargo bench -p roseyard-membership --bench fleet
@@ -18,53 +18,77 @@
     times.get(at).map_or(f64::NAN, Duration::as_secs_f64)
 }
 
-/// How long after the death of one of so many the first, and the last, of the others holds it gone.
-fn deaths(members: usize, loss: f64, seeds: u64) -> (Vec<Duration>, Vec<Duration>) {
-    let (mut first, mut last) = (Vec::new(), Vec::new());
+fn yes_or_no(flag: bool) -> &'static str {
+    if flag {
+        "yes"
+    } else {
+        "no"
+    }
+}
+
+/// Times from the death of a member until the first, and the last, of the others see it dead; one
+/// for each seed.
+struct DetectionTimes {
+    first: Vec<Duration>,
+    last: Vec<Duration>,
+}
+
+fn detection_times(members: usize, loss_ratio: f64, seeds: u64) -> DetectionTimes {
+    let mut times = DetectionTimes {
+        first: Vec::new(),
+        last: Vec::new(),
+    };
     for seed in 0..seeds {
-        let mut f = Fleet::of(members, Settings::new(members), seed);
-        f.net.loss = loss;
-        f.run(ms(seed * 97));
-        f.changes.clear();
-        let (begin, dead) = (f.now, members / 2);
-        f.kill(dead);
-        let all = |f: &Fleet| {
-            f.members
+        let mut fleet = Fleet::converged(members, Settings::new(members), seed);
+        fleet.network.conditions.loss_ratio = loss_ratio;
+        fleet.run(ms(seed * 97));
+        fleet.changes.clear();
+        let begin = fleet.now;
+        let dead = members / 2;
+        fleet.kill(dead);
+        let all_see_it = |fleet: &Fleet| {
+            fleet
+                .members
                 .keys()
-                .all(|n| f.state(*n, dead) == MemberState::Dead)
+                .all(|n| fleet.state(*n, dead) == MemberState::Dead)
         };
-        f.until(ms(300_000), all).expect("a death is noticed");
-        let mut at: Vec<Duration> = f
+        fleet
+            .run_until(ms(300_000), all_see_it)
+            .expect("a death is detected");
+        let mut detections: Vec<Duration> = fleet
             .changes
             .iter()
-            .filter(|c| c.of == name(dead) && c.to == MemberState::Dead)
-            .map(|c| c.at - begin)
+            .filter(|change| change.subject == name(dead) && change.to == MemberState::Dead)
+            .map(|change| change.at - begin)
             .collect();
-        at.sort();
-        first.push(at[0]);
-        last.push(at[at.len() - 1]);
+        detections.sort();
+        times.first.push(detections[0]);
+        times.last.push(detections[detections.len() - 1]);
     }
-    (first, last)
+    times
 }
 
-fn main() {
+fn print_detection() {
     println!("## Detection of a death, s ({SEEDS} seeds; 5 at 300 members)\n");
-    println!("| members | loss | first holds it gone: median, p99 | all do: median, p99 |");
+    println!("| members | loss | first sees it: median, p99 | all see it: median, p99 |");
     println!("| --- | --- | --- | --- |");
-    for (members, losses) in [
+    for (members, loss_ratios) in [
         (5, &[0.0, 0.2][..]),
         (10, &[0.0, 0.2]),
         (100, &[0.0, 0.2]),
         (300, &[0.0]),
     ] {
-        for loss in losses {
+        for loss_ratio in loss_ratios {
             let seeds = match members {
                 300 => 5,
                 _ => SEEDS,
             };
-            let (mut first, mut last) = deaths(members, *loss, seeds);
+            let DetectionTimes {
+                mut first,
+                mut last,
+            } = detection_times(members, *loss_ratio, seeds);
             println!(
-                "| {members} | {loss} | {:.1}, {:.1} | {:.1}, {:.1} |",
+                "| {members} | {loss_ratio} | {:.1}, {:.1} | {:.1}, {:.1} |",
                 quantile(&mut first, 0.5),
                 quantile(&mut first, 0.99),
                 quantile(&mut last, 0.5),
@@ -72,134 +96,156 @@
             );
         }
     }
+}
 
+fn print_joining_and_healing() {
     println!("\n## Joining and healing, s\n");
     println!(
-        "| members | one joins: all know | a split of two halves, 60 s, heals: all agree, median, most |"
+        "| members | one joins: all converge | a partition into halves, 60 s, heals: all converge, median, max |"
     );
     println!("| --- | --- | --- |");
     for (members, seeds) in [(5usize, SEEDS), (10, SEEDS), (100, 5)] {
-        let (mut joins, mut heals) = (Vec::new(), Vec::new());
+        let mut join_times = Vec::new();
+        let mut heal_times = Vec::new();
         for seed in 0..seeds {
-            let mut f = Fleet::of(members, Settings::new(members + 1), seed);
-            let begin = f.now;
-            f.start(members);
-            f.until(ms(60_000), |f| f.agree())
-                .expect("a newcomer is known");
-            joins.push(f.now - begin);
-            let (these, those): (Vec<usize>, Vec<usize>) = (0..=members).partition(|n| n % 2 == 0);
-            f.split(&these, &those);
-            f.run(ms(60_000));
-            f.cut.clear();
-            heals.push(f.until(ms(300_000), |f| f.agree()).expect("a split heals"));
+            let mut fleet = Fleet::converged(members, Settings::new(members + 1), seed);
+            let begin = fleet.now;
+            fleet.start(members);
+            fleet
+                .run_until(ms(60_000), Fleet::has_converged)
+                .expect("a new member joins");
+            join_times.push(fleet.now - begin);
+            let (even, odd): (Vec<usize>, Vec<usize>) = (0..=members).partition(|n| n % 2 == 0);
+            fleet.network.partition(&even, &odd);
+            fleet.run(ms(60_000));
+            fleet.network.blocked.clear();
+            heal_times.push(
+                fleet
+                    .run_until(ms(300_000), Fleet::has_converged)
+                    .expect("a partition heals"),
+            );
         }
-        let most = heals.iter().max().map_or(0.0, Duration::as_secs_f64);
+        let max = heal_times.iter().max().map_or(0.0, Duration::as_secs_f64);
         println!(
-            "| {members} | {:.2} | {:.1}, {most:.1} |",
-            quantile(&mut joins, 0.5),
-            quantile(&mut heals, 0.5)
+            "| {members} | {:.2} | {:.1}, {max:.1} |",
+            quantile(&mut join_times, 0.5),
+            quantile(&mut heal_times, 0.5)
         );
     }
+}
 
-    println!("\n## False words in an hour of one fleet, by what it loses (delay 1 to 50 ms)\n");
-    println!("| members | loss | local health | suspected | gone |");
+fn print_false_reports() {
+    println!("\n## False reports in an hour of one fleet, by loss (delay 1 to 50 ms)\n");
+    println!("| members | loss | local health | suspected | dead |");
     println!("| --- | --- | --- | --- | --- |");
     for members in [5usize, 10, 100] {
-        for loss in [0.0, 0.05, 0.2, 0.3] {
+        for loss_ratio in [0.0, 0.05, 0.2, 0.3] {
             for local_health in [true, false] {
-                let (mut suspected, mut gone) = (0, 0);
-                let (seeds, minutes) = if members == 100 { (2, 3) } else { (10, 6) };
-                for seed in 0..seeds {
-                    let mut f = Fleet::of(
-                        members,
-                        Settings {
-                            local_health,
-                            ..Settings::new(members)
-                        },
-                        seed,
-                    );
-                    f.changes.clear();
-                    f.net = Net {
-                        loss,
-                        twice: 0.0,
-                        least: ms(1),
-                        most: ms(50),
-                    };
-                    f.run(ms(minutes * 60_000));
-                    suspected += f.falsely(MemberState::Suspect);
-                    gone += f.falsely(MemberState::Dead);
-                }
-                let hours = (seeds * minutes) as f64 / 60.0;
-                let health = if local_health { "yes" } else { "no" };
-                // A word on one member comes up at each of the others.
-                let each = |n: usize| n as f64 / hours / (members - 1) as f64;
-                println!(
-                    "| {members} | {loss} | {health} | {:.1} | {:.2} |",
-                    each(suspected),
-                    each(gone)
-                );
+                print_false_reports_of(members, loss_ratio, local_health);
             }
         }
     }
+}
+
+fn print_false_reports_of(members: usize, loss_ratio: f64, local_health: bool) {
+    let mut suspected = 0;
+    let mut dead = 0;
+    let (seeds, minutes) = if members == 100 { (2, 3) } else { (10, 6) };
+    for seed in 0..seeds {
+        let settings = Settings {
+            local_health,
+            ..Settings::new(members)
+        };
+        let mut fleet = Fleet::converged(members, settings, seed);
+        fleet.changes.clear();
+        fleet.network.conditions = Conditions {
+            loss_ratio,
+            duplicate_ratio: 0.0,
+            min_delay: ms(1),
+            max_delay: ms(50),
+        };
+        fleet.run(ms(minutes * 60_000));
+        suspected += fleet.false_reports(MemberState::Suspect);
+        dead += fleet.false_reports(MemberState::Dead);
+    }
+    let hours = (seeds * minutes) as f64 / 60.0;
+    // Each of the other members reports a change of one.
+    let changes_an_hour = |reports: usize| reports as f64 / hours / (members - 1) as f64;
+    println!(
+        "| {members} | {loss_ratio} | {} | {:.1} | {:.2} |",
+        yes_or_no(local_health),
+        changes_an_hour(suspected),
+        changes_an_hour(dead)
+    );
+}
 
-    println!("\n## One slow member of ten: it answers nothing for 0.9 s of each 1.5 s, an hour\n");
-    println!("| local health | others falsely gone | others suspected by it | it suspected |");
+fn print_slow_member() {
+    println!("\n## One slow member of ten: paused for 0.9 s of each 1.5 s, an hour\n");
+    println!("| local health | others falsely dead | others suspected by it | it suspected |");
     println!("| --- | --- | --- | --- |");
     for local_health in [true, false] {
-        let mut f = Fleet::of(
-            10,
-            Settings {
-                local_health,
-                ..Settings::new(10)
-            },
-            1,
-        );
-        f.changes.clear();
+        let settings = Settings {
+            local_health,
+            ..Settings::new(10)
+        };
+        let mut fleet = Fleet::converged(10, settings, 1);
+        fleet.changes.clear();
         for _ in 0..2400 {
-            f.stop(4);
-            f.run(ms(900));
-            f.wake(4);
-            f.run(ms(600));
+            fleet.pause(4);
+            fleet.run(ms(900));
+            fleet.resume(4);
+            fleet.run(ms(600));
         }
-        let of = |of: bool, to| {
-            f.changes
-                .iter()
-                .filter(move |c| (c.of == name(4)) == of && c.to == to)
+        let changes = |is_slow_member: bool, to| {
+            fleet.changes.iter().filter(move |change| {
+                (change.subject == name(4)) == is_slow_member && change.to == to
+            })
         };
         println!(
             "| {} | {} | {} | {} |",
-            if local_health { "yes" } else { "no" },
-            of(false, MemberState::Dead).count(),
-            of(false, MemberState::Suspect)
-                .filter(|c| c.by == 4)
+            yes_or_no(local_health),
+            changes(false, MemberState::Dead).count(),
+            changes(false, MemberState::Suspect)
+                .filter(|change| change.observer == 4)
                 .count(),
-            of(true, MemberState::Suspect).count()
+            changes(true, MemberState::Suspect).count()
         );
     }
+}
 
+fn print_traffic() {
     println!("\n## Traffic and cost of a member, nothing happening, 60 s\n");
     println!(
-        "| members | datagrams/s | bytes/s | longest | handling an event, us | records held, KiB |"
+        "| members | datagrams/s | bytes/s | longest | handling an event, us | records, KiB |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for members in [5usize, 10, 100, 300, 1000] {
-        let mut f = Fleet::of(members, Settings::new(members), 1);
-        f.run(ms(10_000));
-        (f.datagrams, f.bytes) = (0, 0);
+        let mut fleet = Fleet::converged(members, Settings::new(members), 1);
+        fleet.run(ms(10_000));
+        fleet.datagrams = 0;
+        fleet.bytes = 0;
         let begin = Instant::now();
-        f.run(ms(60_000));
+        fleet.run(ms(60_000));
         let took = begin.elapsed();
-        let each = |n: u64| n as f64 / 60.0 / members as f64;
-        // Events are about two a datagram: it is sent on a deadline, and heard.
-        let events = (2 * f.datagrams).max(1) as f64;
-        let held = members * (std::mem::size_of::<Record>() + std::mem::size_of::<Name>() + 48);
+        let rate = |count: u64| count as f64 / 60.0 / members as f64;
+        // About two events a datagram: the deadline at which it is sent, and its delivery.
+        let events = (2 * fleet.datagrams).max(1) as f64;
+        let record_bytes = members * (size_of::<Record>() + size_of::<Name>() + 48);
         println!(
             "| {members} | {:.2} | {:.0} | {} | {:.1} | {} |",
-            each(f.datagrams),
-            each(f.bytes),
-            f.longest,
+            rate(fleet.datagrams),
+            rate(fleet.bytes),
+            fleet.longest_datagram,
             took.as_secs_f64() * 1e6 / events,
-            held / 1024
+            record_bytes / 1024
         );
     }
 }
+
+fn main() {
+    print_detection();
+    print_joining_and_healing();
+    print_false_reports();
+    print_slow_member();
+    print_traffic();
+}
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out of it.
+//! Input and output of the state machine.
 
 use crate::record::{Metadata, Name, Record};
 use crate::view::MemberState;
@@ -8,11 +8,11 @@
 /// What has happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The deadline of [`Swim::due`](crate::Swim::due) has come; also the first event of all.
+    /// The deadline of [`Swim::due`](crate::Swim::due) is over; also the first event of all.
     Due,
     /// An authentic datagram was received.
     Received(Received),
-    /// This ingress's own metadata is now this.
+    /// This ingress's own metadata changed to this.
     Metadata(Metadata),
     /// This ingress leaves for good.
     Leave,
@@ -29,7 +29,7 @@
     pub generation: u64,
     /// The message.
     pub message: Message,
-    /// The records that were sent along.
+    /// The records that were piggybacked on it.
     pub updates: Vec<Record>,
 }
 
@@ -52,12 +52,12 @@
         /// Its state from now on.
         to: MemberState,
     },
-    /// This process's name is held by another that runs; this one stays outside and goes on asking
-    /// to join.
+    /// This process's name is in use by another one that runs; this one stays outside and keeps
+    /// requesting to join.
     NameConflict {
         /// Where the other listens.
         holder: SocketAddr,
     },
-    /// This member has joined: somebody has answered.
+    /// This member has joined: another one answered.
     Joined,
 }
--- a/crates/membership/src/guard.rs
+++ b/crates/membership/src/guard.rs
@@ -13,9 +13,14 @@
 const TAG_BYTES: usize = 16;
 /// Longest datagram, in bytes.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 256;
-/// What a body may hold at most: a header takes up to 17 bytes for a name and 10 each for two
-/// numbers.
-pub(crate) const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - PREFIX_BYTES - TAG_BYTES - 37;
+/// Longest header: up to 17 bytes for a name, and 10 for each of two numbers.
+const MAX_HEADER_BYTES: usize = 17 + 2 * 10;
+/// Longest body, in bytes.
+pub(crate) const MAX_BODY_BYTES: usize =
+    MAX_DATAGRAM_BYTES - PREFIX_BYTES - TAG_BYTES - MAX_HEADER_BYTES;
+/// Sequence numbers, up to the highest one, of which a replay window knows whether they were
+/// accepted.
+const REPLAY_WINDOW: u64 = u64::BITS as u64;
 
 /// A key that all members share: 32 bytes.
 #[derive(Clone)]
@@ -45,7 +50,7 @@
         }
     }
 
-    /// Tells keys apart without telling the key.
+    /// Four hexadecimal digits that identify the key without disclosing it.
     pub fn fingerprint(&self) -> String {
         format!("{:02x}{:02x}", self.fingerprint[0], self.fingerprint[1])
     }
@@ -54,7 +59,7 @@
 /// Why a datagram was dropped, without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Dropped {
-    /// Too short, too long, or its parts cannot be read.
+    /// Too short, too long, or not of the form of a datagram.
     #[error("malformed")]
     Malformed,
     /// Of another version of the protocol.
@@ -63,15 +68,15 @@
     /// Of another cluster.
     #[error("another cluster")]
     Cluster,
-    /// By a key that is not held, or altered on the way.
+    /// Sealed with an unknown key, or altered on the way.
     #[error("not authentic")]
     Forged,
-    /// Taken before, or too old to tell.
+    /// Its sequence number was accepted before, or is too old to know.
     #[error("replayed")]
     Replayed,
-    /// More names than this ingress remembers.
+    /// Its sender is new, and the maximum of senders is reached.
     #[error("too many names")]
-    Crowded,
+    TooManySenders,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -81,73 +86,81 @@
     sequence: u64,
 }
 
-/// Which sequence numbers of a sender were accepted: the highest, and which of the 64 before it.
+/// Which sequence numbers of a sender were accepted: the highest one, and which of those before it
+/// within [`REPLAY_WINDOW`].
 #[derive(Clone, Copy, Debug)]
 struct ReplayWindow {
     generation: u64,
-    top: u64,
-    taken: u64,
+    highest: u64,
+    /// Bit `n` is set if the number `n` below the highest one was accepted.
+    accepted: u64,
 }
 
 impl ReplayWindow {
-    /// Takes a sequence; false if it was taken before or is too old to tell.
-    fn take(&mut self, generation: u64, sequence: u64) -> bool {
+    /// A window in which only this sequence number was accepted.
+    fn new(generation: u64, sequence: u64) -> ReplayWindow {
+        ReplayWindow {
+            generation,
+            highest: sequence,
+            accepted: 1,
+        }
+    }
+
+    /// Accepts a sequence number once; false if it was accepted before or is too old to know.
+    fn accept(&mut self, generation: u64, sequence: u64) -> bool {
         if generation > self.generation {
-            *self = ReplayWindow {
-                generation,
-                top: sequence,
-                taken: 1,
-            };
+            *self = ReplayWindow::new(generation, sequence);
             return true;
         }
         if generation < self.generation {
             return false;
         }
-        if sequence > self.top {
-            let shift = sequence - self.top;
-            self.taken = if shift < 64 {
-                self.taken << shift | 1
+        if sequence > self.highest {
+            let shift = sequence - self.highest;
+            self.accepted = if shift < REPLAY_WINDOW {
+                self.accepted << shift | 1
             } else {
                 1
             };
-            self.top = sequence;
+            self.highest = sequence;
             return true;
         }
-        let back = self.top - sequence;
-        if back >= 64 || self.taken >> back & 1 == 1 {
+        let below_highest = self.highest - sequence;
+        if below_highest >= REPLAY_WINDOW || self.accepted >> below_highest & 1 == 1 {
             return false;
         }
-        self.taken |= 1 << back;
+        self.accepted |= 1 << below_highest;
         true
     }
 }
 
-/// A datagram that may be believed.
+/// An authentic datagram that was not received before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
     /// The member that sent it.
     pub sender: Name,
     /// The sender's generation.
     pub generation: u64,
-    /// What it says.
+    /// Its body.
     pub body: &'a [u8],
 }
 
-/// Seals what is sent and opens what comes.
+/// Seals the datagrams that are sent, and opens those that are received.
 #[derive(Debug)]
 pub struct Guard {
     cluster: [u8; 4],
-    /// The first seals; each opens.
+    /// The first one seals, each of them opens.
     keys: Vec<Key>,
     local: Name,
     sequence: u64,
     windows: BTreeMap<Name, ReplayWindow>,
-    /// Senders remembered at most.
+    /// Senders whose replay windows are kept at most.
     max_senders: usize,
 }
 
 impl Guard {
-    /// A guard of this member in a cluster of that name. The first key seals, each opens.
+    /// The guard of the member `local` in a cluster. The first key seals, each of them opens. At
+    /// `max_senders`, datagrams of further senders are dropped.
     pub fn new(cluster: &str, keys: Vec<Key>, local: Name, max_senders: usize) -> Guard {
         let digest = Sha256::digest(cluster.as_bytes());
         let cluster = [digest[0], digest[1], digest[2], digest[3]];
@@ -161,12 +174,12 @@
         }
     }
 
-    /// Other keys hold from now on.
+    /// Replaces the keys.
     pub fn set_keys(&mut self, keys: Vec<Key>) {
         self.keys = keys;
     }
 
-    /// The datagram of a body, for this generation of the sender.
+    /// The datagram of a body, for this generation of the sender; empty if there is no key.
     pub fn seal(&mut self, generation: u64, body: &[u8]) -> Vec<u8> {
         self.sequence += 1;
         let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
@@ -181,9 +194,9 @@
             generation,
             sequence: self.sequence,
         };
-        let mut buffer = [0; 40];
+        let mut buffer = [0; MAX_HEADER_BYTES];
         let header =
-            postcard::to_slice(&header, &mut buffer).expect("a header of at most 37 bytes");
+            postcard::to_slice(&header, &mut buffer).expect("a header of at most MAX_HEADER_BYTES");
         out.extend_from_slice(header);
         out.extend_from_slice(body);
         let tag = key.mac.clone().chain_update(&out).finalize().into_bytes();
@@ -191,7 +204,11 @@
         out
     }
 
-    /// What a datagram says, if it may be believed.
+    /// The body of a datagram and its sender.
+    ///
+    /// # Errors
+    ///
+    /// The reason for which the datagram is dropped.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<Opened<'a>, Dropped> {
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < PREFIX_BYTES + TAG_BYTES {
             return Err(Dropped::Malformed);
@@ -211,7 +228,7 @@
         if header.sender.is_empty() {
             return Err(Dropped::Malformed);
         }
-        self.take_sequence(&header)?;
+        self.accept_sequence(&header)?;
         Ok(Opened {
             sender: header.sender,
             generation: header.generation,
@@ -219,13 +236,13 @@
         })
     }
 
-    /// Does the tag belong to these bytes, by one of the keys?
+    /// Is the tag that of these bytes, by one of the keys?
     fn is_authentic(&self, signed: &[u8], tag: &[u8]) -> bool {
-        let mut named = self
+        let mut candidates = self
             .keys
             .iter()
             .filter(|key| key.fingerprint == signed[1..3]);
-        named.any(|key| {
+        candidates.any(|key| {
             key.mac
                 .clone()
                 .chain_update(signed)
@@ -234,24 +251,19 @@
         })
     }
 
-    /// Takes the sequence number of a sender, once.
-    fn take_sequence(&mut self, header: &Header) -> Result<(), Dropped> {
+    /// Accepts a sequence number of a sender once.
+    fn accept_sequence(&mut self, header: &Header) -> Result<(), Dropped> {
         if let Some(window) = self.windows.get_mut(&header.sender) {
-            let taken = window.take(header.generation, header.sequence);
-            return if taken {
+            return if window.accept(header.generation, header.sequence) {
                 Ok(())
             } else {
                 Err(Dropped::Replayed)
             };
         }
         if self.windows.len() >= self.max_senders {
-            return Err(Dropped::Crowded);
+            return Err(Dropped::TooManySenders);
         }
-        let window = ReplayWindow {
-            generation: header.generation,
-            top: header.sequence,
-            taken: 1,
-        };
+        let window = ReplayWindow::new(header.generation, header.sequence);
         self.windows.insert(header.sender, window);
         Ok(())
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,12 +4,12 @@
 //! local health (Dadgar, Phillips, Currey 2017, "Lifeguard"). It performs no I/O and reads no
 //! clock: [`Swim::handle`] takes one event at a time and appends the actions to perform,
 //! [`Swim::due`] is the deadline of the next call. [`Guard`] authenticates datagrams and drops
-//! those of strangers and replays. [`wire`] packs a datagram of at most 256 bytes.
+//! forged and replayed ones. [`wire`] packs a datagram of at most 256 bytes.
 //!
-//! What a caller sees is a [`MemberState`]: a name that was never heard of is `NeverSeen`, not
-//! `Dead`, and each view carries the age of its latest word. [`Swim::quorum`] tells whether this
-//! ingress sees more than half of those that there should be. What must never be exceeded may not
-//! rest on a view alone.
+//! What a caller sees is a [`MemberState`]: a member without any record is `NeverSeen`, not `Dead`,
+//! and each view carries the time since the member's latest datagram. [`Swim::quorum`] says whether
+//! this ingress sees more than half of the expected members. A view alone is no base for a limit
+//! that must never be exceeded.
 
 mod event;
 mod guard;
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,4 +1,4 @@
-//! What members tell of one another, and which of two records of a member is the newer.
+//! Records of members, and which of two records of a member is the newer one.
 
 use arrayvec::{ArrayString, ArrayVec};
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 /// A member's name: the same after a restart, 1 to 16 bytes.
 pub type Name = ArrayString<16>;
 
-/// How far a member is with its own lifecycle, by its own word.
+/// The stage of a member's lifecycle, set by the member itself.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -18,18 +18,18 @@
     Starting,
     /// It serves.
     Serving,
-    /// It finishes what it has.
+    /// It finishes its open requests.
     Leaving,
 }
 
-/// What a member tells of itself; nobody else changes it.
+/// What a member publishes of itself; only it changes its metadata.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Metadata {
     /// Its zone; empty for none.
     pub zone: ArrayString<12>,
-    /// How far it is.
+    /// The stage of its lifecycle.
     pub stage: Stage,
-    /// For parts that build on this one, in their own form.
+    /// Bytes of other components, in their own format.
     pub extension: ArrayVec<u8, 16>,
 }
 
@@ -40,9 +40,9 @@
     Alive,
     /// A probe by the member of this name hash was not answered: it may be dead.
     Suspect(u32),
-    /// Its suspicion timed out; alive again if it says so itself.
+    /// Its suspicion timed out; it becomes alive again only by its own refutation.
     Dead,
-    /// It said that it leaves. Final for this generation.
+    /// It announced that it leaves. Final for this generation.
     Left,
 }
 
@@ -57,7 +57,14 @@
     }
 }
 
-/// A record of a member, as members pass it on.
+/// What a suspicion belongs to: one incarnation of one generation of a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct IncarnationId {
+    generation: u64,
+    incarnation: u32,
+}
+
+/// A record of a member, as members exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// Its name.
@@ -79,8 +86,8 @@
 
 impl Record {
     /// Which record of one member has the newer status: a later generation; within a generation,
-    /// that it left; then the later incarnation; then the graver status. Guards against a member
-    /// that left and comes back by old updates.
+    /// that it left; then the later incarnation; then the graver status. Prevents old updates from
+    /// bringing back a member that left.
     pub fn cmp_status(&self, other: &Record) -> Ordering {
         let key = |r: &Record| {
             (
@@ -108,19 +115,24 @@
         }
         let newer_status = update.cmp_status(self) == Ordering::Greater;
         if newer_status {
-            (self.address, self.generation) = (update.address, update.generation);
-            (self.incarnation, self.status) = (update.incarnation, update.status);
+            self.address = update.address;
+            self.generation = update.generation;
+            self.incarnation = update.incarnation;
+            self.status = update.status;
         }
         newer_metadata || newer_status
     }
 
-    /// Is it taken to run?
+    /// Does the member run, as far as is known?
     pub fn is_running(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect(_))
     }
 
-    /// What a suspicion belongs to: one incarnation of one generation.
-    pub(crate) fn incarnation_id(&self) -> (u64, u32) {
-        (self.generation, self.incarnation)
+    /// The incarnation that the record is of.
+    pub(crate) fn incarnation_id(&self) -> IncarnationId {
+        IncarnationId {
+            generation: self.generation,
+            incarnation: self.incarnation,
+        }
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -5,40 +5,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Intervals, timeouts and bounds. They are for members that reach each other directly.
+/// Intervals, timeouts and bounds; the defaults of [`Settings::new`] are for members that reach each
+/// other directly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// One member is probed each interval.
+    /// Time between two probes; 1 s by default.
     pub probe_interval: Duration,
-    /// A direct ack is awaited for so long before others are asked; under half of the interval.
+    /// Time that a direct ack is awaited before other members probe too; under half of the interval,
+    /// 300 ms by default.
     pub probe_timeout: Duration,
-    /// Members that are asked to ping one that did not answer.
+    /// Members that are requested to ping one that did not answer; 3 by default.
     pub indirect_probes: usize,
-    /// Queued updates are sent to some members so often.
+    /// Time between two rounds of gossip, which send queued updates; 200 ms by default.
     pub gossip_interval: Duration,
-    /// Members that each round of gossip goes to.
+    /// Members that each round of gossip is sent to; 3 by default.
     pub gossip_fanout: usize,
-    /// The digests of all records are compared with one member so often (anti-entropy).
+    /// Mean time between two comparisons of all records with one member (anti-entropy); 5 s by
+    /// default.
     pub sync_interval: Duration,
-    /// Least suspicion timeout, in probe intervals times the logarithm (base ten, at least one) of
-    /// the number of members.
+    /// Shortest suspicion timeout, in probe intervals times the logarithm (base ten, at least one) of
+    /// the number of members; 4 by default.
     pub suspicion_multiplier: u32,
-    /// Longest suspicion timeout, in least ones; that of a suspicion without confirmation.
+    /// Longest suspicion timeout, that of a suspicion without confirmation, as a multiple of the
+    /// shortest one; 6 by default.
     pub suspicion_max_multiplier: u32,
-    /// Is local health heeded? Without it a slow ingress suspects the others.
+    /// Does local health slow this ingress's probes? Prevents a slow ingress from suspecting the
+    /// others. True by default.
     pub local_health: bool,
     /// Members that there should be, this one included.
     pub expected_members: usize,
-    /// Members remembered at most.
+    /// Records of other members that are kept at most; further ones are dropped and counted. 1,024 by
+    /// default.
     pub max_members: usize,
-    /// Addresses that are asked to let this member join.
+    /// Addresses that this member sends its requests to join to.
     pub seeds: Vec<SocketAddr>,
-    /// Where a member is reached from here, if not at the address it states.
-    pub paths: BTreeMap<Name, SocketAddr>,
+    /// Addresses at which members are reached from here, where these differ from those in their
+    /// records.
+    pub address_overrides: BTreeMap<Name, SocketAddr>,
 }
 
 impl Settings {
-    /// Usual values for so many members.
+    /// The defaults for so many members.
     pub fn new(expected_members: usize) -> Settings {
         let ms = Duration::from_millis;
         Settings {
@@ -54,7 +61,7 @@
             expected_members,
             max_members: 1024,
             seeds: Vec::new(),
-            paths: BTreeMap::new(),
+            address_overrides: BTreeMap::new(),
         }
     }
 }
--- a/crates/membership/src/swim/apply.rs
+++ b/crates/membership/src/swim/apply.rs
@@ -1,4 +1,4 @@
-//! Updates: a record of a member is taken in, whichever way it came.
+//! Updates: records of members are merged, whichever message they were received with.
 
 use super::members::Member;
 use super::Swim;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Swim {
-    /// Takes in a record.
+    /// Merges a record.
     pub(super) fn apply(&mut self, update: &Record, now: Duration, actions: &mut Vec<Action>) {
         if update.name == self.local.name {
             return self.apply_to_self(update, actions);
@@ -34,11 +34,11 @@
         }
     }
 
-    /// Is this a newer process that claims a name while another holds it? That one has to be gone
-    /// first.
+    /// Is this a newer process that claims a name while another one uses it? That one has to be dead
+    /// or have left first.
     fn is_premature_claim(&self, update: &Record) -> bool {
-        let held = self.members.get(&update.name);
-        let is_newer = held.is_some_and(|member| update.generation > member.record.generation);
+        let known = self.members.get(&update.name);
+        let is_newer = known.is_some_and(|member| update.generation > member.record.generation);
         is_newer && self.name_holder(update).is_some()
     }
 
@@ -59,35 +59,35 @@
         });
     }
 
-    /// An update on this member itself.
+    /// Handles a record of this member itself.
     fn apply_to_self(&mut self, update: &Record, actions: &mut Vec<Action>) {
         if update.generation > self.local.generation {
             return self.on_newer_generation(update, actions);
         }
         let is_current = update.generation == self.local.generation;
-        let is_doubted = is_current
+        let is_disputed = is_current
             && update.status != Status::Alive
             && update.incarnation >= self.local.incarnation;
-        if is_doubted && !self.leaving {
+        if is_disputed && !self.leaving {
             self.refute(update);
         }
-        if is_doubted || update.cmp_status(&self.local).is_lt() {
+        if is_disputed || update.cmp_status(&self.local).is_lt() {
             self.updates.enqueue(self.local.name);
         }
     }
 
-    /// Others hold a later start of this name than this process's own.
+    /// Others have a record of this name with a later generation than this process.
     fn on_newer_generation(&mut self, update: &Record, actions: &mut Vec<Action>) {
         if update.address != self.local.address {
-            // They took this one for dead and let another in under its name.
+            // They hold this member dead, and another process joined under its name.
             return self.set_name_conflict(update.address, actions);
         }
-        // The clock went back over a restart: this generation must outlive the one that they know.
+        // The clock went back over a restart: this generation must override the one that they know.
         self.local.generation = update.generation + 1;
         self.updates.enqueue(self.local.name);
     }
 
-    /// Says in a later incarnation that this member lives.
+    /// Refutes a suspicion, or a report of death, by a later incarnation.
     fn refute(&mut self, update: &Record) {
         self.local.incarnation = update.incarnation + 1;
         self.counts.refutations += 1;
--- a/crates/membership/src/swim/gossip.rs
+++ b/crates/membership/src/swim/gossip.rs
@@ -34,7 +34,7 @@
         self.queue.retain(|(_, queued)| queued != name);
     }
 
-    /// Adds as many records to a body as there is room for.
+    /// Adds as many records to a body as fit.
     fn piggyback<'a>(
         &mut self,
         body: &mut Body,
@@ -58,7 +58,7 @@
 }
 
 impl Swim {
-    /// A round of gossip, if there is anything to send.
+    /// Sends a round of gossip, if there are updates.
     pub(super) fn gossip(&mut self, actions: &mut Vec<Action>) {
         if self.updates.is_empty() {
             return;
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Sends a message with as many updates as there is room for.
+    /// Sends a message with as many updates as fit.
     pub(super) fn send(&mut self, to: SocketAddr, message: &Message, actions: &mut Vec<Action>) {
         self.send_about(to, message, None, actions);
     }
 
-    /// The same, led by the record of a member that is concerned if it is suspected: it is to
-    /// refute that.
+    /// As [`Swim::send`], with the record of a member first if that is a suspect, so that it can
+    /// refute the suspicion.
     pub(super) fn send_about(
         &mut self,
         to: SocketAddr,
@@ -88,7 +88,7 @@
             let _ = body.add(&member.record);
         }
         if *message == Message::Join {
-            // The joiner's own record goes before all others.
+            // A request to join is answered by the sender's own record.
             let _ = body.add(&self.local);
         }
         if self.join.name_conflict.is_none() {
@@ -103,7 +103,8 @@
     fn piggyback_updates(&mut self, body: &mut Body) {
         let member_count = (self.members.len() + 1) as f64;
         let max_transmissions = RETRANSMIT_MULTIPLIER * member_count.log10().ceil().max(1.0) as u32;
-        let (local, members) = (&self.local, &self.members);
+        let local = &self.local;
+        let members = &self.members;
         self.updates.piggyback(body, max_transmissions, |name| {
             if *name == local.name {
                 return Some(local);
--- a/crates/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -1,11 +1,11 @@
-//! Local health (Lifeguard): a member that misses acks or stalls slows its own probes.
+//! Local health (Lifeguard): a member that misses acks or stalls slows down its own probes.
 
 use std::time::Duration;
 
-/// Worst score: probes take at most this and one times as long.
+/// Worst score; probes then take this and one times as long.
 pub(super) const MAX_SCORE: u32 = 8;
 
-/// The local health score: 0 is well.
+/// The local health score; 0 is healthy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalHealth {
     score: u32,
@@ -13,7 +13,7 @@
 }
 
 impl LocalHealth {
-    /// One that is well; it stays so unless it is enabled.
+    /// A healthy score; it never changes unless it is enabled.
     pub(super) fn new(enabled: bool) -> LocalHealth {
         LocalHealth { score: 0, enabled }
     }
@@ -22,7 +22,7 @@
         self.score
     }
 
-    /// Something points to a fault of this process itself.
+    /// Counts signs of a fault of this process itself.
     pub(super) fn degrade(&mut self, by: u32) {
         if self.enabled {
             self.score = self.score.saturating_add(by).min(MAX_SCORE);
@@ -34,7 +34,7 @@
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A timeout or interval of a probe, longer the worse the score is.
+    /// The timeout or interval of a probe at this score.
     pub(super) fn scale(&self, time: Duration) -> Duration {
         time * (self.score + 1)
     }
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -1,5 +1,5 @@
-//! Joining: seeds are asked until one answers, and a name that a live process holds is refused to
-//! another.
+//! Joining: requests go to all seeds until one answers. A name that a live process uses is refused
+//! to another one.
 
 use super::Swim;
 use crate::event::Action;
@@ -8,14 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest time between two rounds of asking, in probe intervals.
+/// Longest backoff between two rounds of requests to join, in probe intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 8;
+/// Time to the next round, as a ratio of the backoff: the minimum, and the range above it.
+const BACKOFF_JITTER_MIN: f64 = 0.5;
+const BACKOFF_JITTER_RANGE: f64 = 0.5;
 
-/// How far this member is with joining.
+/// The state of joining.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JoinState {
     pub joined: bool,
-    /// Where a process listens that holds this one's name, while this one is kept out for that.
+    /// Where a process listens that uses this one's name, while this one cannot join for that.
     pub name_conflict: Option<SocketAddr>,
     backoff: Duration,
 }
@@ -31,28 +34,34 @@
 }
 
 impl Swim {
-    /// Is this member to ask the seeds?
-    pub(super) fn wants_to_join(&self) -> bool {
+    /// Is this member to send requests to join?
+    pub(super) fn should_join(&self) -> bool {
         !self.leaving
-            && (!self.join.joined || self.join.name_conflict.is_some() || self.is_alone())
+            && (!self.join.joined
+                || self.join.name_conflict.is_some()
+                || self.has_no_running_member())
             && !self.settings.seeds.is_empty()
     }
 
-    fn is_alone(&self) -> bool {
+    fn has_no_running_member(&self) -> bool {
         self.members.running().next().is_none()
     }
 
-    /// Asks all seeds. One that stays alone asks more and more rarely, and never stops.
-    pub(super) fn ask_to_join(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Sends a request to join to all seeds, with an exponential backoff that has no end.
+    pub(super) fn send_join_requests(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let longest = self.settings.probe_interval * MAX_BACKOFF_INTERVALS;
         self.join.backoff = (self.join.backoff * 2).min(longest);
-        self.timers.join = now + self.join.backoff.mul_f64(0.5 + 0.5 * self.rng.f64());
+        self.timers.join = now
+            + self
+                .join
+                .backoff
+                .mul_f64(BACKOFF_JITTER_MIN + BACKOFF_JITTER_RANGE * self.rng.f64());
         for seed in self.settings.seeds.clone() {
             self.send(seed, &Message::Join, actions);
         }
     }
 
-    /// Another asks to join: it is told all.
+    /// Another member requests to join: all records are sent to it.
     pub(super) fn on_join(&mut self, source: SocketAddr, actions: &mut Vec<Action>) {
         if !self.join.joined {
             self.join.joined = true;
@@ -61,7 +70,7 @@
         self.send_pages(source, Name::new(), actions);
     }
 
-    /// A page of records has come: this member is let in.
+    /// A page of records was received: this member has joined.
     pub(super) fn on_page(&mut self, source: SocketAddr, after: Name, actions: &mut Vec<Action>) {
         if !self.join.joined || self.join.name_conflict.take().is_some() {
             self.join.joined = true;
@@ -71,9 +80,9 @@
         self.continue_sync(source, after, actions);
     }
 
-    /// This member's name is held by another, by word of one that it asked.
+    /// A seed answers that this member's name is in use by another process.
     pub(super) fn on_name_conflict(&mut self, holder: SocketAddr, actions: &mut Vec<Action>) {
-        // An answer from before this member was let in is out of date.
+        // An answer to a request from before this member joined is out of date.
         if !self.join.joined {
             self.set_name_conflict(holder, actions);
         }
@@ -86,9 +95,9 @@
         }
     }
 
-    /// A datagram of a process of this member's own name: itself, by a seed that is its own
-    /// address, or another.
-    pub(super) fn on_namesake(
+    /// A datagram of a process of this member's own name: of itself, if a seed is its own address,
+    /// or of another one.
+    pub(super) fn on_same_name(
         &mut self,
         source: SocketAddr,
         generation: u64,
@@ -101,11 +110,11 @@
         }
     }
 
-    /// The address that holds the name of this record: of a live member of that name elsewhere. At
-    /// the same address it is a restart, since two processes cannot listen there.
+    /// The address of a live member that uses the name of this record at another address. At the
+    /// same address it is a restart, as two processes cannot listen there.
     pub(super) fn name_holder(&self, claimant: &Record) -> Option<SocketAddr> {
-        let held = &self.members.get(&claimant.name)?.record;
-        let is_other = held.generation != claimant.generation && held.address != claimant.address;
-        (is_other && held.is_running()).then_some(held.address)
+        let known = &self.members.get(&claimant.name)?.record;
+        let is_other = known.generation != claimant.generation && known.address != claimant.address;
+        (is_other && known.is_running()).then_some(known.address)
     }
 }
--- a/crates/membership/src/swim/members.rs
+++ b/crates/membership/src/swim/members.rs
@@ -6,29 +6,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members whose suspicion of another counts; with so many the suspicion has its least timeout.
+/// Suspecters of a member that count; with so many the suspicion has its shortest timeout.
 pub(super) const MAX_SUSPECTERS: usize = 3;
 
-/// Another member, as it is known here.
+/// Another member, as seen from here.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub record: Record,
-    /// When its own latest datagram came, or else the first word of it.
-    pub last_heard: Duration,
-    /// Since when it has been in its state.
+    /// When its latest datagram was received, or the first record of it if it sent none.
+    pub last_received_at: Duration,
+    /// When it entered its state.
     pub state_since: Duration,
-    /// Name hashes of those that have suspected it in this incarnation.
-    suspected_by: ArrayVec<u32, MAX_SUSPECTERS>,
+    /// Name hashes of the members that suspect it in this incarnation.
+    suspecters: ArrayVec<u32, MAX_SUSPECTERS>,
 }
 
 impl Member {
-    /// One that is heard of for the first time.
+    /// A member without any record before.
     pub(super) fn new(record: Record, now: Duration) -> Member {
         let mut member = Member {
             record,
-            last_heard: now,
+            last_received_at: now,
             state_since: now,
-            suspected_by: ArrayVec::new(),
+            suspecters: ArrayVec::new(),
         };
         member.enter_state(now);
         member
@@ -42,14 +42,15 @@
         matches!(self.record.status, Status::Suspect(_))
     }
 
-    /// Members that suspect it, by what has come here.
-    pub(super) fn suspecters(&self) -> usize {
-        self.suspected_by.len()
+    /// Members that suspect it, as far as is known.
+    pub(super) fn suspecter_count(&self) -> usize {
+        self.suspecters.len()
     }
 
-    /// Takes in another record of it; true if it says anything new that is to be passed on.
+    /// Merges another record of it; true if that holds anything new, which is to be gossiped.
     pub(super) fn merge(&mut self, update: &Record, now: Duration) -> bool {
-        let (state, incarnation) = (self.state(), self.record.incarnation_id());
+        let state = self.state();
+        let incarnation = self.record.incarnation_id();
         let confirmed = self.confirm_suspicion(update);
         let changed = self.record.merge(update);
         if self.state() != state || self.record.incarnation_id() != incarnation {
@@ -58,7 +59,7 @@
         changed || confirmed
     }
 
-    /// Another's suspicion of the same incarnation confirms the one that is held.
+    /// Counts another member's suspicion of the same incarnation.
     fn confirm_suspicion(&mut self, update: &Record) -> bool {
         let Status::Suspect(suspecter) = update.status else {
             return false;
@@ -66,26 +67,26 @@
         if !self.is_suspect() || self.record.incarnation_id() != update.incarnation_id() {
             return false;
         }
-        let confirmed = !self.suspected_by.contains(&suspecter)
-            && self.suspected_by.try_push(suspecter).is_ok();
+        let confirmed =
+            !self.suspecters.contains(&suspecter) && self.suspecters.try_push(suspecter).is_ok();
         if confirmed {
-            // Passed on under the new suspecter, so that others count it too.
+            // Gossiped with the new suspecter, so that others count it too.
             self.record.status = update.status;
         }
         confirmed
     }
 
-    /// Its state or incarnation is another than before: a suspicion begins anew.
+    /// Its state or incarnation changed: a suspicion starts anew.
     fn enter_state(&mut self, now: Duration) {
         self.state_since = now;
-        self.suspected_by.clear();
+        self.suspecters.clear();
         if let Status::Suspect(suspecter) = self.record.status {
-            self.suspected_by.push(suspecter);
+            self.suspecters.push(suspecter);
         }
     }
 }
 
-/// All other members that are remembered, by name.
+/// All other members that there are records of, by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberTable {
     members: BTreeMap<Name, Member>,
@@ -124,7 +125,7 @@
         self.members.values().map(|member| &member.record)
     }
 
-    /// Records of those that are taken to run.
+    /// Records of members that run, as far as is known.
     pub(super) fn running(&self) -> impl Iterator<Item = &Record> {
         self.records().filter(|record| record.is_running())
     }
@@ -137,11 +138,11 @@
             .filter(move |record| record.name != name)
     }
 
-    /// Moves all times on by a stall of this process.
+    /// Moves all times by a stall of this process.
     pub(super) fn postpone(&mut self, stall: Duration) {
         for member in self.members.values_mut() {
             member.state_since += stall;
-            member.last_heard += stall;
+            member.last_received_at += stall;
         }
     }
 }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping,
 //! ping-req, ack, nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates,
-//! [`sync`] is anti-entropy, [`join`] finds the others, [`apply`] takes in records, [`health`] is
-//! local health and [`members`] the table of members.
+//! [`sync`] is anti-entropy, [`join`] finds the others, [`receive`] handles datagrams, [`apply`]
+//! merges records, [`health`] is local health and [`members`] the table of members.
 
 mod apply;
 mod gossip;
@@ -30,6 +30,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Time between two rounds of anti-entropy, as a ratio of its interval: the minimum, and the range
+/// above it. Prevents members from comparing their records at the same times.
+const SYNC_JITTER_MIN: f64 = 0.75;
+const SYNC_JITTER_RANGE: f64 = 0.5;
+
 /// When each recurring task is next due.
 #[derive(Clone, Copy, Debug, Default)]
 struct Timers {
@@ -38,7 +43,7 @@
     sync: Duration,
     join: Duration,
     reminder: Duration,
-    sweep: Duration,
+    cleanup: Duration,
 }
 
 /// One member's part of the protocol.
@@ -65,7 +70,7 @@
 
 impl Swim {
     /// A member of this name that listens at this address; `generation` is the Unix time of its
-    /// start in milliseconds.
+    /// start in milliseconds, and `seed` that of its random choices.
     pub fn new(
         settings: Settings,
         name: Name,
@@ -74,13 +79,12 @@
         metadata: Metadata,
         seed: u64,
     ) -> Swim {
-        let status = Status::Alive;
         let local = Record {
             name,
             address,
             generation,
             incarnation: 0,
-            status,
+            status: Status::Alive,
             metadata_version: 0,
             metadata,
         };
@@ -113,13 +117,13 @@
         self.counts
     }
 
-    /// How far this ingress trusts itself: 0 is well; probes take one more and so many times as
-    /// long.
+    /// The local health score: 0 is healthy; the probes of this ingress take the score and one times
+    /// as long.
     pub fn local_health(&self) -> u32 {
         self.health.score()
     }
 
-    /// The process that holds this one's name, while this one is kept out for that.
+    /// The process that uses this one's name, while this one cannot join for that.
     pub fn name_conflict(&self) -> Option<SocketAddr> {
         self.join.name_conflict
     }
@@ -128,7 +132,7 @@
     pub fn state(&self, name: &Name) -> MemberState {
         self.members
             .get(name)
-            .map_or(MemberState::NeverSeen, |member| member.state())
+            .map_or(MemberState::NeverSeen, members::Member::state)
     }
 
     /// A member as seen from here.
@@ -142,20 +146,19 @@
             Some(member) => View {
                 state: member.state(),
                 record: Some(member.record.clone()),
-                age: Some(now.saturating_sub(member.last_heard)),
+                age: Some(now.saturating_sub(member.last_received_at)),
             },
         }
     }
 
-    /// All members that were ever heard of and are remembered, this one left out.
+    /// All other members that there are records of.
     pub fn views(&self, now: Duration) -> impl Iterator<Item = (Name, View)> + '_ {
         self.members
             .names()
             .map(move |name| (*name, self.view(name, now)))
     }
 
-    /// How many are seen of those that there should be. One that is kept out by a name conflict
-    /// sees nobody.
+    /// How many of the expected members this one sees; none while it has a name conflict.
     pub fn quorum(&self) -> Quorum {
         let alive = self
             .members
@@ -173,24 +176,28 @@
         }
     }
 
-    /// Where a member is reached from here.
+    /// The address at which a member is reached from here.
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
-        let stated = || self.members.get(name).map(|member| member.record.address);
-        self.settings.paths.get(name).copied().or_else(stated)
+        let recorded = || self.members.get(name).map(|member| member.record.address);
+        self.settings
+            .address_overrides
+            .get(name)
+            .copied()
+            .or_else(recorded)
     }
 
-    /// When [`Swim::handle`] wants [`Event::Due`] next.
+    /// The time of the next [`Event::Due`].
     pub fn due(&self) -> Option<Duration> {
         if !self.started {
             return Some(Duration::ZERO);
         }
         let timers = &self.timers;
         let mut due = timers
-            .sweep
+            .cleanup
             .min(timers.gossip)
             .min(timers.sync)
             .min(timers.probe);
-        if self.wants_to_join() {
+        if self.should_join() {
             due = due.min(timers.join);
         }
         if let Some(probe) = &self.probe {
@@ -199,7 +206,7 @@
         Some(due)
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles an event; what the caller is to do is appended to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.start(now);
@@ -214,18 +221,19 @@
         self.run_timers(now, actions);
     }
 
-    /// Sets the first deadlines, spread so that members started together do not act together.
+    /// Sets the first deadlines. They are random, so that members that start together do not act
+    /// together.
     fn start(&mut self, now: Duration) {
         self.started = true;
-        let spread =
+        let random_time =
             |rng: &mut fastrand::Rng, interval: Duration| now + interval.mul_f64(rng.f64());
         self.timers = Timers {
-            probe: spread(&mut self.rng, self.settings.probe_interval),
-            gossip: spread(&mut self.rng, self.settings.gossip_interval),
-            sync: spread(&mut self.rng, self.settings.sync_interval),
+            probe: random_time(&mut self.rng, self.settings.probe_interval),
+            gossip: random_time(&mut self.rng, self.settings.gossip_interval),
+            sync: random_time(&mut self.rng, self.settings.sync_interval),
             join: now,
             reminder: now,
-            sweep: now + self.settings.gossip_interval,
+            cleanup: now + self.settings.gossip_interval,
         };
     }
 
@@ -247,8 +255,8 @@
         self.timers.gossip = now;
     }
 
-    /// Guards against a process that was stopped and takes all others for silent: what waited
-    /// through its own stall proves nothing, and its deadlines go on from here.
+    /// Prevents this process from suspecting the others when it was stopped itself: its deadlines are
+    /// moved by the time of its stall.
     fn absorb_stall(&mut self, now: Duration) {
         let stall = self
             .due()
@@ -267,12 +275,12 @@
     }
 
     fn run_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.wants_to_join() && now >= self.timers.join {
-            self.ask_to_join(now, actions);
+        if self.should_join() && now >= self.timers.join {
+            self.send_join_requests(now, actions);
         }
-        if now >= self.timers.sweep {
-            self.timers.sweep = now + self.settings.gossip_interval;
-            self.sweep(now, actions);
+        if now >= self.timers.cleanup {
+            self.timers.cleanup = now + self.settings.gossip_interval;
+            self.cleanup(now, actions);
         }
         self.advance_probe(now, actions);
         if self.join.name_conflict.is_some() {
@@ -291,25 +299,27 @@
                 + self
                     .settings
                     .sync_interval
-                    .mul_f64(0.75 + 0.5 * self.rng.f64());
+                    .mul_f64(SYNC_JITTER_MIN + SYNC_JITTER_RANGE * self.rng.f64());
             self.sync(actions);
         }
     }
 
-    /// One whose name is held by another takes no part but asking to join.
+    /// While it has a name conflict, a member does nothing but request to join.
     fn postpone_protocol(&mut self, now: Duration) {
         let later = now + self.settings.probe_interval;
-        (self.timers.probe, self.timers.gossip, self.timers.sync) = (later, later, later);
+        self.timers.probe = later;
+        self.timers.gossip = later;
+        self.timers.sync = later;
     }
 
-    /// Ends what has timed out: suspicions, records of members that are no more, and relayed pings.
-    fn sweep(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Ends what has timed out: suspicions, records of departed members, and relayed pings.
+    fn cleanup(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.expire_suspicions(now, actions);
         if now >= self.timers.reminder && self.join.name_conflict.is_none() {
             self.timers.reminder = now + self.settings.probe_interval;
             self.remind_suspects(actions);
         }
-        self.forget_departed(now);
+        self.remove_departed(now);
         self.expire_relays(now, actions);
     }
 
@@ -318,7 +328,7 @@
         self.sequence
     }
 
-    /// Addresses of up to `count` members whose records pass, drawn at random.
+    /// Addresses of up to `count` random members whose records are eligible.
     fn random_addresses(
         &mut self,
         count: usize,
@@ -331,8 +341,8 @@
             .map(|record| record.name)
             .collect();
         let draws = names.len().min(count);
-        let drawn: BTreeSet<usize> = (0..draws).map(|_| self.rng.usize(0..names.len())).collect();
-        drawn
+        let indexes: BTreeSet<usize> = (0..draws).map(|_| self.rng.usize(0..names.len())).collect();
+        indexes
             .into_iter()
             .filter_map(|index| self.address(&names[index]))
             .collect()
--- a/crates/membership/src/swim/probe.rs
+++ b/crates/membership/src/swim/probe.rs
@@ -1,4 +1,4 @@
-//! The failure detector: each interval one member is pinged, directly and then through others.
+//! The failure detector: in each interval one member is pinged, directly and then through others.
 
 use super::members::MemberTable;
 use super::suspicion::name_hash;
@@ -8,35 +8,35 @@
 use crate::wire::Message;
 use std::time::Duration;
 
-/// The probe that is under way.
+/// The probe that is in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     target: Name,
     sequence: u32,
-    /// Members that were asked to ping the target, and how many of them said that they hear nothing
-    /// of it.
+    /// Members that were requested to ping the target.
     ping_reqs: u32,
+    /// Members that answered that they have no ack of it.
     nacks: u32,
-    /// When others are asked; none once they were.
+    /// When other members are requested to ping the target; none once they were.
     indirect_at: Option<Duration>,
     ends_at: Duration,
 }
 
 impl Probe {
-    /// When something is next to be done for it.
+    /// The time of its next step.
     pub(super) fn next_deadline(&self) -> Duration {
         self.ends_at.min(self.indirect_at.unwrap_or(Duration::MAX))
     }
 
-    /// Moves its deadlines on by a stall of this process.
+    /// Moves its deadlines by a stall of this process.
     pub(super) fn postpone(&mut self, stall: Duration) {
         self.ends_at += stall;
         self.indirect_at = self.indirect_at.map(|at| at + stall);
     }
 }
 
-/// The order in which members are probed: each once in a round, and shuffled for each, so that the
-/// time until a failure is detected is bounded.
+/// The order in which members are probed: each once in a round, in a random order. This bounds the
+/// time until a failure is detected.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeOrder {
     names: Vec<Name>,
@@ -44,13 +44,13 @@
 }
 
 impl ProbeOrder {
-    /// A new member is probed somewhere in the rest of this round, not first or last of all.
+    /// Adds a new member at a random place in the rest of the round.
     pub(super) fn insert(&mut self, name: Name, rng: &mut fastrand::Rng) {
         let at = rng.usize(self.next.min(self.names.len())..=self.names.len());
         self.names.insert(at, name);
     }
 
-    /// The member to probe next; none if no other runs.
+    /// The member to probe next; none if no other member runs.
     fn next(&mut self, members: &MemberTable, rng: &mut fastrand::Rng) -> Option<Name> {
         if let Some(name) = self.next_in_round(members) {
             return Some(name);
@@ -100,7 +100,7 @@
         self.send_about(to, &Message::Ping(sequence), Some(target), actions);
     }
 
-    /// Asks others once the direct ack is late, and ends the probe once its time is over.
+    /// Probes through others once the direct ack is late, and ends the probe once its time is over.
     pub(super) fn advance_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(probe) = &mut self.probe else { return };
         if probe.indirect_at.is_some_and(|at| now >= at) {
@@ -147,7 +147,7 @@
             return;
         };
         self.counts.failed_probes += 1;
-        // Helpers that have not even said that they hear nothing: the fault may be here.
+        // Helpers that sent neither ack nor nack: the fault may be this member's own.
         self.health
             .degrade(1 + probe.ping_reqs.saturating_sub(probe.nacks));
         let target = self.members.get(&probe.target).map(|member| &member.record);
@@ -161,7 +161,7 @@
         self.apply(&suspicion, now, actions);
     }
 
-    /// The ack of a ping: of this member's own, or of one that it relays.
+    /// Handles the ack of a ping: of this member's own, or of one that it relays.
     pub(super) fn on_ack(&mut self, sequence: u32, now: Duration, actions: &mut Vec<Action>) {
         if let Some(relay) = self.relays.remove(sequence) {
             return self.send(relay.requester, &Message::Ack(relay.sequence), actions);
@@ -171,7 +171,7 @@
         };
         self.health.improve();
         if let Some(member) = self.members.get_mut(&probe.target) {
-            member.last_heard = now;
+            member.last_received_at = now;
         }
     }
 
--- a/crates/membership/src/swim/receive.rs
+++ b/crates/membership/src/swim/receive.rs
@@ -15,7 +15,7 @@
         actions: &mut Vec<Action>,
     ) {
         if received.sender == self.local.name {
-            return self.on_namesake(
+            return self.on_same_name(
                 received.source,
                 received.generation,
                 &received.message,
@@ -30,27 +30,28 @@
             self.apply(update, now, actions);
         }
         if self.counts.refutations > refutations {
-            // The one that passed the suspicion on hears the refutation first.
+            // The refutation goes to the sender of the suspicion first.
             self.send(received.source, &Message::Gossip, actions);
         }
         self.on_message(received.source, received.message, now, actions);
     }
 
-    /// Notes that a known member was heard; one that asks to join is refused while its name is
-    /// held.
+    /// Notes the time of a known member's datagram. A request to join is refused, and false
+    /// returned, while its name is in use by another process.
     fn accept_sender(
         &mut self,
         received: &Received,
         now: Duration,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let (sender, generation) = (received.sender, received.generation);
+        let sender = received.sender;
+        let generation = received.generation;
         let known = self
             .members
             .get_mut(&sender)
             .filter(|member| member.record.generation == generation);
         if let Some(member) = known {
-            member.last_heard = now;
+            member.last_received_at = now;
             return true;
         }
         if received.message != Message::Join {
@@ -59,7 +60,7 @@
         let own = received
             .updates
             .iter()
-            .find(|r| r.name == sender && r.generation == generation);
+            .find(|record| record.name == sender && record.generation == generation);
         let Some(own) = own else { return false };
         let Some(holder) = self.name_holder(own) else {
             return true;
--- a/crates/membership/src/swim/relay.rs
+++ b/crates/membership/src/swim/relay.rs
@@ -9,12 +9,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Relayed pings at once: guards against memory that grows with what others ask.
+/// Relayed pings that are open at most; further requests are ignored.
 const MAX_RELAYS: usize = 256;
-/// The requester is told that nothing was heard after this part of the probe timeout.
-const NACK_AFTER: f64 = 0.8;
+/// Time after which a requester gets a nack, as a ratio of the probe timeout.
+const NACK_TIMEOUT_RATIO: f64 = 0.8;
 
-/// A ping that another member has asked for.
+/// A ping that another member requested.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Relay {
     pub requester: SocketAddr,
@@ -24,7 +24,7 @@
     nacked: bool,
 }
 
-/// Relayed pings that are not answered, by the sequence number that they were sent under.
+/// Relayed pings that are not answered, by the sequence numbers that they were sent with.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RelayTable {
     relays: BTreeMap<u32, Relay>,
@@ -39,25 +39,25 @@
         self.relays.insert(own_sequence, relay);
     }
 
-    /// Takes out the relayed ping of this sequence number.
+    /// Removes the relayed ping of this sequence number.
     pub(super) fn remove(&mut self, sequence: u32) -> Option<Relay> {
         self.relays.remove(&sequence)
     }
 
-    /// Those that are now to be nacked.
-    fn take_late(&mut self, now: Duration) -> Vec<Relay> {
-        let late = self
+    /// The relayed pings whose requesters now get a nack.
+    fn take_due_for_nack(&mut self, now: Duration) -> Vec<Relay> {
+        let due = self
             .relays
             .values_mut()
             .filter(|relay| now >= relay.nack_at && !relay.nacked);
-        late.map(|relay| {
+        due.map(|relay| {
             relay.nacked = true;
             *relay
         })
         .collect()
     }
 
-    /// Drops those whose nack is so long ago that no ack is worth passing on.
+    /// Drops the relayed pings whose nack was due a `lifetime` ago.
     fn expire(&mut self, now: Duration, lifetime: Duration) {
         self.relays
             .retain(|_, relay| now < relay.nack_at + lifetime);
@@ -79,7 +79,7 @@
             return;
         }
         let own_sequence = self.next_sequence();
-        let nack_at = now + self.settings.probe_timeout.mul_f64(NACK_AFTER);
+        let nack_at = now + self.settings.probe_timeout.mul_f64(NACK_TIMEOUT_RATIO);
         self.relays.insert(
             own_sequence,
             Relay {
@@ -93,11 +93,11 @@
         self.send_about(to, &Message::Ping(own_sequence), Some(target), actions);
     }
 
-    /// Tells requesters that nothing was heard so far, and drops what is long over.
+    /// Sends the nacks that are due, and drops relayed pings that the requester no longer awaits.
     pub(super) fn expire_relays(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.relays
             .expire(now, self.settings.probe_interval * MAX_SCORE);
-        for relay in self.relays.take_late(now) {
+        for relay in self.relays.take_due_for_nack(now) {
             self.send(relay.requester, &Message::Nack(relay.sequence), actions);
         }
     }
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions: their timeout, reminders to suspects, and forgetting members that are no more.
+//! Suspicions: their timeout, and reminders to suspects; and the removal of departed members.
 
 use super::members::MAX_SUSPECTERS;
 use super::Swim;
@@ -9,32 +9,32 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Probe intervals for which the record of a dead or departed member is kept, so that old updates
-/// do not bring it back.
-const FORGET_AFTER_INTERVALS: u32 = 600;
+/// Probe intervals for which the record of a member that is dead or left is kept. Prevents old
+/// updates from bringing it back.
+const DEPARTED_RETENTION_INTERVALS: u32 = 600;
 
-/// What tells suspecters apart in a record, in four bytes.
+/// The hash that identifies a suspecter in a record.
 pub(super) fn name_hash(name: &Name) -> u32 {
     let mut hasher = SipHasher13::new();
     name.hash(&mut hasher);
     hasher.finish() as u32
 }
 
-/// The timeout of a suspicion that so many members share: from the longest down to the least, by
-/// the logarithm of the confirmations (the Lifeguard paper's form).
-fn timeout(least: Duration, max_multiplier: u32, suspecters: usize) -> Duration {
-    let longest = least * max_multiplier;
-    let confirmations = suspecters.saturating_sub(1) as f64;
-    let part = (confirmations + 1.0).ln() / (MAX_SUSPECTERS as f64).ln();
+/// The timeout of a suspicion with so many suspecters: from the longest down to the shortest, by the
+/// logarithm of the confirmations (the Lifeguard paper's formula).
+fn timeout(shortest: Duration, max_multiplier: u32, suspecter_count: usize) -> Duration {
+    let longest = shortest * max_multiplier;
+    let confirmations = suspecter_count.saturating_sub(1) as f64;
+    let ratio = (confirmations + 1.0).ln() / (MAX_SUSPECTERS as f64).ln();
     longest
-        .saturating_sub((longest - least).mul_f64(part))
-        .max(least)
+        .saturating_sub((longest - shortest).mul_f64(ratio))
+        .max(shortest)
 }
 
 impl Swim {
-    /// Takes members as dead whose suspicion has timed out.
+    /// Declares members dead whose suspicion has timed out.
     pub(super) fn expire_suspicions(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let least = self.least_suspicion_timeout();
+        let shortest = self.min_suspicion_timeout();
         let max_multiplier = self.settings.suspicion_max_multiplier.max(1);
         let expired: Vec<Record> = self
             .members
@@ -42,7 +42,7 @@
             .filter(|member| member.is_suspect())
             .filter(|member| {
                 let suspected_for = now.saturating_sub(member.state_since);
-                suspected_for >= timeout(least, max_multiplier, member.suspecters())
+                suspected_for >= timeout(shortest, max_multiplier, member.suspecter_count())
             })
             .map(|member| Record {
                 status: Status::Dead,
@@ -54,15 +54,15 @@
         }
     }
 
-    fn least_suspicion_timeout(&self) -> Duration {
+    fn min_suspicion_timeout(&self) -> Duration {
         let members = self.members.running().count() + 1;
         let logarithm = (members as f64).log10().max(1.0);
         (self.settings.probe_interval * self.settings.suspicion_multiplier).mul_f64(logarithm)
     }
 
-    /// Tells suspects that they are suspected, and each time one other member, which will tell them
-    /// too. Guards against a suspicion that its subject never hears of: the cut that caused it may
-    /// swallow its updates, which are sent only so often.
+    /// Sends suspects the record of their suspicion, and each time one other member, which will send
+    /// it to them too. Prevents a suspicion from never reaching its subject when the partition that
+    /// caused it drops its updates, which are sent a bounded number of times.
     pub(super) fn remind_suspects(&mut self, actions: &mut Vec<Action>) {
         let suspects: Vec<Name> = self
             .members
@@ -82,17 +82,17 @@
         }
     }
 
-    /// Forgets members that have been dead or left for long.
-    pub(super) fn forget_departed(&mut self, now: Duration) {
-        let forget_after = self.settings.probe_interval * FORGET_AFTER_INTERVALS;
-        let forgotten: Vec<Name> = self
+    /// Removes the records of members that have been dead or left for long.
+    pub(super) fn remove_departed(&mut self, now: Duration) {
+        let retention = self.settings.probe_interval * DEPARTED_RETENTION_INTERVALS;
+        let departed: Vec<Name> = self
             .members
             .iter()
             .filter(|member| !member.record.is_running())
-            .filter(|member| now.saturating_sub(member.state_since) >= forget_after)
+            .filter(|member| now.saturating_sub(member.state_since) >= retention)
             .map(|member| member.record.name)
             .collect();
-        for name in forgotten {
+        for name in departed {
             self.members.remove(&name);
             self.updates.remove(&name);
         }
--- a/crates/membership/src/swim/sync.rs
+++ b/crates/membership/src/swim/sync.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: digests of all records are compared with one member at a time, and the records
-//! exchanged where the digests differ. It also heals partitions.
+//! Anti-entropy: the digests of all records are compared with one member at a time, and the records
+//! are exchanged where the digests differ. It also heals partitions.
 
 use super::Swim;
 use crate::event::Action;
@@ -9,12 +9,12 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Pages sent in answer to one question; the asker goes on from the last.
+/// Pages sent in answer to one request; the requester continues from the last one.
 const MAX_PAGES: usize = 8;
-/// More records than fit on a page.
+/// Records that are collected for a page; more than fit on one.
 const RECORDS_PER_PAGE: usize = 16;
 
-/// The digest of one record. Suspicions come and go: only what lasts is compared.
+/// The digest of one record. A suspicion counts as alive, as it lasts only for a short time.
 fn record_digest(record: &Record) -> u64 {
     let status = match record.status {
         Status::Alive | Status::Suspect(_) => 0u8,
@@ -34,7 +34,7 @@
 }
 
 impl Swim {
-    /// The digest of all records, this one's own included: equal where two members hold the same.
+    /// The digest of all records, this member's own included; equal on members with the same records.
     pub fn digest(&self) -> u64 {
         self.members
             .records()
@@ -45,19 +45,20 @@
 
     /// A round of anti-entropy.
     pub(super) fn sync(&mut self, actions: &mut Vec<Action>) {
-        let question = Message::Sync {
+        let request = Message::Sync {
             digest: self.digest(),
             after: Name::new(),
             is_reply: false,
         };
         for to in self.random_addresses(1, Record::is_running) {
-            self.send(to, &question, actions);
+            self.send(to, &request, actions);
         }
         self.heal_partition(actions);
     }
 
-    /// Guards against halves of a partition that hold each other dead for ever: they are asked too,
-    /// one a round, and the seeds, where a member that was never heard of may be found.
+    /// Prevents the sides of a partition from holding each other dead for ever: in each round one
+    /// dead member gets a request to join, and so does a seed, through which unknown members are
+    /// found.
     fn heal_partition(&mut self, actions: &mut Vec<Action>) {
         for to in self.random_addresses(1, |record| record.status == Status::Dead) {
             self.send(to, &Message::Join, actions);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Another member's digest: if the own differs, it gets the records, and is asked for its own.
+    /// Answers another member's digest, if it differs, with the records, and requests the other's.
     pub(super) fn on_sync(
         &mut self,
         source: SocketAddr,
@@ -84,16 +85,16 @@
         }
         self.send_pages(source, after, actions);
         if !is_reply && after.is_empty() {
-            let question = Message::Sync {
+            let request = Message::Sync {
                 digest: self.digest(),
                 after: Name::new(),
                 is_reply: true,
             };
-            self.send(source, &question, actions);
+            self.send(source, &request, actions);
         }
     }
 
-    /// The other's pages end at this name: it is asked for the rest.
+    /// Requests the pages that follow the one that ended at this name.
     pub(super) fn continue_sync(
         &mut self,
         source: SocketAddr,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends the records of the names after this one, in some pages.
+    /// Sends the records of the names after this one, in up to [`MAX_PAGES`] pages.
     pub(super) fn send_pages(&self, to: SocketAddr, after: Name, actions: &mut Vec<Action>) {
         let records = self.records_to_send(after);
         let mut rest = &records[..];
@@ -140,7 +141,7 @@
         }
     }
 
-    /// More than the pages hold, so that the last one knows whether there is more.
+    /// More records than the pages hold, so that it is known whether more pages follow.
     fn records_to_send(&self, after: Name) -> Vec<Record> {
         let local = after.is_empty().then_some(&self.local);
         let others = self
@@ -151,15 +152,15 @@
     }
 }
 
-/// A body with as many of the records as there is room for, and their number.
+/// A body with as many of the records as fit, and their number.
 fn fill_page(message: &Message, records: &[Record]) -> (Body, usize) {
     let mut body = Body::new(message);
     let sent = records.iter().take_while(|record| body.add(record)).count();
     (body, sent)
 }
 
-/// The last of the pages, where there are more records: it names the one to go on after. That name
-/// takes room: the last record, which may no longer fit, comes first on the next page.
+/// The last page, if more records follow: it names the one after which to continue. As that name
+/// takes space too, the last record goes to the next page.
 fn last_page(records: &[Record]) -> Body {
     let records = &records[..(records.len() - 1).max(1)];
     let after = records.last().map_or(Name::new(), |record| record.name);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -6,15 +6,15 @@
 /// The state of a member as seen from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Nothing of it has ever come here: nothing is known, not even that it is dead.
+    /// No record of it was ever received: nothing is known of it, not even that it is dead.
     NeverSeen,
-    /// It answers, by the latest word.
+    /// It answers, by the latest record.
     Alive,
-    /// It did not answer a probe, and has not refuted the suspicion yet.
+    /// It did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// Its suspicion timed out. It may be cut off from here and run.
+    /// Its suspicion timed out. It may still run, behind a network partition.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
@@ -49,21 +49,21 @@
     pub state: MemberState,
     /// The latest record of it, if there is one.
     pub record: Option<Record>,
-    /// Time since its own latest datagram, or since word of it by others if none ever came.
+    /// Time since its own latest datagram, or since the first record of it if it sent none.
     pub age: Option<Duration>,
 }
 
-/// Does this ingress see more than half of those that there should be?
+/// How many of the expected members this ingress sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorum {
-    /// Members that answer, this one included; suspects do not count.
+    /// Members that are alive, this one included; suspects do not count.
     pub seen: usize,
-    /// Members that there should be.
+    /// Members that there should be, this one included.
     pub expected: usize,
 }
 
 impl Quorum {
-    /// More than half, so that two sides of a partition cannot both say so.
+    /// Does this ingress see more than half of them? No two sides of a partition do at once.
     pub fn holds(&self) -> bool {
         2 * self.seen > self.expected
     }
@@ -72,14 +72,14 @@
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Probes begun.
+    /// Probes started.
     pub probes: u64,
     /// Probes that nobody answered.
     pub failed_probes: u64,
     /// Suspicions of this ingress that it has refuted.
     pub refutations: u64,
-    /// Stalls of this process that were noticed.
+    /// Stalls of this process that were detected.
     pub stalls: u64,
-    /// Records that were not kept, for the bound on members.
+    /// Records that were dropped at the maximum of members.
     pub rejected_records: u64,
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,18 +1,18 @@
-//! Bodies of datagrams: one message, and records piggybacked on it as far as there is room.
+//! Bodies of datagrams: one message, and as many records piggybacked on it as fit.
 
 use crate::guard::MAX_BODY_BYTES;
 use crate::record::{Name, Record};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a datagram asks or answers.
+/// A request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A probe of this sequence number.
     Ping(u32),
     /// The answer to the ping of this sequence number.
     Ack(u32),
-    /// Asks the receiver to ping the target, and to pass its ack on under this sequence number.
+    /// Requests that the receiver ping the target, and forward its ack under this sequence number.
     PingReq {
         /// The requester's sequence number.
         sequence: u32,
@@ -23,39 +23,39 @@
     },
     /// The target of the ping-req of this sequence number has not answered so far.
     Nack(u32),
-    /// Asks to join; the sender's own record follows.
+    /// Requests to join; the sender's own record follows.
     Join,
-    /// Nothing but records.
+    /// Carries records only.
     Gossip,
-    /// Compares digests. If the receiver's differs, it is to send its records of the names after
+    /// Compares digests. If the receiver's digest differs, it sends its records of the names after
     /// this one.
     Sync {
         /// The sender's digest of all records.
         digest: u64,
-        /// Where to go on; empty at the beginning.
+        /// The name after which to continue; empty for the beginning.
         after: Name,
-        /// Sent in answer to the receiver's own question: not to be asked back.
+        /// Was this sent in answer to a sync? Then it is not answered with another one.
         is_reply: bool,
     },
-    /// A page of records that ends at this name; empty: it is the last.
+    /// A page of records, the last of which has this name; empty if no pages follow.
     Page(Name),
-    /// The receiver's name is held by a process at this address that is taken to run.
+    /// The receiver's name is in use by a running process at this address.
     NameConflict(SocketAddr),
 }
 
-/// A body that is being built.
+/// A body under construction.
 #[derive(Debug)]
 pub struct Body(Vec<u8>);
 
 impl Body {
-    /// One with this message.
+    /// A body of this message, without records.
     pub fn new(message: &Message) -> Body {
         let mut buffer = [0; MAX_BODY_BYTES];
         let used = postcard::to_slice(message, &mut buffer).map_or(0, |bytes| bytes.len());
         Body(buffer[..used].to_vec())
     }
 
-    /// Adds a record; false if there is no room for it.
+    /// Adds a record; false, and nothing added, if it does not fit.
     #[must_use]
     pub fn add(&mut self, record: &Record) -> bool {
         let mut buffer = [0; MAX_BODY_BYTES];
@@ -75,8 +75,18 @@
     }
 }
 
-/// The message and the records of a body; none if it cannot be read to its end.
-pub fn read(body: &[u8]) -> Option<(Message, Vec<Record>)> {
+/// The contents of a body.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Contents {
+    /// The message.
+    pub message: Message,
+    /// The records that are piggybacked on it.
+    pub records: Vec<Record>,
+}
+
+/// The contents of a body; none if any of its bytes is malformed.
+#[must_use]
+pub fn read(body: &[u8]) -> Option<Contents> {
     let (message, mut rest) = postcard::take_from_bytes::<Message>(body).ok()?;
     let mut records = Vec::new();
     while !rest.is_empty() {
@@ -87,5 +97,5 @@
         records.push(record);
         rest = more;
     }
-    Some((message, records))
+    Some(Contents { message, records })
 }
--- a/crates/membership/tests/checker.rs
+++ b/crates/membership/tests/checker.rs
@@ -1,6 +1,6 @@
-//! Model checking: three real state machines, every order of what they tell one another, with words
-//! lost, doubled, late and out of order, false suspicions, a crash with a return, a leave. Every
-//! state that can be reached is looked at.
+//! Model checking: three real state machines, every order of the records that they exchange, which
+//! may be lost, duplicated, late and out of order, with false suspicions, a crash with a restart,
+//! and a leave. Every reachable state is checked.
 
 use roseyard_membership::*;
 use stateright::{Checker, Model, Property};
@@ -20,7 +20,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + n as u16))
 }
 
-/// A state machine, told apart by what it holds; its times and draws play no part here.
+/// A state machine. Two are equal if their records are; times and random choices are left out.
 #[derive(Clone, Debug)]
 struct Node(Swim);
 
@@ -38,31 +38,31 @@
         Node(swim)
     }
 
-    /// What it holds of a member, itself included. Who suspects is no part of it.
-    fn held(&self, of: usize) -> Option<Record> {
-        let me = self.0.local();
-        let record = if me.name == name(of) {
-            Some(me.clone())
+    /// Its record of a member, itself included, without the suspecter.
+    fn record_of(&self, subject: usize) -> Option<Record> {
+        let local = self.0.local();
+        let record = if local.name == name(subject) {
+            Some(local.clone())
         } else {
-            self.0.view(&name(of), NOW).record
+            self.0.view(&name(subject), NOW).record
         };
-        record.map(|r| match r.status {
+        record.map(|record| match record.status {
             Status::Suspect(_) => Record {
                 status: Status::Suspect(0),
-                ..r
+                ..record
             },
-            _ => r,
+            _ => record,
         })
     }
 
-    fn all(&self) -> Vec<Option<Record>> {
-        (0..MEMBERS).map(|of| self.held(of)).collect()
+    fn records(&self) -> Vec<Option<Record>> {
+        (0..MEMBERS).map(|n| self.record_of(n)).collect()
     }
 
-    /// Takes in a word as if this member had told it.
-    fn hear(&mut self, from: usize, generation: u64, word: &Record) {
+    /// Receives a record in a datagram of this member.
+    fn receive(&mut self, from: usize, generation: u64, record: &Record) {
         let message = wire::Message::Gossip;
-        let updates = vec![word.clone()];
+        let updates = vec![record.clone()];
         let received = Received {
             source: address(from),
             sender: name(from),
@@ -77,7 +77,7 @@
 
 impl PartialEq for Node {
     fn eq(&self, other: &Node) -> bool {
-        self.all() == other.all()
+        self.records() == other.records()
     }
 }
 
@@ -85,7 +85,7 @@
 
 impl Hash for Node {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.all().hash(hasher);
+        self.records().hash(hasher);
     }
 }
 
@@ -93,76 +93,79 @@
 struct State {
     /// None: it has crashed or left.
     nodes: Vec<Option<Node>>,
-    /// Every word that was ever told of a member: each may come at any time, again and again, or
+    /// Every record that was ever sent: each may be received at any time, any number of times, or
     /// never.
-    words: BTreeSet<Word>,
-    /// False suspicions that are still to come, and whether the third may still crash, return and
-    /// leave.
-    suspicions: u8,
-    crashes: u8,
-    leaves: u8,
-    left: bool,
-    /// A member held the third as left, and later held that same generation otherwise.
-    came_back: bool,
+    sent: BTreeSet<SentRecord>,
+    /// False suspicions, and crashes and leaves of the third member, that may still happen.
+    remaining: Limits,
+    /// Has the third member left?
+    has_left: bool,
+    /// Has a member seen the third as left, and the same generation later otherwise?
+    has_returned: bool,
 }
 
-/// A record, ordered by what it tells.
+/// A record, ordered by all that can differ.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Word(Record);
+struct SentRecord(Record);
 
-impl PartialOrd for Word {
-    fn partial_cmp(&self, other: &Word) -> Option<std::cmp::Ordering> {
+impl PartialOrd for SentRecord {
+    fn partial_cmp(&self, other: &SentRecord) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Word {
-    fn cmp(&self, other: &Word) -> std::cmp::Ordering {
-        let of = |w: &Word| {
+impl Ord for SentRecord {
+    fn cmp(&self, other: &SentRecord) -> std::cmp::Ordering {
+        let key = |sent: &SentRecord| {
+            let record = &sent.0;
             (
-                w.0.name,
-                w.0.generation,
-                w.0.incarnation,
-                w.0.status,
-                w.0.metadata_version,
+                record.name,
+                record.generation,
+                record.incarnation,
+                record.status,
+                record.metadata_version,
             )
         };
-        of(self).cmp(&of(other))
+        key(self).cmp(&key(other))
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// One comes to hold another for silent.
+    /// One member suspects another.
     Suspect(usize, usize),
-    /// The time of its suspicion is over.
-    Condemn(usize, usize),
-    /// One hears a word.
-    Hear(usize, Word),
+    /// Its suspicion times out.
+    DeclareDead(usize, usize),
+    /// A member receives a record.
+    Receive(usize, SentRecord),
     Crash,
-    Return,
+    Restart,
     Leave,
 }
 
+/// How often things happen at most.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Limits {
+    suspicions: u8,
+    crashes: u8,
+    leaves: u8,
+}
+
 struct Fleet {
-    /// Suspicions, crashes and leaves to play.
-    bounds: (u8, u8, u8),
+    limits: Limits,
 }
 
 impl Fleet {
-    fn told(state: &mut State) {
-        let told: Vec<Record> = state
-            .nodes
-            .iter()
-            .flatten()
-            .flat_map(|n| n.all())
-            .flatten()
-            .collect();
-        state.words.extend(told.into_iter().map(Word));
+    /// Every running member sends all of its records.
+    fn send_all(state: &mut State) {
+        let nodes = state.nodes.iter().flatten();
+        let records = nodes.flat_map(Node::records).flatten();
+        let sent: Vec<SentRecord> = records.map(SentRecord).collect();
+        state.sent.extend(sent);
     }
 
-    /// Everybody hears everything that those who run hold, until nothing changes.
-    fn quiet(state: &State) -> State {
+    /// The state after all running members have exchanged all of their records, repeatedly.
+    fn settled(state: &State) -> State {
         let mut state = state.clone();
         for _ in 0..8 {
             for from in 0..MEMBERS {
@@ -170,20 +173,15 @@
                 else {
                     continue;
                 };
-                let words: Vec<Record> = state.nodes[from]
-                    .as_ref()
-                    .unwrap()
-                    .all()
-                    .into_iter()
-                    .flatten()
-                    .collect();
+                let sender = state.nodes[from].as_ref().unwrap();
+                let records: Vec<Record> = sender.records().into_iter().flatten().collect();
                 for to in (0..MEMBERS).filter(|to| *to != from) {
                     let Some(node) = &mut state.nodes[to] else {
                         continue;
                     };
-                    words
-                        .iter()
-                        .for_each(|word| node.hear(from, generation, word));
+                    for record in &records {
+                        node.receive(from, generation, record);
+                    }
                 }
             }
         }
@@ -197,190 +195,201 @@
 
     fn init_states(&self) -> Vec<State> {
         let nodes: Vec<Option<Node>> = (0..MEMBERS).map(|n| Some(Node::start(n, 1))).collect();
-        let (suspicions, crashes, leaves) = self.bounds;
         let start = State {
             nodes,
-            words: BTreeSet::new(),
-            suspicions,
-            crashes,
-            leaves,
-            left: false,
-            came_back: false,
+            sent: BTreeSet::new(),
+            remaining: self.limits,
+            has_left: false,
+            has_returned: false,
         };
-        let mut state = Fleet::quiet(&start);
-        Fleet::told(&mut state);
+        let mut state = Fleet::settled(&start);
+        Fleet::send_all(&mut state);
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         for (n, node) in state.nodes.iter().enumerate() {
             let Some(node) = node else { continue };
-            for of in (0..MEMBERS).filter(|of| *of != n) {
-                match node.held(of).map(|r| r.status) {
-                    Some(Status::Alive) if state.suspicions > 0 => {
-                        actions.push(Step::Suspect(n, of))
+            for subject in (0..MEMBERS).filter(|subject| *subject != n) {
+                match node.record_of(subject).map(|record| record.status) {
+                    Some(Status::Alive) if state.remaining.suspicions > 0 => {
+                        actions.push(Step::Suspect(n, subject));
                     }
-                    Some(Status::Suspect(_)) => actions.push(Step::Condemn(n, of)),
+                    Some(Status::Suspect(_)) => actions.push(Step::DeclareDead(n, subject)),
                     _ => {}
                 }
             }
-            actions.extend(state.words.iter().map(|w| Step::Hear(n, w.clone())));
+            let received = state.sent.iter();
+            actions.extend(received.map(|sent| Step::Receive(n, sent.clone())));
         }
         if state.nodes[2].is_some() {
-            if state.crashes > 0 {
+            if state.remaining.crashes > 0 {
                 actions.push(Step::Crash);
             }
-            if state.leaves > 0 {
+            if state.remaining.leaves > 0 {
                 actions.push(Step::Leave);
             }
-        } else if !state.left {
-            actions.push(Step::Return);
+        } else if !state.has_left {
+            actions.push(Step::Restart);
         }
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
-        let held_left = |s: &State, n: usize| {
-            let held = s.nodes[n].as_ref().and_then(|node| node.held(2));
-            held.filter(|r| r.status == Status::Left)
-                .map(|r| r.generation)
-        };
         match step {
-            Step::Suspect(n, of) | Step::Condemn(n, of) => {
-                let suspect = matches!(step, Step::Suspect(..));
-                state.suspicions -= u8::from(suspect);
-                let node = state.nodes[n].as_mut()?;
-                let status = if suspect {
-                    Status::Suspect(n as u32 + 1)
-                } else {
-                    Status::Dead
-                };
-                let word = Record {
-                    status,
-                    ..node.held(of)?
-                };
-                // Its own finding goes the way of any word.
-                let third = 3 - n - of;
-                node.hear(third, 0, &word);
+            Step::Suspect(n, subject) => {
+                state.remaining.suspicions -= 1;
+                report(&mut state, n, subject, Status::Suspect(n as u32 + 1))?;
+            }
+            Step::DeclareDead(n, subject) => report(&mut state, n, subject, Status::Dead)?,
+            Step::Receive(n, sent) => {
+                let from = (n + 1) % MEMBERS;
+                state.nodes[n].as_mut()?.receive(from, 0, &sent.0);
             }
-            Step::Hear(n, word) => state.nodes[n].as_mut()?.hear((n + 1) % MEMBERS, 0, &word.0),
             Step::Crash => {
-                state.crashes -= 1;
+                state.remaining.crashes -= 1;
                 state.nodes[2] = None;
             }
-            Step::Return => {
-                let lives = state
-                    .words
-                    .iter()
-                    .filter(|w| w.0.name == name(2))
-                    .map(|w| w.0.generation);
-                state.nodes[2] = Some(Node::start(2, lives.max().unwrap_or(0) + 1));
+            Step::Restart => {
+                let sent = state.sent.iter().map(|sent| &sent.0);
+                let generations = sent
+                    .filter(|record| record.name == name(2))
+                    .map(|record| record.generation);
+                state.nodes[2] = Some(Node::start(2, generations.max().unwrap_or(0) + 1));
             }
             Step::Leave => {
-                state.leaves -= 1;
-                state.left = true;
+                state.remaining.leaves -= 1;
+                state.has_left = true;
                 let mut node = state.nodes[2].take()?;
                 node.0.handle(NOW, Event::Leave, &mut Vec::new());
-                state.words.insert(Word(node.held(2)?));
+                state.sent.insert(SentRecord(node.record_of(2)?));
             }
         }
-        Fleet::told(&mut state);
+        Fleet::send_all(&mut state);
         for n in 0..2 {
-            let before = held_left(last, n);
-            state.came_back |= before.is_some_and(|generation| {
-                let held = state.nodes[n].as_ref().and_then(|node| node.held(2));
-                held.is_some_and(|r| r.generation == generation && r.status != Status::Left)
+            let Some(before) = record_of_third(last, n) else {
+                continue;
+            };
+            let has_returned = record_of_third(&state, n).is_some_and(|after| {
+                after.generation == before.generation && after.status != Status::Left
             });
+            state.has_returned |= before.status == Status::Left && has_returned;
         }
         (state != *last).then_some(state)
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        // Refutations need no more incarnations than there are suspicions.
-        state
-            .words
-            .iter()
-            .all(|w| w.0.incarnation <= 2 && w.0.generation <= 3)
+        // There are no more incarnations than suspicions.
+        let mut records = state.sent.iter().map(|sent| &sent.0);
+        records.all(|record| record.incarnation <= 2 && record.generation <= 3)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "once the network is quiet, all who run hold one another alive",
-                |_, state: &State| {
-                    let quiet = Fleet::quiet(state);
-                    let running: Vec<usize> =
-                        (0..MEMBERS).filter(|n| quiet.nodes[*n].is_some()).collect();
-                    running.iter().all(|n| {
-                        let node = quiet.nodes[*n].as_ref().unwrap();
-                        running.iter().filter(|of| **of != *n).all(|of| {
-                            let truth = quiet.nodes[*of].as_ref().unwrap().held(*of);
-                            node.held(*of) == truth
-                                && truth.is_some_and(|r| r.status == Status::Alive)
-                        })
-                    })
-                },
+                "once all records are exchanged, all running members see one another alive",
+                |_, state: &State| see_one_another_alive(&Fleet::settled(state)),
             ),
             Property::always(
-                "who left never comes back by old news",
-                |_, state: &State| !state.came_back,
+                "old records do not bring back a member that left",
+                |_, state: &State| !state.has_returned,
             ),
             Property::always(
-                "nobody tells of a generation or incarnation that its member has not had",
-                |_, state: &State| {
-                    state.nodes.iter().enumerate().all(|(n, node)| {
-                        let Some(truth) = node.as_ref().and_then(|node| node.held(n)) else {
-                            return true;
-                        };
-                        state
-                            .nodes
-                            .iter()
-                            .flatten()
-                            .filter_map(|other| other.held(n))
-                            .all(|held| {
-                                (held.generation, held.incarnation)
-                                    <= (truth.generation, truth.incarnation)
-                            })
-                    })
-                },
+                "no record has a generation or incarnation that its member has not had",
+                |_, state: &State| has_no_invented_incarnation(state),
             ),
-            Property::sometimes("a member that runs is held gone", |_, state: &State| {
-                let gone = |n: usize, of: usize| {
-                    let held = state.nodes[n].as_ref().and_then(|node| node.held(of));
-                    held.is_some_and(|r| r.status == Status::Dead)
-                };
-                (0..MEMBERS).any(|n| {
-                    (0..MEMBERS).any(|of| n != of && state.nodes[of].is_some() && gone(n, of))
-                })
+            Property::sometimes("a running member is seen dead", |_, state: &State| {
+                is_running_member_seen_dead(state)
             }),
         ]
     }
 }
 
-fn check(bounds: (u8, u8, u8)) {
-    let checker = Fleet { bounds }.checker().threads(4).spawn_bfs().join();
+/// A member reports another as suspect or dead; it merges its own report as any other record.
+fn report(state: &mut State, n: usize, subject: usize, status: Status) -> Option<()> {
+    let node = state.nodes[n].as_mut()?;
+    let record = Record {
+        status,
+        ..node.record_of(subject)?
+    };
+    let third = 3 - n - subject;
+    node.receive(third, 0, &record);
+    Some(())
+}
+
+/// The record that a member has of the third.
+fn record_of_third(state: &State, n: usize) -> Option<Record> {
+    state.nodes[n].as_ref()?.record_of(2)
+}
+
+fn see_one_another_alive(state: &State) -> bool {
+    let running: Vec<usize> = (0..MEMBERS).filter(|n| state.nodes[*n].is_some()).collect();
+    running.iter().all(|n| {
+        let node = state.nodes[*n].as_ref().unwrap();
+        let mut others = running.iter().filter(|other| *other != n);
+        others.all(|other| {
+            let own = state.nodes[*other].as_ref().unwrap().record_of(*other);
+            node.record_of(*other) == own
+                && own.is_some_and(|record| record.status == Status::Alive)
+        })
+    })
+}
+
+fn has_no_invented_incarnation(state: &State) -> bool {
+    state.nodes.iter().enumerate().all(|(n, node)| {
+        let Some(own) = node.as_ref().and_then(|node| node.record_of(n)) else {
+            return true;
+        };
+        let nodes = state.nodes.iter().flatten();
+        let mut records = nodes.filter_map(|other| other.record_of(n));
+        records.all(|record| {
+            (record.generation, record.incarnation) <= (own.generation, own.incarnation)
+        })
+    })
+}
+
+fn is_running_member_seen_dead(state: &State) -> bool {
+    let is_seen_dead = |n: usize, subject: usize| {
+        let node = state.nodes[n].as_ref();
+        let record = node.and_then(|node| node.record_of(subject));
+        record.is_some_and(|record| record.status == Status::Dead)
+    };
+    (0..MEMBERS).any(|n| {
+        (0..MEMBERS).any(|subject| {
+            n != subject && state.nodes[subject].is_some() && is_seen_dead(n, subject)
+        })
+    })
+}
+
+fn check(suspicions: u8, crashes: u8, leaves: u8) {
+    let limits = Limits {
+        suspicions,
+        crashes,
+        leaves,
+    };
+    let checker = Fleet { limits }.checker().threads(4).spawn_bfs().join();
     println!(
-        "{bounds:?}: {} states, depth {}",
+        "{limits:?}: {} states, depth {}",
         checker.unique_state_count(),
         checker.max_depth()
     );
-    assert!(checker.is_done(), "not all states were looked at");
+    assert!(checker.is_done(), "not all states were checked");
     checker.assert_properties();
 }
 
 #[test]
-fn false_suspicions_and_a_crash_with_a_return() {
-    check((1, 1, 0));
-    check((2, 1, 0));
+fn false_suspicions_and_a_crash_with_a_restart() {
+    check(1, 1, 0);
+    check(2, 1, 0);
 }
 
 #[test]
 fn false_suspicions_alone() {
-    check((2, 0, 0));
+    check(2, 0, 0);
 }
 
 #[test]
 fn false_suspicions_and_a_leave() {
-    check((1, 0, 1));
-    check((2, 0, 1));
+    check(1, 0, 1);
+    check(2, 0, 1);
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,12 +1,21 @@
-//! Members in virtual time: one seed, one result. Every datagram goes through the real guard and
-//! the real wire form.
+//! A fleet of members in virtual time: one seed, one result. Every datagram goes through the real
+//! guard and the real wire format.
 #![allow(dead_code)]
 
+mod network;
+
+use network::{Datagram, Network};
 use roseyard_membership::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+#[allow(unused_imports)]
+pub(crate) use network::{Conditions, RELIABLE};
+
+/// Datagrams that the socket of a paused member buffers.
+const MAX_BUFFERED_DATAGRAMS: usize = 200;
+
 pub(crate) fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
@@ -19,36 +28,20 @@
     SocketAddr::from(([127, 0, (n >> 8) as u8, n as u8], 7946))
 }
 
-/// What the network does to datagrams.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Net {
-    pub loss: f64,
-    pub twice: f64,
-    pub least: Duration,
-    pub most: Duration,
-}
-
-pub(crate) const CALM: Net = Net {
-    loss: 0.0,
-    twice: 0.0,
-    least: Duration::from_millis(1),
-    most: Duration::from_millis(3),
-};
-
 pub(crate) struct Member {
     pub swim: Swim,
     guard: Guard,
-    /// Stopped: what comes waits, until it is woken.
-    pub stopped: bool,
-    waiting: Vec<(SocketAddr, Vec<u8>)>,
+    /// Paused: datagrams are buffered until it is resumed.
+    pub paused: bool,
+    buffered: Vec<(SocketAddr, Vec<u8>)>,
 }
 
 /// A change of how one member sees another.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Change {
     pub at: Duration,
-    pub by: usize,
-    pub of: Name,
+    pub observer: usize,
+    pub subject: Name,
     pub from: MemberState,
     pub to: MemberState,
 }
@@ -56,27 +49,23 @@
 pub(crate) struct Fleet {
     pub now: Duration,
     pub members: BTreeMap<usize, Member>,
-    pub net: Net,
-    /// Directions in which nothing passes.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub network: Network,
     pub changes: Vec<Change>,
-    pub refused: Vec<(usize, SocketAddr)>,
+    /// Members that were refused for their name, and where the process listens that uses it.
+    pub name_conflicts: Vec<(usize, SocketAddr)>,
     pub datagrams: u64,
     pub bytes: u64,
-    pub longest: usize,
+    pub longest_datagram: usize,
     settings: Settings,
     rng: fastrand::Rng,
-    /// On the way: when, order of sending, to, from, bytes.
-    way: BTreeMap<(Duration, u64), (usize, SocketAddr, Vec<u8>)>,
-    sent: u64,
-    lives: u64,
-    /// When each member that is not stopped wants to be called next.
-    dues: BTreeSet<(Duration, usize)>,
-    due: BTreeMap<usize, Duration>,
+    starts: u64,
+    /// The deadlines of all members that are not paused, and that of each.
+    deadlines: BTreeSet<(Duration, usize)>,
+    deadline_of: BTreeMap<usize, Duration>,
 }
 
 impl Fleet {
-    /// A fleet of nobody yet. The first three names are everybody's seeds.
+    /// A fleet without members. The first three numbers are every member's seeds.
     pub(crate) fn new(settings: Settings, seed: u64) -> Fleet {
         eprintln!("seed {seed}");
         let settings = Settings {
@@ -86,29 +75,26 @@
         Fleet {
             now: Duration::ZERO,
             members: BTreeMap::new(),
-            net: CALM,
-            cut: BTreeSet::new(),
+            network: Network::new(),
             changes: Vec::new(),
-            refused: Vec::new(),
+            name_conflicts: Vec::new(),
             datagrams: 0,
             bytes: 0,
-            longest: 0,
+            longest_datagram: 0,
             settings,
             rng: fastrand::Rng::with_seed(seed),
-            way: BTreeMap::new(),
-            sent: 0,
-            lives: 0,
-            dues: BTreeSet::new(),
-            due: BTreeMap::new(),
+            starts: 0,
+            deadlines: BTreeSet::new(),
+            deadline_of: BTreeMap::new(),
         }
     }
 
-    /// So many that run and know one another.
-    pub(crate) fn of(members: usize, settings: Settings, seed: u64) -> Fleet {
+    /// A fleet of so many members that have converged.
+    pub(crate) fn converged(members: usize, settings: Settings, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(settings, seed);
         (0..members).for_each(|n| fleet.start(n));
-        let agreed = fleet.until(ms(60_000), |f| f.agree());
-        assert!(agreed.is_some(), "the fleet never agreed");
+        let took = fleet.run_until(ms(60_000), Fleet::has_converged);
+        assert!(took.is_some(), "the fleet has not converged");
         fleet
     }
 
@@ -116,15 +102,15 @@
         self.start_as(n, n);
     }
 
-    /// The member of number `n` starts anew under the name of another.
+    /// Starts member `n` under the name of another.
     pub(crate) fn start_as(&mut self, n: usize, named: usize) {
-        self.lives += 1;
+        self.starts += 1;
         let metadata = Metadata {
             stage: Stage::Serving,
             ..Metadata::default()
         };
         let seed = self.rng.u64(..);
-        let generation = 1_700_000_000_000 + self.lives;
+        let generation = 1_700_000_000_000 + self.starts;
         let swim = Swim::new(
             self.settings.clone(),
             name(named),
@@ -134,93 +120,74 @@
             seed,
         );
         let guard = Guard::new("test", vec![Key::new(&[7; 32])], name(named), 4096);
-        self.members.insert(
-            n,
-            Member {
-                swim,
-                guard,
-                stopped: false,
-                waiting: Vec::new(),
-            },
-        );
-        self.tell(n, Event::Due);
+        let member = Member {
+            swim,
+            guard,
+            paused: false,
+            buffered: Vec::new(),
+        };
+        self.members.insert(n, member);
+        self.handle(n, Event::Due);
     }
 
-    /// Killed: nothing of it is left.
+    /// Kills a member: it loses all its state.
     pub(crate) fn kill(&mut self, n: usize) {
         self.members.remove(&n);
-        self.arm(n);
+        self.schedule(n);
     }
 
-    fn arm(&mut self, n: usize) {
-        if let Some(at) = self.due.remove(&n) {
-            self.dues.remove(&(at, n));
+    fn schedule(&mut self, n: usize) {
+        if let Some(at) = self.deadline_of.remove(&n) {
+            self.deadlines.remove(&(at, n));
         }
-        let due = self
-            .members
-            .get(&n)
-            .filter(|m| !m.stopped)
-            .and_then(|m| m.swim.due());
-        if let Some(at) = due {
-            self.due.insert(n, at);
-            self.dues.insert((at, n));
+        let running = self.members.get(&n).filter(|member| !member.paused);
+        if let Some(at) = running.and_then(|member| member.swim.due()) {
+            self.deadline_of.insert(n, at);
+            self.deadlines.insert((at, n));
         }
     }
 
-    pub(crate) fn stop(&mut self, n: usize) {
-        self.members.get_mut(&n).unwrap().stopped = true;
-        self.arm(n);
+    pub(crate) fn pause(&mut self, n: usize) {
+        self.members.get_mut(&n).unwrap().paused = true;
+        self.schedule(n);
     }
 
-    pub(crate) fn wake(&mut self, n: usize) {
+    pub(crate) fn resume(&mut self, n: usize) {
         let member = self.members.get_mut(&n).unwrap();
-        member.stopped = false;
-        let waiting = std::mem::take(&mut member.waiting);
-        for (at, bytes) in waiting {
-            self.deliver(n, at, &bytes);
+        member.paused = false;
+        let buffered = std::mem::take(&mut member.buffered);
+        for (source, bytes) in buffered {
+            self.deliver(n, source, &bytes);
         }
-        self.tell(n, Event::Due);
+        self.handle(n, Event::Due);
     }
 
-    /// Nothing passes from these to those, nor back.
-    pub(crate) fn split(&mut self, these: &[usize], those: &[usize]) {
-        for a in these {
-            for b in those {
-                self.cut.insert((*a, *b));
-                self.cut.insert((*b, *a));
-            }
-        }
-    }
-
-    pub(crate) fn tell(&mut self, n: usize, event: Event) {
+    /// Hands an event to a member, and carries out what it does.
+    pub(crate) fn handle(&mut self, n: usize, event: Event) {
         let Some(member) = self.members.get_mut(&n) else {
             return;
         };
         let mut actions = Vec::new();
         member.swim.handle(self.now, event, &mut actions);
         let generation = member.swim.local().generation;
-        self.arm(n);
+        self.schedule(n);
         for action in actions {
             match action {
                 Action::Send { to, body } => {
-                    let bytes = self
-                        .members
-                        .get_mut(&n)
-                        .unwrap()
-                        .guard
-                        .seal(generation, &body);
+                    let guard = &mut self.members.get_mut(&n).unwrap().guard;
+                    let bytes = guard.seal(generation, &body);
                     self.send(n, to, bytes);
                 }
                 Action::Changed { name, from, to } => {
                     self.changes.push(Change {
                         at: self.now,
-                        by: n,
-                        of: name,
+                        observer: n,
+                        subject: name,
                         from,
                         to,
                     });
                 }
-                Action::NameConflict { holder } => self.refused.push((n, holder)),
+                Action::NameConflict { holder } => self.name_conflicts.push((n, holder)),
                 Action::Joined => {}
             }
         }
@@ -229,69 +196,58 @@
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let SocketAddr::V4(v4) = to else { return };
         let [_, _, high, low] = v4.ip().octets();
-        let to = usize::from(high) << 8 | usize::from(low);
         self.datagrams += 1;
         self.bytes += bytes.len() as u64;
-        self.longest = self.longest.max(bytes.len());
-        if self.cut.contains(&(from, to)) {
-            return;
-        }
-        let times = 1 + usize::from(self.rng.f64() < self.net.twice);
-        for _ in 0..times {
-            if self.rng.f64() >= self.net.loss {
-                let spread = (self.net.most - self.net.least).mul_f64(self.rng.f64());
-                self.sent += 1;
-                self.way.insert(
-                    (self.now + self.net.least + spread, self.sent),
-                    (to, address(from), bytes.clone()),
-                );
-            }
-        }
+        self.longest_datagram = self.longest_datagram.max(bytes.len());
+        let datagram = Datagram {
+            to: usize::from(high) << 8 | usize::from(low),
+            source: address(from),
+            bytes,
+        };
+        self.network.send(self.now, from, datagram, &mut self.rng);
     }
 
-    fn deliver(&mut self, n: usize, at: SocketAddr, bytes: &[u8]) {
+    fn deliver(&mut self, n: usize, source: SocketAddr, bytes: &[u8]) {
         let Some(member) = self.members.get_mut(&n) else {
             return;
         };
-        if member.stopped {
-            // A socket's buffer holds so many.
-            if member.waiting.len() < 200 {
-                member.waiting.push((at, bytes.to_vec()));
+        if member.paused {
+            if member.buffered.len() < MAX_BUFFERED_DATAGRAMS {
+                member.buffered.push((source, bytes.to_vec()));
             }
             return;
         }
         let Ok(opened) = member.guard.open(bytes) else {
             return;
         };
-        let (message, updates) = wire::read(opened.body).expect("our own form");
-        let (sender, generation) = (opened.sender, opened.generation);
+        let contents = wire::read(opened.body).expect("a body that a member wrote");
         let received = Received {
-            source: at,
-            sender,
-            generation,
-            message,
-            updates,
+            source,
+            sender: opened.sender,
+            generation: opened.generation,
+            message: contents.message,
+            updates: contents.records,
         };
-        self.tell(n, Event::Received(received));
+        self.handle(n, Event::Received(received));
     }
 
-    /// The next thing that happens; false once nothing will before that time.
+    /// Plays the next delivery or deadline; false if there is none up to `end`.
     fn step(&mut self, end: Duration) -> bool {
-        let due = self.dues.first().copied();
-        let way = self.way.first_key_value().map(|(key, _)| *key);
-        let next = due
+        let deadline = self.deadlines.first().copied();
+        let arrival = self.network.next_arrival();
+        let next = deadline
             .map_or(Duration::MAX, |(at, _)| at)
-            .min(way.map_or(Duration::MAX, |(at, _)| at));
+            .min(arrival.unwrap_or(Duration::MAX));
         if next > end {
             self.now = end;
             return false;
         }
         self.now = self.now.max(next);
-        if way.is_some_and(|(at, _)| at <= next) {
-            let (_, (to, from, bytes)) = self.way.pop_first().unwrap();
-            self.deliver(to, from, &bytes);
-        } else if let Some((_, n)) = due {
-            self.tell(n, Event::Due);
+        if arrival.is_some_and(|at| at <= next) {
+            let datagram = self.network.take_next().unwrap();
+            self.deliver(datagram.to, datagram.source, &datagram.bytes);
+        } else if let Some((_, n)) = deadline {
+            self.handle(n, Event::Due);
         }
         true
     }
@@ -301,14 +257,14 @@
         while self.step(end) {}
     }
 
-    /// Goes on until this holds; how long it took.
-    pub(crate) fn until(
+    /// Runs until this holds; the time that it took, none if it was more than `max_time`.
+    pub(crate) fn run_until(
         &mut self,
-        most: Duration,
+        max_time: Duration,
         holds: impl Fn(&Fleet) -> bool,
     ) -> Option<Duration> {
         let begin = self.now;
-        while self.now < begin + most {
+        while self.now < begin + max_time {
             if holds(self) {
                 return Some(self.now - begin);
             }
@@ -317,28 +273,31 @@
         None
     }
 
-    pub(crate) fn state(&self, by: usize, of: usize) -> MemberState {
-        self.members[&by].swim.state(&name(of))
+    pub(crate) fn state(&self, observer: usize, subject: usize) -> MemberState {
+        self.members[&observer].swim.state(&name(subject))
     }
 
-    /// All who run hold exactly each other alive, in the same words.
-    pub(crate) fn agree(&self) -> bool {
-        let sums: BTreeSet<u64> = self.members.values().map(|m| m.swim.digest()).collect();
+    /// Do all running members see exactly each other alive, with the same records?
+    pub(crate) fn has_converged(&self) -> bool {
+        let digests: BTreeSet<u64> = self.members.values().map(|m| m.swim.digest()).collect();
         let running: Vec<usize> = self.members.keys().copied().collect();
-        let alive = |a: &usize, b: &usize| a == b || self.state(*a, *b) == MemberState::Alive;
-        sums.len() == 1 && running.iter().all(|a| running.iter().all(|b| alive(a, b)))
+        let sees_alive = |a: &usize, b: &usize| a == b || self.state(*a, *b) == MemberState::Alive;
+        digests.len() == 1
+            && running
+                .iter()
+                .all(|a| running.iter().all(|b| sees_alive(a, b)))
     }
 
-    /// How often a member that ran and was not cut off came to be held so.
-    pub(crate) fn falsely(&self, to: MemberState) -> usize {
-        let runs = |name: &Name| {
+    /// How often a member that runs came to be seen in this state by another.
+    pub(crate) fn false_reports(&self, to: MemberState) -> usize {
+        let is_running = |name: &Name| {
             self.members
                 .values()
-                .any(|m| m.swim.local().name == *name && !m.stopped)
+                .any(|m| m.swim.local().name == *name && !m.paused)
         };
         self.changes
             .iter()
-            .filter(|c| c.to == to && runs(&c.of))
+            .filter(|change| change.to == to && is_running(&change.subject))
             .count()
     }
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Crashes, stops, splits and strangers in virtual time, at 3 to 100 members.
+//! Crashes, pauses, partitions and name conflicts in virtual time, at 3 to 100 members.
 
 mod common;
 use common::*;
@@ -8,316 +8,329 @@
     Settings::new(expected)
 }
 
-/// The longest that a death may take to be known to all: a walk, the suspicion at its longest, and
-/// the spread.
-fn bound(members: usize) -> std::time::Duration {
-    let s = settings(members);
+/// The longest time until all members see a death: a round of probes, the longest suspicion, and the
+/// gossip.
+fn max_detection_time(members: usize) -> std::time::Duration {
+    let settings = settings(members);
     let logarithm = (members as f64).log10().max(1.0);
-    let longest = s.probe_interval * s.suspicion_multiplier * s.suspicion_max_multiplier;
-    s.probe_interval * members as u32 + longest.mul_f64(logarithm) + s.probe_interval * 4
+    let longest =
+        settings.probe_interval * settings.suspicion_multiplier * settings.suspicion_max_multiplier;
+    settings.probe_interval * members as u32
+        + longest.mul_f64(logarithm)
+        + settings.probe_interval * 4
 }
 
 #[test]
-fn one_of_five_that_is_killed_is_gone_for_all_and_nobody_else_is() {
+fn all_see_the_death_of_one_of_five_and_of_no_other() {
     for seed in 0..10 {
-        let mut f = Fleet::of(5, settings(5), seed);
-        f.changes.clear();
-        f.kill(3);
-        let took = f.until(bound(5), |f| {
-            f.members
+        let mut fleet = Fleet::converged(5, settings(5), seed);
+        fleet.changes.clear();
+        fleet.kill(3);
+        let took = fleet.run_until(max_detection_time(5), |fleet| {
+            fleet
+                .members
                 .keys()
-                .all(|n| f.state(*n, 3) == MemberState::Dead)
+                .all(|n| fleet.state(*n, 3) == MemberState::Dead)
         });
-        println!("seen by all after {took:?}");
+        println!("all see it after {took:?}");
         assert!(took.is_some_and(|t| t < ms(20_000)), "{took:?}");
         assert_eq!(
             (
-                f.falsely(MemberState::Suspect),
-                f.falsely(MemberState::Dead)
+                fleet.false_reports(MemberState::Suspect),
+                fleet.false_reports(MemberState::Dead)
             ),
             (0, 0)
         );
-        assert!(f.longest <= 256);
+        assert!(fleet.longest_datagram <= 256);
     }
 }
 
 #[test]
-fn who_comes_back_under_its_name_outlives_its_old_news() {
-    let mut f = Fleet::of(5, settings(5), 1);
-    f.kill(3);
-    f.run(ms(500));
-    f.start(3);
-    assert!(f.until(ms(10_000), |f| f.agree()).is_some());
-    f.run(ms(40_000));
-    assert!(f.agree(), "no word of its old life comes up again");
-    // And long after it was held gone.
-    f.kill(2);
-    f.run(ms(60_000));
-    assert_eq!(f.state(0, 2), MemberState::Dead);
-    f.start(2);
-    assert!(f.until(ms(10_000), |f| f.agree()).is_some());
+fn a_restarted_member_overrides_its_old_records() {
+    let mut fleet = Fleet::converged(5, settings(5), 1);
+    fleet.kill(3);
+    fleet.run(ms(500));
+    fleet.start(3);
+    assert!(fleet.run_until(ms(10_000), Fleet::has_converged).is_some());
+    fleet.run(ms(40_000));
+    assert!(
+        fleet.has_converged(),
+        "no record of its old generation returns"
+    );
+    // And long after it was seen dead.
+    fleet.kill(2);
+    fleet.run(ms(60_000));
+    assert_eq!(fleet.state(0, 2), MemberState::Dead);
+    fleet.start(2);
+    assert!(fleet.run_until(ms(10_000), Fleet::has_converged).is_some());
 }
 
 #[test]
-fn all_start_anew_within_a_second_with_empty_memory() {
-    let mut f = Fleet::of(5, settings(5), 2);
+fn all_members_restart_within_a_second_without_state() {
+    let mut fleet = Fleet::converged(5, settings(5), 2);
     for n in 0..5 {
-        f.kill(n);
-        f.run(ms(200));
-        f.start(n);
+        fleet.kill(n);
+        fleet.run(ms(200));
+        fleet.start(n);
     }
-    assert!(f.until(ms(30_000), |f| f.agree()).is_some());
+    assert!(fleet.run_until(ms(30_000), Fleet::has_converged).is_some());
 }
 
 #[test]
-fn all_but_one_are_killed_and_it_knows_that_it_is_the_minority() {
-    let mut f = Fleet::of(5, settings(5), 3);
-    assert!(f.members[&4].swim.quorum().holds());
-    (0..4).for_each(|n| f.kill(n));
-    let alone = |f: &Fleet| (0..4).all(|n| f.state(4, n) == MemberState::Dead);
-    assert!(f.until(ms(180_000), alone).is_some());
-    assert!(!f.members[&4].swim.quorum().holds());
-    (0..4).for_each(|n| f.start(n));
-    assert!(f.until(ms(30_000), |f| f.agree()).is_some());
+fn the_last_of_five_members_has_no_quorum() {
+    let mut fleet = Fleet::converged(5, settings(5), 3);
+    assert!(fleet.members[&4].swim.quorum().holds());
+    (0..4).for_each(|n| fleet.kill(n));
+    let alone = |fleet: &Fleet| (0..4).all(|n| fleet.state(4, n) == MemberState::Dead);
+    assert!(fleet.run_until(ms(180_000), alone).is_some());
+    assert!(!fleet.members[&4].swim.quorum().holds());
+    (0..4).for_each(|n| fleet.start(n));
+    assert!(fleet.run_until(ms(30_000), Fleet::has_converged).is_some());
 }
 
 #[test]
-fn one_that_was_stopped_does_not_take_the_others_for_gone() {
+fn a_paused_member_does_not_suspect_the_others() {
     for (seconds, seed) in [(3, 1), (10, 2), (30, 3), (120, 4)] {
-        let mut f = Fleet::of(5, settings(5), seed);
-        f.changes.clear();
-        f.stop(1);
-        f.run(ms(seconds * 1000));
-        f.wake(1);
-        let took = f.until(ms(30_000), |f| f.agree());
-        assert!(took.is_some(), "{seconds} s: woken and never agreed on");
-        let by_it = f
+        let mut fleet = Fleet::converged(5, settings(5), seed);
+        fleet.changes.clear();
+        fleet.pause(1);
+        fleet.run(ms(seconds * 1000));
+        fleet.resume(1);
+        let took = fleet.run_until(ms(30_000), Fleet::has_converged);
+        assert!(took.is_some(), "{seconds} s: resumed and not converged");
+        let reports = fleet
             .changes
             .iter()
-            .filter(|c| c.by == 1 && c.to != MemberState::Alive)
+            .filter(|change| change.observer == 1 && change.to != MemberState::Alive)
             .count();
-        assert_eq!(by_it, 0, "{seconds} s: its own view was of its own stop");
+        assert_eq!(reports, 0, "{seconds} s: it reported its own pause");
     }
 }
 
 #[test]
-fn a_split_makes_a_minority_and_heals_while_one_on_each_side_restarts() {
+fn a_partition_has_a_minority_and_heals_while_a_member_on_each_side_restarts() {
     for seed in 0..6 {
-        let mut f = Fleet::of(5, settings(5), seed);
-        f.split(&[0, 1], &[2, 3, 4]);
-        f.run(ms(10_000));
-        f.kill(1);
-        f.kill(4);
-        f.run(ms(500));
-        f.start(1);
-        f.start(4);
-        f.run(ms(30_000));
-        assert!(!f.members[&0].swim.quorum().holds() && f.members[&2].swim.quorum().holds());
-        f.cut.clear();
-        let took = f.until(ms(40_000), |f| f.agree());
+        let mut fleet = Fleet::converged(5, settings(5), seed);
+        fleet.network.partition(&[0, 1], &[2, 3, 4]);
+        fleet.run(ms(10_000));
+        fleet.kill(1);
+        fleet.kill(4);
+        fleet.run(ms(500));
+        fleet.start(1);
+        fleet.start(4);
+        fleet.run(ms(30_000));
+        assert!(
+            !fleet.members[&0].swim.quorum().holds() && fleet.members[&2].swim.quorum().holds()
+        );
+        fleet.network.blocked.clear();
+        let took = fleet.run_until(ms(40_000), Fleet::has_converged);
         println!("healed after {took:?}");
         assert!(took.is_some());
     }
 }
 
 #[test]
-fn flapping_splits_end_in_agreement() {
-    let mut f = Fleet::of(6, settings(6), 4);
+fn repeated_partitions_end_in_convergence() {
+    let mut fleet = Fleet::converged(6, settings(6), 4);
     for _ in 0..15 {
-        f.split(&[0, 1, 2], &[3, 4, 5]);
-        f.run(ms(2000));
-        f.cut.clear();
-        f.run(ms(2000));
+        fleet.network.partition(&[0, 1, 2], &[3, 4, 5]);
+        fleet.run(ms(2000));
+        fleet.network.blocked.clear();
+        fleet.run(ms(2000));
     }
-    assert!(f.until(ms(40_000), |f| f.agree()).is_some());
+    assert!(fleet.run_until(ms(40_000), Fleet::has_converged).is_some());
     assert_eq!(
-        f.falsely(MemberState::Dead),
+        fleet.false_reports(MemberState::Dead),
         0,
-        "2 s are under a suspicion's least time"
+        "2 s are less than the shortest suspicion timeout"
     );
 }
 
 #[test]
-fn a_one_way_cut_is_bridged_by_the_others() {
-    let mut f = Fleet::of(5, settings(5), 5);
-    f.changes.clear();
-    f.cut.insert((1, 0));
-    f.run(ms(60_000));
+fn a_direction_that_is_blocked_is_bridged_by_the_others() {
+    let mut fleet = Fleet::converged(5, settings(5), 5);
+    fleet.changes.clear();
+    fleet.network.blocked.insert((1, 0));
+    fleet.run(ms(60_000));
     assert_eq!(
-        f.falsely(MemberState::Dead),
+        fleet.false_reports(MemberState::Dead),
         0,
-        "0 hears of 1 through the others"
+        "0 gets the acks of 1 through the others"
     );
-    // A ring of them.
+    // A ring of blocked directions.
     for n in 0..5 {
-        f.cut.insert((n, (n + 1) % 5));
+        fleet.network.blocked.insert((n, (n + 1) % 5));
     }
-    f.run(ms(60_000));
-    assert_eq!(f.falsely(MemberState::Dead), 0);
+    fleet.run(ms(60_000));
+    assert_eq!(fleet.false_reports(MemberState::Dead), 0);
 }
 
 #[test]
-fn loss_doubles_and_delay_at_once_for_a_minute_leave_nobody_gone() {
+fn loss_duplicates_and_delay_for_a_minute_cause_no_false_death() {
     for seed in 0..5 {
-        let mut f = Fleet::of(5, settings(5), seed);
-        f.changes.clear();
-        f.net = Net {
-            loss: 0.3,
-            twice: 0.3,
-            least: ms(1),
-            most: ms(200),
+        let mut fleet = Fleet::converged(5, settings(5), seed);
+        fleet.changes.clear();
+        fleet.network.conditions = Conditions {
+            loss_ratio: 0.3,
+            duplicate_ratio: 0.3,
+            min_delay: ms(1),
+            max_delay: ms(200),
         };
-        f.run(ms(60_000));
+        fleet.run(ms(60_000));
         println!(
-            "falsely suspected {} times",
-            f.falsely(MemberState::Suspect)
+            "{} false suspicions",
+            fleet.false_reports(MemberState::Suspect)
         );
-        assert_eq!(f.falsely(MemberState::Dead), 0);
-        f.net = CALM;
-        assert!(f.until(ms(30_000), |f| f.agree()).is_some());
+        assert_eq!(fleet.false_reports(MemberState::Dead), 0);
+        fleet.network.conditions = RELIABLE;
+        assert!(fleet.run_until(ms(30_000), Fleet::has_converged).is_some());
     }
 }
 
 #[test]
-fn a_one_way_cut_beside_loss_and_delay_leaves_nobody_gone() {
-    let mut falsely = 0;
+fn a_blocked_direction_with_loss_and_delay_causes_no_false_death() {
+    let mut false_deaths = 0;
     for seed in 0..20 {
-        let mut f = Fleet::of(4, settings(4), seed);
-        f.changes.clear();
-        f.net = Net {
-            loss: 0.2,
-            twice: 0.2,
-            least: ms(1),
-            most: ms(240),
+        let mut fleet = Fleet::converged(4, settings(4), seed);
+        fleet.changes.clear();
+        fleet.network.conditions = Conditions {
+            loss_ratio: 0.2,
+            duplicate_ratio: 0.2,
+            min_delay: ms(1),
+            max_delay: ms(240),
         };
-        f.cut.insert((1, 0));
-        f.run(ms(60_000));
-        falsely += f.falsely(MemberState::Dead);
+        fleet.network.blocked.insert((1, 0));
+        fleet.run(ms(60_000));
+        false_deaths += fleet.false_reports(MemberState::Dead);
     }
     assert_eq!(
-        falsely, 0,
-        "0 hears that 1 suspects it, and 1 that it does not, through the others"
+        false_deaths, 0,
+        "0 gets the suspicion, and 1 its refutation, through the others"
     );
 }
 
 #[test]
-fn who_left_does_not_come_back_by_old_news() {
+fn old_records_do_not_bring_back_a_member_that_left() {
     for seed in 0..5 {
-        let mut f = Fleet::of(6, settings(6), seed);
-        // The others' last word of it that it lives is still under way at one that is cut off.
-        f.split(&[5], &[0, 1, 2, 3, 4]);
-        f.run(ms(500));
-        f.tell(2, Event::Leave);
-        f.run(ms(2000));
-        f.kill(2);
+        let mut fleet = Fleet::converged(6, settings(6), seed);
+        // A member behind a partition still has the record that it is alive.
+        fleet.network.partition(&[5], &[0, 1, 2, 3, 4]);
+        fleet.run(ms(500));
+        fleet.handle(2, Event::Leave);
+        fleet.run(ms(2000));
+        fleet.kill(2);
         assert!([0, 1, 3, 4]
             .iter()
-            .all(|n| f.state(*n, 2) == MemberState::Left));
-        f.cut.clear();
-        f.run(ms(60_000));
+            .all(|n| fleet.state(*n, 2) == MemberState::Left));
+        fleet.network.blocked.clear();
+        fleet.run(ms(60_000));
         assert!([0, 1, 3, 4, 5]
             .iter()
-            .all(|n| f.state(*n, 2) == MemberState::Left));
-        let back = f
+            .all(|n| fleet.state(*n, 2) == MemberState::Left));
+        let returns = fleet
             .changes
             .iter()
-            .filter(|c| c.from == MemberState::Left)
+            .filter(|change| change.from == MemberState::Left)
             .count();
-        assert_eq!(back, 0);
+        assert_eq!(returns, 0);
     }
 }
 
 #[test]
-fn the_younger_of_two_live_processes_of_one_name_is_refused_until_the_older_is_gone() {
-    let mut f = Fleet::of(5, settings(5), 6);
-    f.start_as(9, 3);
-    f.run(ms(5000));
-    assert_eq!(f.refused, [(9, address(3))], "told once, and who holds it");
-    assert_eq!(f.members[&9].swim.quorum().seen, 0);
+fn the_newer_of_two_processes_of_one_name_is_refused_until_the_older_is_dead() {
+    let mut fleet = Fleet::converged(5, settings(5), 6);
+    fleet.start_as(9, 3);
+    fleet.run(ms(5000));
+    assert_eq!(
+        fleet.name_conflicts,
+        [(9, address(3))],
+        "reported once, with the address that uses the name"
+    );
+    assert_eq!(fleet.members[&9].swim.quorum().seen, 0);
     assert!([0, 1, 2, 4].iter().all(|n| {
-        let view = f.members[n].swim.view(&name(3), f.now);
+        let view = fleet.members[n].swim.view(&name(3), fleet.now);
         view.state == MemberState::Alive && view.record.unwrap().address == address(3)
     }));
-    f.kill(3);
-    let held = |f: &Fleet| {
+    fleet.kill(3);
+    let uses_name = |fleet: &Fleet| {
         [0, 1, 2, 4].iter().all(|n| {
-            let view = f.members[n].swim.view(&name(3), f.now);
+            let view = fleet.members[n].swim.view(&name(3), fleet.now);
             view.state == MemberState::Alive && view.record.unwrap().address == address(9)
         })
     };
     assert!(
-        f.until(ms(60_000), held).is_some(),
-        "once it is gone the other is let in"
+        fleet.run_until(ms(60_000), uses_name).is_some(),
+        "the other joins once it is dead"
     );
-    assert_eq!(f.members[&9].swim.name_conflict(), None);
+    assert_eq!(fleet.members[&9].swim.name_conflict(), None);
 }
 
 #[test]
-fn a_name_that_was_never_heard_of_is_not_gone() {
-    let f = Fleet::of(3, settings(5), 7);
-    let view = f.members[&0].swim.view(&name(4), f.now);
+fn a_member_without_any_record_is_not_dead() {
+    let fleet = Fleet::converged(3, settings(5), 7);
+    let view = fleet.members[&0].swim.view(&name(4), fleet.now);
     assert_eq!(
         (view.state, view.age, view.record),
         (MemberState::NeverSeen, None, None)
     );
-    assert!(f.members[&0].swim.quorum().holds(), "three of five");
+    assert!(fleet.members[&0].swim.quorum().holds(), "three of five");
 }
 
 #[test]
-fn facts_spread_and_only_their_own_writer_changes_them() {
-    let mut f = Fleet::of(20, settings(20), 8);
-    let facts = Metadata {
+fn metadata_reaches_all_members_as_its_member_published_it() {
+    let mut fleet = Fleet::converged(20, settings(20), 8);
+    let metadata = Metadata {
         zone: "east".try_into().unwrap(),
         stage: Stage::Leaving,
         ..Metadata::default()
     };
-    f.tell(7, Event::Metadata(facts.clone()));
-    let known = |f: &Fleet| {
+    fleet.handle(7, Event::Metadata(metadata.clone()));
+    let known = |fleet: &Fleet| {
         (0..20).filter(|n| *n != 7).all(|n| {
-            f.members[&n]
+            fleet.members[&n]
                 .swim
-                .view(&name(7), f.now)
+                .view(&name(7), fleet.now)
                 .record
-                .is_some_and(|r| r.metadata == facts)
+                .is_some_and(|record| record.metadata == metadata)
         })
     };
-    let took = f.until(ms(5000), known);
-    println!("told to all after {took:?}");
+    let took = fleet.run_until(ms(5000), known);
+    println!("all have it after {took:?}");
     assert!(took.is_some_and(|t| t <= ms(2000)), "{took:?}");
 }
 
 #[test]
-fn a_hundred_members_agree_and_notice_deaths_within_the_bound() {
-    let mut f = Fleet::of(100, settings(100), 9);
-    f.changes.clear();
+fn a_hundred_members_converge_and_detect_deaths_in_time() {
+    let mut fleet = Fleet::converged(100, settings(100), 9);
+    fleet.changes.clear();
     for n in [10, 50, 90] {
-        f.kill(n);
+        fleet.kill(n);
     }
-    let gone = |f: &Fleet| {
-        f.members.keys().all(|n| {
+    let is_seen_dead = |fleet: &Fleet| {
+        fleet.members.keys().all(|n| {
             [10, 50, 90]
                 .iter()
-                .all(|d| f.state(*n, *d) == MemberState::Dead)
+                .all(|d| fleet.state(*n, *d) == MemberState::Dead)
         })
     };
-    let took = f.until(bound(100), gone);
-    println!("seen by all after {took:?}");
+    let took = fleet.run_until(max_detection_time(100), is_seen_dead);
+    println!("all see it after {took:?}");
     assert!(took.is_some());
-    assert_eq!(f.falsely(MemberState::Dead), 0);
+    assert_eq!(fleet.false_reports(MemberState::Dead), 0);
 }
 
 #[test]
-fn one_seed_gives_one_result() {
+fn a_seed_has_one_result() {
     let play = |seed| {
-        let mut f = Fleet::of(10, settings(10), seed);
-        f.net.loss = 0.2;
-        f.kill(4);
-        f.run(ms(30_000));
+        let mut fleet = Fleet::converged(10, settings(10), seed);
+        fleet.network.conditions.loss_ratio = 0.2;
+        fleet.kill(4);
+        fleet.run(ms(30_000));
         (
-            f.datagrams,
-            f.bytes,
-            f.changes.len(),
-            f.members[&0].swim.digest(),
+            fleet.datagrams,
+            fleet.bytes,
+            fleet.changes.len(),
+            fleet.members[&0].swim.digest(),
         )
     };
     assert_eq!(play(11), play(11));
@@ -325,13 +338,13 @@
 }
 
 #[test]
-fn seeds_that_are_dead_wrong_or_oneself_keep_nobody_out_for_ever() {
-    // 0 and 2 are seeds and not there; 1 is its own seed.
-    let mut f = Fleet::new(settings(3), 13);
-    f.start(1);
-    f.run(ms(20_000));
-    f.start(5);
-    assert!(f.until(ms(20_000), |f| f.agree()).is_some());
-    f.start(0);
-    assert!(f.until(ms(20_000), |f| f.agree()).is_some());
+fn members_join_although_seeds_are_dead_or_themselves() {
+    // 0 and 2 are seeds that do not run; 1 is its own seed.
+    let mut fleet = Fleet::new(settings(3), 13);
+    fleet.start(1);
+    fleet.run(ms(20_000));
+    fleet.start(5);
+    assert!(fleet.run_until(ms(20_000), Fleet::has_converged).is_some());
+    fleet.start(0);
+    assert!(fleet.run_until(ms(20_000), Fleet::has_converged).is_some());
 }
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -1,5 +1,4 @@
-//! Words on a member may come in any order and any number of times; bodies are read or refused,
-//! never half taken.
+//! Records merge in any order and any number of times; bodies are read to their end or not at all.
 
 use proptest::prelude::*;
 use roseyard_membership::*;
@@ -14,8 +13,8 @@
     (0u64..3, 0u32..3, status, 0u32..3).prop_map(
         |(generation, incarnation, status, metadata_version)| {
             let zone = format!("z{generation}{metadata_version}");
-            // What one writer tells under one version is one thing, and it listens at one address
-            // in one generation.
+            // A member publishes one metadata for each version, and has one address in each
+            // generation.
             let metadata = Metadata {
                 zone: zone.as_str().try_into().unwrap(),
                 ..Metadata::default()
@@ -34,51 +33,58 @@
     )
 }
 
-fn merged(words: &[Record]) -> Record {
-    let mut held = words[0].clone();
-    words.iter().for_each(|w| {
-        held.merge(w);
-    });
-    // Marks of suspicion alone are no newer word.
-    if let Status::Suspect(_) = held.status {
-        held.status = Status::Suspect(0);
+fn merged(records: &[Record]) -> Record {
+    let mut merged = records[0].clone();
+    for record in records {
+        merged.merge(record);
     }
-    held
+    // Which suspecter the status names depends on the order.
+    if let Status::Suspect(_) = merged.status {
+        merged.status = Status::Suspect(0);
+    }
+    merged
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 2000,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
-    fn the_order_and_number_of_words_change_nothing(words in prop::collection::vec(record(), 1..8), turn in 0usize..8) {
-        let mut other = words.clone();
-        other.rotate_left(turn % words.len());
-        other.extend(words.iter().take(3).cloned());
+    fn the_order_and_number_of_records_do_not_matter(records in prop::collection::vec(record(), 1..8), rotation in 0usize..8) {
+        let mut other = records.clone();
+        other.rotate_left(rotation % records.len());
+        other.extend(records.iter().take(3).cloned());
         other.reverse();
-        prop_assert_eq!(merged(&words), merged(&other));
+        prop_assert_eq!(merged(&records), merged(&other));
     }
 
     #[test]
-    fn who_left_stays_so_for_its_generation(words in prop::collection::vec(record(), 1..8)) {
-        let held = merged(&words);
-        let left = words.iter().any(|w| w.status == Status::Left && w.generation == held.generation);
-        prop_assert_eq!(left, held.status == Status::Left);
+    fn a_member_that_left_stays_left_for_its_generation(records in prop::collection::vec(record(), 1..8)) {
+        let merged = merged(&records);
+        let has_left = records
+            .iter()
+            .any(|record| record.status == Status::Left && record.generation == merged.generation);
+        prop_assert_eq!(has_left, merged.status == Status::Left);
     }
 
     #[test]
-    fn no_bytes_are_half_read(bytes in prop::collection::vec(any::<u8>(), 0..230)) {
-        if let Some((message, news)) = wire::read(&bytes) {
+    fn random_bytes_are_read_to_their_end_or_not_at_all(bytes in prop::collection::vec(any::<u8>(), 0..230)) {
+        if let Some(wire::Contents { message, records }) = wire::read(&bytes) {
             let mut body = wire::Body::new(&message);
-            for record in &news {
+            for record in &records {
                 prop_assert!(body.add(record) || bytes.len() > 180);
             }
         }
     }
 
     #[test]
-    fn records_come_through_whole(words in prop::collection::vec(record(), 0..12)) {
+    fn records_are_read_as_they_were_written(records in prop::collection::vec(record(), 0..12)) {
         let mut body = wire::Body::new(&wire::Message::Ping(7));
-        let fitted: Vec<_> = words.into_iter().take_while(|w| body.add(w)).collect();
-        prop_assert_eq!(wire::read(&body.bytes()), Some((wire::Message::Ping(7), fitted)));
+        let written: Vec<_> = records.into_iter().take_while(|record| body.add(record)).collect();
+        let contents = wire::Contents { message: wire::Message::Ping(7), records: written };
+        prop_assert_eq!(wire::read(&body.bytes()), Some(contents));
     }
 }
--- a/crates/membership/tests/wire_bytes.rs
+++ b/crates/membership/tests/wire_bytes.rs
@@ -1,6 +1,6 @@
 //! The bytes of datagrams, as members of earlier releases write and read them.
 
-use roseyard_membership::wire::{self, Body, Message};
+use roseyard_membership::wire::{self, Body, Contents, Message};
 use roseyard_membership::{Guard, Key, Metadata, Name, Record, Stage, Status};
 
 const GENERATION: u64 = 1_790_000_000_000;
@@ -29,7 +29,45 @@
     }
 }
 
-/// Each message with the datagram that carries it and one record, in hexadecimal digits.
+// The datagrams that carry each message and one record, in hexadecimal digits.
+const PING: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c34010007026e32000a0102038a3efbd8c1a28c3404",
+    "014d02027a3101007610aba19283e1f2e9c1883706f1e2fb",
+);
+const ACK: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c340201ac02026e32000a0102038a3efbd8c1a28c34",
+    "04014d02027a310100f59886060183e533637c55f461cdf2df",
+);
+const PING_REQ: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c34030209026e33000a00000150026e32000a010203",
+    "8a3efbd8c1a28c3404014d02027a310100f79b82da0bf0c293a8a8b878bfd118ae",
+);
+const NACK: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c34040301026e32000a0102038a3efbd8c1a28c3404",
+    "014d02027a3101007ea02348c49b28c9424476f69bf647c3",
+);
+const JOIN: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c340504026e32000a0102038a3efbd8c1a28c340401",
+    "4d02027a3101009b439e116af9e80fa545fecf277bd39a",
+);
+const GOSSIP: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c340605026e32000a0102038a3efbd8c1a28c340401",
+    "4d02027a31010012aa5313f4409f07892966ea26704452",
+);
+const SYNC: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c340706888e98a8c0e0808101026e3101026e32000a",
+    "0102038a3efbd8c1a28c3404014d02027a3101008c783c61c67d1c6d9e8f1a25e0937cde",
+);
+const PAGE: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c340807026e39026e32000a0102038a3efbd8c1a28c",
+    "3404014d02027a31010052f8b88459bba7449d137e29b0a5be27",
+);
+const NAME_CONFLICT: &str = concat!(
+    "014bb06bdb262b026e3180d8c1a28c340908007f00000105026e32000a0102038a3efbd8",
+    "c1a28c3404014d02027a310100fe0210f2c61fb082dbde4bdec78ba53b",
+);
+
+/// Each message with its datagram.
 fn datagrams() -> [(Message, &'static str); 9] {
     let ping_request = Message::PingReq {
         sequence: 9,
@@ -43,69 +81,15 @@
     };
     let name_conflict = Message::NameConflict("127.0.0.1:5".parse().expect("an address"));
     [
-        (
-            Message::Ping(7),
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c34010007026e32000a0102038a3efbd8c1a28c3404",
-                "014d02027a3101007610aba19283e1f2e9c1883706f1e2fb"
-            ),
-        ),
-        (
-            Message::Ack(300),
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c340201ac02026e32000a0102038a3efbd8c1a28c34",
-                "04014d02027a310100f59886060183e533637c55f461cdf2df"
-            ),
-        ),
-        (
-            ping_request,
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c34030209026e33000a00000150026e32000a010203",
-                "8a3efbd8c1a28c3404014d02027a310100f79b82da0bf0c293a8a8b878bfd118ae"
-            ),
-        ),
-        (
-            Message::Nack(1),
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c34040301026e32000a0102038a3efbd8c1a28c3404",
-                "014d02027a3101007ea02348c49b28c9424476f69bf647c3"
-            ),
-        ),
-        (
-            Message::Join,
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c340504026e32000a0102038a3efbd8c1a28c340401",
-                "4d02027a3101009b439e116af9e80fa545fecf277bd39a"
-            ),
-        ),
-        (
-            Message::Gossip,
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c340605026e32000a0102038a3efbd8c1a28c340401",
-                "4d02027a31010012aa5313f4409f07892966ea26704452"
-            ),
-        ),
-        (
-            sync,
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c340706888e98a8c0e0808101026e3101026e32000a",
-                "0102038a3efbd8c1a28c3404014d02027a3101008c783c61c67d1c6d9e8f1a25e0937cde"
-            ),
-        ),
-        (
-            Message::Page(name("n9")),
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c340807026e39026e32000a0102038a3efbd8c1a28c",
-                "3404014d02027a31010052f8b88459bba7449d137e29b0a5be27"
-            ),
-        ),
-        (
-            name_conflict,
-            concat!(
-                "014bb06bdb262b026e3180d8c1a28c340908007f00000105026e32000a0102038a3efbd8",
-                "c1a28c3404014d02027a310100fe0210f2c61fb082dbde4bdec78ba53b"
-            ),
-        ),
+        (Message::Ping(7), PING),
+        (Message::Ack(300), ACK),
+        (ping_request, PING_REQ),
+        (Message::Nack(1), NACK),
+        (Message::Join, JOIN),
+        (Message::Gossip, GOSSIP),
+        (sync, SYNC),
+        (Message::Page(name("n9")), PAGE),
+        (name_conflict, NAME_CONFLICT),
     ]
 }
 
@@ -137,6 +121,7 @@
         let opened = guard.open(&datagram).expect("the datagram is authentic");
         assert_eq!(opened.sender, name("n1"));
         assert_eq!(opened.generation, GENERATION);
-        assert_eq!(wire::read(opened.body), Some((message, vec![record()])));
+        let records = vec![record()];
+        assert_eq!(wire::read(opened.body), Some(Contents { message, records }));
     }
 }
--- a/crates/testbed/src/scale/membership.rs
+++ b/crates/testbed/src/scale/membership.rs
@@ -378,7 +378,10 @@
 
 fn heard(guard: &mut Guard, datagram: &Datagram) -> Option<Event> {
     let opened = guard.open(&datagram.bytes).ok()?;
-    let (message, updates) = wire::read(opened.body)?;
+    let wire::Contents {
+        message,
+        records: updates,
+    } = wire::read(opened.body)?;
     let (source, sender, generation) = (address(datagram.from), opened.sender, opened.generation);
     Some(Event::Received(Received {
         source,
@@ -449,7 +452,11 @@
                 continue;
             };
             let sealed = self.guard.seal(GENERATION, &body);
-            let Some((wire::Message::Ping(number), _)) = wire::read(&body) else {
+            let Some(wire::Contents {
+                message: wire::Message::Ping(number),
+                ..
+            }) = wire::read(&body)
+            else {
                 continue;
             };
             std::hint::black_box(sealed);
