--- a/crates/testbed/src/scale/membership/peers.rs
+++ b/crates/testbed/src/scale/membership/peers.rs
@@ -30,13 +30,13 @@
     /// Opens it with the receiver's guard; none if it is not valid.
     pub(super) fn open(&self, guard: &mut Guard) -> Option<Event> {
         let opened = guard.open(&self.bytes).ok()?;
-        let (message, updates) = wire::read(opened.body)?;
+        let contents = wire::read(opened.body)?;
         Some(Event::Received(Received {
             source: address(self.from),
             sender: opened.sender,
             generation: opened.generation,
-            message,
-            updates,
+            message: contents.message,
+            updates: contents.records,
         }))
     }
 }
--- a/crates/testbed/src/scale/membership/single_member.rs
+++ b/crates/testbed/src/scale/membership/single_member.rs
@@ -90,7 +90,8 @@
             };
             // Sealed in any case, as its cost is measured.
             let sealed = self.guard.seal(GENERATION, &body);
-            let Some((wire::Message::Ping(number), _)) = wire::read(&body) else {
+            let message = wire::read(&body).map(|contents| contents.message);
+            let Some(wire::Message::Ping(number)) = message else {
                 continue;
             };
             std::hint::black_box(sealed);
