--- /dev/null
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -0,0 +1,191 @@
+//! The literal bytes that an ingress writes to endpoints, counter, discovery and clients.
+
+mod common;
+
+use common::*;
+use std::time::Duration;
+
+/// The commands of clients, byte by byte as they stand on the wire.
+const READ: &str = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
+                    $54\r\nc=form-load,t=seedling,d=3000,units=1,spread=1,first=0\r\n";
+const WRITE: &str = "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
+                     $70\r\nc=submit,t=seedling,d=3000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0\r\n\
+                     $4\r\nbody\r\n";
+
+/// Waits until an endpoint has been sent something whole, and hands its bytes out.
+fn bytes_at_endpoint(site: &mut Site, end: &str) -> (usize, String) {
+    let mut found = None;
+    site.until("bytes at the endpoint", |s| {
+        let ends = s.endpoints[0].ends.iter_mut().enumerate();
+        found = ends
+            .filter(|(_, e)| e.text().ends_with(end))
+            .map(|(n, e)| (n, String::from_utf8(std::mem::take(&mut e.input)).unwrap()))
+            .next();
+        found.is_some()
+    });
+    found.unwrap()
+}
+
+#[test]
+fn a_read_is_forwarded_with_its_deadline_replaced() {
+    let mut site = Site::new(1);
+    let mut client = site.client();
+    client.send(READ);
+    let (connection, bytes) = bytes_at_endpoint(&mut site, "first=0\r\n");
+    assert_eq!(
+        bytes,
+        "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
+         $54\r\nc=form-load,t=seedling,d=2996,units=1,spread=1,first=0\r\n"
+    );
+    site.endpoints[0].ends[connection].send(served("value"));
+    site.expect(&mut client, "$5\r\nvalue\r\n");
+}
+
+#[test]
+fn a_write_is_forwarded_with_its_body_and_its_deadline_replaced() {
+    let mut site = Site::new(1);
+    let mut client = site.client();
+    client.send(WRITE);
+    let (connection, bytes) = bytes_at_endpoint(&mut site, "body\r\n");
+    assert_eq!(
+        bytes,
+        "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
+         $70\r\nc=submit,t=seedling,d=1000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0\r\n\
+         $4\r\nbody\r\n"
+    );
+    site.endpoints[0].ends[connection].send(served(""));
+    site.expect(&mut client, "$0\r\n\r\n");
+}
+
+#[test]
+fn a_counter_call_names_the_customer_the_units_and_the_time_to_live() {
+    let mut site = Site::new(1);
+    site.counter.counting = Counting::Silent;
+    let mut client = site.client();
+    client.send(READ);
+    site.until("a counter call", |s| {
+        let ends = &s.counter.party.ends;
+        ends.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
+    });
+    let ends = &site.counter.party.ends;
+    let call = ends.iter().map(|e| e.text()).find(|t| !t.is_empty());
+    let host = site.counter.party.address;
+    assert_eq!(
+        call.unwrap(),
+        format!("POST /tally/00000000b4d65521?n=1&keep_ms=4000 HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n")
+    );
+}
+
+#[test]
+fn the_watch_request_names_the_revision_held() {
+    let mut site = Site::new(1);
+    let old = std::mem::replace(&mut site.discovery, Party::new());
+    let text = config(&site.counter.party, &site.discovery, &site.endpoints, 1024);
+    let clock = roseyard_ingress::clock::Clock::start();
+    let read = roseyard_ingress::program::config::Config::parse(text.into(), |_| None).unwrap();
+    drop(old);
+    site.program = roseyard_ingress::program::Program::start(&read, &operator(""), clock).unwrap();
+    site.now = clock.now();
+    let start = std::time::Instant::now();
+    let mut request = String::new();
+    while !request.ends_with("\r\n\r\n") {
+        let now = site.now;
+        let wait = Some(Duration::from_millis(1));
+        site.program.round(wait, || now).unwrap();
+        site.discovery.read();
+        request = site.discovery.ends.iter().map(|e| e.text()).collect();
+        assert!(
+            start.elapsed() < Duration::from_secs(20),
+            "no watch request: {request:?}"
+        );
+    }
+    let host = site.discovery.address;
+    assert_eq!(
+        request,
+        format!("GET /discovery/hosts?watch=1&after=41 HTTP/1.1\r\nHost: {host}\r\n\r\n")
+    );
+}
+
+#[test]
+fn a_health_check_asks_for_the_load_report() {
+    let mut site = Site::new(1);
+    site.start_under(&[("\"Probes\":false", "\"Probes\":true")]);
+    let mut client = site.client();
+    client.send(READ);
+    bytes_at_endpoint(&mut site, "first=0\r\n");
+    let mut sent = None;
+    for _ in 0..200 {
+        site.advance(10);
+        let mut ends = site.endpoints[0].ends.iter();
+        sent = ends
+            .find(|e| !e.input.is_empty())
+            .map(|e| e.text().to_owned());
+        if sent.as_ref().is_some_and(|t| t.ends_with("load\r\n")) {
+            break;
+        }
+    }
+    assert_eq!(sent.as_deref(), Some("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"));
+}
+
+#[test]
+fn clients_are_sent_the_reply_of_each_kind_in_full() {
+    let mut site = Site::new(1);
+    let mut client = site.client();
+    for (command, reply) in [
+        ("*1\r\n$4\r\nPING\r\n", "+PONG\r\n"),
+        ("*1\r\n$6\r\nCLIENT\r\n", "+OK\r\n"),
+        ("*1\r\n$6\r\nSELECT\r\n", "+OK\r\n"),
+        ("*1\r\n$3\r\nGET\r\n", "-ERR unknown command\r\n"),
+        ("*0\r\n", "-ERR empty command\r\n"),
+        (
+            "*1\r\n$8\r\nAPI.READ\r\n",
+            "-ERR wrong number of arguments\r\n",
+        ),
+        ("*1\r\n$4\r\nQUIT\r\n", "+OK\r\n"),
+    ] {
+        client.send(command);
+        site.expect(&mut client, reply);
+    }
+    site.ended(&mut client);
+    let mut client = site.client();
+    client.send("GET / HTTP/1.1\r\n");
+    site.expect(&mut client, "-ERR Protocol error: expected '*'\r\n");
+    site.ended(&mut client);
+}
+
+#[test]
+fn a_client_is_sent_loading_until_discovery_has_answered() {
+    let mut site = Site::new(1);
+    site.talks = false;
+    site.start_under(&[]);
+    let mut client = site.client();
+    client.send("*1\r\n$4\r\nPING\r\n");
+    site.expect(&mut client, "-LOADING waiting for discovery\r\n");
+    client.send(READ);
+    site.expect(&mut client, "-BUSY\r\n");
+}
+
+#[test]
+fn a_client_is_sent_failed_when_the_endpoint_answers_with_an_error() {
+    let mut site = Site::new(1);
+    let mut client = site.client();
+    client.send(WRITE);
+    let (connection, _) = bytes_at_endpoint(&mut site, "body\r\n");
+    site.endpoints[0].ends[connection].send("-ERR failed\r\n");
+    site.expect(&mut client, "-ERR failed\r\n");
+}
+
+#[test]
+fn during_shutdown_a_request_is_rejected_and_one_without_a_reply_fails() {
+    let mut site = Site::new(1);
+    let mut client = site.client();
+    client.send(READ);
+    bytes_at_endpoint(&mut site, "first=0\r\n");
+    site.program.leave();
+    site.advance(600);
+    client.send(READ.replace("0000000000000007", "0000000000000009"));
+    site.advance(50);
+    site.advance(5_000);
+    site.ended(&mut client);
+    assert_eq!(client.text(), "-ERR failed\r\n-BUSY\r\n");
+}
