--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -8,9 +8,11 @@
 
 use crate::clock::Clock;
 use crate::limits::Limits;
-use crate::routing::members::Members;
-use crate::routing::{Core, Front, Io, Party, Response, Start, Terms};
-use crate::transport::{allowed, listen, spare, Deadlines, Key, Poller, Ready};
+use crate::routing::membership::MembershipDriver;
+use crate::routing::{
+    CommandResponse, Driver, EventSource, Frontend, Io, RequestSchema, ShutdownLimits, Start,
+};
+use crate::transport::{allowed, listen, spare, Deadlines, Poller, Ready};
 use cli::Run;
 use config::Config;
 use roseyard_admission::DescriptorBudget;
@@ -56,10 +58,11 @@
 /// An ingress between two rounds.
 pub struct Program {
     io: Io,
-    core: Core,
-    front: Front,
+    core: Driver,
+    front: Frontend,
     signals: Option<Signals>,
     phase: Phase,
+    limits: ShutdownLimits,
     /// When `PING` is answered at the latest, and when the drain's next step is due.
     ready_due: Option<Duration>,
     drain_due: Option<Duration>,
@@ -69,16 +72,16 @@
     standing_due: Option<Duration>,
     /// The other ingresses, and who writes down what is known of them, where the operator wants
     /// that.
-    members: Option<Members>,
+    members: Option<MembershipDriver>,
     status: Option<status::Keeper>,
     status_due: Option<Duration>,
     /// How the program was started; its file is read again on SIGHUP.
     run: Option<Run>,
     /// Connections wait at the listener.
-    knocking: bool,
+    accept_pending: bool,
     /// Room for a round's news, kept from round to round.
     ready: Vec<Ready>,
-    answers: Vec<((Key, u64), Response)>,
+    answers: Vec<CommandResponse>,
 }
 
 /// How far the end of the process has come.
@@ -126,12 +129,12 @@
     let since = Instant::now();
     let mut told = false;
     loop {
-        match listen(at, limits.backlog) {
-            Err(Errno::ADDRINUSE) if since.elapsed() < limits.address => {
+        match listen(at, limits.frontend.listen_backlog) {
+            Err(Errno::ADDRINUSE) if since.elapsed() < limits.event_loop.address_timeout => {
                 if !std::mem::replace(&mut told, true) {
                     tracing::warn!(event = "listen.address_in_use", address = %at, "address in use, retrying");
                 }
-                std::thread::sleep(limits.address_again);
+                std::thread::sleep(limits.event_loop.address_retry_interval);
             }
             done => return done.map_err(|e| format!("listen on {at}: {e}")),
         }
@@ -152,7 +155,8 @@
         let operator = file.effective(&machine).map_err(|e| e.to_string())?;
         let options = &config.settings;
         let limits = Limits::new(&operator, config.limits.memory_mb, options);
-        let poller = Poller::new(limits.batch).map_err(|e| format!("epoll: {e}"))?;
+        let poller = Poller::new(limits.event_loop.max_events_per_wait)
+            .map_err(|e| format!("epoll: {e}"))?;
         let budget = DescriptorBudget::new(operator.sockets, operator.shares)
             .map_err(|e| format!("descriptors: {e}"))?;
         let mut io = Io {
@@ -161,12 +165,16 @@
             now: clock.now(),
             budget,
             spare: spare(),
-            limits,
         };
         let listener = take_address(&config.listen, &limits)?;
         let settings = options.settings()?;
         let services = file.services();
-        let terms = Terms::new(options, &settings, &limits, services.route_field());
+        let terms = RequestSchema::new(
+            options,
+            &settings,
+            limits.frontend.max_units,
+            services.route_field(),
+        );
         let OperatorSettings {
             policy,
             standing,
@@ -176,9 +184,9 @@
         // What others choose must not collide in tables: mixed so that the module's numbers tell
         // nothing of it.
         let secret = config.seed.rotate_left(23) ^ 0x61c8_8646_80b5_83eb;
-        let mut front = Front::new(listener, terms, policy, secret, &mut io)
+        let mut front = Frontend::new(listener, terms, policy, secret, limits.frontend, &mut io)
             .map_err(|e| format!("listen: {e}"))?;
-        let keeper = Keeper::start(standing, front.gate_mut(), io.now);
+        let keeper = Keeper::start(standing, front.admission_mut(), io.now);
         let start = Start {
             settings,
             seed: config.seed,
@@ -187,25 +195,28 @@
             clock,
             discovery: config.discovery,
             counter: config.counter,
+            limits: limits.driver,
         };
         if let Some(at) = front.address() {
             let name = &config.name;
             tracing::info!(event = "listening", name, address = %at, "listening");
         }
         let core =
-            Core::new(start, &config.known, &mut io).map_err(|e| format!("settings: {e}"))?;
+            Driver::new(start, &config.known, &mut io).map_err(|e| format!("settings: {e}"))?;
         let mut ready_due = None;
-        let at = io.now + io.limits.ready;
-        io.deadlines.set(&mut ready_due, Some(at), Party::Ready);
+        let at = io.now + limits.event_loop.ready_timeout;
+        io.deadlines
+            .set(&mut ready_due, Some(at), EventSource::Ready);
         let mut standing_due = None;
         keeper.arm(&mut standing_due, &mut io);
-        let members = Members::start(
+        let members = MembershipDriver::start(
             &membership,
             &config.name,
             files::unix_ms(),
             config.seed ^ 0x5eed,
             &mut io,
-        )?;
+        )
+        .map_err(|e| e.to_string())?;
         let status = membership
             .status
             .as_deref()
@@ -214,7 +225,7 @@
         let mut status_due = None;
         if status.is_some() {
             io.deadlines
-                .set(&mut status_due, Some(io.now), Party::Status);
+                .set(&mut status_due, Some(io.now), EventSource::Status);
         }
         Ok(Program {
             members,
@@ -224,12 +235,13 @@
             keeper,
             standing_due,
             run: None,
-            knocking: false,
+            accept_pending: false,
             io,
             core,
             front,
             signals: None,
             phase: Phase::Serving,
+            limits: limits.shutdown,
             ready_due,
             drain_due: None,
             ready: Vec::new(),
@@ -241,7 +253,7 @@
     /// begin the drain.
     pub fn heed(&mut self, signals: Signals, run: Run) -> Result<(), String> {
         self.run = Some(run);
-        let token = Party::Signal.token();
+        let token = EventSource::Signal.token();
         self.io
             .poller
             .add_level(&signals.pipe, token)
@@ -269,7 +281,7 @@
                 self.keeper.set(operator.standing);
                 self.keeper.arm(&mut self.standing_due, io);
                 if let Some(members) = &mut self.members {
-                    members.set(&operator.membership);
+                    members.reload(&operator.membership);
                 }
                 self.front.set_route_field(file.services().route_field());
                 self.core.set_directory(file.services().directory());
@@ -281,7 +293,7 @@
                     event = "reload.completed", %discovery, counter,
                     "configuration reloaded"
                 );
-                self.core.move_to(discovery, config.counter, io);
+                self.core.migrate_to(discovery, config.counter, io);
             }
             Err(wrong) => {
                 tracing::warn!(
@@ -300,7 +312,7 @@
 
     /// Version of the list of servers held.
     pub fn list_version(&self) -> u64 {
-        self.core.list_version()
+        self.core.list_revision()
     }
 
     /// The earliest deadline.
@@ -312,14 +324,15 @@
     pub fn open(&self) -> (usize, usize, usize) {
         (
             self.core.open_requests(),
-            self.core.open_links(),
+            self.core.upstream_connections(),
             self.front.len(),
         )
     }
 
     /// Requests open by their clients' numbers, and bytes held for clients' connections.
     pub fn clients_hold(&self) -> (usize, usize) {
-        self.front.held()
+        let usage = self.front.usage();
+        (usage.open_requests, usage.buffered_bytes)
     }
 
     /// Waits, takes in what came, tells the module, writes what is to go out; `now` is read after
@@ -329,7 +342,7 @@
         wait: Option<Duration>,
         now: impl FnOnce() -> Duration,
     ) -> Result<bool, String> {
-        let wait = if self.front.has_more() {
+        let wait = if self.front.has_scheduled_reads() {
             Some(Duration::ZERO)
         } else {
             wait
@@ -343,40 +356,43 @@
         self.io.now = now();
         // Guards against requests that are decided by a list when word of a later one is there:
         // discovery first.
-        let watched = |event: &Ready| matches!(Party::of_token(event.token), Party::Watch(_));
+        let watched = |event: &Ready| {
+            matches!(
+                EventSource::of_token(event.token),
+                EventSource::Discovery(_)
+            )
+        };
         ready
             .iter()
             .filter(|e| watched(e))
             .for_each(|e| self.on_ready(*e));
         self.serve_once_told();
-        self.front.resume(&mut self.core, &mut self.io);
+        self.front.read_scheduled(&mut self.core, &mut self.io);
         for event in ready.drain(..).filter(|e| !watched(e)) {
             self.on_ready(event);
         }
         // Answers that have come are taken in before the time-outs that they beat.
-        while let Some(party) = self.io.deadlines.pop(self.io.now) {
-            self.on_due(party);
+        while let Some(source) = self.io.deadlines.pop(self.io.now) {
+            self.on_due(source);
         }
         self.serve_once_told();
         loop {
             self.core.run(&mut self.io);
-            self.core.take_answers(&mut answers);
-            for (owner, answer) in answers.drain(..) {
-                self.front
-                    .answer(owner, answer, &mut self.core, &mut self.io);
+            self.core.take_responses(&mut answers);
+            for response in answers.drain(..) {
+                self.front.respond(response, &mut self.core, &mut self.io);
             }
             self.front.flush(&mut self.core, &mut self.io);
             if !self.core.has_pending() {
                 break;
             }
         }
-        self.front.keep_spare(&mut self.io);
+        self.front.restore_spare(&mut self.io);
         // After what is held has gone on. Guards against newcomers that take the descriptors which
         // this round's ended attempts gave back, and leave the further attempts of requests that
         // are held with none.
-        if std::mem::take(&mut self.knocking) {
-            self.front
-                .accept(self.io.limits.round_accepts, &mut self.core, &mut self.io);
+        if std::mem::take(&mut self.accept_pending) {
+            self.front.accept(&mut self.core, &mut self.io);
         }
         (self.ready, self.answers) = (ready, answers);
         let over = match self.phase {
@@ -390,14 +406,14 @@
 
     /// `PING` is answered, and requests are served, once discovery has spoken or has had its time.
     fn serve_once_told(&mut self) {
-        if !self.front.ready && (self.core.told() || self.ready_due.is_none()) {
-            self.front.ready = true;
+        if !self.front.is_ready() && (self.core.is_synced() || self.ready_due.is_none()) {
+            self.front.set_ready();
             self.io
                 .deadlines
-                .set(&mut self.ready_due, None, Party::Ready);
+                .set(&mut self.ready_due, None, EventSource::Ready);
             tracing::info!(event = "ready", "ready");
             if let Some(members) = &mut self.members {
-                members.serving(&mut self.io);
+                members.on_serving(&mut self.io);
             }
         }
     }
@@ -415,8 +431,8 @@
             );
             io.deadlines.set(
                 &mut self.drain_due,
-                Some(io.now + io.limits.drain_accept),
-                Party::Drain,
+                Some(io.now + self.limits.accept_period),
+                EventSource::Shutdown,
             );
             if let Some(members) = &mut self.members {
                 members.leave(io);
@@ -438,8 +454,8 @@
             );
             io.deadlines.set(
                 &mut self.drain_due,
-                Some(io.now + io.limits.drain),
-                Party::Drain,
+                Some(io.now + self.limits.drain_timeout),
+                EventSource::Shutdown,
             );
         } else if self.phase == Phase::Draining {
             // Guards against requests that a server which hangs leaves without an answer.
@@ -454,8 +470,8 @@
             self.front.stop();
             io.deadlines.set(
                 &mut self.drain_due,
-                Some(io.now + io.limits.last_linger),
-                Party::Drain,
+                Some(io.now + self.limits.linger_timeout),
+                EventSource::Shutdown,
             );
         } else {
             self.phase = Phase::Over;
@@ -464,42 +480,42 @@
 
     fn on_ready(&mut self, event: Ready) {
         let (core, io) = (&mut self.core, &mut self.io);
-        match Party::of_token(event.token) {
-            Party::Client(key) => self.front.on_client(key, event, core, io),
-            Party::Link(key) => core.on_link(key, event, io),
-            Party::Counter(n, serial) => core.on_counter((n, serial), event, io),
-            Party::Watch(serial) => core.on_watch(serial, event, io),
-            Party::Listener => self.knocking = true,
-            Party::Members => self.members.iter_mut().for_each(|m| m.on_ready(io)),
+        match EventSource::of_token(event.token) {
+            EventSource::Client(key) => self.front.on_client_ready(key, event, core, io),
+            EventSource::Upstream(key) => core.on_upstream_ready(key, event, io),
+            EventSource::Counter(n, serial) => core.on_counter_ready(n, serial, event, io),
+            EventSource::Discovery(serial) => core.on_discovery_ready(serial, event, io),
+            EventSource::Listener => self.accept_pending = true,
+            EventSource::Membership => self.members.iter_mut().for_each(|m| m.on_ready(io)),
             _ => self.on_signal(),
         }
     }
 
-    fn on_due(&mut self, party: Party) {
+    fn on_due(&mut self, source: EventSource) {
         let (core, io) = (&mut self.core, &mut self.io);
-        match party {
-            Party::Module => core.on_timer(),
-            Party::Client(key) => self.front.on_client_due(key, core, io),
-            Party::Link(key) => core.on_link_due(key, io),
-            Party::Counter(n, _) => core.on_counter_due(n, io),
-            Party::Watch(_) => core.on_watch_due(io),
-            Party::Listener => {
+        match source {
+            EventSource::Engine => core.on_engine_due(),
+            EventSource::Client(key) => self.front.on_client_due(key, core, io),
+            EventSource::Upstream(key) => core.on_upstream_due(key, io),
+            EventSource::Counter(n, _) => core.on_counter_due(n, io),
+            EventSource::Discovery(_) => core.on_discovery_due(io),
+            EventSource::Listener => {
                 self.front.on_listener_due(io);
-                self.knocking = true;
+                self.accept_pending = true;
             }
-            Party::Report => self.front.on_report_due(),
-            Party::SnapshotSettings => self.on_standing_due(),
-            Party::Members => self.members.iter_mut().for_each(|m| m.on_due(io)),
-            Party::Status => self.on_status_due(),
-            Party::Ready => self.ready_due = None,
-            Party::Drain => self.on_drain_due(),
-            Party::Signal => {}
+            EventSource::AdmissionSummary => self.front.on_summary_due(),
+            EventSource::Snapshot => self.on_standing_due(),
+            EventSource::Membership => self.members.iter_mut().for_each(|m| m.on_due(io)),
+            EventSource::Status => self.on_status_due(),
+            EventSource::Ready => self.ready_due = None,
+            EventSource::Shutdown => self.on_drain_due(),
+            EventSource::Signal => {}
         }
     }
 
     fn on_standing_due(&mut self) {
         self.standing_due = None;
-        self.keeper.write(self.front.controller(), self.io.now);
+        self.keeper.write(self.front.admission(), self.io.now);
         self.keeper.arm(&mut self.standing_due, &mut self.io);
     }
 
@@ -511,13 +527,13 @@
             let at = self.io.now + Duration::from_secs(1);
             self.io
                 .deadlines
-                .set(&mut self.status_due, Some(at), Party::Status);
+                .set(&mut self.status_due, Some(at), EventSource::Status);
         }
     }
 
     /// All is done: what is known of clients is kept for the next start.
     pub fn end(&mut self) {
-        self.keeper.finish(self.front.controller(), self.io.now);
+        self.keeper.finish(self.front.admission(), self.io.now);
     }
 
     fn on_signal(&mut self) {
--- a/crates/ingress/src/program/standing.rs
+++ b/crates/ingress/src/program/standing.rs
@@ -2,7 +2,7 @@
 //! end.
 
 use super::files::{unix_ms, Writer};
-use crate::routing::{Io, Party};
+use crate::routing::{EventSource, Io};
 use roseyard_admission::{AdmissionController, Snapshot};
 use roseyard_operator_config::SnapshotSettings;
 use std::fs;
@@ -77,7 +77,7 @@
             .file
             .as_ref()
             .map(|_| io.now + self.settings.every);
-        io.deadlines.set(due, at, Party::SnapshotSettings);
+        io.deadlines.set(due, at, EventSource::Snapshot);
     }
 
     /// Writes the file, unless the last writing still goes on.
--- a/crates/ingress/src/program/status.rs
+++ b/crates/ingress/src/program/status.rs
@@ -1,7 +1,7 @@
 //! `roseyard-ingress status`: what an ingress wrote of the others, and showing it.
 
 use super::files::{unix_ms, Writer};
-use crate::routing::members::{Members, Status};
+use crate::routing::membership::{MembershipDriver, Status};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -25,7 +25,7 @@
     }
 
     /// Writes what is known now, unless the last writing still goes on.
-    pub fn write(&mut self, members: &Members, now: Duration) {
+    pub fn write(&mut self, members: &MembershipDriver, now: Duration) {
         if self.writer.is_busy() {
             return;
         }
--- a/crates/ingress/src/protocol/http.rs
+++ b/crates/ingress/src/protocol/http.rs
@@ -1,7 +1,6 @@
 //! HTTP/1.1 as a client of the counter and of discovery.
 
-use super::{Malformed, Parsed};
-use crate::limits::Limits;
+use super::{Malformed, Parsed, ProtocolLimits};
 use std::io::Write;
 
 /// How an answer's body is framed.
@@ -27,10 +26,10 @@
 }
 
 /// The head of an answer and its length.
-pub fn head(input: &[u8], limits: &Limits) -> Parsed<Head> {
-    let seen = &input[..input.len().min(limits.line_bytes)];
+pub fn head(input: &[u8], limits: &ProtocolLimits) -> Parsed<Head> {
+    let seen = &input[..input.len().min(limits.max_line_bytes)];
     let Some(end) = seen.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return match input.len() >= limits.line_bytes {
+        return match input.len() >= limits.max_line_bytes {
             true => Err(Malformed("head too long")),
             false => Ok(None),
         };
@@ -60,7 +59,7 @@
             .ok_or(Malformed("header without a colon"))?;
         let value = value.trim();
         if name.eq_ignore_ascii_case("content-length") && found.body == Body::UntilEnd {
-            let length = value.parse().ok().filter(|n| *n <= limits.value_bytes);
+            let length = value.parse().ok().filter(|n| *n <= limits.max_value_bytes);
             found.body = Body::Length(length.ok_or(Malformed("invalid content-length"))?);
         } else if name.eq_ignore_ascii_case("transfer-encoding") && !bare {
             if !value.eq_ignore_ascii_case("chunked") {
@@ -75,7 +74,7 @@
 }
 
 /// One chunk of a chunked body and its length with its frame; an empty one is the last.
-pub fn chunk<'a>(input: &'a [u8], limits: &Limits) -> Parsed<&'a [u8]> {
+pub fn chunk<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<&'a [u8]> {
     let seen = &input[..input.len().min(64)];
     let Some(end) = seen.iter().position(|b| *b == b'\n') else {
         return match seen.len() >= 64 {
@@ -92,7 +91,7 @@
         .filter(|s| !s.is_empty() && s.len() <= 8);
     let size = size.and_then(|s| usize::from_str_radix(s.trim(), 16).ok());
     let size = size
-        .filter(|n| *n <= limits.list_bytes)
+        .filter(|n| *n <= limits.max_list_bytes)
         .ok_or(Malformed("invalid chunk size"))?;
     let start = end + 1;
     let Some(found) = input.get(start..start + size + 2) else {
@@ -106,7 +105,11 @@
 
 /// A whole answer with its body: what the counter sends. `ended`: the other side has ended its
 /// sending, which alone ends a body without a length; a reset does not.
-pub fn answer<'a>(input: &'a [u8], ended: bool, limits: &Limits) -> Parsed<(Head, &'a [u8])> {
+pub fn answer<'a>(
+    input: &'a [u8],
+    ended: bool,
+    limits: &ProtocolLimits,
+) -> Parsed<(Head, &'a [u8])> {
     let Some((found, at)) = head(input, limits)? else {
         return Ok(None);
     };
@@ -153,8 +156,8 @@
 mod tests {
     use super::*;
 
-    fn limits() -> Limits {
-        Limits::of_test(1)
+    fn limits() -> ProtocolLimits {
+        ProtocolLimits::new(192 << 20)
     }
 
     fn parsed(text: &str) -> Result<Option<(u16, String, bool, usize)>, Malformed> {
--- a/crates/ingress/src/protocol/mod.rs
+++ b/crates/ingress/src/protocol/mod.rs
@@ -3,10 +3,13 @@
 
 pub mod command;
 pub mod http;
+mod limits;
 pub mod list;
 pub mod report;
 pub mod resp;
 
+pub use limits::ProtocolLimits;
+
 /// Input that no further bytes can make good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
--- a/crates/ingress/src/protocol/resp.rs
+++ b/crates/ingress/src/protocol/resp.rs
@@ -1,7 +1,6 @@
 //! RESP2: commands of clients, answers of servers.
 
-use super::{Malformed, Parsed};
-use crate::limits::Limits;
+use super::{Malformed, Parsed, ProtocolLimits};
 
 /// A value of an answer; text borrows from the input.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,7 +73,7 @@
 }
 
 /// A command: an array of bulk strings.
-pub fn command<'a>(input: &'a [u8], limits: &Limits) -> Parsed<Words<'a>> {
+pub fn command<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<Words<'a>> {
     let mut words = Words::default();
     match input.first() {
         None => return Ok(None),
@@ -85,7 +84,7 @@
         return Ok(None);
     };
     let count = length(&head[1..])?.unwrap_or(0);
-    if count > limits.words {
+    if count > limits.max_words {
         return Err(Malformed("too many words"));
     }
     for _ in 0..count {
@@ -98,7 +97,7 @@
             return Ok(None);
         };
         let len = length(&head[1..])?.ok_or(Malformed("null in a command"))?;
-        if len > limits.value_bytes {
+        if len > limits.max_value_bytes {
             return Err(Malformed("value too long"));
         }
         let Some((word, next)) = bulk(input, next, len)? else {
@@ -114,11 +113,16 @@
 }
 
 /// An answer.
-pub fn value<'a>(input: &'a [u8], limits: &Limits) -> Parsed<Value<'a>> {
-    nested(input, 0, limits, limits.depth)
+pub fn value<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<Value<'a>> {
+    nested(input, 0, limits, limits.max_depth)
 }
 
-fn nested<'a>(input: &'a [u8], at: usize, limits: &Limits, depth: usize) -> Parsed<Value<'a>> {
+fn nested<'a>(
+    input: &'a [u8],
+    at: usize,
+    limits: &ProtocolLimits,
+    depth: usize,
+) -> Parsed<Value<'a>> {
     let Some(kind) = input.get(at) else {
         return Ok(None);
     };
@@ -126,7 +130,7 @@
         return Err(Malformed("unknown kind of value"));
     }
     let most = if matches!(kind, b'+' | b'-') {
-        limits.line_bytes
+        limits.max_line_bytes
     } else {
         32
     };
@@ -143,7 +147,7 @@
         }
         b'$' => match length(text)? {
             None => Value::Bulk(None),
-            Some(len) if len > limits.value_bytes => return Err(Malformed("value too long")),
+            Some(len) if len > limits.max_value_bytes => return Err(Malformed("value too long")),
             Some(len) => {
                 let Some((word, next)) = bulk(input, at, len)? else {
                     return Ok(None);
@@ -154,7 +158,7 @@
         },
         _ => match length(text)? {
             None => Value::Array(None),
-            Some(count) if count > limits.words => return Err(Malformed("too many values")),
+            Some(count) if count > limits.max_words => return Err(Malformed("too many values")),
             Some(_) if depth == 0 => return Err(Malformed("nested too deep")),
             Some(count) => {
                 let mut values = Vec::with_capacity(count);
--- a/crates/ingress/tests/common/mod.rs
+++ b/crates/ingress/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use roseyard_ingress::clock::Clock;
 use roseyard_ingress::limits::Limits;
 use roseyard_ingress::program::{config::Config, Program};
-use roseyard_ingress::protocol::resp;
+use roseyard_ingress::protocol::{resp, ProtocolLimits};
 use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
 use roseyard_platform_config::PlatformSettings;
 use std::collections::BTreeMap;
@@ -20,17 +20,26 @@
 
 pub(crate) const SETTINGS: &str = include_str!("../settings.json");
 
-/// The limits of an ordinary machine under these settings.
-pub(crate) fn limits() -> Limits {
+/// The parsers' limits in an ingress of the usual size.
+pub(crate) fn limits() -> ProtocolLimits {
+    limits_of(1, 2000).protocol
+}
+
+/// The limits in a tier of so many ingresses, with so many milliseconds of grace for requests to
+/// endpoints that drain.
+pub(crate) fn limits_of(ingresses: u32, drain_grace_ms: u32) -> Limits {
     let operator = OperatorSettings::new(&MachineLimits {
         sockets: 1024,
         allowed: 1024,
     });
-    Limits::new(
-        &operator,
-        192,
-        &PlatformSettings::parse(SETTINGS.as_bytes()).unwrap(),
-    )
+    let settings = SETTINGS
+        .replace("\"Balancers\":1,", &format!("\"Balancers\":{ingresses},"))
+        .replace(
+            "\"StopSendingWithinMs\":2000.0",
+            &format!("\"StopSendingWithinMs\":{drain_grace_ms}.0"),
+        );
+    let settings = PlatformSettings::parse(settings.as_bytes()).unwrap();
+    Limits::new(&operator, 192, &settings)
 }
 
 /// One end of a connection that never blocks.
--- a/crates/testbed/src/scale/events.rs
+++ b/crates/testbed/src/scale/events.rs
@@ -381,7 +381,7 @@
 
 /// All control machines restart, and every ingress opens its watch again.
 fn control(sizes: &[usize], figures: &mut Vec<Figure>) {
-    let longest_wait = list::limits().list_again_most;
+    let longest_wait = list::limits().driver.discovery.max_backoff_rejected;
     // Calls are spread over half of the wait at random.
     let calls = targets::INGRESSES as f64 / longest_wait.mul_f64(0.75).as_secs_f64();
     let whole =
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -22,7 +22,7 @@
     let mut memory = Figure::measured("memory of the ingress", "MiB");
     let mut start = Figure::reckoned("whole list over 10 s of the control budget", "times");
     let (mut held, mut notes) = (Vec::new(), vec![run.shape()]);
-    let bound = limits().list_bytes;
+    let bound = limits().protocol.max_list_bytes;
     for &size in &run.sizes {
         run.progress(&format!("list: {size} servers"));
         let listing = Arc::new(Listing::new(size, run.services));
