--- a/crates/ingress/src/routing/counter_client/connection.rs
+++ b/crates/ingress/src/routing/counter_client/connection.rs
@@ -1,90 +1,42 @@
 //! One connection to the counter: calls that are pipelined on it, and their results in order.
 
+use super::call::{CounterAddress, CounterCall};
 use super::limits::CounterLimits;
 use crate::protocol::http;
 use crate::routing::engine::IngressEngine;
 use crate::routing::event_source::EventSource;
-use crate::routing::io::{Io, READ_BUFFER_BYTES};
-use crate::transport::{Fill, Ready, Stream};
-use roseyard_decision::{CounterKey, CounterResult};
+use crate::routing::io::Io;
+use crate::transport::{Ready, Stream};
+use roseyard_decision::CounterResult;
 use std::collections::VecDeque;
-use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The counter's address, in force from a reload on.
-#[derive(Clone)]
-pub(super) struct CounterAddress {
-    pub(super) address: SocketAddr,
-    /// Counts the addresses that the counter has had.
-    pub(super) epoch: u32,
-    /// The address as a `Host` header.
-    pub(super) host: String,
-}
-
-/// A call, from the request for it to its result.
-pub(super) struct CounterCall {
-    key: CounterKey,
-    amount: f64,
-    time_to_live: Duration,
-    made_at: Duration,
-    /// Position of the call's last byte among those put on the stream, once it is there.
-    end: Option<u64>,
-}
-
-impl CounterCall {
-    pub(super) fn new(
-        key: CounterKey,
-        amount: f64,
-        time_to_live: Duration,
-        now: Duration,
-    ) -> CounterCall {
-        CounterCall {
-            key,
-            amount,
-            time_to_live,
-            made_at: now,
-            end: None,
-        }
-    }
-
-    /// Hands the result to the engine.
-    pub(super) fn complete(
-        &self,
-        result: CounterResult,
-        now: Duration,
-        engine: &mut IngressEngine,
-    ) {
-        let elapsed = now.saturating_sub(self.made_at);
-        engine.on_counter_reply(self.key, result, elapsed);
-    }
-}
-
 /// A connection to the counter, and its successors.
 pub(super) struct CounterConnection {
-    index: u16,
-    limits: CounterLimits,
-    call_timeout: Duration,
-    stream: Option<Stream>,
+    pub(super) index: u16,
+    pub(super) limits: CounterLimits,
+    pub(super) call_timeout: Duration,
+    pub(super) stream: Option<Stream>,
     /// Epoch of the address that the stream leads to.
-    epoch: u32,
+    pub(super) epoch: u32,
     /// Counts the streams: events of one that is closed must not reach its successor.
-    serial: u32,
-    is_established: bool,
-    has_replied: bool,
-    calls: VecDeque<CounterCall>,
+    pub(super) serial: u32,
+    pub(super) is_established: bool,
+    pub(super) has_replied: bool,
+    pub(super) calls: VecDeque<CounterCall>,
     /// Calls at the front that have timed out: completed as unknown, their replies still to come.
-    timed_out: usize,
+    pub(super) timed_out: usize,
     /// Bytes ever put on this stream.
-    bytes_put: u64,
+    pub(super) bytes_put: u64,
     /// When bytes last came, or the first of the pending calls was put on the stream.
-    last_active_at: Duration,
+    pub(super) last_active_at: Duration,
     /// No stream is opened before this time.
-    retry_at: Duration,
+    pub(super) retry_at: Duration,
     /// Since when a reply has been incomplete.
-    reply_part_since: Option<Duration>,
+    pub(super) reply_part_since: Option<Duration>,
     /// The deadline that is set for it.
-    due: Option<Duration>,
-    has_output: bool,
+    pub(super) due: Option<Duration>,
+    pub(super) has_output: bool,
 }
 
 impl CounterConnection {
@@ -229,29 +181,6 @@
         true
     }
 
-    /// Writes what is to be written, and reads what has come.
-    fn exchange(&mut self, ready: Ready, io: &Io, engine: &mut IngressEngine) -> StreamStatus {
-        let Some(stream) = &mut self.stream else {
-            return StreamStatus::Closed;
-        };
-        self.has_output = false;
-        if stream.flush().is_err() {
-            return StreamStatus::Closed;
-        }
-        if !ready.readable {
-            return StreamStatus::Usable;
-        }
-        let max_bytes = self.limits.max_reply_bytes;
-        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
-        if !self.take_replies(filled == Fill::Ended, io.now, engine) {
-            return StreamStatus::OutOfStep;
-        }
-        match filled {
-            Fill::Drained | Fill::Limited => StreamStatus::Usable,
-            Fill::Ended | Fill::Broken => StreamStatus::Closed,
-        }
-    }
-
     /// The stream is of no more use.
     ///
     /// An idle stream that the counter closed, one that is out of step, or one that broke after it
@@ -267,47 +196,6 @@
         self.fail(retry_after, now, engine);
     }
 
-    /// Matches replies to calls, oldest first; `is_ended`: no more follows. False if the stream is
-    /// of no more use.
-    fn take_replies(&mut self, is_ended: bool, now: Duration, engine: &mut IngressEngine) -> bool {
-        let Some(stream) = &mut self.stream else {
-            return false;
-        };
-        loop {
-            let input = stream.input();
-            let ((head, body), length) = match http::answer(input, is_ended, &self.limits.protocol)
-            {
-                Ok(Some(found)) => found,
-                Ok(None) => {
-                    let since = self.reply_part_since.or(Some(now));
-                    self.reply_part_since = since.filter(|_| !input.is_empty());
-                    return input.len() < self.limits.protocol.max_message_bytes();
-                }
-                Err(_) => return false,
-            };
-            let result = result_of(head.status, body);
-            stream.take(length);
-            self.last_active_at = now;
-            self.reply_part_since = None;
-            self.has_replied = true;
-            let Some(result) = result else { continue };
-            let Some(call) = self.calls.pop_front() else {
-                return false;
-            };
-            // A call that has timed out was completed as unknown.
-            if self.timed_out > 0 {
-                self.timed_out -= 1;
-            } else {
-                call.complete(result, now, engine);
-            }
-            // What follows a reply that cannot be understood may be out of step: the next call's
-            // total must not be read out of its rest.
-            if head.closes || result == CounterResult::Unknown {
-                return false;
-            }
-        }
-    }
-
     /// Puts the calls that wait on the stream, if it is established and leads to the address.
     fn put_calls(&mut self, to: &CounterAddress, now: Duration) {
         let is_current = self.is_established && self.epoch == to.epoch;
@@ -374,81 +262,14 @@
         self.has_output = false;
         self.reply_part_since = None;
     }
-
-    /// Completes the calls whose time is over.
-    fn time_out_calls(&mut self, now: Duration, engine: &mut IngressEngine) {
-        while let Some(call) = self.calls.get(self.timed_out) {
-            if call.made_at + self.call_timeout > now {
-                return;
-            }
-            if call.end.is_some() {
-                call.complete(CounterResult::Unknown, now, engine);
-                self.timed_out += 1;
-            } else {
-                // Never put on the stream: nothing was added, and nothing will be.
-                call.complete(CounterResult::NotAdded, now, engine);
-                self.calls.remove(self.timed_out);
-            }
-        }
-    }
-
-    /// Is the stream to be closed for what has not come?
-    fn is_stuck(&self, now: Duration) -> bool {
-        let quiet_for = now.saturating_sub(self.last_active_at);
-        // The counter, or the route to it, may vanish without closing the stream.
-        let is_silent = self.timed_out > 0 && quiet_for >= self.limits.silence_timeout;
-        let is_idle =
-            self.is_established && self.calls.is_empty() && quiet_for >= self.limits.idle_timeout;
-        let is_never_established = self.stream.is_some()
-            && !self.is_established
-            && quiet_for >= self.limits.connect_timeout;
-        // A reply that is shorter than it says would hold up all calls behind it.
-        let is_reply_cut = self
-            .reply_part_since
-            .is_some_and(|since| since + self.limits.reply_part_timeout <= now);
-        is_silent || is_idle || is_never_established || is_reply_cut
-    }
-
-    /// Sets the deadline that comes next.
-    fn arm(&mut self, io: &mut Io) {
-        let oldest = self.calls.get(self.timed_out);
-        let call = oldest.map(|call| call.made_at + self.call_timeout);
-        let silence =
-            (self.timed_out > 0).then_some(self.last_active_at + self.limits.silence_timeout);
-        let idle = (self.is_established && self.calls.is_empty())
-            .then_some(self.last_active_at + self.limits.idle_timeout);
-        let connecting = (self.stream.is_some() && !self.is_established)
-            .then_some(self.last_active_at + self.limits.connect_timeout);
-        let reply_part = self
-            .reply_part_since
-            .map(|since| since + self.limits.reply_part_timeout);
-        let next = [call, silence, idle, connecting, reply_part]
-            .into_iter()
-            .flatten()
-            .min();
-        let source = EventSource::Counter(self.index, 0);
-        io.deadlines.set(&mut self.due, next, source);
-    }
 }
 
 /// What came of using a stream.
 #[derive(Clone, Copy, PartialEq)]
-enum StreamStatus {
+pub(super) enum StreamStatus {
     Usable,
     /// It has ended or is broken.
     Closed,
     /// Replies cannot be matched to calls any more.
     OutOfStep,
 }
-
-/// What a reply says about its call; none if it is not the final one.
-fn result_of(status: u16, body: &[u8]) -> Option<CounterResult> {
-    let text = std::str::from_utf8(body).ok();
-    let total = text.and_then(|text| text.trim().parse::<f64>().ok());
-    match (status, total.filter(|total| total.is_finite())) {
-        (100..=199, _) => None,
-        (200, Some(total)) => Some(CounterResult::Total(total)),
-        (400 | 404 | 503, _) => Some(CounterResult::NotAdded),
-        _ => Some(CounterResult::Unknown),
-    }
-}
--- a/crates/ingress/src/routing/counter_client/mod.rs
+++ b/crates/ingress/src/routing/counter_client/mod.rs
@@ -1,15 +1,24 @@
 //! Calls to the counter: pipelined on a few connections, each key always on the same one, so that
 //! its results come in the order of the calls.
+//!
+//! - `call`: one call
+//! - `connection`: one connection with its calls
+//! - `replies` and `timeouts`: what comes on it, and what does not
+//! - `limits`: the bounds
 
+mod call;
 mod connection;
 mod limits;
+mod replies;
+mod timeouts;
 
 pub use limits::CounterLimits;
 
 use super::engine::IngressEngine;
 use super::io::Io;
 use crate::transport::Ready;
-use connection::{CounterAddress, CounterCall, CounterConnection};
+use call::{CounterAddress, CounterCall};
+use connection::CounterConnection;
 use roseyard_decision::CounterKey;
 use std::net::SocketAddr;
 use std::time::Duration;
--- /dev/null
+++ b/crates/ingress/src/routing/counter_client/replies.rs
@@ -0,0 +1,92 @@
+//! Replies of the counter: read, and matched to the calls of a connection, oldest first.
+
+use super::connection::{CounterConnection, StreamStatus};
+use crate::protocol::http;
+use crate::routing::engine::IngressEngine;
+use crate::routing::io::{Io, READ_BUFFER_BYTES};
+use crate::transport::{Fill, Ready};
+use roseyard_decision::CounterResult;
+use std::time::Duration;
+
+impl CounterConnection {
+    /// Writes what is to be written, and reads what has come.
+    pub(super) fn exchange(
+        &mut self,
+        ready: Ready,
+        io: &Io,
+        engine: &mut IngressEngine,
+    ) -> StreamStatus {
+        let Some(stream) = &mut self.stream else {
+            return StreamStatus::Closed;
+        };
+        self.has_output = false;
+        if stream.flush().is_err() {
+            return StreamStatus::Closed;
+        }
+        if !ready.readable {
+            return StreamStatus::Usable;
+        }
+        let max_bytes = self.limits.max_reply_bytes;
+        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
+        if !self.take_replies(filled == Fill::Ended, io.now, engine) {
+            return StreamStatus::OutOfStep;
+        }
+        match filled {
+            Fill::Drained | Fill::Limited => StreamStatus::Usable,
+            Fill::Ended | Fill::Broken => StreamStatus::Closed,
+        }
+    }
+
+    /// Matches replies to calls, oldest first; `is_ended`: no more follows. False if the stream is
+    /// of no more use.
+    fn take_replies(&mut self, is_ended: bool, now: Duration, engine: &mut IngressEngine) -> bool {
+        let Some(stream) = &mut self.stream else {
+            return false;
+        };
+        loop {
+            let input = stream.input();
+            let ((head, body), length) = match http::answer(input, is_ended, &self.limits.protocol)
+            {
+                Ok(Some(found)) => found,
+                Ok(None) => {
+                    let since = self.reply_part_since.or(Some(now));
+                    self.reply_part_since = since.filter(|_| !input.is_empty());
+                    return input.len() < self.limits.protocol.max_message_bytes();
+                }
+                Err(_) => return false,
+            };
+            let result = result_of(head.status, body);
+            stream.take(length);
+            self.last_active_at = now;
+            self.reply_part_since = None;
+            self.has_replied = true;
+            let Some(result) = result else { continue };
+            let Some(call) = self.calls.pop_front() else {
+                return false;
+            };
+            // A call that has timed out was completed as unknown.
+            if self.timed_out > 0 {
+                self.timed_out -= 1;
+            } else {
+                call.complete(result, now, engine);
+            }
+            // What follows a reply that cannot be understood may be out of step: the next call's
+            // total must not be read out of its rest.
+            if head.closes || result == CounterResult::Unknown {
+                return false;
+            }
+        }
+    }
+}
+
+/// What a reply says about its call; none if it is not the final one.
+fn result_of(status: u16, body: &[u8]) -> Option<CounterResult> {
+    let text = std::str::from_utf8(body).ok();
+    let total = text.and_then(|text| text.trim().parse::<f64>().ok());
+    match (status, total.filter(|total| total.is_finite())) {
+        (100..=199, _) => None,
+        (200, Some(total)) => Some(CounterResult::Total(total)),
+        (400 | 404 | 503, _) => Some(CounterResult::NotAdded),
+        _ => Some(CounterResult::Unknown),
+    }
+}
--- a/crates/ingress/src/routing/discovery/mod.rs
+++ b/crates/ingress/src/routing/discovery/mod.rs
@@ -1,9 +1,9 @@
 //! The watch on discovery: a call whose reply stays open, with a line for each change of the
 //! endpoint list and an empty one every 2 s.
 //!
-//! - [`call`]: one call and its framing
-//! - [`backoff`]: the wait before the next call
-//! - [`limits`]: bounds
+//! - `call`: one call and its framing
+//! - `backoff`: the wait before the next call
+//! - `limits`: the bounds
 
 mod backoff;
 mod call;
--- a/crates/ingress/src/routing/driver.rs
+++ b/crates/ingress/src/routing/driver/mod.rs
@@ -1,55 +1,27 @@
 //! Joins the request engine with the components that carry out its outputs: attempts and health
 //! checks, calls to the counter, and the watch on discovery.
 
-use super::counter_client::{CounterClient, CounterLimits};
-use super::discovery::{DiscoveryLimits, DiscoveryWatch};
+mod events;
+mod start;
+
+pub use start::{DriverLimits, Start};
+
+use super::counter_client::CounterClient;
+use super::discovery::DiscoveryWatch;
 use super::endpoint_list::EndpointListReader;
 use super::engine::{CommandId, CommandResponse, IngressEngine, Submission};
 use super::event_source::EventSource;
 use super::io::Io;
-use super::upstream::{AttemptId, Upstream, UpstreamLimits};
-use crate::clock::Clock;
+use super::upstream::{AttemptId, Upstream};
 use crate::protocol::list::EndpointListMessage;
-use crate::transport::{Key, Ready};
+use crate::transport::Key;
 use roseyard_admission::DescriptorUse;
-use roseyard_decision::{CounterKey, CounterResult, EndpointId, Notice, Settings, SettingsError};
-use roseyard_request_engine::{Directory, EngineLimits, Output, RequestEngine};
+use roseyard_decision::{CounterKey, CounterResult, EndpointId, Notice, SettingsError};
+use roseyard_request_engine::{Directory, Output, RequestEngine};
+use start::start_counter;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Limits of the driver's components.
-#[derive(Clone, Copy, Debug)]
-pub struct DriverLimits {
-    /// Of the requests held.
-    pub engine: EngineLimits,
-    /// Of connections to endpoints.
-    pub upstream: UpstreamLimits,
-    /// Of connections to the counter.
-    pub counter: CounterLimits,
-    /// Of the watch on discovery.
-    pub discovery: DiscoveryLimits,
-}
-
-/// What the driver is started with.
-pub struct Start {
-    /// The decisions' settings.
-    pub settings: Settings,
-    /// Seed of their random numbers.
-    pub seed: u64,
-    /// Names of the zones.
-    pub zones: Vec<String>,
-    /// Services with their routes and endpoints.
-    pub directory: Directory,
-    /// The clock.
-    pub clock: Clock,
-    /// Discovery's address.
-    pub discovery: SocketAddr,
-    /// The counter's address.
-    pub counter: Option<SocketAddr>,
-    /// Limits of the components.
-    pub limits: DriverLimits,
-}
-
 /// The request engine with the components that carry out its outputs.
 pub struct Driver {
     engine: IngressEngine,
@@ -214,57 +186,6 @@
         self.upstream.evict_idle(io)
     }
 
-    /// A connection to an endpoint is ready.
-    pub fn on_upstream_ready(&mut self, key: Key, ready: Ready, io: &mut Io) {
-        self.upstream.on_ready(key, ready, &mut self.engine, io);
-    }
-
-    /// The deadline of a connection to an endpoint has come.
-    pub fn on_upstream_due(&mut self, key: Key, io: &mut Io) {
-        self.upstream.on_due(key, &mut self.engine, io);
-    }
-
-    /// A connection to the counter is ready.
-    pub fn on_counter_ready(&mut self, index: u16, serial: u32, ready: Ready, io: &mut Io) {
-        if let Some(counter) = &mut self.counter {
-            counter.on_ready(index, serial, ready, io, &mut self.engine);
-        }
-    }
-
-    /// The deadline of a connection to the counter has come.
-    pub fn on_counter_due(&mut self, index: u16, io: &mut Io) {
-        if let Some(counter) = &mut self.counter {
-            counter.on_due(index, io, &mut self.engine);
-        }
-    }
-
-    /// A call of the watch on discovery is ready.
-    pub fn on_discovery_ready(&mut self, serial: u32, ready: Ready, io: &mut Io) {
-        let Driver {
-            watch,
-            list_reader,
-            engine,
-            upstream,
-            ..
-        } = self;
-        watch.on_ready(serial, ready, io, &mut |list, io| {
-            list_reader.apply(list, engine, upstream, io);
-        });
-    }
-
-    /// The deadline of the watch on discovery has come.
-    pub fn on_discovery_due(&mut self, io: &mut Io) {
-        let revision = self.list_revision();
-        self.watch.on_due(revision, io.now);
-        self.open_watch(io);
-    }
-
-    /// The engine's timer has come due.
-    pub fn on_engine_due(&mut self) {
-        self.engine_due = None;
-        self.engine.on_due();
-    }
-
     /// Carries out all outputs of the engine, until there is no more.
     pub fn run(&mut self, io: &mut Io) {
         while let Some(output) = self.engine.poll(io.now) {
@@ -338,27 +259,6 @@
     }
 }
 
-/// The client of the counter, if there is one; the settings follow.
-///
-/// The settings' time-out is the simulator's, where a call that is late is never answered. On
-/// sockets a late total still tells what the others use, so a call waits longer here; how long a
-/// request waits for it is a decision.
-fn start_counter(
-    address: Option<SocketAddr>,
-    settings: &mut Settings,
-    limits: CounterLimits,
-) -> Option<CounterClient> {
-    if let Some(counter) = &mut settings.counter {
-        counter.timeout = counter.timeout.max(limits.min_call_timeout);
-    }
-    let timeout = settings.counter.as_ref().map(|counter| counter.timeout);
-    let Some((address, timeout)) = address.zip(timeout) else {
-        settings.counter = None;
-        return None;
-    };
-    Some(CounterClient::new(address, timeout, limits))
-}
-
 fn log_notice(notice: Notice) {
     match notice {
         Notice::EndpointUnresponsive(EndpointId(endpoint)) => {
--- a/crates/ingress/src/routing/frontend/mod.rs
+++ b/crates/ingress/src/routing/frontend/mod.rs
@@ -1,12 +1,12 @@
 //! The platform's frontend: clients' connections, their commands, and the replies in the order of
 //! the commands.
 //!
-//! - [`listener`] and [`accept`]: which connections are accepted
-//! - [`client`]: the state of one connection
-//! - [`input`] and [`commands`]: what clients send
-//! - [`output`] and [`reply`]: what they are sent
-//! - [`timeouts`] and [`shutdown`]: deadlines, and the end of the process
-//! - [`limits`]: bounds
+//! - `listener` and `accept`: which connections are accepted
+//! - `client`: the state of one connection
+//! - `input` and `commands`: what clients send
+//! - `output` and `reply`: what they are sent
+//! - `timeouts` and `shutdown`: deadlines, and the end of the process
+//! - `limits`: the bounds
 
 mod accept;
 mod client;
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -1,12 +1,15 @@
 //! The other ingresses, where the operator configures membership: the socket under the protocol's
 //! state machine. Nothing on a request's path waits for it.
 //!
-//! - [`keys`]: the keys that datagrams are sealed with
-//! - [`status`]: what is stored of the members
+//! - `error`: why it cannot be started
+//! - `keys`: the keys that datagrams are sealed with
+//! - `status`: what is stored of the members
 
+mod error;
 mod keys;
 mod status;
 
+pub use error::MembershipError;
 pub use keys::{KeyFileError, KeyFileReason};
 pub use status::{MemberStatus, Status};
 
@@ -23,7 +26,6 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use thiserror::Error;
 
 /// Datagrams taken in a round; clients are served before the next ones.
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
@@ -35,31 +37,6 @@
 const BURST_DIVISOR: f64 = 5.0;
 const MIN_BURST: f64 = 8.0;
 
-/// Why the membership cannot be started.
-#[derive(Debug, Error)]
-pub enum MembershipError {
-    /// The ingress has a name that the protocol cannot carry.
-    #[error("membership: the name '{name}' is not of 1 to 16 bytes")]
-    InvalidName {
-        /// The name.
-        name: String,
-    },
-    /// A key file cannot be used.
-    #[error(transparent)]
-    KeyFile(#[from] KeyFileError),
-    /// The socket cannot be bound.
-    #[error("membership: listen on {address}: {source}")]
-    Listen {
-        /// The address of the operator's file.
-        address: SocketAddr,
-        /// The system's error.
-        source: std::io::Error,
-    },
-    /// The socket cannot be used.
-    #[error("membership: {0}")]
-    Socket(#[from] std::io::Error),
-}
-
 /// The membership's socket and state machine.
 pub struct MembershipDriver {
     socket: Datagrams,
--- a/crates/ingress/src/routing/upstream/replies.rs
+++ b/crates/ingress/src/routing/upstream/replies.rs
@@ -1,9 +1,10 @@
 //! What endpoints send: it is read, parsed into replies, and each ends the request it answers.
 
+use super::attempts::end_with;
 use super::connection::{ConnectionState, RequestKind, UpstreamRequest};
 use super::decoded_reply::DecodedReply;
 use super::limits::UpstreamLimits;
-use super::{end_with, Upstream};
+use super::Upstream;
 use crate::protocol::resp::{self, Value};
 use crate::routing::engine::IngressEngine;
 use crate::routing::event_source::EventSource;
