--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,9 +1,9 @@
 //! The real ingress around roseyard's decisions.
 //!
 //! Four layers, each knowing only those before it: [`transport`] (epoll, sockets, buffers, tables,
-//! deadlines), [`protocol`] (parsers and encoders), [`routing`] (drives the module; requests and
-//! attempts, the list of servers, the counter, probes) and [`program`] (configuration, start,
-//! signals, log). All sizes, counts and times stand in [`limits`].
+//! deadlines), [`protocol`] (parsers and encoders), [`routing`] (clients, requests and their
+//! attempts, the counter, discovery, membership) and [`program`] (configuration, start, event loop,
+//! signals, log). Bounds stand next to what they bound; [`limits`] computes them all at start.
 
 pub mod clock;
 pub mod limits;
--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -13,28 +13,33 @@
 const MANY: &str = "admission { silent-room 1; once-room 1 }";
 
 /// A client is served by whatever server its request reaches.
-fn served_once(site: &mut Site, client: &mut End, id: u64) {
-    client.send(load(id));
-    let (s, c, _) = site.arrival();
-    site.endpoints[s].ends[c].send(served("v"));
-    site.expect(client, "$1\r\nv\r\n");
+fn served_once(harness: &mut Harness, client: &mut Connection, id: u64) {
+    client.send(read_request(id));
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(client, "$1\r\nv\r\n");
 }
 
 /// Another start of the ingress among the same parties, with the same operator's file.
-fn restart(site: &mut Site, file: &str) {
-    let text = config(&site.counter.party, &site.discovery, &site.endpoints, 64);
+fn restart(harness: &mut Harness, file: &str) {
+    let text = config(
+        &harness.counter.peer,
+        &harness.discovery,
+        &harness.endpoints,
+        64,
+    );
     let config = Config::parse(text.into(), |_| None).unwrap();
     let clock = Clock::start();
-    site.program = Program::start(&config, &operator(file), clock).unwrap();
-    site.now = clock.now();
-    let mut probe = site.client();
-    site.until("it is ready", |_| {
+    harness.program = Program::start(&config, &operator_file(file), clock).unwrap();
+    harness.now = clock.now();
+    let mut probe = harness.connect();
+    harness.run_until("it is ready", |_| {
         probe.send(PING);
         probe.read();
         probe.text().contains("+PONG")
     });
-    probe.hang_up();
-    site.until("nobody is connected", |s| s.program.open().2 == 0);
+    probe.close();
+    harness.run_until("nobody is connected", |s| s.program.open().2 == 0);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -49,20 +54,20 @@
 }
 
 /// One connection of a flood does what its shape says; what stays open is handed back.
-fn flood_once(site: &mut Site, shape: Shape, address: [u8; 4], n: u64) -> Option<End> {
-    let mut end = End::from(address, site.program.address().unwrap());
-    site.advance(1);
+fn flood_once(harness: &mut Harness, shape: Shape, address: [u8; 4], n: u64) -> Option<Connection> {
+    let mut end = Connection::connect_from(address, harness.program.address().unwrap());
+    harness.advance(1);
     match shape {
         Shape::Silent => {}
         Shape::Byte => end.send("*"),
         Shape::ConnectClose => return None,
         Shape::HalfThenClose => {
-            end.send(&load(n)[..30]);
+            end.send(&read_request(n)[..30]);
             return None;
         }
         Shape::OnceThenStay | Shape::Again => end.send(PING),
         // The usual client's own customer, which the settings let have so much and no more.
-        Shape::Pretend => end.send(load(n)),
+        Shape::Pretend => end.send(read_request(n)),
     }
     Some(end)
 }
@@ -82,27 +87,35 @@
         (OnceThenStay, 4000),
         (Again, 4000),
     ] {
-        let mut site = Site::with(1, 64);
-        let mut usual = site.client();
-        served_once(&mut site, &mut usual, 1);
-        served_once(&mut site, &mut usual, 2);
-        let mut held: Vec<End> = Vec::new();
+        let mut harness = Harness::with_sockets(1, 64);
+        let mut usual = harness.connect();
+        served_once(&mut harness, &mut usual, 1);
+        served_once(&mut harness, &mut usual, 2);
+        let mut held: Vec<Connection> = Vec::new();
         for n in 0..700u32 {
             let address = (0x7f40_0001 + n % addresses).to_be_bytes();
-            held.extend(flood_once(&mut site, shape, address, 1000 + u64::from(n)));
+            held.extend(flood_once(
+                &mut harness,
+                shape,
+                address,
+                1000 + u64::from(n),
+            ));
             if matches!(shape, Again) {
                 // Whoever was closed begins again at once.
-                held.iter_mut().for_each(End::read);
-                held.retain(|end| end.open);
+                held.iter_mut().for_each(Connection::read);
+                held.retain(|end| end.is_open);
             }
             if n % 70 == 69 {
                 usual.read();
-                assert!(usual.open, "{shape:?} from {addresses}: closed after {n}");
+                assert!(
+                    usual.is_open,
+                    "{shape:?} from {addresses}: closed after {n}"
+                );
                 usual.send(PING);
-                site.expect(&mut usual, "+PONG\r\n");
+                harness.expect_reply(&mut usual, "+PONG\r\n");
             }
         }
-        let (_, _, clients) = site.program.open();
+        let (_, _, clients) = harness.program.open();
         assert!(
             clients <= 30,
             "{shape:?}: {clients} held under 64 descriptors"
@@ -113,26 +126,30 @@
 #[test]
 fn ten_thousand_connections_from_one_address_hold_no_more_than_its_cap() {
     let file = "admission { by-address #true; per-client 5; rate-client 100 burst=50 }";
-    let mut site = Site::under(1, 64, 192, file);
-    let mut usual = site.client();
-    served_once(&mut site, &mut usual, 1);
-    let to = site.program.address().unwrap();
+    let mut harness = Harness::with_operator_file(1, 64, 192, file);
+    let mut usual = harness.connect();
+    served_once(&mut harness, &mut usual, 1);
+    let to = harness.program.address().unwrap();
     let mut told = 0;
     let mut held = Vec::new();
     for n in 0..10_000 {
-        held.push(End::from([127, 64, 0, 1], to));
+        held.push(Connection::connect_from([127, 64, 0, 1], to));
         if n % 50 == 49 {
-            site.advance(1);
+            harness.advance(1);
             for end in &mut held {
                 end.read();
                 told += usize::from(end.input.starts_with(b"-BUSY "));
             }
-            held.retain(|end| end.open);
+            held.retain(|end| end.is_open);
         }
     }
     assert!(told > 9_000, "{told} were told when to come again");
-    assert!(site.program.open().2 <= 6, "{:?}", site.program.open());
-    served_once(&mut site, &mut usual, 2);
+    assert!(
+        harness.program.open().2 <= 6,
+        "{:?}",
+        harness.program.open()
+    );
+    served_once(&mut harness, &mut usual, 2);
 }
 
 #[test]
@@ -140,46 +157,49 @@
     let path = std::env::temp_dir().join(format!("roseyard-{}-standing", std::process::id()));
     let kept = format!("admission {{ by-address #true; silent-room 1; once-room 1; known-after 2 }}\nstanding {{ file \"{}\"; most 10 }}", path.display());
     for (file, remembers) in [(kept.as_str(), true), (MANY, false)] {
-        let mut site = Site::under(1, 64, 192, file);
-        let mut known = End::from([127, 0, 0, 9], site.program.address().unwrap());
+        let mut harness = Harness::with_operator_file(1, 64, 192, file);
+        let mut known =
+            Connection::connect_from([127, 0, 0, 9], harness.program.address().unwrap());
         for id in 1..4 {
-            served_once(&mut site, &mut known, id);
+            served_once(&mut harness, &mut known, id);
         }
         // It dies; only what it has written down outlasts it.
-        site.program.end();
-        restart(&mut site, file);
-        let mut flood: Vec<End> = (0..30)
-            .map(|n| End::from([127, 64, 0, n], site.program.address().unwrap()))
+        harness.program.end();
+        restart(&mut harness, file);
+        let mut flood: Vec<Connection> = (0..30)
+            .map(|n| Connection::connect_from([127, 64, 0, n], harness.program.address().unwrap()))
             .collect();
         for end in &mut flood {
-            site.advance(1);
+            harness.advance(1);
             end.send(PING);
-            site.expect(end, "+PONG\r\n");
+            harness.expect_reply(end, "+PONG\r\n");
         }
-        assert_eq!(site.program.open().2, 30, "the cap is full");
-        let mut known = End::from([127, 0, 0, 9], site.program.address().unwrap());
-        served_once(&mut site, &mut known, 9);
+        assert_eq!(harness.program.open().2, 30, "the cap is full");
+        let mut known =
+            Connection::connect_from([127, 0, 0, 9], harness.program.address().unwrap());
+        served_once(&mut harness, &mut known, 9);
         // Another hundred come: with the snapshot it is known at once, without it after it has come
         // again.
         if !remembers {
-            served_once(&mut site, &mut known, 10);
+            served_once(&mut harness, &mut known, 10);
         }
         for n in 0..100 {
-            site.advance(5);
-            let mut end = End::from([127, 65, 0, n], site.program.address().unwrap());
+            harness.advance(5);
+            let mut end =
+                Connection::connect_from([127, 65, 0, n], harness.program.address().unwrap());
             end.send(PING);
-            site.expect(&mut end, "+PONG\r\n");
+            harness.expect_reply(&mut end, "+PONG\r\n");
             flood.push(end);
         }
         known.read();
-        assert!(known.open, "remembers: {remembers}");
+        assert!(known.is_open, "remembers: {remembers}");
     }
     // A torn file is passed over, and the ingress starts all the same.
     let whole = std::fs::read(&path).unwrap();
     std::fs::write(&path, &whole[..whole.len() - 3]).unwrap();
-    let mut site = Site::under(1, 64, 192, &kept);
-    let mut client = site.client();
-    served_once(&mut site, &mut client, 1);
+    let mut harness = Harness::with_operator_file(1, 64, 192, &kept);
+    let mut client = harness.connect();
+    served_once(&mut harness, &mut client, 1);
     std::fs::remove_file(&path).unwrap();
 }
 
@@ -188,23 +208,30 @@
     // 30 places, of which 3 are kept.
     let file =
         "admission { by-address #true; reserve 0.1; silent-room 1; once-room 1; known-after 2 }";
-    let mut site = Site::under(1, 64, 192, file);
-    let to = site.program.address().unwrap();
-    let mut known = End::from([127, 0, 0, 9], to);
+    let mut harness = Harness::with_operator_file(1, 64, 192, file);
+    let to = harness.program.address().unwrap();
+    let mut known = Connection::connect_from([127, 0, 0, 9], to);
     for id in 1..4 {
-        served_once(&mut site, &mut known, id);
+        served_once(&mut harness, &mut known, id);
     }
-    known.hang_up();
-    site.until("its end", |s| s.program.open().2 == 0);
+    known.close();
+    harness.run_until("its end", |s| s.program.open().2 == 0);
     // Their requests wait for their totals for as long as the test's clock stands still.
-    site.counter.counting = Counting::Silent;
-    let mut newcomers: Vec<End> = (0..30).map(|n| End::from([127, 64, 0, n], to)).collect();
+    harness.counter.mode = CounterMode::Silent;
+    let mut newcomers: Vec<Connection> = (0..30)
+        .map(|n| Connection::connect_from([127, 64, 0, n], to))
+        .collect();
     let mut refused = 0;
     for (n, end) in newcomers.iter_mut().enumerate() {
         // Customers of their own, so that no quota refuses them.
-        end.send(request_of(500 + n as u64, "API.READ", 100 + n as u64, LOAD));
-        let held = site.program.open().0;
-        site.until("it is held or refused", |s| {
+        end.send(request_of_customer(
+            500 + n as u64,
+            "API.READ",
+            100 + n as u64,
+            READ_FIELDS,
+        ));
+        let held = harness.program.open().0;
+        harness.run_until("it is held or refused", |s| {
             end.read();
             s.program.open().0 > held || !end.input.is_empty()
         });
@@ -214,60 +241,68 @@
         refused, 3,
         "that many may connect but not have requests open"
     );
-    assert_eq!(site.program.open().2, 30);
+    assert_eq!(harness.program.open().2, 30);
     // The listener took a breath when all that rested had just come.
-    site.advance(10);
-    let mut known = End::from([127, 0, 0, 9], to);
+    harness.advance(10);
+    let mut known = Connection::connect_from([127, 0, 0, 9], to);
     known.send(PING);
-    site.expect(&mut known, "+PONG\r\n");
-    assert_eq!(site.program.open().2, 30, "one that rested made room");
+    harness.expect_reply(&mut known, "+PONG\r\n");
+    assert_eq!(harness.program.open().2, 30, "one that rested made room");
 }
 
 #[test]
 fn caps_hold_for_mapped_addresses_and_a_lowered_one_closes_what_rests() {
-    let mut site = Site::under(
+    let mut harness = Harness::with_operator_file(
         1,
         64,
         192,
         "admission { by-address #true; per-neighbourhood 8 }",
     );
-    let text = config(&site.counter.party, &site.discovery, &site.endpoints, 64);
+    let text = config(
+        &harness.counter.peer,
+        &harness.discovery,
+        &harness.endpoints,
+        64,
+    );
     let text = text.replace(
         "\"listen\":\"127.0.0.1:0\"",
         "\"listen\":\"[::ffff:127.0.0.1]:0\"",
     );
     let parsed = || Config::parse(text.clone().into(), |_| None).unwrap();
     let file = |most: usize| {
-        operator(&format!(
+        operator_file(&format!(
             "admission {{ by-address #true; per-neighbourhood {most} }}"
         ))
     };
     let clock = Clock::start();
-    site.program = Program::start(&parsed(), &file(8), clock).unwrap();
-    site.now = clock.now();
+    harness.program = Program::start(&parsed(), &file(8), clock).unwrap();
+    harness.now = clock.now();
     // A listener of the mapped address: whoever comes over IPv4 is seen with a mapped one.
-    let to = std::net::SocketAddr::from(([127, 0, 0, 1], site.program.address().unwrap().port()));
-    let mut ends: Vec<End> = (1..=9).map(|n| End::from([127, 0, 0, n], to)).collect();
+    let to =
+        std::net::SocketAddr::from(([127, 0, 0, 1], harness.program.address().unwrap().port()));
+    let mut ends: Vec<Connection> = (1..=9)
+        .map(|n| Connection::connect_from([127, 0, 0, n], to))
+        .collect();
     let mut ninth = ends.pop().unwrap();
-    site.expect(&mut ninth, "-BUSY 500\r\n");
-    site.ended(&mut ninth);
+    harness.expect_reply(&mut ninth, "-BUSY 500\r\n");
+    harness.run_until_closed(&mut ninth);
     // One has a request out, and a bad file changes nothing.
-    ends[0].send(load(1));
-    let (s, c, _) = site.arrival();
+    ends[0].send(read_request(1));
+    let (s, c, _) = harness.next_request();
     let wrong = roseyard_operator_config::File::parse("roseyard.kdl", "admission { plcaes 3 }")
         .unwrap_err();
-    site.program.reload(Err(wrong.to_string()));
-    assert_eq!(site.program.open().2, 8);
-    site.program.reload(Ok((parsed(), file(3))));
-    site.advance(1);
+    harness.program.reload(Err(wrong.to_string()));
+    assert_eq!(harness.program.open().2, 8);
+    harness.program.reload(Ok((parsed(), file(3))));
+    harness.advance(1);
     assert_eq!(
-        site.program.open().2,
+        harness.program.open().2,
         3,
         "those that rested longest are gone"
     );
-    site.endpoints[s].ends[c].send(served("v"));
-    site.expect(&mut ends[0], "$1\r\nv\r\n");
-    assert!(ends[0].open, "the one with a request out has its answer");
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut ends[0], "$1\r\nv\r\n");
+    assert!(ends[0].is_open, "the one with a request out has its answer");
 }
 
 mod descriptors {
@@ -276,9 +311,9 @@
     use std::io::{BufRead, BufReader};
     use std::process::{Child, Command, Stdio};
 
-    struct Running(Child, std::path::PathBuf);
+    struct ChildProcess(Child, std::path::PathBuf);
 
-    impl Drop for Running {
+    impl Drop for ChildProcess {
         fn drop(&mut self) {
             let _ = self.0.kill();
             let _ = self.0.wait();
@@ -288,25 +323,25 @@
 
     /// The parties around a program that runs by its own clock.
     struct Around {
-        counter: Counter,
-        discovery: Party,
-        endpoints: Vec<Party>,
+        counter: FakeCounter,
+        discovery: Peer,
+        endpoints: Vec<Peer>,
     }
 
     impl Around {
         fn serve(&mut self) {
             self.counter.serve();
             self.discovery.read();
-            for end in &mut self.discovery.ends {
+            for end in &mut self.discovery.connections {
                 if end.input.ends_with(b"\r\n\r\n") {
                     end.input.clear();
                     end.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
                 }
             }
-            self.endpoints.iter_mut().for_each(Party::read);
+            self.endpoints.iter_mut().for_each(Peer::read);
         }
 
-        fn until(&mut self, what: &str, mut come: impl FnMut(&mut Around) -> bool) {
+        fn run_until(&mut self, what: &str, mut come: impl FnMut(&mut Around) -> bool) {
             let start = std::time::Instant::now();
             while !come(self) {
                 self.serve();
@@ -324,14 +359,14 @@
     /// through SIGHUP and SIGTERM.
     #[test]
     fn submits_in_flight_get_one_answer_each_when_descriptors_run_out() {
-        let endpoints: Vec<Party> = (0..3).map(|_| Party::new()).collect();
+        let endpoints: Vec<Peer> = (0..3).map(|_| Peer::new()).collect();
         let mut around = Around {
-            counter: Counter::new(),
-            discovery: Party::new(),
+            counter: FakeCounter::new(),
+            discovery: Peer::new(),
             endpoints,
         };
         let text = config(
-            &around.counter.party,
+            &around.counter.peer,
             &around.discovery,
             &around.endpoints,
             1024,
@@ -344,16 +379,16 @@
             .env("LB_CONFIG", &path)
             .env_remove("LB_DISCOVERY")
             .stderr(Stdio::piped());
-        let mut running = Running(command.spawn().unwrap(), path);
+        let mut running = ChildProcess(command.spawn().unwrap(), path);
         let mut log = BufReader::new(running.0.stderr.take().unwrap());
         let mut line = String::new();
         log.read_line(&mut line).unwrap();
         let to = line.trim().rsplit('=').next().unwrap().parse().unwrap();
         let pid = Pid::from_child(&running.0);
-        let mut clients: Vec<End> = (0..6).map(|_| End::connect(to)).collect();
+        let mut clients: Vec<Connection> = (0..6).map(|_| Connection::connect(to)).collect();
         // As the front does: what is asked before discovery has spoken is refused.
         clients[0].send(PING);
-        around.until("ready", |_| {
+        around.run_until("ready", |_| {
             clients[0].read();
             if clients[0].input.starts_with(b"-LOADING") && clients[0].input.ends_with(b"\n") {
                 clients[0].input.clear();
@@ -363,17 +398,17 @@
         });
         clients[0].input.clear();
         for (n, client) in clients.iter_mut().enumerate() {
-            client.send(request_of(
+            client.send(request_of_customer(
                 500 + n as u64,
                 "API.WRITE",
                 1 + n as u64,
-                SUBMIT,
+                WRITE_FIELDS,
             ));
         }
         let mut out = Vec::new();
-        around.until("six submits", |a| {
+        around.run_until("six submits", |a| {
             for (s, party) in a.endpoints.iter_mut().enumerate() {
-                while let Some((c, words)) = party.command() {
+                while let Some((c, words)) = party.next_command() {
                     if words[0] == "API.WRITE" {
                         out.push((s, c, words[2].clone()));
                     }
@@ -394,37 +429,37 @@
             },
         );
         limit.unwrap();
-        let mut flood: Vec<End> = (0..40).map(|_| End::connect(to)).collect();
-        around.until("some of the flood to be told to come again", |_| {
-            flood.iter_mut().for_each(End::read);
+        let mut flood: Vec<Connection> = (0..40).map(|_| Connection::connect(to)).collect();
+        around.run_until("some of the flood to be told to come again", |_| {
+            flood.iter_mut().for_each(Connection::read);
             flood
                 .iter()
-                .any(|f| f.input.starts_with(b"-BUSY ") || !f.open)
+                .any(|f| f.input.starts_with(b"-BUSY ") || !f.is_open)
         });
         kill_process(pid, Signal::HUP).unwrap();
         for (s, c, _) in &out {
-            around.endpoints[*s].ends[*c].send("-BUSY\r\n");
+            around.endpoints[*s].connections[*c].send("-BUSY\r\n");
         }
         let mut further = 0;
         let mut term = false;
-        around.until("an answer to each submit", |a| {
+        around.run_until("an answer to each submit", |a| {
             for party in &mut a.endpoints {
-                while let Some((c, words)) = party.command() {
+                while let Some((c, words)) = party.next_command() {
                     if words[0] == "API.WRITE" {
                         further += 1;
-                        party.ends[c].send(served("v"));
+                        party.connections[c].send(served_reply("v"));
                     }
                 }
             }
             if further >= 2 && !std::mem::replace(&mut term, true) {
                 kill_process(pid, Signal::TERM).unwrap();
             }
-            clients.iter_mut().for_each(End::read);
+            clients.iter_mut().for_each(Connection::read);
             clients.iter().all(|c| !c.input.is_empty())
         });
-        around.until("the end of each connection", |_| {
-            clients.iter_mut().for_each(End::read);
-            clients.iter().all(|c| !c.open)
+        around.run_until("the end of each connection", |_| {
+            clients.iter_mut().for_each(Connection::read);
+            clients.iter().all(|c| !c.is_open)
         });
         let served = clients.iter().filter(|c| c.text() == "$1\r\nv\r\n").count();
         for client in &clients {
@@ -436,7 +471,7 @@
             served >= 2 && further >= served,
             "links were still opened: {served} served, {further} further attempts"
         );
-        around.until("the end", |_| running.0.try_wait().unwrap().is_some());
+        around.run_until("the end", |_| running.0.try_wait().unwrap().is_some());
         assert_eq!(running.0.wait().unwrap().code(), Some(0));
     }
 }
--- a/crates/ingress/tests/common/running.rs
+++ b/crates/ingress/tests/common/ingress_process.rs
@@ -6,32 +6,32 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-/// The running program; ended with the test, whatever becomes of it.
-pub(crate) struct Running {
+/// The running program; killed when it is dropped.
+pub(crate) struct IngressProcess {
     pub child: Child,
     pub log: BufReader<std::process::ChildStderr>,
     pub address: SocketAddr,
     pub config: std::path::PathBuf,
 }
 
-impl Running {
-    pub(crate) fn start(name: &str, text: &str) -> Running {
+impl IngressProcess {
+    pub(crate) fn start(name: &str, text: &str) -> IngressProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
         command.env_remove("LB_DISCOVERY");
-        Running::start_with(name, text, command)
+        IngressProcess::start_with(name, text, command)
     }
 
-    pub(crate) fn start_with(name: &str, text: &str, command: Command) -> Running {
-        Running::start_when(name, text, command, |_| ())
+    pub(crate) fn start_with(name: &str, text: &str, command: Command) -> IngressProcess {
+        IngressProcess::start_when(name, text, command, |_| ())
     }
 
-    /// Listens only after something has been done.
+    /// Runs `first` on the log before the listening line is awaited.
     pub(crate) fn start_when(
         name: &str,
         text: &str,
         mut command: Command,
         first: impl FnOnce(&mut BufReader<std::process::ChildStderr>),
-    ) -> Running {
+    ) -> IngressProcess {
         let config =
             std::env::temp_dir().join(format!("roseyard-{}-{name}.json", std::process::id()));
         std::fs::write(&config, text).unwrap();
@@ -46,7 +46,7 @@
         first(&mut log);
         let line = line_with(&mut log, "info: listening name=");
         let address = line.rsplit('=').next().unwrap().trim().parse().unwrap();
-        Running {
+        IngressProcess {
             child,
             log,
             address,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for IngressProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -94,7 +94,8 @@
     }
 }
 
-/// Answers each message that ends so with this text, on a thread for each connection.
+/// Replies with this text to each message that ends with these bytes, on a thread for each
+/// connection.
 pub(crate) fn answer_with(listener: TcpListener, ends_with: &'static [u8], text: &'static str) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
--- /dev/null
+++ b/crates/ingress/tests/common/steps.rs
@@ -0,0 +1,45 @@
+//! Steps that many tests share.
+
+use super::connection::Connection;
+use super::harness::Harness;
+use super::messages::served_reply;
+use super::peer::Peer;
+
+/// Serves one request of this client.
+pub(crate) fn serve_request(harness: &mut Harness, client: &mut Connection, command: Vec<u8>) {
+    client.send(command);
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(client, "$1\r\nv\r\n");
+}
+
+/// The only client disconnects, and the ingress has seen it.
+pub(crate) fn disconnect_client(harness: &mut Harness, client: Connection) {
+    drop(client);
+    harness.run_until("the client is disconnected", |s| s.program.open().2 == 0);
+}
+
+/// Has the counter received a call without replying?
+pub(crate) fn has_unanswered_call(harness: &Harness) -> bool {
+    harness
+        .counter
+        .peer
+        .connections
+        .iter()
+        .any(|e| !e.input.is_empty())
+}
+
+/// Checks that no endpoint receives anything for the next half second.
+pub(crate) fn assert_nothing_forwarded(harness: &mut Harness, what: &str) {
+    for _ in 0..10 {
+        harness.advance(50);
+        for _ in 0..3 {
+            harness.run_round();
+        }
+        let sent = harness.endpoints.iter_mut().find_map(Peer::next_command);
+        assert_eq!(
+            sent, None,
+            "{what}: forwarded for a client that has disconnected"
+        );
+    }
+}
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -69,9 +69,10 @@
     }
 }
 
-fn round(site: &mut Site) {
-    let now = site.now;
-    site.program
+fn round(harness: &mut Harness) {
+    let now = harness.now;
+    harness
+        .program
         .round(Some(Duration::from_millis(1)), || now)
         .unwrap();
 }
@@ -79,26 +80,26 @@
 /// Rounds until the party has a connection more; none within this time of the test's clock is a
 /// failure.
 fn until_connected(
-    site: &mut Site,
+    harness: &mut Harness,
     shortage: &mut Shortage,
-    (what, party): (&str, fn(&mut Site) -> &mut Party),
+    (what, party): (&str, fn(&mut Harness) -> &mut Peer),
     most: Duration,
 ) {
-    let (before, since) = (party(site).ends.len(), site.now);
+    let (before, since) = (party(harness).connections.len(), harness.now);
     loop {
         for _ in 0..5 {
-            round(site);
-            shortage.lend(|| party(site).accept());
+            round(harness);
+            shortage.lend(|| party(harness).accept());
         }
-        if party(site).ends.len() > before {
+        if party(harness).connections.len() > before {
             return;
         }
-        let open = site.program.open();
+        let open = harness.program.open();
         assert!(
-            site.now - since < most,
+            harness.now - since < most,
             "no connection to {what} within {most:?}; open: {open:?}"
         );
-        site.now += Duration::from_millis(50);
+        harness.now += Duration::from_millis(50);
     }
 }
 
@@ -108,69 +109,70 @@
 
 #[test]
 fn discovery_counter_and_endpoints_are_reached_though_idle_clients_hold_the_last_descriptor() {
-    let mut site = Site::new(2);
-    site.talks = false;
-    let mut usual = site.client();
+    let mut harness = Harness::new(2);
+    harness.discovery_replies = false;
+    let mut usual = harness.connect();
     usual.send(PING.repeat(2));
-    site.expect(&mut usual, "+PONG\r\n+PONG\r\n");
-    let mut idle: Vec<End> = (0..IDLE).map(|_| site.client()).collect();
+    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    let mut idle: Vec<Connection> = (0..IDLE).map(|_| harness.connect()).collect();
     for client in &mut idle {
         client.send(PING);
-        site.expect(client, "+PONG\r\n");
+        harness.expect_reply(client, "+PONG\r\n");
     }
     // The counter's connections and discovery's are gone, and newcomers wait for what they leave.
-    site.discovery.die();
-    site.counter.party.ends.clear();
-    idle.extend((0..NEWCOMERS).map(|_| site.client()));
+    harness.discovery.stop();
+    harness.counter.peer.connections.clear();
+    idle.extend((0..NEWCOMERS).map(|_| harness.connect()));
     let mut shortage = Shortage::new();
     for _ in 0..10 {
-        site.now += Duration::from_millis(50);
-        round(&mut site);
+        harness.now += Duration::from_millis(50);
+        round(&mut harness);
     }
     assert!(
-        site.program.open().2 < IDLE + NEWCOMERS,
+        harness.program.open().2 < IDLE + NEWCOMERS,
         "there were more clients than descriptors"
     );
-    shortage.lend(|| site.discovery.revive());
+    shortage.lend(|| harness.discovery.restart());
     // A call that broke is made again within half of the grace, 1 s at most.
     until_connected(
-        &mut site,
+        &mut harness,
         &mut shortage,
         ("discovery", |s| &mut s.discovery),
         Duration::from_millis(1050),
     );
-    let news = list(
+    let news = endpoint_list(
         42,
         false,
-        &[target(0, site.endpoints[0].address, "DRAINING")],
+        &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
     );
-    site.discovery
-        .ends
+    harness
+        .discovery
+        .connections
         .last_mut()
         .unwrap()
-        .send(format!("{HEAD}{}", chunk(&news)));
-    while site.program.list_version() == 41 {
-        round(&mut site);
+        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+    while harness.program.list_version() == 41 {
+        round(&mut harness);
     }
-    usual.send(load(1));
+    usual.send(read_request(1));
     until_connected(
-        &mut site,
+        &mut harness,
         &mut shortage,
-        ("the counter", |s| &mut s.counter.party),
+        ("the counter", |s| &mut s.counter.peer),
         Duration::ZERO,
     );
-    while site.counter.calls.is_empty() {
-        round(&mut site);
-        site.counter.serve();
+    while harness.counter.calls.is_empty() {
+        round(&mut harness);
+        harness.counter.serve();
     }
     until_connected(
-        &mut site,
+        &mut harness,
         &mut shortage,
         ("the server", |s| &mut s.endpoints[1]),
         Duration::ZERO,
     );
-    let (endpoint, connection, _) = site.arrival();
-    site.endpoints[endpoint].ends[connection].send(served("v"));
-    site.expect(&mut usual, "$1\r\nv\r\n");
-    assert_eq!((endpoint, site.counter.calls.len()), (1, 1));
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+    assert_eq!((endpoint, harness.counter.calls.len()), (1, 1));
 }
--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -12,23 +12,23 @@
 /// newcomers.
 #[test]
 fn newcomers_do_not_take_the_descriptors_of_further_attempts() {
-    let mut site = Site::new(3);
-    let to = site.program.address().unwrap();
-    let mut clients: Vec<End> = (0..6).map(|_| End::connect(to)).collect();
+    let mut harness = Harness::new(3);
+    let to = harness.program.address().unwrap();
+    let mut clients: Vec<Connection> = (0..6).map(|_| Connection::connect(to)).collect();
     let mut out = Vec::new();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(request_of(
+        client.send(request_of_customer(
             500 + n as u64,
             "API.WRITE",
             1 + n as u64,
-            SUBMIT,
+            WRITE_FIELDS,
         ));
-        out.push(site.arrival());
+        out.push(harness.next_request());
     }
     // In this order the ingress hears of the answers first.
     out.iter()
-        .for_each(|(s, c, _)| site.endpoints[*s].ends[*c].send("-BUSY\r\n"));
-    let flood: Vec<End> = (0..12).map(|_| End::connect(to)).collect();
+        .for_each(|(s, c, _)| harness.endpoints[*s].connections[*c].send("-BUSY\r\n"));
+    let flood: Vec<Connection> = (0..12).map(|_| Connection::connect(to)).collect();
     let before = getrlimit(Resource::Nofile);
     let open = std::fs::read_dir("/proc/self/fd").unwrap();
     let highest = open
@@ -51,20 +51,21 @@
     )
     .unwrap();
     let filling: Vec<_> = std::iter::from_fn(|| std::fs::File::open("/dev/null").ok()).collect();
-    let now = site.now;
-    site.program
+    let now = harness.now;
+    harness
+        .program
         .round(Some(Duration::from_millis(1)), || now)
         .unwrap();
     setrlimit(Resource::Nofile, before).unwrap();
     drop(filling);
     // As many as the budget of further attempts pays for after six requests.
     for n in 0..2 {
-        let (s, c, words) = site.arrival();
+        let (s, c, words) = harness.next_request();
         assert_eq!(words[0], "API.WRITE", "further attempt {n}");
-        site.endpoints[s].ends[c].send(served("v"));
+        harness.endpoints[s].connections[c].send(served_reply("v"));
     }
-    site.until("an answer to each submit", |_| {
-        clients.iter_mut().for_each(End::read);
+    harness.run_until("an answer to each submit", |_| {
+        clients.iter_mut().for_each(Connection::read);
         clients.iter().all(|c| !c.input.is_empty())
     });
     let served = clients.iter().filter(|c| c.text() == "$1\r\nv\r\n").count();
--- a/crates/ingress/tests/process.rs
+++ b/crates/ingress/tests/process.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::running::{answer_with, line_with, Running};
+use common::ingress_process::{answer_with, line_with, IngressProcess};
 use common::*;
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -11,31 +11,31 @@
 
 #[test]
 fn the_program_serves_a_request_and_ends_well_on_sigterm() {
-    let (endpoint, counter, discovery) = (Party::new(), Party::new(), Party::new());
+    let (endpoint, counter, discovery) = (Peer::new(), Peer::new(), Peer::new());
     let text = config(&counter, &discovery, std::slice::from_ref(&endpoint), 1024);
     answer_with(
-        endpoint.blocking(),
+        endpoint.blocking_listener(),
         b"first=0\r\n",
         "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n",
     );
     answer_with(
-        counter.blocking(),
+        counter.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
     );
     answer_with(
-        discovery.blocking(),
+        discovery.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n",
     );
-    let mut running = Running::start("serves", &text);
+    let mut running = IngressProcess::start("serves", &text);
     line_with(&mut running.log, "info: ready");
     let mut client = running.connect();
     client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     let mut pong = [0; 7];
     client.read_exact(&mut pong).unwrap();
     assert_eq!(&pong, b"+PONG\r\n");
-    client.write_all(&load(1)).unwrap();
+    client.write_all(&read_request(1)).unwrap();
     let mut value = [0; 8];
     client.read_exact(&mut value).unwrap();
     assert_eq!(&value, b"$2\r\nhi\r\n");
@@ -52,16 +52,16 @@
 
 #[test]
 fn sighup_rereads_the_file_over_the_start_s_discovery_and_a_bad_file_changes_nothing() {
-    let (counter, discovery) = (Party::new(), Party::new());
+    let (counter, discovery) = (Peer::new(), Peer::new());
     let text = config(&counter, &discovery, &[], 1024);
     let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
     command.env("LB_DISCOVERY", discovery.address.to_string());
-    let mut running = Running::start_with("reload", &text, command);
+    let mut running = IngressProcess::start_with("reload", &text, command);
     let half = &text[..text.len() / 2];
     std::fs::write(&running.config, half).unwrap();
     running.signal(Signal::HUP);
     line_with(&mut running.log, "warn: configuration rejected");
-    let moved = Party::new();
+    let moved = Peer::new();
     std::fs::write(&running.config, config(&counter, &moved, &[], 1024)).unwrap();
     for _ in 0..2 {
         running.signal(Signal::HUP);
@@ -70,7 +70,7 @@
             &format!("info: configuration reloaded discovery={}", moved.address),
         );
     }
-    moved.blocking().accept().unwrap();
+    moved.blocking_listener().accept().unwrap();
     running.signal(Signal::HUP);
     assert_eq!(
         running.terminate().code(),
@@ -81,7 +81,7 @@
 
 #[test]
 fn sighup_puts_services_in_force_and_a_mistake_in_them_is_named_and_keeps_the_old_ones() {
-    let (counter, discovery) = (Party::new(), Party::new());
+    let (counter, discovery) = (Peer::new(), Peer::new());
     let settings =
         std::env::temp_dir().join(format!("roseyard-{}-services.kdl", std::process::id()));
     let services =
@@ -92,7 +92,7 @@
         .env_remove("LB_DISCOVERY")
         .env("ROSEYARD_SETTINGS", &settings);
     let text = config(&counter, &discovery, &[], 1024);
-    let mut running = Running::start_with("services", &text, command);
+    let mut running = IngressProcess::start_with("services", &text, command);
     std::fs::write(
         &settings,
         services.replace("service=\"x\"", "service=\"y\""),
@@ -116,7 +116,7 @@
 
 #[test]
 fn without_descriptors_left_connections_between_requests_make_room() {
-    let (counter, discovery) = (Party::new(), Party::new());
+    let (counter, discovery) = (Peer::new(), Peer::new());
     // The configuration promises more than the system gives.
     let text = config(&counter, &discovery, &[], 1024);
     let mut shell = Command::new("/bin/sh");
@@ -125,7 +125,7 @@
         "ulimit -n 32; exec \"$0\"",
         env!("CARGO_BIN_EXE_roseyard-ingress"),
     ]);
-    let mut running = Running::start_with("descriptors", &text, shell);
+    let mut running = IngressProcess::start_with("descriptors", &text, shell);
     line_with(&mut running.log, "info: ready");
     let mut clients = Vec::new();
     for _ in 0..50 {
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_start_beside_a_process_that_still_listens_waits_for_its_address() {
-    let (counter, discovery) = (Party::new(), Party::new());
+    let (counter, discovery) = (Peer::new(), Peer::new());
     let before = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = before.local_addr().unwrap();
     let text = config(&counter, &discovery, &[], 1024);
@@ -153,7 +153,7 @@
     let mut before = Some(before);
     let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
     command.env_remove("LB_DISCOVERY");
-    let mut running = Running::start_when("address", &text, command, |log| {
+    let mut running = IngressProcess::start_when("address", &text, command, |log| {
         line_with(log, "address in use, retrying address=");
         before = None;
     });
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -46,15 +46,15 @@
         steps in prop::collection::vec(step(), 1..60),
     ) {
         // Enough servers that none of the few requests is refused for load.
-        let mut site = Site::new(4);
-        let mut client = site.client();
+        let mut harness = Harness::new(4);
+        let mut client = harness.connect();
         let mut said = Vec::new();
         let mut ends = Vec::new();
         let mut model = Vec::new();
         for (id, ping) in kinds.iter().enumerate() {
             match ping {
                 true => said.extend(b"*1\r\n$4\r\nPING\r\n"),
-                false => said.extend(request("API.WRITE", id as u64, SUBMIT)),
+                false => said.extend(request("API.WRITE", id as u64, WRITE_FIELDS)),
             }
             ends.push(said.len());
             model.push(ping.then(|| "+PONG\r\n".to_owned()));
@@ -73,24 +73,24 @@
             // Every request that is whole reaches the server.
             let whole = ends.iter().zip(&kinds).filter(|(end, ping)| **end <= written && !**ping).count();
             while out.len() + decided(&model, &kinds) < whole {
-                let (s, c, words) = site.arrival();
+                let (s, c, words) = harness.next_request();
                 let id = usize::from_str_radix(&words[2], 16).unwrap();
                 prop_assert!(out.insert((s, c), id).is_none(), "two attempts on one connection");
             }
             let pick = |n: usize| out.iter().nth(n).map(|(c, id)| (*c, *id));
             match step {
                 Step::Serve(n) => if let Some(((s, c), id)) = pick(n) {
-                    site.endpoints[s].ends[c].send(served(&id.to_string()));
+                    harness.endpoints[s].connections[c].send(served_reply(&id.to_string()));
                     model[id] = Some(format!("$1\r\n{id}\r\n"));
                     out.remove(&(s, c));
                 },
                 Step::TurnAway(n) => if let Some(((s, c), id)) = pick(n) {
-                    site.endpoints[s].ends[c].send("-ERR failed\r\n");
+                    harness.endpoints[s].connections[c].send("-ERR failed\r\n");
                     model[id] = Some("-ERR failed\r\n".to_owned());
                     out.remove(&(s, c));
                 },
                 Step::Break(n) => if let Some(((s, c), id)) = pick(n) {
-                    site.endpoints[s].ends[c].hang_up();
+                    harness.endpoints[s].connections[c].close();
                     model[id] = Some("-ERR failed\r\n".to_owned());
                     out.remove(&(s, c));
                 },
@@ -98,14 +98,14 @@
             }
             let whole = ends.iter().filter(|end| **end <= written).count();
             let text = front(&model[..whole]);
-            site.until("the answers", |_| {
+            harness.run_until("the answers", |_| {
                 client.read();
                 client.input.len() >= text.len()
             });
             prop_assert_eq!(client.text(), text);
         }
         prop_assert!(model.iter().all(Option::is_some));
-        prop_assert_eq!(site.program.open().0, 0);
+        prop_assert_eq!(harness.program.open().0, 0);
     }
 }
 
--- a/crates/ingress/tests/quotas.rs
+++ b/crates/ingress/tests/quotas.rs
@@ -63,11 +63,11 @@
 
 struct Fleet {
     programs: Vec<Program>,
-    clients: Vec<End>,
-    counter: Counter,
+    clients: Vec<Connection>,
+    counter: FakeCounter,
     born: BTreeMap<String, Duration>,
-    discovery: Party,
-    endpoints: Vec<Party>,
+    discovery: Peer,
+    endpoints: Vec<Peer>,
     clock: Clock,
     now: Duration,
 }
@@ -78,36 +78,38 @@
         let mut fleet = Fleet {
             programs: Vec::new(),
             clients: Vec::new(),
-            counter: Counter::new(),
+            counter: FakeCounter::new(),
             born: BTreeMap::new(),
-            discovery: Party::new(),
-            endpoints: (0..3).map(|_| Party::new()).collect(),
+            discovery: Peer::new(),
+            endpoints: (0..3).map(|_| Peer::new()).collect(),
             clock,
             now: clock.now(),
         };
         for n in 0..INGRESSES {
             let program = fleet.start(n, 0);
-            fleet.clients.push(End::connect(program.address().unwrap()));
+            fleet
+                .clients
+                .push(Connection::connect(program.address().unwrap()));
             fleet.programs.push(program);
         }
         fleet
     }
 
     fn start(&self, n: usize, life: usize) -> Program {
-        let text = config(&self.counter.party, &self.discovery, &self.endpoints, 1024)
+        let text = config(&self.counter.peer, &self.discovery, &self.endpoints, 1024)
             .replace(
                 "\"Balancers\":1,\"Me\":0",
                 &format!("\"Balancers\":{INGRESSES},\"Me\":{n}"),
             )
             .replace("0123456789abcdef", &format!("{:016x}", 77 + 10 * n + life));
         let config = Config::parse(text.into(), |_| None).unwrap();
-        Program::start(&config, &operator(""), self.clock).unwrap()
+        Program::start(&config, &operator_file(""), self.clock).unwrap()
     }
 
     /// It dies, and comes back with nothing but its list.
     fn restart(&mut self, n: usize) {
         self.programs[n] = self.start(n, 1);
-        self.clients[n] = End::connect(self.programs[n].address().unwrap());
+        self.clients[n] = Connection::connect(self.programs[n].address().unwrap());
     }
 
     /// Everybody does what is to be done now; customers whose requests reached a server.
@@ -128,7 +130,7 @@
             self.born.entry(name.clone()).or_insert(now);
         }
         self.discovery.read();
-        for end in &mut self.discovery.ends {
+        for end in &mut self.discovery.connections {
             if let Some(at) = end.input.windows(4).position(|w| w == b"\r\n\r\n") {
                 end.input.drain(..at + 4);
                 end.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
@@ -136,12 +138,12 @@
         }
         for endpoint in &mut self.endpoints {
             endpoint.read();
-            while let Some((c, words)) = endpoint.command() {
+            while let Some((c, words)) = endpoint.next_command() {
                 reached.push(u64::from_str_radix(&words[1], 16).unwrap());
-                endpoint.ends[c].send(served("v"));
+                endpoint.connections[c].send(served_reply("v"));
             }
         }
-        self.clients.iter_mut().for_each(End::read);
+        self.clients.iter_mut().for_each(Connection::read);
     }
 }
 
@@ -176,17 +178,17 @@
         let is = |at: u64| t >= Duration::from_secs(at) && t < Duration::from_secs(at) + STEP;
         match trouble {
             Trouble::Restart if is(12) || is(26) => fleet.restart(usize::from(is(26))),
-            Trouble::SilentCounter if is(15) => fleet.counter.counting = Counting::Silent,
-            Trouble::SilentCounter if is(18) => fleet.counter.counting = Counting::Answers,
+            Trouble::SilentCounter if is(15) => fleet.counter.mode = CounterMode::Silent,
+            Trouble::SilentCounter if is(18) => fleet.counter.mode = CounterMode::Replies,
             _ => {}
         }
         if fleet.now >= told + Duration::from_secs(2) {
             told = fleet.now;
             fleet
                 .discovery
-                .ends
+                .connections
                 .iter_mut()
-                .filter(|e| e.open)
+                .filter(|e| e.is_open)
                 .for_each(|e| e.send("1\r\n\n\r\n"));
         }
         for customer in 0..CUSTOMERS {
@@ -200,7 +202,7 @@
                 rng.usize(0..INGRESSES)
             };
             let list = "c=form-load,t=seedling,d=3000,units=1,spread=3,first=0";
-            fleet.clients[door].send(request_of(customer, "API.READ", id, list));
+            fleet.clients[door].send(request_of_customer(customer, "API.READ", id, list));
             id += 1;
             tally.offered += f64::from(u8::from(asked.get_mut(&customer).unwrap().take(t)));
         }
--- a/crates/ingress/tests/services.rs
+++ b/crates/ingress/tests/services.rs
@@ -17,8 +17,8 @@
 }
 ";
 
-fn site(file: &str) -> Site {
-    Site::under(2, 1024, 192, file)
+fn harness(file: &str) -> Harness {
+    Harness::with_operator_file(2, 1024, 192, file)
 }
 
 /// A request with this list of names and values, of a customer of its own: no quota is in the way.
@@ -28,12 +28,12 @@
     } else {
         "API.READ"
     };
-    request_of(0x1000 + id, name, id, list)
+    request_of_customer(0x1000 + id, name, id, list)
 }
 
 /// A request that may be repeated, with this route.
 fn routed(id: u64, route: &str) -> Vec<u8> {
-    alone(id, &format!("{LOAD},route={route}"))
+    alone(id, &format!("{READ_FIELDS},route={route}"))
 }
 
 /// The number of a request that has come to a server.
@@ -42,31 +42,37 @@
 }
 
 /// The ingress reads this file of the operator's again.
-fn reload(site: &mut Site, file: &str) {
-    let text = config(&site.counter.party, &site.discovery, &site.endpoints, 1024);
+fn reload(harness: &mut Harness, file: &str) {
+    let text = config(
+        &harness.counter.peer,
+        &harness.discovery,
+        &harness.endpoints,
+        1024,
+    );
     let file = File::parse("roseyard.kdl", file).map_err(|wrong| wrong.to_string());
     let config = Config::parse(text.into(), |_| None);
-    site.program
+    harness
+        .program
         .reload(config.and_then(|config| Ok((config, file?))));
 }
 
 /// Sends a request and answers it; the server that it came to.
-fn endpoint_of(site: &mut Site, client: &mut End, command: Vec<u8>) -> usize {
+fn endpoint_of(harness: &mut Harness, client: &mut Connection, command: Vec<u8>) -> usize {
     client.send(command);
-    let (endpoint, connection, _) = site.arrival();
-    site.endpoints[endpoint].ends[connection].send(served("v"));
-    site.expect(client, "$1\r\nv\r\n");
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
+    harness.expect_reply(client, "$1\r\nv\r\n");
     endpoint
 }
 
 #[test]
 fn each_service_gets_the_requests_of_its_routes_alone() {
-    let mut site = site(TWO);
-    let mut client = site.client();
+    let mut harness = harness(TWO);
+    let mut client = harness.connect();
     for id in 0..40 {
         let (route, endpoint) = if id % 3 == 0 { ("a", 0) } else { ("eu/b", 1) };
         assert_eq!(
-            endpoint_of(&mut site, &mut client, routed(id, route)),
+            endpoint_of(&mut harness, &mut client, routed(id, route)),
             endpoint,
             "request {id}"
         );
@@ -75,44 +81,44 @@
 
 #[test]
 fn the_route_goes_to_the_endpoint_with_the_rest_of_the_list() {
-    let mut site = site(TWO);
-    let mut client = site.client();
+    let mut harness = harness(TWO);
+    let mut client = harness.connect();
     client.send(routed(1, "eu/b"));
-    let (_, _, words) = site.arrival();
+    let (_, _, words) = harness.next_request();
     assert!(words[3].ends_with(",route=eu/b"), "{}", words[3]);
 }
 
 #[test]
 fn a_request_whose_service_is_not_known_is_told_so_and_nothing_is_counted() {
-    let mut site = site(TWO);
+    let mut harness = harness(TWO);
     let long = "x".repeat(129);
-    let mut client = site.client();
+    let mut client = harness.connect();
     for (command, said) in [
         (routed(1, "odd"), "-ERR unknown route\r\n"),
         (routed(2, "A"), "-ERR unknown route\r\n"),
-        (load(3), "-ERR route is missing\r\n"),
+        (read_request(3), "-ERR route is missing\r\n"),
         (routed(4, ""), "-ERR invalid route\r\n"),
         (routed(5, &long), "-ERR invalid route\r\n"),
         (
-            request("API.READ", 6, &format!("route=a,{LOAD},route=a")),
+            request("API.READ", 6, &format!("route=a,{READ_FIELDS},route=a")),
             "-ERR invalid route\r\n",
         ),
     ] {
         client.send(command);
-        site.expect(&mut client, said);
+        harness.expect_reply(&mut client, said);
     }
-    assert_eq!(site.program.open().0, 0);
+    assert_eq!(harness.program.open().0, 0);
     assert!(
-        site.counter.calls.is_empty(),
+        harness.counter.calls.is_empty(),
         "counted: {:?}",
-        site.counter.calls
+        harness.counter.calls
     );
-    assert!(site
+    assert!(harness
         .endpoints
         .iter_mut()
-        .all(|endpoint| endpoint.command().is_none()));
+        .all(|endpoint| endpoint.next_command().is_none()));
     assert_eq!(
-        endpoint_of(&mut site, &mut client, routed(7, "a")),
+        endpoint_of(&mut harness, &mut client, routed(7, "a")),
         0,
         "the connection goes on"
     );
@@ -120,28 +126,34 @@
 
 #[test]
 fn requests_without_a_route_and_endpoints_that_no_line_names_are_the_default_s() {
-    let mut site = site(&TWO.replace(
+    let mut harness = harness(&TWO.replace(
         "service \"forms\" { servers \"s-0\" }",
         "default \"forms\"; service \"forms\"",
     ));
-    let mut client = site.client();
+    let mut client = harness.connect();
     for id in 0..10 {
-        assert_eq!(endpoint_of(&mut site, &mut client, alone(id, LOAD)), 0);
+        assert_eq!(
+            endpoint_of(&mut harness, &mut client, alone(id, READ_FIELDS)),
+            0
+        );
     }
-    assert_eq!(endpoint_of(&mut site, &mut client, routed(10, "eu/b")), 1);
+    assert_eq!(
+        endpoint_of(&mut harness, &mut client, routed(10, "eu/b")),
+        1
+    );
     client.send(routed(11, "odd"));
-    site.expect(&mut client, "-ERR unknown route\r\n");
+    harness.expect_reply(&mut client, "-ERR unknown route\r\n");
 }
 
 #[test]
 fn a_service_whose_endpoints_have_left_harms_no_other() {
-    let mut site = site(TWO);
-    let (mut client, mut other) = (site.client(), site.client());
-    site.tell(42, &[(0, "DELETED")]);
-    site.until("the list", |s| s.program.list_version() == 42);
+    let mut harness = harness(TWO);
+    let (mut client, mut other) = (harness.connect(), harness.connect());
+    harness.send_endpoint_states(42, &[(0, "DELETED")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
     client.send(routed(1, "a"));
     for id in 2..12 {
-        assert_eq!(endpoint_of(&mut site, &mut other, routed(id, "eu/b")), 1);
+        assert_eq!(endpoint_of(&mut harness, &mut other, routed(id, "eu/b")), 1);
     }
     client.read();
     assert!(
@@ -149,18 +161,18 @@
         "no server of another service has answered: {}",
         client.text()
     );
-    assert!(site.endpoints[0].command().is_none());
+    assert!(harness.endpoints[0].next_command().is_none());
 }
 
 /// Waits for the next command at any server; the client must not have been answered before.
-fn arrival(site: &mut Site, client: &mut End) -> (usize, usize, Vec<String>) {
+fn arrival(harness: &mut Harness, client: &mut Connection) -> (usize, usize, Vec<String>) {
     let mut found = None;
-    site.until("a command at a server", |s| {
+    harness.run_until("a command at a server", |s| {
         found = s
             .endpoints
             .iter_mut()
             .enumerate()
-            .find_map(|(n, p)| p.command().map(|(c, w)| (n, c, w)));
+            .find_map(|(n, p)| p.next_command().map(|(c, w)| (n, c, w)));
         client.read();
         assert!(
             found.is_some() || client.text().is_empty(),
@@ -176,18 +188,23 @@
 /// who sent them, and where they arrived.
 #[derive(Default)]
 struct Out {
-    clients: BTreeMap<u64, End>,
+    clients: BTreeMap<u64, Connection>,
     arrived: BTreeMap<u64, (usize, usize)>,
 }
 
 impl Out {
     /// Each from a client of its own, one after the other; returns the servers that they came to.
-    fn send(&mut self, site: &mut Site, ids: std::ops::Range<u64>, list: &str) -> BTreeSet<usize> {
+    fn send(
+        &mut self,
+        harness: &mut Harness,
+        ids: std::ops::Range<u64>,
+        list: &str,
+    ) -> BTreeSet<usize> {
         let mut endpoints = BTreeSet::new();
         for id in ids {
-            let mut client = site.client();
+            let mut client = harness.connect();
             client.send(alone(id, list));
-            let (endpoint, connection, words) = arrival(site, &mut client);
+            let (endpoint, connection, words) = arrival(harness, &mut client);
             self.clients.insert(id, client);
             assert_eq!(number(&words), id);
             assert_eq!(
@@ -201,19 +218,21 @@
     }
 
     /// All are answered, and each client has its own answer, once.
-    fn answer(mut self, site: &mut Site) {
+    fn answer(mut self, harness: &mut Harness) {
         for (id, (endpoint, connection)) in &self.arrived {
-            site.endpoints[*endpoint].ends[*connection].send(served(&format!("{id:04}")));
+            harness.endpoints[*endpoint].connections[*connection]
+                .send(served_reply(&format!("{id:04}")));
         }
         for (id, client) in &mut self.clients {
-            site.expect(client, &format!("$4\r\n{id:04}\r\n"));
+            harness.expect_reply(client, &format!("$4\r\n{id:04}\r\n"));
         }
-        assert_eq!(site.program.open().0, 0, "nothing is held any more");
-        site.advance(5000);
+        assert_eq!(harness.program.open().0, 0, "nothing is held any more");
+        harness.advance(5000);
         assert!(
-            site.endpoints
+            harness
+                .endpoints
                 .iter_mut()
-                .all(|endpoint| endpoint.command().is_none()),
+                .all(|endpoint| endpoint.next_command().is_none()),
             "none was repeated"
         );
         for (id, client) in &mut self.clients {
@@ -225,65 +244,68 @@
 
 #[test]
 fn a_route_that_is_moved_while_requests_are_out_loses_none_and_repeats_none() {
-    let mut site = site(TWO);
-    let read = format!("{LOAD},route=a");
-    let write = format!("{SUBMIT},route=a");
+    let mut harness = harness(TWO);
+    let read = format!("{READ_FIELDS},route=a");
+    let write = format!("{WRITE_FIELDS},route=a");
     let mut out = Out::default();
-    assert_eq!(out.send(&mut site, 0..2, &read), [0].into());
-    assert_eq!(out.send(&mut site, 2..3, &write), [0].into());
+    assert_eq!(out.send(&mut harness, 0..2, &read), [0].into());
+    assert_eq!(out.send(&mut harness, 2..3, &write), [0].into());
     reload(
-        &mut site,
+        &mut harness,
         &TWO.replace(
             "route \"a\" service=\"forms\"",
             "route \"a\" service=\"orders\"",
         ),
     );
     assert_eq!(
-        out.send(&mut site, 3..5, &read),
+        out.send(&mut harness, 3..5, &read),
         [1].into(),
         "new ones go by the new file"
     );
-    assert_eq!(out.send(&mut site, 5..6, &write), [1].into());
-    out.answer(&mut site);
+    assert_eq!(out.send(&mut harness, 5..6, &write), [1].into());
+    out.answer(&mut harness);
 }
 
 #[test]
 fn endpoints_that_are_moved_while_requests_are_out_lose_none_and_repeat_none() {
-    let mut site = site(TWO);
-    let (a, b) = (format!("{LOAD},route=a"), format!("{LOAD},route=eu/b"));
+    let mut harness = harness(TWO);
+    let (a, b) = (
+        format!("{READ_FIELDS},route=a"),
+        format!("{READ_FIELDS},route=eu/b"),
+    );
     let mut out = Out::default();
-    assert_eq!(out.send(&mut site, 0..2, &a), [0].into());
-    assert_eq!(out.send(&mut site, 2..4, &b), [1].into());
+    assert_eq!(out.send(&mut harness, 0..2, &a), [0].into());
+    assert_eq!(out.send(&mut harness, 2..4, &b), [1].into());
     let exchanged = TWO
         .replace("s-0", "s-x")
         .replace("s-1", "s-0")
         .replace("s-x", "s-1");
-    reload(&mut site, &exchanged);
-    assert_eq!(out.send(&mut site, 4..5, &a), [1].into());
-    assert_eq!(out.send(&mut site, 5..6, &b), [0].into());
-    out.answer(&mut site);
+    reload(&mut harness, &exchanged);
+    assert_eq!(out.send(&mut harness, 4..5, &a), [1].into());
+    assert_eq!(out.send(&mut harness, 5..6, &b), [0].into());
+    out.answer(&mut harness);
 }
 
 #[test]
 fn services_come_and_go_by_a_reload_while_requests_are_out() {
-    let mut site = site("");
+    let mut harness = harness("");
     let mut out = Out::default();
     // What the platform does not read is passed over: without the section a route is nothing.
-    out.send(&mut site, 0..1, &format!("{LOAD},route=odd"));
-    reload(&mut site, TWO);
+    out.send(&mut harness, 0..1, &format!("{READ_FIELDS},route=odd"));
+    reload(&mut harness, TWO);
     assert_eq!(
-        out.send(&mut site, 1..3, &format!("{LOAD},route=eu/b")),
+        out.send(&mut harness, 1..3, &format!("{READ_FIELDS},route=eu/b")),
         [1].into()
     );
-    reload(&mut site, "");
-    out.send(&mut site, 3..4, &format!("{LOAD},route=odd"));
-    out.answer(&mut site);
+    reload(&mut harness, "");
+    out.send(&mut harness, 3..4, &format!("{READ_FIELDS},route=odd"));
+    out.answer(&mut harness);
 }
 
 #[test]
 fn a_reload_with_a_mistake_keeps_the_services_in_force() {
-    let mut site = site(TWO);
-    let mut client = site.client();
+    let mut harness = harness(TWO);
+    let mut client = harness.connect();
     let mistakes = [
         TWO.replace(
             "route \"a\" service=\"forms\"",
@@ -295,14 +317,14 @@
         TWO.replace("services {", "services {\nmost 1"),
     ];
     for (wrong, id) in mistakes.iter().zip((0..).step_by(2)) {
-        reload(&mut site, wrong);
+        reload(&mut harness, wrong);
         assert_eq!(
-            endpoint_of(&mut site, &mut client, routed(id, "a")),
+            endpoint_of(&mut harness, &mut client, routed(id, "a")),
             0,
             "{wrong}"
         );
         assert_eq!(
-            endpoint_of(&mut site, &mut client, routed(id + 1, "eu/b")),
+            endpoint_of(&mut harness, &mut client, routed(id + 1, "eu/b")),
             1,
             "{wrong}"
         );
@@ -311,10 +333,10 @@
 
 #[test]
 fn without_the_section_every_endpoint_answers_every_request() {
-    let mut site = site("");
+    let mut harness = harness("");
     let mut out = Out::default();
-    let mut endpoints = out.send(&mut site, 0..2, LOAD);
-    endpoints.extend(out.send(&mut site, 2..4, &format!("{LOAD},route=any")));
+    let mut endpoints = out.send(&mut harness, 0..2, READ_FIELDS);
+    endpoints.extend(out.send(&mut harness, 2..4, &format!("{READ_FIELDS},route=any")));
     assert_eq!(endpoints, [0, 1].into());
-    out.answer(&mut site);
+    out.answer(&mut harness);
 }
--- a/crates/ingress/tests/sockets.rs
+++ b/crates/ingress/tests/sockets.rs
@@ -9,56 +9,65 @@
 
 #[test]
 fn a_request_is_passed_on_unchanged_but_for_its_deadline_and_its_value_comes_back() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    client.send(request("API.WRITE", 7, SUBMIT));
-    let (s, c, words) = site.arrival();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 7, WRITE_FIELDS));
+    let (s, c, words) = harness.next_request();
     assert_eq!(
         words[..3],
         ["API.WRITE", "00000000b4d65521", "0000000000000007"]
     );
     // Late answers of this class are worth nothing: it waits for the aim.
-    assert_eq!(words[3], SUBMIT.replace("d=3000", "d=1000"));
-    site.endpoints[s].ends[c].send(served("kept"));
-    site.expect(&mut client, "$4\r\nkept\r\n");
-    assert_eq!(site.program.open().0, 0, "nothing is held any more");
+    assert_eq!(words[3], WRITE_FIELDS.replace("d=3000", "d=1000"));
+    harness.endpoints[s].connections[c].send(served_reply("kept"));
+    harness.expect_reply(&mut client, "$4\r\nkept\r\n");
+    assert_eq!(harness.program.open().0, 0, "nothing is held any more");
 }
 
 #[test]
 fn answers_keep_the_order_of_commands_and_each_attempt_has_a_connection_of_its_own() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    client.send([load(1), b"*1\r\n$4\r\nPING\r\n".to_vec(), load(2)].concat());
-    let first = site.arrival();
-    let second = site.arrival();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(
+        [
+            read_request(1),
+            b"*1\r\n$4\r\nPING\r\n".to_vec(),
+            read_request(2),
+        ]
+        .concat(),
+    );
+    let first = harness.next_request();
+    let second = harness.next_request();
     assert_ne!(first.1, second.1, "no attempt is written behind another");
     assert_eq!((&first.2[2][15..], &second.2[2][15..]), ("1", "2"));
-    site.endpoints[0].ends[second.1].send(served("two"));
-    site.until("the second answer", |s| s.program.open().0 == 1);
+    harness.endpoints[0].connections[second.1].send(served_reply("two"));
+    harness.run_until("the second answer", |s| s.program.open().0 == 1);
     client.read();
     assert_eq!(
         client.text(),
         "",
         "the first command's answer is still to come"
     );
-    site.endpoints[0].ends[first.1].send(served("one"));
-    site.expect(&mut client, "$3\r\none\r\n+PONG\r\n$3\r\ntwo\r\n");
+    harness.endpoints[0].connections[first.1].send(served_reply("one"));
+    harness.expect_reply(&mut client, "$3\r\none\r\n+PONG\r\n$3\r\ntwo\r\n");
 }
 
 #[test]
 fn a_free_connection_is_used_again_and_dropped_before_the_endpoint_would() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     for id in 0..3 {
-        client.send(load(id));
-        let (_, c, _) = site.arrival();
+        client.send(read_request(id));
+        let (_, c, _) = harness.next_request();
         assert_eq!(c, 0, "the pooled connection");
-        site.endpoints[0].ends[c].send(served("v"));
-        site.expect(&mut client, "$1\r\nv\r\n");
-        site.advance(20);
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.advance(20);
     }
-    site.advance(14_000);
-    site.until("the pool is empty", |s| !s.endpoints[0].ends[0].open);
+    harness.advance(14_000);
+    harness.run_until("the pool is empty", |s| {
+        !s.endpoints[0].connections[0].is_open
+    });
 }
 
 #[test]
@@ -70,48 +79,50 @@
         "*99\r\n",
         "*1\r\n$2\r\nabcd",
     ] {
-        let mut site = Site::new(1);
-        let mut client = site.client();
-        client.send(load(1));
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
         client.send(bad);
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(served("v"));
-        assert_eq!(site.line(&mut client), "$1\r\n");
-        assert_eq!(site.line(&mut client), "v\r\n");
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        assert_eq!(harness.read_line(&mut client), "$1\r\n");
+        assert_eq!(harness.read_line(&mut client), "v\r\n");
         assert!(
-            site.line(&mut client).starts_with("-ERR Protocol error"),
+            harness
+                .read_line(&mut client)
+                .starts_with("-ERR Protocol error"),
             "{bad:?}"
         );
-        site.ended(&mut client);
+        harness.run_until_closed(&mut client);
     }
 }
 
 #[test]
 fn a_command_without_end_is_told_and_ends_the_connection() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     let word = format!("$60000\r\n{}\r\n", "x".repeat(60_000));
     client.send("*5\r\n");
     for _ in 0..2 {
         client.send(&word);
-        site.round();
+        harness.run_round();
     }
     assert_eq!(
-        site.line(&mut client),
+        harness.read_line(&mut client),
         "-ERR Protocol error: command too long\r\n"
     );
-    site.ended(&mut client);
+    harness.run_until_closed(&mut client);
 }
 
 #[test]
 fn more_commands_than_may_wait_are_all_answered_in_order_once_the_first_is() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    client.send(load(1));
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(read_request(1));
     client.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
-    let (s, c, _) = site.arrival();
-    site.endpoints[s].ends[c].send(served("v"));
-    site.expect(
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(
         &mut client,
         &format!("$1\r\nv\r\n{}", "+PONG\r\n".repeat(3000)),
     );
@@ -119,29 +130,29 @@
 
 #[test]
 fn one_client_with_much_to_say_does_not_keep_another_waiting() {
-    let mut site = Site::new(1);
-    let (mut rude, mut usual) = (site.client(), site.client());
+    let mut harness = Harness::new(1);
+    let (mut rude, mut usual) = (harness.connect(), harness.connect());
     rude.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
-    usual.send(load(1));
-    let (s, c, _) = site.arrival();
-    site.endpoints[s].ends[c].send(served("v"));
-    site.expect(&mut usual, "$1\r\nv\r\n");
+    usual.send(read_request(1));
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
     rude.read();
     assert!(
         rude.input.len() < 3000 * 7,
         "its turn came before the other had all its answers"
     );
-    site.expect(&mut rude, &"+PONG\r\n".repeat(3000));
+    harness.expect_reply(&mut rude, &"+PONG\r\n".repeat(3000));
 }
 
 #[test]
 fn a_client_that_reads_nothing_stops_being_read_and_is_dropped() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     let pings = "*1\r\n$4\r\nPING\r\n".repeat(2000);
     // Far more answers than socket buffers hold: without a bound the ingress would go on answering.
     let (mut sent, mut rest) = (0, pings.as_bytes());
-    site.until("the ingress stops reading", |s| {
+    harness.run_until("the ingress stops reading", |s| {
         let n = client.send_some(rest);
         (sent, rest) = (sent + n, &rest[n..]);
         if rest.is_empty() {
@@ -150,43 +161,48 @@
         assert!(sent < 256 << 20, "the ingress reads on and on");
         n == 0 && s.program.clients_hold().1 > 256 << 10
     });
-    let held = site.program.clients_hold().1;
+    let held = harness.program.clients_hold().1;
     for _ in 0..20 {
-        site.round();
+        harness.run_round();
     }
     assert!(
-        site.program.clients_hold().1 <= held,
+        harness.program.clients_hold().1 <= held,
         "nothing more is answered"
     );
-    site.advance(10_001);
-    site.until("it is dropped", |s| s.program.open().2 == 0);
+    harness.advance(10_001);
+    harness.run_until("it is dropped", |s| s.program.open().2 == 0);
 }
 
 #[test]
 fn a_value_of_the_largest_size_passes_both_ways() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     let body = "b".repeat(64 << 10);
     let mut command = b"*5\r\n".to_vec();
-    let plain = request("API.WRITE", 1, SUBMIT);
+    let plain = request("API.WRITE", 1, WRITE_FIELDS);
     command.extend(&plain[4..]);
     command.extend(format!("${}\r\n{body}\r\n", body.len()).as_bytes());
     client.send(&command);
-    let (s, c, words) = site.arrival();
+    let (s, c, words) = harness.next_request();
     assert_eq!(words[4], body);
-    site.endpoints[s].ends[c].send(served(&body));
-    site.expect(&mut client, &format!("${}\r\n{body}\r\n", body.len()));
+    harness.endpoints[s].connections[c].send(served_reply(&body));
+    harness.expect_reply(&mut client, &format!("${}\r\n{body}\r\n", body.len()));
 }
 
 #[test]
 fn a_wrong_command_is_told_and_the_connection_goes_on() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    let list = |from: &str, to: &str| request("API.READ", 1, &LOAD.replace(from, to));
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let with_field = |from: &str, to: &str| request("API.READ", 1, &READ_FIELDS.replace(from, to));
     let word = |at: usize, text: &str| {
         let mut out = Vec::new();
         resp::put_array(&mut out, 4);
-        let words = ["API.READ", "00000000b4d65521", "0000000000000001", LOAD];
+        let words = [
+            "API.READ",
+            "00000000b4d65521",
+            "0000000000000001",
+            READ_FIELDS,
+        ];
         for (n, word) in words.into_iter().enumerate() {
             resp::put_bulk(&mut out, if n == at { text } else { word }.as_bytes());
         }
@@ -194,29 +210,37 @@
     };
     let wrong = [
         request("API.READ", 1, "c=form-load"),
-        request("API.READ", 1, SUBMIT),
-        request("API.WRITE", 1, LOAD),
-        request("API.WRITE", 1, &SUBMIT.replace("k=5c0f6e1a2b3d4c59,", "")),
-        request("API.WRITE", 1, &SUBMIT.replace("5c0f6e1a2b3d4c59", "key")),
-        list("form-load", "other"),
-        list("seedling", "other"),
-        list("d=3000", "d=soon"),
-        list("d=3000", "d=nan"),
-        list("d=3000", "d=-1"),
-        list("d=3000", "d=1e3"),
-        list("d=3000", "d=0"),
-        list("d=3000", "d=3000,d=1"),
-        list("units=1", "units=0"),
-        list("units=1", "units=-2"),
-        list("units=1", "units=inf"),
-        list("units=1", "units=5"),
-        list("units=1", "units=1000000000000000"),
-        list("units=1,", ""),
-        list("spread=1", "spread=0"),
-        list("spread=1", "spread=2"),
-        list("spread=1", "spread=x"),
-        list("first=0", "first=1"),
-        list("first=0", "first=-1"),
+        request("API.READ", 1, WRITE_FIELDS),
+        request("API.WRITE", 1, READ_FIELDS),
+        request(
+            "API.WRITE",
+            1,
+            &WRITE_FIELDS.replace("k=5c0f6e1a2b3d4c59,", ""),
+        ),
+        request(
+            "API.WRITE",
+            1,
+            &WRITE_FIELDS.replace("5c0f6e1a2b3d4c59", "key"),
+        ),
+        with_field("form-load", "other"),
+        with_field("seedling", "other"),
+        with_field("d=3000", "d=soon"),
+        with_field("d=3000", "d=nan"),
+        with_field("d=3000", "d=-1"),
+        with_field("d=3000", "d=1e3"),
+        with_field("d=3000", "d=0"),
+        with_field("d=3000", "d=3000,d=1"),
+        with_field("units=1", "units=0"),
+        with_field("units=1", "units=-2"),
+        with_field("units=1", "units=inf"),
+        with_field("units=1", "units=5"),
+        with_field("units=1", "units=1000000000000000"),
+        with_field("units=1,", ""),
+        with_field("spread=1", "spread=0"),
+        with_field("spread=1", "spread=2"),
+        with_field("spread=1", "spread=x"),
+        with_field("first=0", "first=1"),
+        with_field("first=0", "first=-1"),
         word(1, "00000002b4d65521"),
         word(1, "b4d65521"),
         word(1, "+0000000b4d65521"),
@@ -231,15 +255,18 @@
     for command in wrong {
         client.send(&command);
         assert!(
-            site.line(&mut client).starts_with("-ERR "),
+            harness.read_line(&mut client).starts_with("-ERR "),
             "{}",
             String::from_utf8_lossy(&command)
         );
     }
     client.send("*1\r\n$4\r\nPING\r\n");
-    site.expect(&mut client, "+PONG\r\n");
+    harness.expect_reply(&mut client, "+PONG\r\n");
     assert_eq!(
-        (site.counter.calls.len(), site.program.clients_hold().0),
+        (
+            harness.counter.calls.len(),
+            harness.program.clients_hold().0
+        ),
         (0, 0),
         "no count was touched"
     );
@@ -247,11 +274,11 @@
 
 #[test]
 fn a_value_of_60_mb_is_told_at_its_length_and_discarded_as_it_streams() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     client.send("*5\r\n$9\r\nAPI.WRITE\r\n$60000000\r\n");
     assert_eq!(
-        site.line(&mut client),
+        harness.read_line(&mut client),
         "-ERR Protocol error: value too long\r\n"
     );
     let part = vec![b'x'; 100_000];
@@ -260,164 +287,180 @@
         sent += part.len();
         // What loopback does not take at once it takes after a round.
         let mut rest: &[u8] = &part;
-        site.until("room", |_| {
+        harness.run_until("room", |_| {
             rest = &rest[client.send_some(rest)..];
             rest.is_empty()
         });
         assert!(
-            site.program.clients_hold().1 < 1 << 20,
+            harness.program.clients_hold().1 < 1 << 20,
             "nothing of it is held"
         );
     }
     client.end_sending();
-    site.ended(&mut client);
-    assert!(!client.broken, "an end, no reset");
-    site.until("it is gone", |s| s.program.open().2 == 0);
+    harness.run_until_closed(&mut client);
+    assert!(!client.was_reset, "an end, no reset");
+    harness.run_until("it is gone", |s| s.program.open().2 == 0);
 }
 
 #[test]
 fn one_that_ended_its_sending_is_still_told_what_was_wrong() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     client.send("GET / HTTP/1.1\r\n\r\n");
     client.end_sending();
-    assert!(site.line(&mut client).starts_with("-ERR Protocol error"));
-    site.ended(&mut client);
+    assert!(harness
+        .read_line(&mut client)
+        .starts_with("-ERR Protocol error"));
+    harness.run_until_closed(&mut client);
 }
 
 #[test]
 fn an_id_in_use_is_told_and_the_request_that_has_it_goes_on() {
-    let mut site = Site::new(1);
-    let (mut first, mut other) = (site.client(), site.client());
-    first.send(load(7));
-    let (_, c, _) = site.arrival();
-    other.send(load(7));
-    assert_eq!(site.line(&mut other), "-ERR request id in use\r\n");
+    let mut harness = Harness::new(1);
+    let (mut first, mut other) = (harness.connect(), harness.connect());
+    first.send(read_request(7));
+    let (_, c, _) = harness.next_request();
+    other.send(read_request(7));
+    assert_eq!(harness.read_line(&mut other), "-ERR request id in use\r\n");
     drop(other);
-    site.until("the other has gone", |s| s.program.open().2 == 1);
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut first, "$1\r\nv\r\n");
-    assert_eq!(site.program.clients_hold(), (0, 0), "the id is free again");
+    harness.run_until("the other has gone", |s| s.program.open().2 == 1);
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut first, "$1\r\nv\r\n");
+    assert_eq!(
+        harness.program.clients_hold(),
+        (0, 0),
+        "the id is free again"
+    );
 }
 
 #[test]
 fn silent_and_halting_clients_are_ended_in_time_and_usual_ones_later() {
-    let mut site = Site::new(1);
-    let (mut silent, mut halting, mut usual) = (site.client(), site.client(), site.client());
+    let mut harness = Harness::new(1);
+    let (mut silent, mut halting, mut usual) =
+        (harness.connect(), harness.connect(), harness.connect());
     halting.send("*4\r\n$8\r\nAPI.");
     usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
-    site.expect(&mut usual, "+PONG\r\n+PONG\r\n");
-    site.until("all are read", |s| {
+    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    harness.run_until("all are read", |s| {
         s.program.open().2 == 3 && s.program.clients_hold().1 > 0
     });
-    site.advance(2100);
-    site.round();
-    assert_eq!(site.program.open().2, 3);
-    site.advance(101);
-    site.ended(&mut silent);
+    harness.advance(2100);
+    harness.run_round();
+    assert_eq!(harness.program.open().2, 3);
+    harness.advance(101);
+    harness.run_until_closed(&mut silent);
     assert_eq!(
-        site.line(&mut halting),
+        harness.read_line(&mut halting),
         "-ERR Protocol error: command not finished in time\r\n"
     );
-    site.ended(&mut halting);
-    site.advance(3700);
-    site.round();
+    harness.run_until_closed(&mut halting);
+    harness.advance(3700);
+    harness.run_round();
     usual.read();
-    assert!(usual.open, "between requests for 5.9 s");
-    site.advance(101);
-    site.ended(&mut usual);
+    assert!(usual.is_open, "between requests for 5.9 s");
+    harness.advance(101);
+    harness.run_until_closed(&mut usual);
 }
 
 #[test]
 fn a_request_that_waits_keeps_its_connection() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    client.send(request("API.READ", 1, &LOAD.replace("d=3000", "d=60000")));
-    let (_, c, _) = site.arrival();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request(
+        "API.READ",
+        1,
+        &READ_FIELDS.replace("d=3000", "d=60000"),
+    ));
+    let (_, c, _) = harness.next_request();
     for _ in 0..10 {
-        site.advance(2000);
+        harness.advance(2000);
     }
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut client, "$1\r\nv\r\n");
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
 }
 
 #[test]
 fn hundreds_that_say_nothing_take_no_place_of_one_that_asks() {
-    let mut site = Site::with(1, 64);
-    let mut usual = site.client();
+    let mut harness = Harness::with_sockets(1, 64);
+    let mut usual = harness.connect();
     usual.send("*1\r\n$4\r\nPING\r\n");
-    site.expect(&mut usual, "+PONG\r\n");
-    let silent: Vec<End> = (0..300)
+    harness.expect_reply(&mut usual, "+PONG\r\n");
+    let silent: Vec<Connection> = (0..300)
         .map(|_| {
-            let client = site.client();
-            site.advance(1);
+            let client = harness.connect();
+            harness.advance(1);
             client
         })
         .collect();
-    assert!(site.program.open().2 <= 24, "{:?}", site.program.open());
-    usual.send(load(1));
-    let (_, c, _) = site.arrival();
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut usual, "$1\r\nv\r\n");
+    assert!(
+        harness.program.open().2 <= 24,
+        "{:?}",
+        harness.program.open()
+    );
+    usual.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
     drop(silent);
 }
 
 #[test]
 fn those_that_ask_once_and_stay_take_no_place_of_one_that_comes_again() {
-    let mut site = Site::with(1, 64);
-    let mut usual = site.client();
+    let mut harness = Harness::with_sockets(1, 64);
+    let mut usual = harness.connect();
     usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
-    site.expect(&mut usual, "+PONG\r\n+PONG\r\n");
+    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
     let mut stayed = Vec::new();
     for _ in 0..60 {
-        let mut client = site.client();
+        let mut client = harness.connect();
         client.send("*1\r\n$4\r\nPING\r\n");
-        site.advance(1);
-        site.expect(&mut client, "+PONG\r\n");
+        harness.advance(1);
+        harness.expect_reply(&mut client, "+PONG\r\n");
         stayed.push(client);
     }
     usual.read();
-    assert!(usual.open, "used before all of them, and kept");
-    site.advance(2201);
-    site.ended(stayed.last_mut().unwrap());
+    assert!(usual.is_open, "used before all of them, and kept");
+    harness.advance(2201);
+    harness.run_until_closed(stayed.last_mut().unwrap());
     usual.read();
-    assert!(usual.open);
+    assert!(usual.is_open);
 }
 
 #[test]
 fn what_clients_hold_together_is_bounded_by_the_memory() {
-    let mut site = Site::of(1, 1024, 32);
-    let mut usual = site.client();
-    let mut clients: Vec<End> = (0..120).map(|_| site.client()).collect();
+    let mut harness = Harness::with_memory(1, 1024, 32);
+    let mut usual = harness.connect();
+    let mut clients: Vec<Connection> = (0..120).map(|_| harness.connect()).collect();
     let part = format!("*5\r\n$9\r\nAPI.WRITE\r\n$65536\r\n{}", "x".repeat(60_000));
     for client in &mut clients {
         client.send(&part);
         for _ in 0..3 {
-            site.round();
+            harness.run_round();
         }
-        assert!(site.program.clients_hold().1 <= 4 << 20);
+        assert!(harness.program.clients_hold().1 <= 4 << 20);
     }
     assert!(
-        site.program.open().2 < 100,
+        harness.program.open().2 < 100,
         "those that held most were dropped"
     );
-    usual.send(load(1));
-    let (_, c, _) = site.arrival();
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut usual, "$1\r\nv\r\n");
+    usual.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
 }
 
 #[test]
 fn beyond_the_quota_a_request_is_refused_at_once_with_word_of_when_to_come_back() {
-    let mut site = Site::new(1);
+    let mut harness = Harness::new(1);
     // Other ingresses have used the customer's whole window.
-    site.counter
+    harness
+        .counter
         .totals
         .insert("00000000b4d65521".to_owned(), 20.0);
-    let mut client = site.client();
-    let before = site.now;
-    client.send(load(1));
-    let answer = site.line(&mut client);
+    let mut client = harness.connect();
+    let before = harness.now;
+    client.send(read_request(1));
+    let answer = harness.read_line(&mut client);
     let after: u64 = answer
         .strip_prefix("-BUSY ")
         .expect("a refusal")
@@ -425,22 +468,25 @@
         .parse()
         .unwrap();
     assert!((1..=1000).contains(&after), "{answer}");
-    assert_eq!(site.now, before, "no time has gone by");
-    assert!(site.endpoints[0].ends.is_empty(), "no server was asked");
+    assert_eq!(harness.now, before, "no time has gone by");
+    assert!(
+        harness.endpoints[0].connections.is_empty(),
+        "no server was asked"
+    );
 }
 
 #[test]
 fn an_endpoint_that_turns_away_never_ran_it_and_another_is_asked() {
-    let mut site = Site::new(2);
-    let mut client = site.client();
-    client.send(request("API.WRITE", 1, SUBMIT));
-    let (first, c, _) = site.arrival();
-    site.endpoints[first].ends[c].send("-BUSY\r\n");
-    let (second, c, words) = site.arrival();
+    let mut harness = Harness::new(2);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (first, c, _) = harness.next_request();
+    harness.endpoints[first].connections[c].send("-BUSY\r\n");
+    let (second, c, words) = harness.next_request();
     assert_ne!(first, second);
     assert_eq!(words[2], "0000000000000001", "the same id");
-    site.endpoints[second].ends[c].send(served("v"));
-    site.expect(&mut client, "$1\r\nv\r\n");
+    harness.endpoints[second].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
 }
 
 const SPOILT: [&str; 10] = [
@@ -459,32 +505,32 @@
 #[test]
 fn a_spoilt_answer_may_have_run_and_costs_its_connection() {
     for spoilt in SPOILT {
-        let mut site = Site::new(2);
-        let mut client = site.client();
+        let mut harness = Harness::new(2);
+        let mut client = harness.connect();
         for (command, answer) in [
-            (load(1), "$1\r\nv\r\n"),
-            (request("API.WRITE", 2, SUBMIT), "-ERR failed\r\n"),
+            (read_request(1), "$1\r\nv\r\n"),
+            (request("API.WRITE", 2, WRITE_FIELDS), "-ERR failed\r\n"),
         ] {
             client.send(command);
-            let (s, c, words) = site.arrival();
-            site.endpoints[s].ends[c].send(spoilt);
-            site.until("its connection goes", |site| {
-                site.advance(30);
-                !site.endpoints[s].ends[c].open
+            let (s, c, words) = harness.next_request();
+            harness.endpoints[s].connections[c].send(spoilt);
+            harness.run_until("its connection goes", |harness| {
+                harness.advance(30);
+                !harness.endpoints[s].connections[c].is_open
             });
             if words[0] == "API.READ" {
-                let (other, c, again) = site.arrival();
+                let (other, c, again) = harness.next_request();
                 assert_eq!(
                     (other, &again[2]),
                     (1 - s, &words[2]),
                     "what may be repeated is asked elsewhere"
                 );
-                site.endpoints[other].ends[c].send(served("v"));
+                harness.endpoints[other].connections[c].send(served_reply("v"));
             }
-            site.expect(&mut client, answer);
+            harness.expect_reply(&mut client, answer);
         }
         assert_eq!(
-            site.endpoints.iter_mut().find_map(|s| s.command()),
+            harness.endpoints.iter_mut().find_map(|s| s.next_command()),
             None,
             "{spoilt:?}"
         );
@@ -494,27 +540,27 @@
 #[test]
 fn what_comes_behind_an_answer_is_never_the_next_ones() {
     for (more, wait) in [
-        (served("old"), 0),
+        (served_reply("old"), 0),
         ("noise".into(), 0),
-        (served("old"), 10),
-        (served("old"), 19),
+        (served_reply("old"), 10),
+        (served_reply("old"), 19),
     ] {
-        let mut site = Site::new(1);
-        let mut client = site.client();
-        client.send(load(1));
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(served("v"));
-        site.expect(&mut client, "$1\r\nv\r\n");
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
         // The next request is there before the second copy.
-        site.advance(wait);
-        client.send(load(2));
-        let (_, next, _) = site.arrival();
-        site.endpoints[0].ends[c].send(&more);
-        site.until("the first connection goes", |s| {
-            !s.endpoints[0].ends[c].open
+        harness.advance(wait);
+        client.send(read_request(2));
+        let (_, next, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(&more);
+        harness.run_until("the first connection goes", |s| {
+            !s.endpoints[0].connections[c].is_open
         });
-        site.endpoints[0].ends[next].send(served("new"));
-        site.expect(&mut client, "$3\r\nnew\r\n");
+        harness.endpoints[0].connections[next].send(served_reply("new"));
+        harness.expect_reply(&mut client, "$3\r\nnew\r\n");
         assert_ne!(c, next);
     }
 }
@@ -522,20 +568,20 @@
 #[test]
 fn a_connection_that_ended_or_spoke_unasked_is_not_written_to() {
     for bytes in ["", "+\r\n"] {
-        let mut site = Site::new(1);
-        let mut client = site.client();
-        client.send(load(1));
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(served("v"));
-        site.expect(&mut client, "$1\r\nv\r\n");
-        site.now += std::time::Duration::from_millis(50);
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.now += std::time::Duration::from_millis(50);
         // Both wait when the ingress wakes.
-        client.send(load(2));
+        client.send(read_request(2));
         match bytes {
-            "" => site.endpoints[0].ends[c].hang_up(),
-            _ => site.endpoints[0].ends[c].send(bytes),
+            "" => harness.endpoints[0].connections[c].close(),
+            _ => harness.endpoints[0].connections[c].send(bytes),
         }
-        let (_, next, _) = site.arrival();
+        let (_, next, _) = harness.next_request();
         assert_ne!(c, next);
     }
 }
@@ -547,256 +593,276 @@
         ":-7\r\n+\u{1}\r\n",
         "$1\r\n\u{7}\r\n*-1\r\n",
     ] {
-        let mut site = Site::new(1);
-        let mut client = site.client();
-        client.send(load(1));
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(format!("*3\r\n$1\r\nv\r\n{rest}"));
-        site.expect(&mut client, "$1\r\nv\r\n");
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(format!("*3\r\n$1\r\nv\r\n{rest}"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
     }
 }
 
 #[test]
 fn interim_answers_of_counter_and_discovery_are_skipped() {
-    let mut site = Site::new(1);
-    site.counter.counting = Counting::Silent;
-    let mut client = site.client();
-    client.send(load(1));
-    site.until("the call", |s| {
-        s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| !e.input.is_empty())
     });
-    let end = site
+    let end = harness
         .counter
-        .party
-        .ends
+        .peer
+        .connections
         .iter_mut()
         .find(|e| !e.input.is_empty())
         .unwrap();
     end.send("HTTP/1.1 103 Early Hints\r\nContent-Length: 5\r\n\r\n");
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
-    assert!(site.line(&mut client).starts_with("-BUSY "));
-    site.talks = false;
-    site.discovery.ends.clear();
-    site.advance(300);
-    site.advance(201);
-    site.until("a second watch", |s| s.watches.len() == 2);
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+    harness.discovery_replies = false;
+    harness.discovery.connections.clear();
+    harness.advance(300);
+    harness.advance(201);
+    harness.run_until("a second watch", |s| s.watch_requests.len() == 2);
     let list = "{\"rev\":50,\"all\":false,\"targets\":[]}\n";
-    let end = site.discovery.ends.last_mut().unwrap();
+    let end = harness.discovery.connections.last_mut().unwrap();
     end.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     end.send(format!("{:x}\r\n{list}\r\n", list.len()));
-    site.until("the list", |s| s.program.list_version() == 50);
+    harness.run_until("the list", |s| s.program.list_version() == 50);
 }
 
 #[test]
 fn a_keyed_request_whose_connection_broke_after_its_last_byte_fails_and_is_not_called_harmless() {
-    let mut site = Site::new(2);
-    let mut client = site.client();
-    client.send(request("API.WRITE", 1, SUBMIT));
-    let (s, _, _) = site.arrival();
-    site.endpoints[s].ends.clear();
+    let mut harness = Harness::new(2);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (s, _, _) = harness.next_request();
+    harness.endpoints[s].connections.clear();
     // The other server is of another pod, which does not know the key.
-    site.expect(&mut client, "-ERR failed\r\n");
-    assert_eq!(site.endpoints[1 - s].command(), None);
+    harness.expect_reply(&mut client, "-ERR failed\r\n");
+    assert_eq!(harness.endpoints[1 - s].next_command(), None);
 }
 
 #[test]
 fn a_refused_connection_never_ran_the_request() {
-    let mut site = Site::new(1);
-    site.endpoints[0].die();
-    let mut client = site.client();
-    client.send(request("API.WRITE", 1, SUBMIT));
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop();
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
     // Had it perhaps run, a keyed request could not be called harmless to repeat.
-    assert!(site.line(&mut client).starts_with("-BUSY "));
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
 
 #[test]
 fn a_connection_that_never_comes_up_never_ran_the_request() {
-    let mut site = Site::new(1);
-    site.endpoints[0].fill_up();
-    let mut client = site.client();
-    client.send(request("API.WRITE", 1, SUBMIT));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
-    site.advance(251);
-    assert!(site.line(&mut client).starts_with("-BUSY "));
-    assert_eq!(site.program.open().1, 0);
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop_accepting();
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+    harness.advance(251);
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+    assert_eq!(harness.program.open().1, 0);
 }
 
 #[test]
 fn an_attempt_behind_a_connect_is_not_written_to_an_endpoint_that_has_begun_to_drain() {
-    let mut site = Site::new(1);
-    site.endpoints[0].fill_up();
-    let mut client = site.client();
-    client.send(request("API.WRITE", 1, SUBMIT));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
-    site.tell(42, &[(0, "DRAINING")]);
-    site.until("the list", |s| s.program.list_version() == 42);
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop_accepting();
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+    harness.send_endpoint_states(42, &[(0, "DRAINING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
     // Room at the listener: the connection comes up.
-    site.endpoints[0].empty();
-    assert!(site.line(&mut client).starts_with("-BUSY "));
-    site.endpoints[0].read();
-    assert_eq!(site.endpoints[0].command(), None);
+    harness.endpoints[0].resume_accepting();
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+    harness.endpoints[0].read();
+    assert_eq!(harness.endpoints[0].next_command(), None);
 }
 
 #[test]
 fn nothing_goes_to_the_address_that_an_endpoint_has_left() {
-    let mut site = Site::new(1);
-    site.endpoints[0].fill_up();
-    let (mut client, mut other) = (site.client(), site.client());
-    client.send(request("API.WRITE", 1, SUBMIT));
-    site.until("the connection is begun", |s| s.program.open().1 == 1);
-    let mut old = std::mem::replace(&mut site.endpoints[0], Party::new());
-    site.tell(42, &[(0, "SERVING")]);
-    site.until("the list", |s| s.program.list_version() == 42);
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop_accepting();
+    let (mut client, mut other) = (harness.connect(), harness.connect());
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+    let mut old = std::mem::replace(&mut harness.endpoints[0], Peer::new());
+    harness.send_endpoint_states(42, &[(0, "SERVING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
     // Now it comes up at the old address.
-    old.empty();
-    site.until("the answer", |_| {
+    old.resume_accepting();
+    harness.run_until("the answer", |_| {
         old.read();
         client.read();
         !client.input.is_empty()
     });
     assert!(client.text().starts_with("-BUSY "));
-    other.send(load(2));
-    let (_, c, _) = site.arrival();
+    other.send(read_request(2));
+    let (_, c, _) = harness.next_request();
     old.read();
-    assert_eq!(old.command(), None);
+    assert_eq!(old.next_command(), None);
     // An answer from before the next move is passed on, its connection not used again.
-    let mut before = std::mem::replace(&mut site.endpoints[0], Party::new());
-    site.tell(43, &[(0, "SERVING")]);
-    site.until("the list", |s| s.program.list_version() == 43);
-    before.ends[c].send(served("v"));
-    site.expect(&mut other, "$1\r\nv\r\n");
-    site.until("its connection goes", |_| {
+    let mut before = std::mem::replace(&mut harness.endpoints[0], Peer::new());
+    harness.send_endpoint_states(43, &[(0, "SERVING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 43);
+    before.connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut other, "$1\r\nv\r\n");
+    harness.run_until("its connection goes", |_| {
         before.read();
-        !before.ends[c].open
+        !before.connections[c].is_open
     });
 }
 
 #[test]
 fn a_silent_endpoint_costs_its_connection_and_the_request_fails_at_its_end() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    client.send(request("API.WRITE", 1, SUBMIT));
-    let (_, c, _) = site.arrival();
-    site.advance(1001);
-    site.expect(&mut client, "-ERR failed\r\n");
-    site.until("the attempt is abandoned", |s| !s.endpoints[0].ends[c].open);
-    assert_eq!(site.program.open(), (0, 0, 1));
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (_, c, _) = harness.next_request();
+    harness.advance(1001);
+    harness.expect_reply(&mut client, "-ERR failed\r\n");
+    harness.run_until("the attempt is abandoned", |s| {
+        !s.endpoints[0].connections[c].is_open
+    });
+    assert_eq!(harness.program.open(), (0, 0, 1));
 }
 
 #[test]
 fn a_client_that_leaves_has_its_attempt_called_off() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    client.send(load(1));
-    let (_, c, _) = site.arrival();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (_, c, _) = harness.next_request();
     drop(client);
-    site.until("the attempt is abandoned", |s| !s.endpoints[0].ends[c].open);
-    assert_eq!(site.program.open(), (0, 0, 0));
+    harness.run_until("the attempt is abandoned", |s| {
+        !s.endpoints[0].connections[c].is_open
+    });
+    assert_eq!(harness.program.open(), (0, 0, 0));
 }
 
 #[test]
 fn an_endpoint_that_drains_gets_nothing_new_and_finishes_what_it_has() {
-    let mut site = Site::new(2);
-    let mut client = site.client();
-    client.send(load(1));
-    let (drained, c, _) = site.arrival();
-    site.tell(42, &[(drained, "DRAINING")]);
-    site.until("the list", |s| s.program.list_version() == 42);
-    let mut other = site.client();
+    let mut harness = Harness::new(2);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (drained, c, _) = harness.next_request();
+    harness.send_endpoint_states(42, &[(drained, "DRAINING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+    let mut other = harness.connect();
     for id in 2..6 {
-        other.send(load(id));
-        let (s, c, _) = site.arrival();
+        other.send(read_request(id));
+        let (s, c, _) = harness.next_request();
         assert_eq!(s, 1 - drained);
-        site.endpoints[s].ends[c].send(served("w"));
-        site.expect(&mut other, "$1\r\nw\r\n");
+        harness.endpoints[s].connections[c].send(served_reply("w"));
+        harness.expect_reply(&mut other, "$1\r\nw\r\n");
     }
-    site.endpoints[drained].ends[c].send(served("v"));
-    site.expect(&mut client, "$1\r\nv\r\n");
-    site.until("its connection goes", |s| {
-        !s.endpoints[drained].ends[c].open
+    harness.endpoints[drained].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    harness.run_until("its connection goes", |s| {
+        !s.endpoints[drained].connections[c].is_open
     });
 }
 
 #[test]
 fn a_silent_counter_stalls_nobody_and_its_late_total_still_counts_for_the_next() {
-    let mut site = Site::new(1);
-    site.counter.counting = Counting::Silent;
-    let mut client = site.client();
-    client.send(load(1));
-    site.until("the call", |s| {
-        s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| !e.input.is_empty())
     });
-    assert_eq!(site.endpoints[0].command(), None, "it waits for the total");
-    site.advance(81);
-    let (_, c, _) = site.arrival();
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut client, "$1\r\nv\r\n");
+    assert_eq!(
+        harness.endpoints[0].next_command(),
+        None,
+        "it waits for the total"
+    );
+    harness.advance(81);
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
     // Its total comes long after the settings' time-out: the others have used the window.
-    site.advance(100);
-    let end = site
+    harness.advance(100);
+    let end = harness
         .counter
-        .party
-        .ends
+        .peer
+        .connections
         .iter_mut()
         .find(|e| !e.input.is_empty())
         .unwrap();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     for _ in 0..3 {
-        site.round();
+        harness.run_round();
     }
     // With no further word of the counter the ledger knows, at once.
-    client.send(load(2));
-    assert!(site.line(&mut client).starts_with("-BUSY "));
+    client.send(read_request(2));
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
 
 #[test]
 fn an_answer_later_than_any_call_may_take_is_not_taken_for_the_next_calls() {
-    let mut site = Site::new(1);
-    site.counter.counting = Counting::Silent;
-    let mut client = site.client();
-    client.send(load(1));
-    site.until("the call", |s| {
-        s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| !e.input.is_empty())
     });
-    site.advance(251);
-    let (_, c, _) = site.arrival();
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut client, "$1\r\nv\r\n");
+    harness.advance(251);
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
     // The first answer comes late, with a total that leaves room; the second tells that there is
     // none.
-    client.send(load(2));
-    site.until("the second call", |s| {
+    client.send(read_request(2));
+    harness.run_until("the second call", |s| {
         s.counter
-            .party
-            .ends
+            .peer
+            .connections
             .iter()
             .any(|e| e.input.windows(4).filter(|w| w == b"\r\n\r\n").count() == 2)
     });
-    let end = site
+    let end = harness
         .counter
-        .party
-        .ends
+        .peer
+        .connections
         .iter_mut()
         .find(|e| !e.input.is_empty())
         .unwrap();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
     for _ in 0..3 {
-        site.round();
+        harness.run_round();
     }
     assert_eq!(
-        site.endpoints[0].command(),
+        harness.endpoints[0].next_command(),
         None,
         "the first answer decides nothing"
     );
-    let end = site
+    let end = harness
         .counter
-        .party
-        .ends
+        .peer
+        .connections
         .iter_mut()
         .find(|e| !e.input.is_empty())
         .unwrap();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
-    assert!(site.line(&mut client).starts_with("-BUSY "));
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
 
 #[test]
@@ -809,39 +875,43 @@
         "\0noise\r\n\r\n",
         "no end",
     ] {
-        let mut site = Site::new(1);
-        site.counter.counting = Counting::Silent;
-        let mut client = site.client();
-        client.send(load(1));
-        site.until("the call", |s| {
-            s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+        let mut harness = Harness::new(1);
+        harness.counter.mode = CounterMode::Silent;
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        harness.run_until("the call", |s| {
+            s.counter
+                .peer
+                .connections
+                .iter()
+                .any(|e| !e.input.is_empty())
         });
-        let end = site
+        let end = harness
             .counter
-            .party
-            .ends
+            .peer
+            .connections
             .iter_mut()
             .find(|e| !e.input.is_empty())
             .unwrap();
         end.send(spoilt);
-        site.round();
-        site.advance(26);
-        site.until("the connection goes", |s| {
-            s.counter.party.ends.iter().all(|e| !e.open)
+        harness.run_round();
+        harness.advance(26);
+        harness.run_until("the connection goes", |s| {
+            s.counter.peer.connections.iter().all(|e| !e.is_open)
         });
         // Decided without it, and the next call is answered at once on a new connection.
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(served("v"));
-        site.expect(&mut client, "$1\r\nv\r\n");
-        site.counter.counting = Counting::Answers;
-        site.counter.party.ends.clear();
-        let before = site.now;
-        client.send(load(2));
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(served("w"));
-        site.expect(&mut client, "$1\r\nw\r\n");
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.counter.mode = CounterMode::Replies;
+        harness.counter.peer.connections.clear();
+        let before = harness.now;
+        client.send(read_request(2));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("w"));
+        harness.expect_reply(&mut client, "$1\r\nw\r\n");
         assert_eq!(
-            (site.counter.calls.len(), site.now),
+            (harness.counter.calls.len(), harness.now),
             (1, before),
             "{spoilt:?}"
         );
@@ -850,31 +920,35 @@
 
 #[test]
 fn a_counter_connection_that_breaks_under_a_call_is_opened_anew_at_once() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    let mut served_one = |site: &mut Site, id| {
-        client.send(load(id));
-        let (_, c, _) = site.arrival();
-        site.endpoints[0].ends[c].send(served("v"));
-        site.expect(&mut client, "$1\r\nv\r\n");
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let mut served_one = |harness: &mut Harness, id| {
+        client.send(read_request(id));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
     };
-    served_one(&mut site, 1);
-    assert_eq!(site.counter.calls.len(), 1);
-    site.counter.counting = Counting::Silent;
-    let mut other = site.client();
-    other.send(load(2));
-    site.until("the call", |s| {
-        s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+    served_one(&mut harness, 1);
+    assert_eq!(harness.counter.calls.len(), 1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut other = harness.connect();
+    other.send(read_request(2));
+    harness.run_until("the call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| !e.input.is_empty())
     });
-    site.counter.party.ends.clear();
-    let (_, c, _) = site.arrival();
-    site.endpoints[0].ends[c].send(served("w"));
-    site.expect(&mut other, "$1\r\nw\r\n");
+    harness.counter.peer.connections.clear();
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("w"));
+    harness.expect_reply(&mut other, "$1\r\nw\r\n");
     // The next try has its total, in the same millisecond.
-    site.counter.counting = Counting::Answers;
-    served_one(&mut site, 3);
+    harness.counter.mode = CounterMode::Replies;
+    served_one(&mut harness, 3);
     assert_eq!(
-        site.counter.calls.len(),
+        harness.counter.calls.len(),
         2,
         "no call fails for want of a connection"
     );
@@ -884,252 +958,273 @@
 /// written there. How many of the requests of the second half, each 200 ms after the one before,
 /// were lost to that.
 fn lost_to_dead_links(kind: &str, list: &str) -> usize {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     let mut lost = 0;
     for id in 0..60 {
-        client.send(request_of(id + 1, kind, id, list));
-        let (s, c, _) = site.arrival();
-        let end = &mut site.endpoints[s].ends[c];
-        if end.used {
+        client.send(request_of_customer(id + 1, kind, id, list));
+        let (s, c, _) = harness.next_request();
+        let end = &mut harness.endpoints[s].connections[c];
+        if end.has_carried_request {
             lost += usize::from(id >= 30);
-            site.endpoints[s].ends.remove(c);
+            harness.endpoints[s].connections.remove(c);
         } else {
-            end.used = true;
-            end.send(served("v"));
+            end.has_carried_request = true;
+            end.send(served_reply("v"));
         }
-        site.until("the answer", |_| {
+        harness.run_until("the answer", |_| {
             client.read();
             client.input.ends_with(b"\r\n")
         });
         client.input.clear();
-        site.advance(200);
+        harness.advance(200);
     }
     lost
 }
 
 #[test]
 fn connections_that_die_unseen_at_rest_are_learned_of_and_passed_over() {
-    let once = lost_to_dead_links("API.WRITE", SUBMIT);
+    let once = lost_to_dead_links("API.WRITE", WRITE_FIELDS);
     assert!(once <= 3, "{once} of 30 were lost");
-    let twice = lost_to_dead_links("API.READ", LOAD);
+    let twice = lost_to_dead_links("API.READ", READ_FIELDS);
     assert!(twice <= 3, "{twice} of 30 were sent to dead connections");
 }
 
 #[test]
 fn a_counter_that_refuses_or_turns_away_stalls_nobody() {
     for refuses in [true, false] {
-        let mut site = Site::new(1);
-        site.counter.counting = Counting::TurnsAway;
+        let mut harness = Harness::new(1);
+        harness.counter.mode = CounterMode::Rejects;
         if refuses {
-            site.counter.party.die();
+            harness.counter.peer.stop();
         }
-        let mut client = site.client();
-        let before = site.now;
+        let mut client = harness.connect();
+        let before = harness.now;
         for id in 0..3 {
-            client.send(load(id));
-            let (_, c, _) = site.arrival();
-            site.endpoints[0].ends[c].send(served("v"));
-            site.expect(&mut client, "$1\r\nv\r\n");
+            client.send(read_request(id));
+            let (_, c, _) = harness.next_request();
+            harness.endpoints[0].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
         }
-        assert_eq!(site.now, before);
+        assert_eq!(harness.now, before);
     }
 }
 
 #[test]
 fn a_counter_connection_that_stays_silent_is_replaced() {
-    let mut site = Site::new(1);
-    site.counter.counting = Counting::Silent;
-    let mut client = site.client();
-    client.send(load(1));
-    site.until("the call", |s| {
-        s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| !e.input.is_empty())
     });
-    site.advance(251);
-    site.advance(1100);
-    site.until("the silent connection goes", |s| {
-        s.counter.party.ends.iter().all(|e| !e.open)
+    harness.advance(251);
+    harness.advance(1100);
+    harness.run_until("the silent connection goes", |s| {
+        s.counter.peer.connections.iter().all(|e| !e.is_open)
     });
-    site.counter.counting = Counting::Answers;
-    let calls = site.counter.calls.len();
-    client.send(load(2));
-    site.until("a call on a new connection", |s| {
+    harness.counter.mode = CounterMode::Replies;
+    let calls = harness.counter.calls.len();
+    client.send(read_request(2));
+    harness.run_until("a call on a new connection", |s| {
         s.counter.calls.len() > calls
     });
 }
 
 #[test]
 fn a_silent_discovery_is_called_again_from_the_version_held() {
-    let mut site = Site::new(1);
+    let mut harness = Harness::new(1);
     assert_eq!(
-        site.watches,
+        harness.watch_requests,
         ["GET /discovery/hosts?watch=1&after=41 HTTP/1.1"]
     );
-    site.tell(43, &[(0, "SERVING")]);
-    site.until("the list", |s| s.program.list_version() == 43);
-    site.talks = false;
-    site.advance(2900);
-    assert_eq!(site.watches.len(), 1, "a line may be a little late");
-    site.advance(200);
-    site.until("a second call", |s| s.watches.len() == 2);
+    harness.send_endpoint_states(43, &[(0, "SERVING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 43);
+    harness.discovery_replies = false;
+    harness.advance(2900);
     assert_eq!(
-        site.watches[1],
+        harness.watch_requests.len(),
+        1,
+        "a line may be a little late"
+    );
+    harness.advance(200);
+    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    assert_eq!(
+        harness.watch_requests[1],
         "GET /discovery/hosts?watch=1&after=43 HTTP/1.1"
     );
-    site.advance(1100);
-    site.until("a third call", |s| s.watches.len() == 3);
+    harness.advance(1100);
+    harness.run_until("a third call", |s| s.watch_requests.len() == 3);
 }
 
 #[test]
 fn a_watch_that_breaks_is_opened_again_after_a_moment() {
-    let mut site = Site::new(1);
-    site.discovery.ends.clear();
-    site.until("the loss", |s| s.program.next_due().is_some());
+    let mut harness = Harness::new(1);
+    harness.discovery.connections.clear();
+    harness.run_until("the loss", |s| s.program.next_due().is_some());
     for _ in 0..3 {
-        site.round();
+        harness.run_round();
     }
-    site.advance(201);
-    site.until("a second call", |s| s.watches.len() == 2);
+    harness.advance(201);
+    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
 }
 
 #[test]
 fn ping_is_answered_once_discovery_has_spoken_or_has_had_its_time() {
-    let mut site = Site::new(1);
-    site.talks = false;
-    let (counter, discovery) = (Counter::new(), Party::new());
-    let text = config(&counter.party, &discovery, &site.endpoints, 1024);
+    let mut harness = Harness::new(1);
+    harness.discovery_replies = false;
+    let (counter, discovery) = (FakeCounter::new(), Peer::new());
+    let text = config(&counter.peer, &discovery, &harness.endpoints, 1024);
     let config = roseyard_ingress::program::config::Config::parse(text.into(), |_| None).unwrap();
     let clock = roseyard_ingress::clock::Clock::start();
-    site.program =
-        roseyard_ingress::program::Program::start(&config, &operator(""), clock).unwrap();
-    site.now = clock.now();
-    let mut client = site.client();
+    harness.program =
+        roseyard_ingress::program::Program::start(&config, &operator_file(""), clock).unwrap();
+    harness.now = clock.now();
+    let mut client = harness.connect();
     client.send("*1\r\n$4\r\nPING\r\n");
-    assert!(site.line(&mut client).starts_with("-LOADING"));
-    site.advance(1100);
+    assert!(harness.read_line(&mut client).starts_with("-LOADING"));
+    harness.advance(1100);
     client.send("*1\r\n$4\r\nPING\r\n");
-    site.expect(&mut client, "+PONG\r\n");
+    harness.expect_reply(&mut client, "+PONG\r\n");
 }
 
 #[test]
 fn more_clients_than_descriptors_are_served_by_closing_connections_between_requests() {
-    let mut site = Site::with(1, 48);
+    let mut harness = Harness::with_sockets(1, 48);
     let mut clients = Vec::new();
     for _ in 0..40 {
-        let mut client = site.client();
+        let mut client = harness.connect();
         client.send("*1\r\n$4\r\nPING\r\n");
-        site.expect(&mut client, "+PONG\r\n");
+        harness.expect_reply(&mut client, "+PONG\r\n");
         clients.push(client);
     }
-    let (_, _, held) = site.program.open();
+    let (_, _, held) = harness.program.open();
     assert!((1..40).contains(&held), "{held} held");
-    site.ended(&mut clients[0]);
+    harness.run_until_closed(&mut clients[0]);
 }
 
 #[test]
 fn leaving_accepts_for_a_while_finishes_what_is_held_and_ends() {
-    let mut site = Site::new(1);
-    let mut held = site.client();
-    held.send(load(1));
-    let (_, c, _) = site.arrival();
-    let mut idle = site.client();
+    let mut harness = Harness::new(1);
+    let mut held = harness.connect();
+    held.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    let mut idle = harness.connect();
     idle.send("*1\r\n$4\r\nPING\r\n");
-    site.expect(&mut idle, "+PONG\r\n");
-    site.program.leave();
-    let mut late = site.client();
-    late.send(load(2));
-    let (_, c2, _) = site.arrival();
-    site.advance(601);
-    site.ended(&mut idle);
-    assert_eq!(site.program.address(), None, "nothing new is accepted");
-    assert!(held.open && late.open);
+    harness.expect_reply(&mut idle, "+PONG\r\n");
+    harness.program.leave();
+    let mut late = harness.connect();
+    late.send(read_request(2));
+    let (_, c2, _) = harness.next_request();
+    harness.advance(601);
+    harness.run_until_closed(&mut idle);
+    assert_eq!(harness.program.address(), None, "nothing new is accepted");
+    assert!(held.is_open && late.is_open);
     for (client, c) in [(&mut held, c), (&mut late, c2)] {
-        site.endpoints[0].ends[c].send(served("v"));
-        site.expect(client, "$1\r\nv\r\n");
-        site.ended(client);
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(client, "$1\r\nv\r\n");
+        harness.run_until_closed(client);
     }
     drop((held, idle, late));
     let mut goes_on = true;
-    site.until("the end", |s| {
-        goes_on = goes_on && s.round();
+    harness.run_until("the end", |s| {
+        goes_on = goes_on && s.run_round();
         !goes_on
     });
 }
 
 #[test]
 fn a_reload_moves_discovery_and_counter_at_once_and_loses_no_request_and_no_count() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    site.counter.counting = Counting::Silent;
-    client.send(load(1));
-    let calls = |c: &Counter| c.party.ends.iter().filter(|e| !e.input.is_empty()).count();
-    site.until("the call", |s| calls(&s.counter) == 1);
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    harness.counter.mode = CounterMode::Silent;
+    client.send(read_request(1));
+    let calls = |c: &FakeCounter| {
+        c.peer
+            .connections
+            .iter()
+            .filter(|e| !e.input.is_empty())
+            .count()
+    };
+    harness.run_until("the call", |s| calls(&s.counter) == 1);
     // Twice in a row: what is out at the first counter is awaited there all the same.
-    let mut first = site.reload();
-    site.reload();
-    site.until("the watch at the last address", |s| {
-        s.watches.len() >= 2 && s.discovery.ends.len() == 1
+    let mut first = harness.reload();
+    harness.reload();
+    harness.run_until("the watch at the last address", |s| {
+        s.watch_requests.len() >= 2 && s.discovery.connections.len() == 1
     });
     // The same customer's next call must not overtake the one that is out.
-    client.send(load(2));
+    client.send(read_request(2));
     for _ in 0..5 {
-        site.round();
+        harness.run_round();
     }
-    assert_eq!((calls(&first), calls(&site.counter)), (1, 0));
-    first.counting = Counting::Answers;
+    assert_eq!((calls(&first), calls(&harness.counter)), (1, 0));
+    first.mode = CounterMode::Replies;
     first.serve();
-    let (_, c, words) = site.arrival();
+    let (_, c, words) = harness.next_request();
     assert!(
         words[2].ends_with('1'),
         "the old counter's total decided: {words:?}"
     );
-    site.endpoints[0].ends[c].send(served("one"));
-    let (_, c, words) = site.arrival();
+    harness.endpoints[0].connections[c].send(served_reply("one"));
+    let (_, c, words) = harness.next_request();
     assert!(words[2].ends_with('2'), "{words:?}");
     assert_eq!(
-        site.counter.calls.len(),
+        harness.counter.calls.len(),
         1,
         "the second call went to the new address"
     );
-    site.endpoints[0].ends[c].send(served("two"));
-    site.expect(&mut client, "$3\r\none\r\n$3\r\ntwo\r\n");
-    site.until("the old connection's end", |_| {
-        first.party.read();
-        first.party.ends.iter().all(|e| !e.open)
+    harness.endpoints[0].connections[c].send(served_reply("two"));
+    harness.expect_reply(&mut client, "$3\r\none\r\n$3\r\ntwo\r\n");
+    harness.run_until("the old connection's end", |_| {
+        first.peer.read();
+        first.peer.connections.iter().all(|e| !e.is_open)
     });
 }
 
 #[test]
 fn calls_that_wait_for_a_silent_old_counter_go_to_the_new_one_once_its_time_is_over() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
-    site.counter.counting = Counting::Silent;
-    client.send(load(1));
-    site.until("the call", |s| {
-        s.counter.party.ends.iter().any(|e| !e.input.is_empty())
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    harness.counter.mode = CounterMode::Silent;
+    client.send(read_request(1));
+    harness.run_until("the call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| !e.input.is_empty())
     });
-    let _silent = site.reload();
-    site.advance(200);
-    client.send(load(2));
+    let _silent = harness.reload();
+    harness.advance(200);
+    client.send(read_request(2));
     for _ in 0..5 {
-        site.round();
+        harness.run_round();
     }
-    site.advance(51);
-    site.until("the call at the new address", |s| {
+    harness.advance(51);
+    harness.run_until("the call at the new address", |s| {
         s.counter.calls.len() == 1
     });
 }
 
 #[test]
 fn a_configuration_that_cannot_be_read_changes_nothing() {
-    let mut site = Site::new(1);
-    site.program.reload(Err("half a file".into()));
-    let mut client = site.client();
-    client.send(load(1));
-    let (_, c, _) = site.arrival();
-    site.endpoints[0].ends[c].send(served("v"));
-    site.expect(&mut client, "$1\r\nv\r\n");
-    assert_eq!((site.counter.calls.len(), site.watches.len()), (1, 1));
+    let mut harness = Harness::new(1);
+    harness.program.reload(Err("half a file".into()));
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    assert_eq!(
+        (harness.counter.calls.len(), harness.watch_requests.len()),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -1146,32 +1241,32 @@
         ("cost=x", 2.0),
     ];
     for settled in [true, false] {
-        let mut site = Site::new(1);
+        let mut harness = Harness::new(1);
         let domain = format!("\"PostPaid\":{settled},\"SharedCounter\"");
-        site.start_under(&[("\"SharedCounter\"", &domain)]);
-        let mut client = site.client();
+        harness.restart_with(&[("\"SharedCounter\"", &domain)]);
+        let mut client = harness.connect();
         for (n, (figures, settles_at)) in told.iter().enumerate() {
             let customer = format!("{:016x}", 500 + n);
             for (units, total) in [(2, 2.0), (1, if settled { settles_at + 1.0 } else { 3.0 })] {
-                let list = LOAD.replace("units=1", &format!("units={units}"));
-                client.send(request_of(
+                let list = READ_FIELDS.replace("units=1", &format!("units={units}"));
+                client.send(request_of_customer(
                     500 + n as u64,
                     "API.READ",
                     10 + 2 * n as u64 + units,
                     &list,
                 ));
-                let (s, c, _) = site.arrival();
+                let (s, c, _) = harness.next_request();
                 assert_eq!(
-                    site.counter.totals[&customer], total,
+                    harness.counter.totals[&customer], total,
                     "{figures}, settled: {settled}"
                 );
                 let answer = format!(
                     "*3\r\n$1\r\nv\r\n${}\r\n{figures}\r\n$-1\r\n",
                     figures.len()
                 );
-                site.endpoints[s].ends[c].send(answer);
-                site.expect(&mut client, "$1\r\nv\r\n");
-                site.advance(30);
+                harness.endpoints[s].connections[c].send(answer);
+                harness.expect_reply(&mut client, "$1\r\nv\r\n");
+                harness.advance(30);
             }
         }
     }
@@ -1191,43 +1286,53 @@
         .into_iter()
         .flat_map(|g| [Watch::Silent, Watch::Torn, Watch::Moved].map(|w| (g, w)))
     {
-        let mut site = Site::new(2);
-        site.start_with_grace(grace, &[]);
-        site.advance(10);
+        let mut harness = Harness::new(2);
+        harness.restart_with_drain_grace(grace, &[]);
+        harness.advance(10);
         // From here on discovery has told a drain to whoever could hear it.
-        let told = site.now;
-        site.talks = false;
-        let before = site.watches.len();
+        let told = harness.now;
+        harness.discovery_replies = false;
+        let before = harness.watch_requests.len();
         match what {
             Watch::Silent => {}
-            Watch::Torn => site.discovery.ends.iter_mut().for_each(End::hang_up),
-            Watch::Moved => drop(site.reload()),
+            Watch::Torn => harness
+                .discovery
+                .connections
+                .iter_mut()
+                .for_each(Connection::close),
+            Watch::Moved => drop(harness.reload()),
         }
         // Two calls more are taken and left without a word, but after a move.
         let silent = if matches!(what, Watch::Moved) { 0 } else { 2 };
-        let mut client = site.client();
+        let mut client = harness.connect();
         let (mut id, mut last) = (1, told);
-        while site.now < told + Duration::from_secs(10) {
-            if site.program.list_version() == 41 && site.watches.len() > before + silent {
+        while harness.now < told + Duration::from_secs(10) {
+            if harness.program.list_version() == 41
+                && harness.watch_requests.len() > before + silent
+            {
                 let drain = format!(
                     "{{\"rev\":42,\"all\":false,\"targets\":[{}]}}\n",
-                    target(0, site.endpoints[0].address, "DRAINING")
+                    endpoint_entry(0, harness.endpoints[0].address, "DRAINING")
                 );
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let end = site.discovery.ends.last_mut().unwrap();
+                let end = harness.discovery.connections.last_mut().unwrap();
                 end.send(format!("{head}{:x}\r\n{drain}\r\n", drain.len()));
-                site.until("the news", |s| s.program.list_version() == 42);
+                harness.run_until("the news", |s| s.program.list_version() == 42);
             }
-            client.send(request_of(700 + id, "API.READ", id, LOAD));
-            let (s, c, _) = site.arrival();
-            last = if s == 0 { site.now } else { last };
-            site.endpoints[s].ends[c].send(served("v"));
-            site.expect(&mut client, "$1\r\nv\r\n");
+            client.send(request_of_customer(700 + id, "API.READ", id, READ_FIELDS));
+            let (s, c, _) = harness.next_request();
+            last = if s == 0 { harness.now } else { last };
+            harness.endpoints[s].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
             id += 1;
-            site.advance(50);
+            harness.advance(50);
         }
         let after = last - told;
-        assert_eq!(site.program.list_version(), 42, "{what:?}: the news came");
+        assert_eq!(
+            harness.program.list_version(),
+            42,
+            "{what:?}: the news came"
+        );
         // It counts as told 6 s later, heard or not.
         let most = Duration::from_millis(if silent > 0 { 6000 } else { 0 } + grace);
         assert!(
@@ -1248,40 +1353,48 @@
         "silence",
         "sigterm",
     ] {
-        let mut site = Site::new(2);
-        site.start_under(&[(
+        let mut harness = Harness::new(2);
+        harness.restart_with(&[(
             "\"Effect\":\"idempotency_key\"",
             "\"Effect\":\"non_idempotent\"",
         )]);
-        let mut client = site.client();
+        let mut client = harness.connect();
         client.send(request("API.WRITE", 1, COMMIT));
-        let (s, c, _) = site.arrival();
+        let (s, c, _) = harness.next_request();
         match end {
-            "reset" => site.endpoints[s].ends.clear(),
+            "reset" => harness.endpoints[s].connections.clear(),
             "half an answer" => {
-                site.endpoints[s].ends[c].send("*3\r\n$1\r\n");
-                site.endpoints[s].ends[c].hang_up();
+                harness.endpoints[s].connections[c].send("*3\r\n$1\r\n");
+                harness.endpoints[s].connections[c].close();
             }
-            "spoilt" => site.endpoints[s].ends[c].send("*3\r\n:1\r\n$-1\r\n$-1\r\n"),
-            "error" => site.endpoints[s].ends[c].send("-ERR failed used=37\r\n"),
+            "spoilt" => harness.endpoints[s].connections[c].send("*3\r\n:1\r\n$-1\r\n$-1\r\n"),
+            "error" => harness.endpoints[s].connections[c].send("-ERR failed used=37\r\n"),
             "sigterm" => {
-                site.program.leave();
-                site.advance(10);
-                site.endpoints[s].ends.clear();
+                harness.program.leave();
+                harness.advance(10);
+                harness.endpoints[s].connections.clear();
             }
             // Its aim and its deadline pass.
             _ => {}
         }
         for _ in 0..40 {
-            site.advance(100);
+            harness.advance(100);
             client.read();
-            assert_eq!(site.endpoints[1 - s].command(), None, "{end}: sent again");
+            assert_eq!(
+                harness.endpoints[1 - s].next_command(),
+                None,
+                "{end}: sent again"
+            );
         }
         assert_eq!(
             client.text(),
             "-ERR failed\r\n",
             "{end}: one final answer, and none that calls it harmless"
         );
-        assert_eq!(site.endpoints[s].command(), None, "{end}: sent again");
+        assert_eq!(
+            harness.endpoints[s].next_command(),
+            None,
+            "{end}: sent again"
+        );
     }
 }
--- a/crates/ingress/tests/terms.rs
+++ b/crates/ingress/tests/terms.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::running::{answer_with, line_with, Running};
+use common::ingress_process::{answer_with, line_with, IngressProcess};
 use common::*;
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -38,7 +38,7 @@
 
 /// What else goes on on its connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Connection {
+enum ClientState {
     Single,
     /// Further requests wait behind the first.
     Pipelined,
@@ -59,62 +59,68 @@
 
 /// A request's next attempt is about to be made.
 struct AboutToSend {
-    site: Site,
-    client: End,
+    harness: Harness,
+    client: Connection,
     awaited: Awaited,
     /// Server and connection of the attempts that are out, in the order of the requests.
     out: Vec<(usize, usize)>,
 }
 
 impl AboutToSend {
-    fn new(awaited: Awaited, connection: Connection) -> AboutToSend {
-        let mut site = Site::new(ENDPOINTS);
+    fn new(awaited: Awaited, connection: ClientState) -> AboutToSend {
+        let mut harness = Harness::new(ENDPOINTS);
         let client = match connection {
-            Connection::PausedByAnswers => End::narrow(site.program.address().unwrap()),
-            _ => site.client(),
+            ClientState::PausedByAnswers => {
+                Connection::with_small_buffers(harness.program.address().unwrap())
+            }
+            _ => harness.connect(),
         };
-        site.until("the client is taken in", |s| s.program.open().2 == 1);
+        harness.run_until("the client is taken in", |s| s.program.open().2 == 1);
         let mut case = AboutToSend {
-            site,
+            harness,
             client,
             awaited,
             out: Vec::new(),
         };
         match awaited {
-            Awaited::Counter => case.site.counter.counting = Counting::Silent,
-            Awaited::Link => case.site.endpoints.iter_mut().for_each(Party::fill_up),
+            Awaited::Counter => case.harness.counter.mode = CounterMode::Silent,
+            Awaited::Link => case
+                .harness
+                .endpoints
+                .iter_mut()
+                .for_each(Peer::stop_accepting),
             Awaited::Refusal => {}
         }
         let requests = match connection {
-            Connection::Single | Connection::PausedByCommands => 1,
-            Connection::Pipelined => 3,
-            Connection::PausedByAnswers => 7,
+            ClientState::Single | ClientState::PausedByCommands => 1,
+            ClientState::Pipelined => 3,
+            ClientState::PausedByAnswers => 7,
         };
         case.client.send(
             (0..requests)
-                .flat_map(|id| load_of(100 + id, id))
+                .flat_map(|id| read_request_of(100 + id, id))
                 .collect::<Vec<u8>>(),
         );
         case.wait(requests as usize);
         match connection {
-            Connection::Single | Connection::Pipelined => {}
-            Connection::PausedByCommands => case.pause_by_commands(),
-            Connection::PausedByAnswers => case.pause_by_answers(),
+            ClientState::Single | ClientState::Pipelined => {}
+            ClientState::PausedByCommands => case.pause_by_commands(),
+            ClientState::PausedByAnswers => case.pause_by_answers(),
         }
         case
     }
 
     /// Goes on until all requests wait for what is awaited.
     fn wait(&mut self, requests: usize) {
-        let site = &mut self.site;
-        site.until("the requests", |s| s.program.open().0 == requests);
+        let harness = &mut self.harness;
+        harness.run_until("the requests", |s| s.program.open().0 == requests);
         match self.awaited {
-            Awaited::Counter => site.until("the calls", |s| counter_waits(s)),
-            Awaited::Link => site.until("the connections are begun", |s| {
+            Awaited::Counter => harness.run_until("the calls", |s| has_unanswered_call(s)),
+            Awaited::Link => harness.run_until("the connections are begun", |s| {
                 s.program.open().1 == requests
             }),
             Awaited::Refusal => {
-                let mut out: Vec<_> = (0..requests).map(|_| site.arrival()).collect();
+                let mut out: Vec<_> = (0..requests).map(|_| harness.next_request()).collect();
                 out.sort_by_key(|(_, _, words)| words[2].clone());
                 self.out = out
                     .into_iter()
@@ -127,18 +133,18 @@
     fn pause_by_commands(&mut self) {
         self.client.send(PING.repeat(PINGS));
         let behind: Vec<u8> = (0..)
-            .flat_map(|id| load_of(5000 + id, 5000 + id))
+            .flat_map(|id| read_request_of(5000 + id, 5000 + id))
             .take(UNREAD_BEHIND)
             .collect();
         let mut rest = &behind[..];
         // What the system does not take at once it takes while the ingress still reads.
         for _ in 0..100 {
             rest = &rest[self.client.send_some(rest)..];
-            self.site.round();
+            self.harness.run_round();
         }
         assert!(rest.is_empty(), "{} bytes could not be sent", rest.len());
         assert_eq!(
-            self.site.program.open().0,
+            self.harness.program.open().0,
             1,
             "nothing behind the pause is taken in"
         );
@@ -148,17 +154,18 @@
     fn pause_by_answers(&mut self) {
         let last = self.out.len() - 1;
         for (endpoint, connection) in self.out.drain(..last) {
-            self.site.endpoints[endpoint].ends[connection].send(served(&"v".repeat(60_000)));
+            self.harness.endpoints[endpoint].connections[connection]
+                .send(served_reply(&"v".repeat(60_000)));
         }
-        self.site.until("answers are not taken in", |s| {
+        self.harness.run_until("answers are not taken in", |s| {
             s.program.clients_hold().1 > 256 << 10
         });
-        self.client.send(load_of(5000, 5000));
+        self.client.send(read_request_of(5000, 5000));
         for _ in 0..5 {
-            self.site.round();
+            self.harness.run_round();
         }
         assert_eq!(
-            self.site.program.open().0,
+            self.harness.program.open().0,
             1,
             "nothing behind the pause is taken in"
         );
@@ -168,25 +175,29 @@
         match leaving {
             Leaving::Stays => return,
             Leaving::Closes => {
-                let elsewhere = End::connect(self.site.discovery.address);
+                let elsewhere = Connection::connect(self.harness.discovery.address);
                 drop(std::mem::replace(&mut self.client, elsewhere));
             }
             Leaving::EndsSending => self.client.end_sending(),
             Leaving::Resets => self.client.reset(),
         }
         // No time passes until then.
-        self.site
-            .until("the client has gone", |s| s.program.open().2 == 0);
+        self.harness
+            .run_until("the client has gone", |s| s.program.open().2 == 0);
     }
 
     /// What was awaited comes.
     fn go_on(&mut self) {
         match self.awaited {
-            Awaited::Counter => self.site.counter.counting = Counting::Answers,
-            Awaited::Link => self.site.endpoints.iter_mut().for_each(Party::empty),
+            Awaited::Counter => self.harness.counter.mode = CounterMode::Replies,
+            Awaited::Link => self
+                .harness
+                .endpoints
+                .iter_mut()
+                .for_each(Peer::resume_accepting),
             Awaited::Refusal => {
                 for (endpoint, connection) in &self.out {
-                    self.site.endpoints[*endpoint].ends[*connection].send("-BUSY\r\n");
+                    self.harness.endpoints[*endpoint].connections[*connection].send("-BUSY\r\n");
                 }
             }
         }
@@ -194,7 +205,7 @@
 }
 
 /// A client leaves in each way while an attempt is awaited: none is begun.
-fn no_attempt_begins_after_leaving(awaited: Awaited, connection: Connection) {
+fn no_attempt_begins_after_leaving(awaited: Awaited, connection: ClientState) {
     for leaving in [
         Leaving::Stays,
         Leaving::Closes,
@@ -206,23 +217,23 @@
         case.go_on();
         let what = format!("{awaited:?}, {connection:?}, {leaving:?}");
         if leaving == Leaving::Stays {
-            case.site.arrival();
+            case.harness.next_request();
             continue;
         }
-        nothing_is_sent_on(&mut case.site, &what);
-        let (requests, _, clients) = case.site.program.open();
+        assert_nothing_forwarded(&mut case.harness, &what);
+        let (requests, _, clients) = case.harness.program.open();
         assert_eq!(
             (requests, clients),
             (0, 0),
             "{what}: what it held is released"
         );
-        assert_eq!(case.site.program.clients_hold(), (0, 0), "{what}");
+        assert_eq!(case.harness.program.clients_hold(), (0, 0), "{what}");
     }
 }
 
 #[test]
 fn a_client_that_leaves_has_no_first_attempt_begun() {
-    for connection in [Connection::Single, Connection::Pipelined] {
+    for connection in [ClientState::Single, ClientState::Pipelined] {
         no_attempt_begins_after_leaving(Awaited::Counter, connection);
         no_attempt_begins_after_leaving(Awaited::Link, connection);
     }
@@ -230,7 +241,7 @@
 
 #[test]
 fn a_client_that_leaves_has_no_further_attempt_begun() {
-    for connection in [Connection::Single, Connection::Pipelined] {
+    for connection in [ClientState::Single, ClientState::Pipelined] {
         no_attempt_begins_after_leaving(Awaited::Refusal, connection);
     }
 }
@@ -238,13 +249,13 @@
 #[test]
 fn a_client_that_leaves_while_its_commands_are_paused_has_no_attempt_begun() {
     for awaited in [Awaited::Counter, Awaited::Link, Awaited::Refusal] {
-        no_attempt_begins_after_leaving(awaited, Connection::PausedByCommands);
+        no_attempt_begins_after_leaving(awaited, ClientState::PausedByCommands);
     }
 }
 
 #[test]
 fn a_client_that_leaves_without_reading_its_answers_has_no_further_attempt_begun() {
-    no_attempt_begins_after_leaving(Awaited::Refusal, Connection::PausedByAnswers);
+    no_attempt_begins_after_leaving(Awaited::Refusal, ClientState::PausedByAnswers);
 }
 
 // Term 1: a change counts as told 6 s after discovery had it and could be reached.
@@ -318,12 +329,12 @@
 
 /// A site whose discovery has a change to tell, once it may.
 struct Telling {
-    site: Site,
+    harness: Harness,
     mode: Mode,
     /// Connections to discovery that have had what is meant for them.
     seen: usize,
     /// A place that discovery has left and that goes on telling that nothing has changed.
-    left: Option<Party>,
+    left: Option<Peer>,
 }
 
 impl Telling {
@@ -333,7 +344,7 @@
 
     /// One whose configuration has words replaced.
     fn with(mode: Mode, words: &[(&str, &str)]) -> Telling {
-        let mut site = Site::new(2);
+        let mut harness = Harness::new(2);
         let ingresses = format!("\"Balancers\":{},", mode.ingresses);
         let discovery = if mode.pushed {
             "\"Discovery\":\"automatic\""
@@ -344,11 +355,11 @@
             ("\"Balancers\":1,", &*ingresses),
             ("\"Discovery\":\"automatic\"", discovery),
         ];
-        site.start_with_grace(mode.grace, &[&tier, words].concat());
-        site.talks = false;
-        let seen = site.discovery.ends.len();
+        harness.restart_with_drain_grace(mode.grace, &[&tier, words].concat());
+        harness.discovery_replies = false;
+        let seen = harness.discovery.connections.len();
         Telling {
-            site,
+            harness,
             mode,
             seen,
             left: None,
@@ -356,102 +367,114 @@
     }
 
     fn news(&self) -> String {
-        list(
+        endpoint_list(
             42,
             false,
-            &[target(0, self.site.endpoints[0].address, "DRAINING")],
+            &[endpoint_entry(
+                0,
+                self.harness.endpoints[0].address,
+                "DRAINING",
+            )],
         )
     }
 
     /// From now on this is what becomes of calls; the watch that is open falls silent, or breaks.
     fn fail(&mut self, fault: Fault) {
         match fault {
-            Fault::Refuses => self.site.discovery.die(),
-            Fault::Hangs => self.site.discovery.fill_up(),
+            Fault::Refuses => self.harness.discovery.stop(),
+            Fault::Hangs => self.harness.discovery.stop_accepting(),
             Fault::Silent | Fault::HeadOnly | Fault::HalfList => {}
             Fault::Resets | Fault::TurnsAway | Fault::EndsAtOnce => {
-                self.site.discovery.ends.iter_mut().for_each(End::hang_up);
+                self.harness
+                    .discovery
+                    .connections
+                    .iter_mut()
+                    .for_each(Connection::close);
             }
         }
-        self.seen = self.site.discovery.ends.len();
+        self.seen = self.harness.discovery.connections.len();
     }
 
     /// Calls from now on find a discovery that can be reached; those from before are never
     /// answered.
     fn recover(&mut self, fault: Fault) {
         match fault {
-            Fault::Refuses => self.site.discovery.revive(),
+            Fault::Refuses => self.harness.discovery.restart(),
             Fault::Hangs => {
-                self.site.discovery.empty();
-                self.site.discovery.accept();
+                self.harness.discovery.resume_accepting();
+                self.harness.discovery.accept();
             }
             _ => {}
         }
-        self.seen = self.site.discovery.ends.len();
+        self.seen = self.harness.discovery.connections.len();
     }
 
     /// Lets time pass while calls fail so; how many calls there were.
     fn step(&mut self, fault: Fault) -> usize {
-        self.site.advance(STEP_MS);
+        self.harness.advance(STEP_MS);
         let news = self.news();
-        let calls = self.site.discovery.ends.split_at_mut(self.seen).1;
+        let calls = self.harness.discovery.connections.split_at_mut(self.seen).1;
         for call in calls.iter_mut() {
             match fault {
                 Fault::Refuses | Fault::Hangs | Fault::Silent => {}
-                Fault::HeadOnly => call.send(HEAD),
-                Fault::HalfList => call.send(format!("{HEAD}{}", chunk(&news[..news.len() / 2]))),
+                Fault::HeadOnly => call.send(WATCH_HEAD),
+                Fault::HalfList => {
+                    call.send(format!("{WATCH_HEAD}{}", chunk(&news[..news.len() / 2])))
+                }
                 Fault::Resets => call.reset(),
                 Fault::TurnsAway => {
                     call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                 }
-                Fault::EndsAtOnce => call.send(format!("{HEAD}0\r\n\r\n")),
+                Fault::EndsAtOnce => call.send(format!("{WATCH_HEAD}0\r\n\r\n")),
             }
         }
         let made = calls.len();
         self.seen += made;
         for _ in 0..made {
-            self.site.round();
+            self.harness.run_round();
         }
         made
     }
 
     fn fail_for(&mut self, fault: Fault, time: Duration) {
-        let end = self.site.now + time;
-        while self.site.now < end {
+        let end = self.harness.now + time;
+        while self.harness.now < end {
             self.step(fault);
         }
     }
 
     /// Calls are answered with the change; it has to be held this long after `since` at the latest.
     fn held_within(&mut self, most: Duration, since: Duration, what: &str) {
-        let news = format!("{HEAD}{}", chunk(&self.news()));
-        while self.site.program.list_version() == 41 {
-            let late = self.site.now - since;
+        let news = format!("{WATCH_HEAD}{}", chunk(&self.news()));
+        while self.harness.program.list_version() == 41 {
+            let late = self.harness.now - since;
             assert!(
                 late <= most,
                 "{what}, {:?}: not told after {late:?}",
                 self.mode
             );
-            self.site.advance(STEP_MS);
+            self.harness.advance(STEP_MS);
             if let Some(left) = &mut self.left {
                 left.read();
-                left.ends.iter_mut().for_each(|end| end.send(chunk("\n")));
+                left.connections
+                    .iter_mut()
+                    .for_each(|end| end.send(chunk("\n")));
             }
-            for call in &mut self.site.discovery.ends[self.seen..] {
+            for call in &mut self.harness.discovery.connections[self.seen..] {
                 call.send(&news);
             }
-            if self.site.discovery.ends.len() > self.seen {
-                self.seen = self.site.discovery.ends.len();
-                self.site
-                    .until("the news", |s| s.program.list_version() == 42);
+            if self.harness.discovery.connections.len() > self.seen {
+                self.seen = self.harness.discovery.connections.len();
+                self.harness
+                    .run_until("the news", |s| s.program.list_version() == 42);
             }
         }
     }
 
     /// SIGHUP moves discovery to a new place; the old one stays as it is.
-    fn move_discovery(&mut self) -> Party {
-        let old = std::mem::replace(&mut self.site.discovery, Party::new());
-        drop(self.site.reload());
+    fn move_discovery(&mut self) -> Peer {
+        let old = std::mem::replace(&mut self.harness.discovery, Peer::new());
+        drop(self.harness.reload());
         self.seen = 0;
         old
     }
@@ -471,7 +494,7 @@
                 telling.fail(fault);
                 telling.fail_for(fault, outage);
                 telling.recover(fault);
-                let since = telling.site.now;
+                let since = telling.harness.now;
                 telling.held_within(TOLD, since, &format!("{fault:?} for {outage:?}"));
             }
         }
@@ -483,12 +506,12 @@
     for mode in MODES {
         for fault in FAULTS {
             let mut telling = Telling::new(mode);
-            let since = telling.site.now;
+            let since = telling.harness.now;
             // The watch has fallen silent; the one call that follows fails.
             let waits = Duration::from_millis(2500);
             telling.fail_for(Fault::Silent, waits);
             if matches!(fault, Fault::Refuses | Fault::Hangs) {
-                telling.site.discovery.ends.clear();
+                telling.harness.discovery.connections.clear();
                 telling.fail(fault);
                 telling.fail_for(fault, Duration::from_millis(700));
                 telling.recover(fault);
@@ -509,7 +532,7 @@
             telling.fail(fault);
             telling.fail_for(fault, Duration::from_millis(9050));
             let _old = telling.move_discovery();
-            let since = telling.site.now;
+            let since = telling.harness.now;
             telling.held_within(
                 TOLD_AFTER_RELOAD,
                 since,
@@ -518,7 +541,7 @@
         }
         let mut telling = Telling::new(mode);
         telling.left = Some(telling.move_discovery());
-        let since = telling.site.now;
+        let since = telling.harness.now;
         telling.held_within(
             TOLD_AFTER_RELOAD,
             since,
@@ -542,7 +565,7 @@
                 telling.fail_for(fault, Duration::from_millis(time));
             }
             telling.recover(fault);
-            let since = telling.site.now;
+            let since = telling.harness.now;
             telling.held_within(TOLD, since, &format!("moved thrice, {fault:?}"));
         }
     }
@@ -555,36 +578,36 @@
     for dribbles in [false, true] {
         let mut telling = Telling::new(MODES[0]);
         telling
-            .site
+            .harness
             .discovery
-            .ends
+            .connections
             .iter_mut()
-            .for_each(End::hang_up);
-        let before = telling.site.discovery.ends.len();
-        while telling.site.discovery.ends.len() == before {
-            telling.site.advance(STEP_MS);
+            .for_each(Connection::close);
+        let before = telling.harness.discovery.connections.len();
+        while telling.harness.discovery.connections.len() == before {
+            telling.harness.advance(STEP_MS);
         }
         // Longer to come than a call may stay without a word.
-        let whole = list(42, true, &many_targets(600));
+        let whole = endpoint_list(42, true, &many_targets(600));
         let part = if dribbles {
             1
         } else {
             whole.len().div_ceil(PARTS)
         };
-        telling.site.discovery.ends[before].send(HEAD);
+        telling.harness.discovery.connections[before].send(WATCH_HEAD);
         for n in 0..PARTS {
             let text = &whole[n * part..whole.len().min((n + 1) * part)];
-            telling.site.discovery.ends[before].send(chunk(text));
+            telling.harness.discovery.connections[before].send(chunk(text));
             for _ in 0..5 {
-                telling.site.round();
+                telling.harness.run_round();
             }
-            telling.site.advance(BETWEEN_MS);
+            telling.harness.advance(BETWEEN_MS);
         }
-        let calls = telling.site.discovery.ends.len() - before;
+        let calls = telling.harness.discovery.connections.len() - before;
         if dribbles {
             assert!(calls > 1, "one call was waited for without end");
         } else {
-            assert_eq!((calls, telling.site.program.list_version()), (1, 42));
+            assert_eq!((calls, telling.harness.program.list_version()), (1, 42));
         }
     }
 }
@@ -601,13 +624,15 @@
         Fault::TurnsAway,
     ] {
         let mut telling = Telling::with(MODES[0], &[("\"sockets\":1024", "\"sockets\":64")]);
-        let mut usual = telling.site.client();
+        let mut usual = telling.harness.connect();
         usual.send(PING.repeat(2));
-        telling.site.expect(&mut usual, "+PONG\r\n+PONG\r\n");
+        telling
+            .harness
+            .expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
         telling.fail(fault);
         let mut idle = Vec::new();
         for n in 0..200 {
-            let mut client = telling.site.client();
+            let mut client = telling.harness.connect();
             // Half of them say nothing at all.
             if n % 2 == 0 {
                 client.send(PING);
@@ -618,27 +643,31 @@
                 telling.step(fault);
             }
             if n % 50 == 0 {
-                serve(&mut telling.site, &mut usual, load_of(100 + n, n));
+                serve_request(
+                    &mut telling.harness,
+                    &mut usual,
+                    read_request_of(100 + n, n),
+                );
             }
         }
         assert!(
-            telling.site.program.open().2 < 64,
+            telling.harness.program.open().2 < 64,
             "{fault:?}: no more clients than descriptors"
         );
         telling.recover(fault);
-        let since = telling.site.now;
+        let since = telling.harness.now;
         let most = Duration::from_millis(1000 + STEP_MS);
         telling.held_within(most, since, &format!("{fault:?}, filled with idle clients"));
-        let counted = telling.site.counter.calls.len();
-        usual.send(load_of(900, 900));
-        let (endpoint, connection, _) = telling.site.arrival();
+        let counted = telling.harness.counter.calls.len();
+        usual.send(read_request_of(900, 900));
+        let (endpoint, connection, _) = telling.harness.next_request();
         assert_eq!(
-            (endpoint, telling.site.counter.calls.len()),
+            (endpoint, telling.harness.counter.calls.len()),
             (1, counted + 1),
             "{fault:?}"
         );
-        telling.site.endpoints[endpoint].ends[connection].send(served("v"));
-        telling.site.expect(&mut usual, "$1\r\nv\r\n");
+        telling.harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
+        telling.harness.expect_reply(&mut usual, "$1\r\nv\r\n");
     }
 }
 
@@ -678,7 +707,7 @@
         let mut answer = [0; 512];
         while !ends.load(Ordering::Relaxed) {
             id += 1;
-            if stream.write_all(&load_of(id % 1000, id)).is_err() {
+            if stream.write_all(&read_request_of(id % 1000, id)).is_err() {
                 break;
             }
             match stream.read(&mut answer) {
@@ -692,7 +721,7 @@
 }
 
 /// Waits until `PING` is answered.
-fn until_ready(running: &Running) {
+fn until_ready(running: &IngressProcess) {
     let mut stream = running.connect();
     // Far beyond what is asked for, so that a late start is told by how late it is.
     stream
@@ -710,21 +739,21 @@
 
 /// Restarts an ingress so many times at its address while clients go on asking; how long each took
 /// to be ready.
-fn restarts_under_load(name: &str, discovery: &Party, restarts: usize) -> Vec<Duration> {
+fn restarts_under_load(name: &str, discovery: &Peer, restarts: usize) -> Vec<Duration> {
     const CLIENTS: u64 = 3;
-    let (endpoint, counter) = (Party::new(), Party::new());
+    let (endpoint, counter) = (Peer::new(), Peer::new());
     answer_with(
-        endpoint.blocking(),
+        endpoint.blocking_listener(),
         b"first=0\r\n",
         "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n",
     );
     answer_with(
-        counter.blocking(),
+        counter.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
     );
     let text = config(&counter, discovery, std::slice::from_ref(&endpoint), 1024);
-    let mut running = Running::start(name, &text);
+    let mut running = IngressProcess::start(name, &text);
     let address = running.address;
     let text = text.replace(
         "\"listen\":\"127.0.0.1:0\"",
@@ -747,7 +776,7 @@
         running.signal(Signal::TERM);
         let begun = Instant::now();
         // It waits for the address while the one before still listens.
-        let next = Running::start(&format!("{name}-{n}"), &text);
+        let next = IngressProcess::start(&format!("{name}-{n}"), &text);
         until_ready(&next);
         took.push(begun.elapsed());
         let mut old = std::mem::replace(&mut running, next);
@@ -769,7 +798,7 @@
 
 #[test]
 fn nine_in_ten_of_twenty_restarts_under_load_are_ready_within_10_s() {
-    let empty_line = format!("{HEAD}{}", chunk("\n"));
+    let empty_line = format!("{WATCH_HEAD}{}", chunk("\n"));
     let discoveries = [
         ("quick", Some(0)),
         ("late", Some(300)),
@@ -777,10 +806,10 @@
         ("silent", None),
     ]
     .map(|(name, late)| {
-        let discovery = Party::new();
+        let discovery = Peer::new();
         if let Some(late) = late {
             discovery_answers(
-                discovery.blocking(),
+                discovery.blocking_listener(),
                 Duration::from_millis(late),
                 empty_line.clone(),
             );
@@ -810,7 +839,7 @@
     let address =
         |n: usize| SocketAddr::from(([127, (n >> 16) as u8 + 1, (n >> 8) as u8, n as u8], 6379));
     (0..endpoints)
-        .map(|n| target(n, address(n), "SERVING"))
+        .map(|n| endpoint_entry(n, address(n), "SERVING"))
         .collect()
 }
 
@@ -830,18 +859,18 @@
 fn a_process_that_starts_with_54000_endpoints_is_ready_within_10_s_and_takes_the_whole_list_in() {
     const ENDPOINTS: usize = 54_000;
     const MEMORY_MB: usize = 192;
-    let (counter, discovery) = (Party::new(), Party::new());
-    let whole = list(42, true, &many_targets(ENDPOINTS));
+    let (counter, discovery) = (Peer::new(), Peer::new());
+    let whole = endpoint_list(42, true, &many_targets(ENDPOINTS));
     discovery_answers(
-        discovery.blocking(),
+        discovery.blocking_listener(),
         Duration::ZERO,
-        format!("{HEAD}{}", chunk(&whole)),
+        format!("{WATCH_HEAD}{}", chunk(&whole)),
     );
     let text = config(&counter, &discovery, &[], 1024);
     let known = format!("\"targets\":[{}]", many_targets(ENDPOINTS).join(","));
     let text = text.replace("\"targets\":[]", &known);
     let begun = Instant::now();
-    let mut running = Running::start_with(
+    let mut running = IngressProcess::start_with(
         "54000",
         &text,
         Command::new(env!("CARGO_BIN_EXE_roseyard-ingress")),
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -13,10 +13,10 @@
                      $4\r\nbody\r\n";
 
 /// Waits until an endpoint has been sent something whole, and hands its bytes out.
-fn bytes_at_endpoint(site: &mut Site, end: &str) -> (usize, String) {
+fn bytes_at_endpoint(harness: &mut Harness, end: &str) -> (usize, String) {
     let mut found = None;
-    site.until("bytes at the endpoint", |s| {
-        let ends = s.endpoints[0].ends.iter_mut().enumerate();
+    harness.run_until("bytes at the endpoint", |s| {
+        let ends = s.endpoints[0].connections.iter_mut().enumerate();
         found = ends
             .filter(|(_, e)| e.text().ends_with(end))
             .map(|(n, e)| (n, String::from_utf8(std::mem::take(&mut e.input)).unwrap()))
@@ -28,48 +28,48 @@
 
 #[test]
 fn a_read_is_forwarded_with_its_deadline_replaced() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     client.send(READ);
-    let (connection, bytes) = bytes_at_endpoint(&mut site, "first=0\r\n");
+    let (connection, bytes) = bytes_at_endpoint(&mut harness, "first=0\r\n");
     assert_eq!(
         bytes,
         "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
          $54\r\nc=form-load,t=seedling,d=2996,units=1,spread=1,first=0\r\n"
     );
-    site.endpoints[0].ends[connection].send(served("value"));
-    site.expect(&mut client, "$5\r\nvalue\r\n");
+    harness.endpoints[0].connections[connection].send(served_reply("value"));
+    harness.expect_reply(&mut client, "$5\r\nvalue\r\n");
 }
 
 #[test]
 fn a_write_is_forwarded_with_its_body_and_its_deadline_replaced() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     client.send(WRITE);
-    let (connection, bytes) = bytes_at_endpoint(&mut site, "body\r\n");
+    let (connection, bytes) = bytes_at_endpoint(&mut harness, "body\r\n");
     assert_eq!(
         bytes,
         "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
          $70\r\nc=submit,t=seedling,d=1000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0\r\n\
          $4\r\nbody\r\n"
     );
-    site.endpoints[0].ends[connection].send(served(""));
-    site.expect(&mut client, "$0\r\n\r\n");
+    harness.endpoints[0].connections[connection].send(served_reply(""));
+    harness.expect_reply(&mut client, "$0\r\n\r\n");
 }
 
 #[test]
 fn a_counter_call_names_the_customer_the_units_and_the_time_to_live() {
-    let mut site = Site::new(1);
-    site.counter.counting = Counting::Silent;
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
     client.send(READ);
-    site.until("a counter call", |s| {
-        let ends = &s.counter.party.ends;
+    harness.run_until("a counter call", |s| {
+        let ends = &s.counter.peer.connections;
         ends.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
     });
-    let ends = &site.counter.party.ends;
+    let ends = &harness.counter.peer.connections;
     let call = ends.iter().map(|e| e.text()).find(|t| !t.is_empty());
-    let host = site.counter.party.address;
+    let host = harness.counter.peer.address;
     assert_eq!(
         call.unwrap(),
         format!("POST /tally/00000000b4d65521?n=1&keep_ms=4000 HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n")
@@ -78,28 +78,39 @@
 
 #[test]
 fn the_watch_request_names_the_revision_held() {
-    let mut site = Site::new(1);
-    let old = std::mem::replace(&mut site.discovery, Party::new());
-    let text = config(&site.counter.party, &site.discovery, &site.endpoints, 1024);
+    let mut harness = Harness::new(1);
+    let old = std::mem::replace(&mut harness.discovery, Peer::new());
+    let text = config(
+        &harness.counter.peer,
+        &harness.discovery,
+        &harness.endpoints,
+        1024,
+    );
     let clock = roseyard_ingress::clock::Clock::start();
     let read = roseyard_ingress::program::config::Config::parse(text.into(), |_| None).unwrap();
     drop(old);
-    site.program = roseyard_ingress::program::Program::start(&read, &operator(""), clock).unwrap();
-    site.now = clock.now();
+    harness.program =
+        roseyard_ingress::program::Program::start(&read, &operator_file(""), clock).unwrap();
+    harness.now = clock.now();
     let start = std::time::Instant::now();
     let mut request = String::new();
     while !request.ends_with("\r\n\r\n") {
-        let now = site.now;
+        let now = harness.now;
         let wait = Some(Duration::from_millis(1));
-        site.program.round(wait, || now).unwrap();
-        site.discovery.read();
-        request = site.discovery.ends.iter().map(|e| e.text()).collect();
+        harness.program.round(wait, || now).unwrap();
+        harness.discovery.read();
+        request = harness
+            .discovery
+            .connections
+            .iter()
+            .map(|e| e.text())
+            .collect();
         assert!(
             start.elapsed() < Duration::from_secs(20),
             "no watch request: {request:?}"
         );
     }
-    let host = site.discovery.address;
+    let host = harness.discovery.address;
     assert_eq!(
         request,
         format!("GET /discovery/hosts?watch=1&after=41 HTTP/1.1\r\nHost: {host}\r\n\r\n")
@@ -108,15 +119,15 @@
 
 #[test]
 fn a_health_check_asks_for_the_load_report() {
-    let mut site = Site::new(1);
-    site.start_under(&[("\"Probes\":false", "\"Probes\":true")]);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    harness.restart_with(&[("\"Probes\":false", "\"Probes\":true")]);
+    let mut client = harness.connect();
     client.send(READ);
-    bytes_at_endpoint(&mut site, "first=0\r\n");
+    bytes_at_endpoint(&mut harness, "first=0\r\n");
     let mut sent = None;
     for _ in 0..200 {
-        site.advance(10);
-        let mut ends = site.endpoints[0].ends.iter();
+        harness.advance(10);
+        let mut ends = harness.endpoints[0].connections.iter();
         sent = ends
             .find(|e| !e.input.is_empty())
             .map(|e| e.text().to_owned());
@@ -129,8 +140,8 @@
 
 #[test]
 fn clients_are_sent_the_reply_of_each_kind_in_full() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     for (command, reply) in [
         ("*1\r\n$4\r\nPING\r\n", "+PONG\r\n"),
         ("*1\r\n$6\r\nCLIENT\r\n", "+OK\r\n"),
@@ -144,48 +155,48 @@
         ("*1\r\n$4\r\nQUIT\r\n", "+OK\r\n"),
     ] {
         client.send(command);
-        site.expect(&mut client, reply);
+        harness.expect_reply(&mut client, reply);
     }
-    site.ended(&mut client);
-    let mut client = site.client();
+    harness.run_until_closed(&mut client);
+    let mut client = harness.connect();
     client.send("GET / HTTP/1.1\r\n");
-    site.expect(&mut client, "-ERR Protocol error: expected '*'\r\n");
-    site.ended(&mut client);
+    harness.expect_reply(&mut client, "-ERR Protocol error: expected '*'\r\n");
+    harness.run_until_closed(&mut client);
 }
 
 #[test]
 fn a_client_is_sent_loading_until_discovery_has_answered() {
-    let mut site = Site::new(1);
-    site.talks = false;
-    site.start_under(&[]);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    harness.discovery_replies = false;
+    harness.restart_with(&[]);
+    let mut client = harness.connect();
     client.send("*1\r\n$4\r\nPING\r\n");
-    site.expect(&mut client, "-LOADING waiting for discovery\r\n");
+    harness.expect_reply(&mut client, "-LOADING waiting for discovery\r\n");
     client.send(READ);
-    site.expect(&mut client, "-BUSY\r\n");
+    harness.expect_reply(&mut client, "-BUSY\r\n");
 }
 
 #[test]
 fn a_client_is_sent_failed_when_the_endpoint_answers_with_an_error() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     client.send(WRITE);
-    let (connection, _) = bytes_at_endpoint(&mut site, "body\r\n");
-    site.endpoints[0].ends[connection].send("-ERR failed\r\n");
-    site.expect(&mut client, "-ERR failed\r\n");
+    let (connection, _) = bytes_at_endpoint(&mut harness, "body\r\n");
+    harness.endpoints[0].connections[connection].send("-ERR failed\r\n");
+    harness.expect_reply(&mut client, "-ERR failed\r\n");
 }
 
 #[test]
 fn during_shutdown_a_request_is_rejected_and_one_without_a_reply_fails() {
-    let mut site = Site::new(1);
-    let mut client = site.client();
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
     client.send(READ);
-    bytes_at_endpoint(&mut site, "first=0\r\n");
-    site.program.leave();
-    site.advance(600);
+    bytes_at_endpoint(&mut harness, "first=0\r\n");
+    harness.program.leave();
+    harness.advance(600);
     client.send(READ.replace("0000000000000007", "0000000000000009"));
-    site.advance(50);
-    site.advance(5_000);
-    site.ended(&mut client);
+    harness.advance(50);
+    harness.advance(5_000);
+    harness.run_until_closed(&mut client);
     assert_eq!(client.text(), "-ERR failed\r\n-BUSY\r\n");
 }
