--- /dev/null
+++ b/crates/ingress/tests/client_commands.rs
@@ -0,0 +1,314 @@
+//! Commands of clients: how they are parsed, bounded and replied to.
+
+mod common;
+
+use common::*;
+use roseyard_ingress::protocol::resp;
+
+#[test]
+fn a_request_is_forwarded_with_only_its_deadline_replaced_and_its_value_returned() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 7, WRITE_FIELDS));
+    let (s, c, words) = harness.next_request();
+    assert_eq!(
+        words[..3],
+        ["API.WRITE", "00000000b4d65521", "0000000000000007"]
+    );
+    // Late replies of this class have no value: the wait ends at the latency objective.
+    assert_eq!(words[3], WRITE_FIELDS.replace("d=3000", "d=1000"));
+    harness.endpoints[s].connections[c].send(served_reply("kept"));
+    harness.expect_reply(&mut client, "$4\r\nkept\r\n");
+    assert_eq!(harness.program.open().0, 0, "nothing is held any more");
+}
+
+#[test]
+fn replies_keep_the_order_of_commands_and_each_attempt_has_its_own_connection() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(
+        [
+            read_request(1),
+            b"*1\r\n$4\r\nPING\r\n".to_vec(),
+            read_request(2),
+        ]
+        .concat(),
+    );
+    let first = harness.next_request();
+    let second = harness.next_request();
+    assert_ne!(first.1, second.1, "no attempt is written behind another");
+    assert_eq!((&first.2[2][15..], &second.2[2][15..]), ("1", "2"));
+    harness.endpoints[0].connections[second.1].send(served_reply("two"));
+    harness.run_until("the second reply", |s| s.program.open().0 == 1);
+    client.read();
+    assert_eq!(
+        client.text(),
+        "",
+        "the first command's reply is still pending"
+    );
+    harness.endpoints[0].connections[first.1].send(served_reply("one"));
+    harness.expect_reply(&mut client, "$3\r\none\r\n+PONG\r\n$3\r\ntwo\r\n");
+}
+
+#[test]
+fn malformed_framing_is_a_protocol_error_after_the_replies_before_it() {
+    for bad in [
+        "hello\r\n",
+        "*1\r\n$70000\r\n",
+        "*1\r\n:1\r\n",
+        "*99\r\n",
+        "*1\r\n$2\r\nabcd",
+    ] {
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        client.send(bad);
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        assert_eq!(harness.read_line(&mut client), "$1\r\n");
+        assert_eq!(harness.read_line(&mut client), "v\r\n");
+        assert!(
+            harness
+                .read_line(&mut client)
+                .starts_with("-ERR Protocol error"),
+            "{bad:?}"
+        );
+        harness.run_until_closed(&mut client);
+    }
+}
+
+#[test]
+fn an_endless_command_is_a_protocol_error_and_ends_the_connection() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let word = format!("$60000\r\n{}\r\n", "x".repeat(60_000));
+    client.send("*5\r\n");
+    for _ in 0..2 {
+        client.send(&word);
+        harness.run_round();
+    }
+    assert_eq!(
+        harness.read_line(&mut client),
+        "-ERR Protocol error: command too long\r\n"
+    );
+    harness.run_until_closed(&mut client);
+}
+
+#[test]
+fn commands_beyond_the_pipeline_limit_are_all_replied_to_in_order() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    client.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(
+        &mut client,
+        &format!("$1\r\nv\r\n{}", "+PONG\r\n".repeat(3000)),
+    );
+}
+
+#[test]
+fn a_client_with_many_commands_does_not_delay_another() {
+    let mut harness = Harness::new(1);
+    let (mut rude, mut usual) = (harness.connect(), harness.connect());
+    rude.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
+    usual.send(read_request(1));
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+    rude.read();
+    assert!(
+        rude.input.len() < 3000 * 7,
+        "it was served before the other had all its replies"
+    );
+    harness.expect_reply(&mut rude, &"+PONG\r\n".repeat(3000));
+}
+
+#[test]
+fn a_client_that_reads_no_replies_is_no_longer_read_and_is_closed() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let pings = "*1\r\n$4\r\nPING\r\n".repeat(2000);
+    // Far more replies than socket buffers hold.
+    let (mut sent, mut rest) = (0, pings.as_bytes());
+    harness.run_until("the ingress stops reading", |s| {
+        let n = client.send_some(rest);
+        (sent, rest) = (sent + n, &rest[n..]);
+        if rest.is_empty() {
+            rest = pings.as_bytes();
+        }
+        assert!(sent < 256 << 20, "the ingress never stops reading");
+        n == 0 && s.program.clients_hold().1 > 256 << 10
+    });
+    let held = harness.program.clients_hold().1;
+    for _ in 0..20 {
+        harness.run_round();
+    }
+    assert!(
+        harness.program.clients_hold().1 <= held,
+        "nothing more is replied to"
+    );
+    harness.advance(10_001);
+    harness.run_until("it is closed", |s| s.program.open().2 == 0);
+}
+
+#[test]
+fn values_of_the_maximum_size_are_forwarded_and_returned() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let body = "b".repeat(64 << 10);
+    let mut command = b"*5\r\n".to_vec();
+    let plain = request("API.WRITE", 1, WRITE_FIELDS);
+    command.extend(&plain[4..]);
+    command.extend(format!("${}\r\n{body}\r\n", body.len()).as_bytes());
+    client.send(&command);
+    let (s, c, words) = harness.next_request();
+    assert_eq!(words[4], body);
+    harness.endpoints[s].connections[c].send(served_reply(&body));
+    harness.expect_reply(&mut client, &format!("${}\r\n{body}\r\n", body.len()));
+}
+
+#[test]
+fn an_invalid_command_is_an_error_and_the_connection_stays_open() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let with_field = |from: &str, to: &str| request("API.READ", 1, &READ_FIELDS.replace(from, to));
+    let word = |at: usize, text: &str| {
+        let mut out = Vec::new();
+        resp::put_array(&mut out, 4);
+        let words = [
+            "API.READ",
+            "00000000b4d65521",
+            "0000000000000001",
+            READ_FIELDS,
+        ];
+        for (n, word) in words.into_iter().enumerate() {
+            resp::put_bulk(&mut out, if n == at { text } else { word }.as_bytes());
+        }
+        out
+    };
+    let wrong = [
+        request("API.READ", 1, "c=form-load"),
+        request("API.READ", 1, WRITE_FIELDS),
+        request("API.WRITE", 1, READ_FIELDS),
+        request(
+            "API.WRITE",
+            1,
+            &WRITE_FIELDS.replace("k=5c0f6e1a2b3d4c59,", ""),
+        ),
+        request(
+            "API.WRITE",
+            1,
+            &WRITE_FIELDS.replace("5c0f6e1a2b3d4c59", "key"),
+        ),
+        with_field("form-load", "other"),
+        with_field("seedling", "other"),
+        with_field("d=3000", "d=soon"),
+        with_field("d=3000", "d=nan"),
+        with_field("d=3000", "d=-1"),
+        with_field("d=3000", "d=1e3"),
+        with_field("d=3000", "d=0"),
+        with_field("d=3000", "d=3000,d=1"),
+        with_field("units=1", "units=0"),
+        with_field("units=1", "units=-2"),
+        with_field("units=1", "units=inf"),
+        with_field("units=1", "units=5"),
+        with_field("units=1", "units=1000000000000000"),
+        with_field("units=1,", ""),
+        with_field("spread=1", "spread=0"),
+        with_field("spread=1", "spread=2"),
+        with_field("spread=1", "spread=x"),
+        with_field("first=0", "first=1"),
+        with_field("first=0", "first=-1"),
+        word(1, "00000002b4d65521"),
+        word(1, "b4d65521"),
+        word(1, "+0000000b4d65521"),
+        word(2, ""),
+        word(2, "not a hex number"),
+        word(3, "\u{fffd},,="),
+        b"*1\r\n$8\r\nAPI.READ\r\n".to_vec(),
+        b"*1\r\n$5\r\nHELLO\r\n".to_vec(),
+        b"*0\r\n".to_vec(),
+        b"*-1\r\n".to_vec(),
+    ];
+    for command in wrong {
+        client.send(&command);
+        assert!(
+            harness.read_line(&mut client).starts_with("-ERR "),
+            "{}",
+            String::from_utf8_lossy(&command)
+        );
+    }
+    client.send("*1\r\n$4\r\nPING\r\n");
+    harness.expect_reply(&mut client, "+PONG\r\n");
+    assert_eq!(
+        (
+            harness.counter.calls.len(),
+            harness.program.clients_hold().0
+        ),
+        (0, 0),
+        "nothing was counted"
+    );
+}
+
+#[test]
+fn a_value_of_60_mb_is_rejected_by_its_length_and_discarded_as_it_arrives() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send("*5\r\n$9\r\nAPI.WRITE\r\n$60000000\r\n");
+    assert_eq!(
+        harness.read_line(&mut client),
+        "-ERR Protocol error: value too long\r\n"
+    );
+    let part = vec![b'x'; 100_000];
+    let mut sent = 0;
+    while sent < 60_000_000 {
+        sent += part.len();
+        // What loopback does not take at once it takes after a round.
+        let mut rest: &[u8] = &part;
+        harness.run_until("all is sent", |_| {
+            rest = &rest[client.send_some(rest)..];
+            rest.is_empty()
+        });
+        assert!(
+            harness.program.clients_hold().1 < 1 << 20,
+            "nothing of it is buffered"
+        );
+    }
+    client.end_sending();
+    harness.run_until_closed(&mut client);
+    assert!(!client.was_reset, "an end, no reset");
+    harness.run_until("it is closed", |s| s.program.open().2 == 0);
+}
+
+#[test]
+fn a_half_closed_client_still_receives_the_protocol_error() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send("GET / HTTP/1.1\r\n\r\n");
+    client.end_sending();
+    assert!(harness
+        .read_line(&mut client)
+        .starts_with("-ERR Protocol error"));
+    harness.run_until_closed(&mut client);
+}
+
+#[test]
+fn a_request_id_in_use_is_an_error_and_the_first_request_goes_on() {
+    let mut harness = Harness::new(1);
+    let (mut first, mut other) = (harness.connect(), harness.connect());
+    first.send(read_request(7));
+    let (_, c, _) = harness.next_request();
+    other.send(read_request(7));
+    assert_eq!(harness.read_line(&mut other), "-ERR request id in use\r\n");
+    drop(other);
+    harness.run_until("the other is disconnected", |s| s.program.open().2 == 1);
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut first, "$1\r\nv\r\n");
+    assert_eq!(
+        harness.program.clients_hold(),
+        (0, 0),
+        "the id is free again"
+    );
+}
--- /dev/null
+++ b/crates/ingress/tests/client_connections.rs
@@ -0,0 +1,136 @@
+//! Connections of clients: idle ones, silent ones, and more of them than there is capacity for.
+
+mod common;
+
+use common::*;
+
+#[test]
+fn silent_and_incomplete_clients_are_closed_before_idle_ones() {
+    let mut harness = Harness::new(1);
+    let (mut silent, mut halting, mut usual) =
+        (harness.connect(), harness.connect(), harness.connect());
+    halting.send("*4\r\n$8\r\nAPI.");
+    usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
+    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    harness.run_until("all are read", |s| {
+        s.program.open().2 == 3 && s.program.clients_hold().1 > 0
+    });
+    harness.advance(2100);
+    harness.run_round();
+    assert_eq!(harness.program.open().2, 3);
+    harness.advance(101);
+    harness.run_until_closed(&mut silent);
+    assert_eq!(
+        harness.read_line(&mut halting),
+        "-ERR Protocol error: command not finished in time\r\n"
+    );
+    harness.run_until_closed(&mut halting);
+    harness.advance(3700);
+    harness.run_round();
+    usual.read();
+    assert!(usual.is_open, "between requests for 5.9 s");
+    harness.advance(101);
+    harness.run_until_closed(&mut usual);
+}
+
+#[test]
+fn a_connection_with_a_pending_request_is_not_idle() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request(
+        "API.READ",
+        1,
+        &READ_FIELDS.replace("d=3000", "d=60000"),
+    ));
+    let (_, c, _) = harness.next_request();
+    for _ in 0..10 {
+        harness.advance(2000);
+    }
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+}
+
+#[test]
+fn hundreds_of_silent_clients_do_not_displace_an_active_one() {
+    let mut harness = Harness::with_sockets(1, 64);
+    let mut usual = harness.connect();
+    usual.send("*1\r\n$4\r\nPING\r\n");
+    harness.expect_reply(&mut usual, "+PONG\r\n");
+    let silent: Vec<Connection> = (0..300)
+        .map(|_| {
+            let client = harness.connect();
+            harness.advance(1);
+            client
+        })
+        .collect();
+    assert!(
+        harness.program.open().2 <= 24,
+        "{:?}",
+        harness.program.open()
+    );
+    usual.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+    drop(silent);
+}
+
+#[test]
+fn clients_with_one_command_do_not_displace_a_returning_one() {
+    let mut harness = Harness::with_sockets(1, 64);
+    let mut usual = harness.connect();
+    usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
+    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    let mut stayed = Vec::new();
+    for _ in 0..60 {
+        let mut client = harness.connect();
+        client.send("*1\r\n$4\r\nPING\r\n");
+        harness.advance(1);
+        harness.expect_reply(&mut client, "+PONG\r\n");
+        stayed.push(client);
+    }
+    usual.read();
+    assert!(usual.is_open, "used before all of them, and kept");
+    harness.advance(2201);
+    harness.run_until_closed(stayed.last_mut().unwrap());
+    usual.read();
+    assert!(usual.is_open);
+}
+
+#[test]
+fn bytes_buffered_for_all_clients_are_bounded_by_the_memory() {
+    let mut harness = Harness::with_memory(1, 1024, 32);
+    let mut usual = harness.connect();
+    let mut clients: Vec<Connection> = (0..120).map(|_| harness.connect()).collect();
+    let part = format!("*5\r\n$9\r\nAPI.WRITE\r\n$65536\r\n{}", "x".repeat(60_000));
+    for client in &mut clients {
+        client.send(&part);
+        for _ in 0..3 {
+            harness.run_round();
+        }
+        assert!(harness.program.clients_hold().1 <= 4 << 20);
+    }
+    assert!(
+        harness.program.open().2 < 100,
+        "those with the most bytes were closed"
+    );
+    usual.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+}
+
+#[test]
+fn more_clients_than_descriptors_are_served_by_closing_idle_connections() {
+    let mut harness = Harness::with_sockets(1, 48);
+    let mut clients = Vec::new();
+    for _ in 0..40 {
+        let mut client = harness.connect();
+        client.send("*1\r\n$4\r\nPING\r\n");
+        harness.expect_reply(&mut client, "+PONG\r\n");
+        clients.push(client);
+    }
+    let (_, _, held) = harness.program.open();
+    assert!((1..40).contains(&held), "{held} held");
+    harness.run_until_closed(&mut clients[0]);
+}
--- a/crates/ingress/tests/common/fake_counter.rs
+++ b/crates/ingress/tests/common/fake_counter.rs
@@ -1,5 +1,6 @@
 //! The counter, as a fake with true totals.
 
+use super::connection::Connection;
 use super::peer::Peer;
 use std::collections::BTreeMap;
 
@@ -30,6 +31,13 @@
         }
     }
 
+    /// The connection with a call that has no reply.
+    pub(crate) fn unanswered(&mut self) -> &mut Connection {
+        let mut connections = self.peer.connections.iter_mut();
+        connections.find(|end| !end.input.is_empty()).unwrap()
+    }
+
+    /// Reads all calls, and replies to them by its mode.
     pub(crate) fn serve(&mut self) {
         self.peer.read();
         for end in self
--- a/crates/ingress/tests/common/mod.rs
+++ b/crates/ingress/tests/common/mod.rs
@@ -21,5 +21,6 @@
 };
 pub(crate) use peer::Peer;
 pub(crate) use steps::{
-    assert_nothing_forwarded, disconnect_client, has_unanswered_call, serve_request,
+    assert_nothing_forwarded, assert_total_with_next_request, disconnect_client,
+    has_unanswered_call, serve_request,
 };
--- a/crates/ingress/tests/common/steps.rs
+++ b/crates/ingress/tests/common/steps.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use super::harness::Harness;
-use super::messages::served_reply;
+use super::messages::{read_request, served_reply};
 use super::peer::Peer;
 
 /// Serves one request of this client.
@@ -43,3 +43,11 @@
         );
     }
 }
+
+/// Another client's request of the same customer is served, and the customer's total is this with
+/// it.
+pub(crate) fn assert_total_with_next_request(harness: &mut Harness, total: f64, what: &str) {
+    let mut other = harness.connect();
+    serve_request(harness, &mut other, read_request(2));
+    assert_eq!(harness.counter.totals["00000000b4d65521"], total, "{what}");
+}
--- /dev/null
+++ b/crates/ingress/tests/counter_calls.rs
@@ -0,0 +1,255 @@
+//! Calls to the counter: quotas, late and malformed replies, connections that break.
+
+mod common;
+
+use common::*;
+
+#[test]
+fn a_request_over_quota_is_rejected_at_once_with_a_retry_after() {
+    let mut harness = Harness::new(1);
+    // Other ingresses have used the customer's whole window.
+    harness
+        .counter
+        .totals
+        .insert("00000000b4d65521".to_owned(), 20.0);
+    let mut client = harness.connect();
+    let before = harness.now;
+    client.send(read_request(1));
+    let answer = harness.read_line(&mut client);
+    let after: u64 = answer
+        .strip_prefix("-BUSY ")
+        .expect("a rejection")
+        .trim()
+        .parse()
+        .unwrap();
+    assert!((1..=1000).contains(&after), "{answer}");
+    assert_eq!(harness.now, before, "no time has passed");
+    assert!(
+        harness.endpoints[0].connections.is_empty(),
+        "no endpoint was contacted"
+    );
+}
+
+#[test]
+fn a_silent_counter_delays_no_request_and_its_late_total_counts_for_the_next() {
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| has_unanswered_call(s));
+    assert_eq!(
+        harness.endpoints[0].next_command(),
+        None,
+        "it waits for the total"
+    );
+    harness.advance(81);
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    // Its total comes long after the settings' time-out: others have used the window.
+    harness.advance(100);
+    let end = harness.counter.unanswered();
+    end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
+    for _ in 0..3 {
+        harness.run_round();
+    }
+    // The quota knows at once, without another reply of the counter.
+    client.send(read_request(2));
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+}
+
+#[test]
+fn a_reply_after_the_call_timeout_is_not_taken_for_the_next_call() {
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.advance(251);
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    // The first reply comes late, with a total within the quota; the second total is beyond it.
+    client.send(read_request(2));
+    harness.run_until("the second call", |s| {
+        s.counter
+            .peer
+            .connections
+            .iter()
+            .any(|e| e.input.windows(4).filter(|w| w == b"\r\n\r\n").count() == 2)
+    });
+    let end = harness.counter.unanswered();
+    end.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
+    for _ in 0..3 {
+        harness.run_round();
+    }
+    assert_eq!(
+        harness.endpoints[0].next_command(),
+        None,
+        "the first reply decides nothing"
+    );
+    let end = harness.counter.unanswered();
+    end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+}
+
+#[test]
+fn a_malformed_counter_reply_closes_its_connection_and_fails_no_further_call() {
+    for spoilt in [
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnan",
+        "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n5",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n5",
+        "\0noise\r\n\r\n",
+        "no end",
+    ] {
+        let mut harness = Harness::new(1);
+        harness.counter.mode = CounterMode::Silent;
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        harness.run_until("the call", |s| has_unanswered_call(s));
+        let end = harness.counter.unanswered();
+        end.send(spoilt);
+        harness.run_round();
+        harness.advance(26);
+        harness.run_until("the connection is closed", |s| {
+            s.counter.peer.connections.iter().all(|e| !e.is_open)
+        });
+        // Decided without it, and the next call is replied to at once on a new connection.
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.counter.mode = CounterMode::Replies;
+        harness.counter.peer.connections.clear();
+        let before = harness.now;
+        client.send(read_request(2));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("w"));
+        harness.expect_reply(&mut client, "$1\r\nw\r\n");
+        assert_eq!(
+            (harness.counter.calls.len(), harness.now),
+            (1, before),
+            "{spoilt:?}"
+        );
+    }
+}
+
+#[test]
+fn a_counter_connection_that_breaks_during_a_call_is_reopened_at_once() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let mut served_one = |harness: &mut Harness, id| {
+        client.send(read_request(id));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    };
+    served_one(&mut harness, 1);
+    assert_eq!(harness.counter.calls.len(), 1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut other = harness.connect();
+    other.send(read_request(2));
+    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.counter.peer.connections.clear();
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("w"));
+    harness.expect_reply(&mut other, "$1\r\nw\r\n");
+    // The next call has its total in the same millisecond.
+    harness.counter.mode = CounterMode::Replies;
+    served_one(&mut harness, 3);
+    assert_eq!(
+        harness.counter.calls.len(),
+        2,
+        "no call fails for want of a connection"
+    );
+}
+
+#[test]
+fn a_counter_that_refuses_or_rejects_delays_no_request() {
+    for refuses in [true, false] {
+        let mut harness = Harness::new(1);
+        harness.counter.mode = CounterMode::Rejects;
+        if refuses {
+            harness.counter.peer.stop();
+        }
+        let mut client = harness.connect();
+        let before = harness.now;
+        for id in 0..3 {
+            client.send(read_request(id));
+            let (_, c, _) = harness.next_request();
+            harness.endpoints[0].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        }
+        assert_eq!(harness.now, before);
+    }
+}
+
+#[test]
+fn a_silent_counter_connection_is_replaced() {
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.advance(251);
+    harness.advance(1100);
+    harness.run_until("the silent connection is closed", |s| {
+        s.counter.peer.connections.iter().all(|e| !e.is_open)
+    });
+    harness.counter.mode = CounterMode::Replies;
+    let calls = harness.counter.calls.len();
+    client.send(read_request(2));
+    harness.run_until("a call on a new connection", |s| {
+        s.counter.calls.len() > calls
+    });
+}
+
+#[test]
+fn interim_replies_of_counter_and_discovery_are_skipped() {
+    let mut harness = Harness::new(1);
+    harness.counter.mode = CounterMode::Silent;
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    harness.run_until("the call", |s| has_unanswered_call(s));
+    let end = harness.counter.unanswered();
+    end.send("HTTP/1.1 103 Early Hints\r\nContent-Length: 5\r\n\r\n");
+    end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+    harness.discovery_replies = false;
+    harness.discovery.connections.clear();
+    harness.advance(300);
+    harness.advance(201);
+    harness.run_until("a second watch", |s| s.watch_requests.len() == 2);
+    let list = "{\"rev\":50,\"all\":false,\"targets\":[]}\n";
+    let end = harness.discovery.connections.last_mut().unwrap();
+    end.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    end.send(format!("{:x}\r\n{list}\r\n", list.len()));
+    harness.run_until("the list", |s| s.program.list_version() == 50);
+}
+
+#[test]
+fn a_total_without_a_length_counts_at_the_end_of_its_connection_and_not_at_a_reset() {
+    for reset in [false, true] {
+        let mut harness = Harness::new(1);
+        harness.counter.mode = CounterMode::Silent;
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        harness.run_until("the call", |s| has_unanswered_call(s));
+        let end = harness.counter.unanswered();
+        // More than the allowance of 8.
+        end.send("HTTP/1.1 200 OK\r\n\r\n9");
+        match reset {
+            true => end.reset(),
+            false => end.close(),
+        }
+        if reset {
+            // There was no total: the request is decided without one.
+            let (s, c, _) = harness.next_request();
+            harness.endpoints[s].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        } else {
+            assert!(harness.read_line(&mut client).starts_with("-BUSY"));
+            assert_eq!(harness.endpoints[0].next_command(), None);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -0,0 +1,281 @@
+//! The watch on discovery: reopened when it falls silent, breaks or is migrated.
+
+mod common;
+
+use common::*;
+use std::time::Duration;
+
+#[test]
+fn a_silent_watch_is_reopened_from_the_revision_held() {
+    let mut harness = Harness::new(1);
+    assert_eq!(
+        harness.watch_requests,
+        ["GET /discovery/hosts?watch=1&after=41 HTTP/1.1"]
+    );
+    harness.send_endpoint_states(43, &[(0, "SERVING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 43);
+    harness.discovery_replies = false;
+    harness.advance(2900);
+    assert_eq!(
+        harness.watch_requests.len(),
+        1,
+        "a line may be a little late"
+    );
+    harness.advance(200);
+    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    assert_eq!(
+        harness.watch_requests[1],
+        "GET /discovery/hosts?watch=1&after=43 HTTP/1.1"
+    );
+    harness.advance(1100);
+    harness.run_until("a third call", |s| s.watch_requests.len() == 3);
+}
+
+#[test]
+fn a_watch_that_breaks_is_reopened_after_the_backoff() {
+    let mut harness = Harness::new(1);
+    harness.discovery.connections.clear();
+    harness.run_until("the loss", |s| s.program.next_due().is_some());
+    for _ in 0..3 {
+        harness.run_round();
+    }
+    harness.advance(201);
+    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+}
+
+#[test]
+fn ping_is_answered_after_the_first_watch_line_or_the_ready_timeout() {
+    let mut harness = Harness::new(1);
+    harness.discovery_replies = false;
+    let (counter, discovery) = (FakeCounter::new(), Peer::new());
+    let text = config(&counter.peer, &discovery, &harness.endpoints, 1024);
+    let config = roseyard_ingress::program::config::Config::parse(text.into(), |_| None).unwrap();
+    let clock = roseyard_ingress::clock::Clock::start();
+    harness.program =
+        roseyard_ingress::program::Program::start(&config, &operator_file(""), clock).unwrap();
+    harness.now = clock.now();
+    let mut client = harness.connect();
+    client.send("*1\r\n$4\r\nPING\r\n");
+    assert!(harness.read_line(&mut client).starts_with("-LOADING"));
+    harness.advance(1100);
+    client.send("*1\r\n$4\r\nPING\r\n");
+    harness.expect_reply(&mut client, "+PONG\r\n");
+}
+
+/// What becomes of a watch while discovery has a drain to send.
+#[derive(Clone, Copy, Debug)]
+enum WatchFault {
+    Silent,
+    Torn,
+    Moved,
+}
+
+#[test]
+fn a_drain_missed_by_a_silent_broken_or_migrated_watch_takes_effect_within_the_grace() {
+    for (grace, what) in [1000, 2000]
+        .into_iter()
+        .flat_map(|g| [WatchFault::Silent, WatchFault::Torn, WatchFault::Moved].map(|w| (g, w)))
+    {
+        let mut harness = Harness::new(2);
+        harness.restart_with_drain_grace(grace, &[]);
+        harness.advance(10);
+        // From here on discovery has sent a drain, received or not.
+        let told = harness.now;
+        harness.discovery_replies = false;
+        let before = harness.watch_requests.len();
+        match what {
+            WatchFault::Silent => {}
+            WatchFault::Torn => harness
+                .discovery
+                .connections
+                .iter_mut()
+                .for_each(Connection::close),
+            WatchFault::Moved => drop(harness.reload()),
+        }
+        // Two more calls are accepted and get no reply, except after a migration.
+        let silent = if matches!(what, WatchFault::Moved) {
+            0
+        } else {
+            2
+        };
+        let mut client = harness.connect();
+        let (mut id, mut last) = (1, told);
+        while harness.now < told + Duration::from_secs(10) {
+            if harness.program.list_version() == 41
+                && harness.watch_requests.len() > before + silent
+            {
+                let drain = format!(
+                    "{{\"rev\":42,\"all\":false,\"targets\":[{}]}}\n",
+                    endpoint_entry(0, harness.endpoints[0].address, "DRAINING")
+                );
+                let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+                let end = harness.discovery.connections.last_mut().unwrap();
+                end.send(format!("{head}{:x}\r\n{drain}\r\n", drain.len()));
+                harness.run_until("the list", |s| s.program.list_version() == 42);
+            }
+            client.send(request_of_customer(700 + id, "API.READ", id, READ_FIELDS));
+            let (s, c, _) = harness.next_request();
+            last = if s == 0 { harness.now } else { last };
+            harness.endpoints[s].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
+            id += 1;
+            harness.advance(50);
+        }
+        let after = last - told;
+        assert_eq!(
+            harness.program.list_version(),
+            42,
+            "{what:?}: the list came"
+        );
+        // It counts as notified 6 s later, received or not.
+        let most = Duration::from_millis(if silent > 0 { 6000 } else { 0 } + grace);
+        assert!(
+            after <= most,
+            "{what:?}, grace {grace} ms: last request {after:?} after it was sent"
+        );
+    }
+}
+
+#[test]
+fn a_list_that_crosses_a_migration_of_discovery_is_applied() {
+    let mut harness = Harness::new(2);
+    harness.discovery_replies = false;
+    // Written to the ingress, but not read when SIGHUP is handled; the new address stays silent.
+    harness.send_endpoint_states(42, &[(0, "DRAINING")]);
+    harness.reload();
+    for _ in 0..5 {
+        harness.run_round();
+    }
+    assert_eq!(harness.program.list_version(), 42);
+    harness.run_until("a call from that revision on", |s| {
+        s.watch_requests.iter().any(|w| w.contains("after=42 "))
+    });
+}
+
+#[test]
+fn the_list_of_a_slow_discovery_is_applied_before_it_counts_as_notified() {
+    for grace in [2000, 400] {
+        // The whole reply late, or its first line late behind its head.
+        apply_from_slow_discovery(grace, 1200, false);
+        apply_from_slow_discovery(grace, 2100, true);
+    }
+}
+
+fn apply_from_slow_discovery(grace: u64, late: u64, head_first: bool) {
+    let mut harness = Harness::new(2);
+    harness.restart_with_drain_grace(grace, &[]);
+    harness.advance(10);
+    harness.discovery_replies = false;
+    let told = harness.now;
+    let news = endpoint_list(
+        42,
+        false,
+        &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+    );
+    // Each call is replied to this long after it was made; the first watch has fallen silent.
+    let mut calls = vec![None; harness.discovery.connections.len()];
+    while harness.program.list_version() == 41 {
+        harness.advance(50);
+        harness.run_round();
+        while calls.len() < harness.discovery.connections.len() {
+            if head_first {
+                harness.discovery.connections[calls.len()].send(WATCH_HEAD);
+            }
+            calls.push(Some(harness.now + Duration::from_millis(late)));
+        }
+        for (n, at) in calls.iter_mut().enumerate() {
+            if at.is_some_and(|at| at <= harness.now) {
+                let head = if head_first { "" } else { WATCH_HEAD };
+                harness.discovery.connections[n].send(format!("{head}{}", chunk(&news)));
+                *at = None;
+            }
+        }
+        for _ in 0..5 {
+            harness.run_round();
+        }
+        assert!(
+            harness.now < told + Duration::from_millis(6000),
+            "never received: {} calls",
+            calls.len()
+        );
+    }
+    // It is the watch from here on; the calls after it are closed.
+    let open: Vec<usize> = (0..calls.len())
+        .filter(|n| harness.discovery.connections[*n].is_open)
+        .collect();
+    assert_eq!(open.len(), 1, "{open:?} of {}", calls.len());
+    let later = endpoint_list(
+        43,
+        false,
+        &[endpoint_entry(0, harness.endpoints[0].address, "SERVING")],
+    );
+    harness.discovery.connections[open[0]].send(chunk(&later));
+    harness.run_until("the next list", |s| s.program.list_version() == 43);
+}
+
+#[test]
+fn the_list_of_a_recovered_discovery_is_applied_within_the_grace() {
+    // A change counts as notified at its return; calls from before get no reply.
+    for (grace, refuses) in [
+        (500, false),
+        (500, true),
+        (1000, false),
+        (1000, true),
+        (2000, true),
+    ] {
+        for at in (4000..6000).step_by(150) {
+            let mut harness = Harness::new(2);
+            harness.restart_with_drain_grace(grace, &[("\"Balancers\":1,", "\"Balancers\":300,")]);
+            harness.discovery_replies = false;
+            if refuses {
+                harness.discovery.stop();
+            }
+            let back = harness.now + Duration::from_millis(at);
+            while harness.now < back {
+                harness.advance(50);
+            }
+            if refuses {
+                harness.discovery.restart();
+            }
+            let (before, news) = (
+                harness.discovery.connections.len(),
+                endpoint_list(
+                    42,
+                    false,
+                    &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+                ),
+            );
+            while harness.program.list_version() == 41 {
+                harness.advance(10);
+                if harness.discovery.connections.len() > before {
+                    harness.discovery.connections[before]
+                        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+                    harness.run_until("the list", |s| s.program.list_version() == 42);
+                }
+                let late = harness.now - back;
+                assert!(
+                    late < Duration::from_millis(grace),
+                    "grace {grace} ms, back after {at} ms: {late:?}"
+                );
+            }
+        }
+    }
+}
+
+#[test]
+fn a_polled_discovery_is_not_called_faster_for_a_short_grace() {
+    let mut calls = Vec::new();
+    for mode in ["\"Discovery\":\"automatic\"", "\"Discovery\":\"subscribe\""] {
+        let mut harness = Harness::new(1);
+        harness.restart_with_drain_grace(500, &[("\"Discovery\":\"automatic\"", mode)]);
+        harness.discovery_replies = false;
+        harness.advance(10);
+        let before = harness.watch_requests.len();
+        for _ in 0..200 {
+            harness.advance(50);
+        }
+        calls.push(harness.watch_requests.len() - before);
+    }
+    // Silent for 10 s: the first 3 s belong to the watch that was open.
+    assert!(calls[0] > 20 && calls[1] <= 8, "{calls:?}");
+}
--- /dev/null
+++ b/crates/ingress/tests/endpoint_attempts.rs
@@ -0,0 +1,250 @@
+//! Attempts on connections to endpoints: connect failures, time-outs, drains, moves.
+
+mod common;
+
+use common::*;
+
+#[test]
+fn an_idle_connection_is_reused_and_closed_before_the_endpoint_closes_it() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    for id in 0..3 {
+        client.send(read_request(id));
+        let (_, c, _) = harness.next_request();
+        assert_eq!(c, 0, "the pooled connection");
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.advance(20);
+    }
+    harness.advance(14_000);
+    harness.run_until("the pool is empty", |s| {
+        !s.endpoints[0].connections[0].is_open
+    });
+}
+
+#[test]
+fn a_keyed_request_whose_connection_breaks_after_its_last_byte_fails_without_retry_after() {
+    let mut harness = Harness::new(2);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (s, _, _) = harness.next_request();
+    harness.endpoints[s].connections.clear();
+    // The other endpoint is in another pod, which does not know the key.
+    harness.expect_reply(&mut client, "-ERR failed\r\n");
+    assert_eq!(harness.endpoints[1 - s].next_command(), None);
+}
+
+#[test]
+fn a_refused_connection_means_not_executed() {
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop();
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    // If it might have been executed, a keyed request would get no retry time.
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+}
+
+#[test]
+fn a_connect_timeout_means_not_executed() {
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop_accepting();
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+    harness.advance(251);
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+    assert_eq!(harness.program.open().1, 0);
+}
+
+#[test]
+fn an_attempt_awaiting_its_connection_is_not_written_to_a_draining_endpoint() {
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop_accepting();
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+    harness.send_endpoint_states(42, &[(0, "DRAINING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+    // The connection is established.
+    harness.endpoints[0].resume_accepting();
+    assert!(harness.read_line(&mut client).starts_with("-BUSY "));
+    harness.endpoints[0].read();
+    assert_eq!(harness.endpoints[0].next_command(), None);
+}
+
+#[test]
+fn nothing_is_written_to_the_old_address_of_an_endpoint_that_moved() {
+    let mut harness = Harness::new(1);
+    harness.endpoints[0].stop_accepting();
+    let (mut client, mut other) = (harness.connect(), harness.connect());
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+    let mut old = std::mem::replace(&mut harness.endpoints[0], Peer::new());
+    harness.send_endpoint_states(42, &[(0, "SERVING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+    // Now it is established at the old address.
+    old.resume_accepting();
+    harness.run_until("the reply", |_| {
+        old.read();
+        client.read();
+        !client.input.is_empty()
+    });
+    assert!(client.text().starts_with("-BUSY "));
+    other.send(read_request(2));
+    let (_, c, _) = harness.next_request();
+    old.read();
+    assert_eq!(old.next_command(), None);
+    // A reply from before the next move is forwarded, its connection not reused.
+    let mut before = std::mem::replace(&mut harness.endpoints[0], Peer::new());
+    harness.send_endpoint_states(43, &[(0, "SERVING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 43);
+    before.connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut other, "$1\r\nv\r\n");
+    harness.run_until("its connection is closed", |_| {
+        before.read();
+        !before.connections[c].is_open
+    });
+}
+
+#[test]
+fn an_attempt_timeout_closes_its_connection_and_fails_the_request() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (_, c, _) = harness.next_request();
+    harness.advance(1001);
+    harness.expect_reply(&mut client, "-ERR failed\r\n");
+    harness.run_until("the attempt is given up", |s| {
+        !s.endpoints[0].connections[c].is_open
+    });
+    assert_eq!(harness.program.open(), (0, 0, 1));
+}
+
+#[test]
+fn a_disconnected_client_has_its_attempt_cancelled() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    drop(client);
+    harness.run_until("the attempt is given up", |s| {
+        !s.endpoints[0].connections[c].is_open
+    });
+    assert_eq!(harness.program.open(), (0, 0, 0));
+}
+
+#[test]
+fn a_draining_endpoint_gets_no_new_request_and_finishes_its_own() {
+    let mut harness = Harness::new(2);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (drained, c, _) = harness.next_request();
+    harness.send_endpoint_states(42, &[(drained, "DRAINING")]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+    let mut other = harness.connect();
+    for id in 2..6 {
+        other.send(read_request(id));
+        let (s, c, _) = harness.next_request();
+        assert_eq!(s, 1 - drained);
+        harness.endpoints[s].connections[c].send(served_reply("w"));
+        harness.expect_reply(&mut other, "$1\r\nw\r\n");
+    }
+    harness.endpoints[drained].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    harness.run_until("its connection is closed", |s| {
+        !s.endpoints[drained].connections[c].is_open
+    });
+}
+
+/// An endpoint keeps a connection for 100 ms, and its end is seen only once the next request has
+/// been written there. How many of the requests of the second half, each 200 ms after the one
+/// before, were lost to that.
+fn lost_to_dead_connections(kind: &str, list: &str) -> usize {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let mut lost = 0;
+    for id in 0..60 {
+        client.send(request_of_customer(id + 1, kind, id, list));
+        let (s, c, _) = harness.next_request();
+        let end = &mut harness.endpoints[s].connections[c];
+        if end.has_carried_request {
+            lost += usize::from(id >= 30);
+            harness.endpoints[s].connections.remove(c);
+        } else {
+            end.has_carried_request = true;
+            end.send(served_reply("v"));
+        }
+        harness.run_until("the reply", |_| {
+            client.read();
+            client.input.ends_with(b"\r\n")
+        });
+        client.input.clear();
+        harness.advance(200);
+    }
+    lost
+}
+
+#[test]
+fn idle_connections_that_die_unseen_are_learned_and_not_reused() {
+    let once = lost_to_dead_connections("API.WRITE", WRITE_FIELDS);
+    assert!(once <= 3, "{once} of 30 were lost");
+    let twice = lost_to_dead_connections("API.READ", READ_FIELDS);
+    assert!(twice <= 3, "{twice} of 30 were sent on dead connections");
+}
+
+#[test]
+fn a_non_idempotent_request_is_sent_once_and_replied_to_once_however_its_attempt_ends() {
+    const COMMIT: &str = "c=submit,t=seedling,d=3000,units=1,spread=1,first=0";
+    for end in [
+        "reset",
+        "half a reply",
+        "malformed",
+        "error",
+        "silence",
+        "sigterm",
+    ] {
+        let mut harness = Harness::new(2);
+        harness.restart_with(&[(
+            "\"Effect\":\"idempotency_key\"",
+            "\"Effect\":\"non_idempotent\"",
+        )]);
+        let mut client = harness.connect();
+        client.send(request("API.WRITE", 1, COMMIT));
+        let (s, c, _) = harness.next_request();
+        match end {
+            "reset" => harness.endpoints[s].connections.clear(),
+            "half a reply" => {
+                harness.endpoints[s].connections[c].send("*3\r\n$1\r\n");
+                harness.endpoints[s].connections[c].close();
+            }
+            "malformed" => harness.endpoints[s].connections[c].send("*3\r\n:1\r\n$-1\r\n$-1\r\n"),
+            "error" => harness.endpoints[s].connections[c].send("-ERR failed used=37\r\n"),
+            "sigterm" => {
+                harness.program.leave();
+                harness.advance(10);
+                harness.endpoints[s].connections.clear();
+            }
+            // Its objective and its deadline pass.
+            _ => {}
+        }
+        for _ in 0..40 {
+            harness.advance(100);
+            client.read();
+            assert_eq!(
+                harness.endpoints[1 - s].next_command(),
+                None,
+                "{end}: sent again"
+            );
+        }
+        assert_eq!(
+            client.text(),
+            "-ERR failed\r\n",
+            "{end}: one final reply, without a retry time"
+        );
+        assert_eq!(
+            harness.endpoints[s].next_command(),
+            None,
+            "{end}: sent again"
+        );
+    }
+}
--- /dev/null
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -0,0 +1,335 @@
+//! Endpoint lists: split, indented, unreadable, cut, older; and what a new process does before the first.
+
+mod common;
+
+use common::*;
+
+/// The list of two endpoints of which the first drains, over many lines.
+fn indented_list(harness: &Harness, rev: u64) -> String {
+    let entry = |n: usize, state: &str| {
+        let text = endpoint_entry(n, harness.endpoints[n].address, state);
+        text.replace("{", "    {\n      ")
+            .replace(",\"", ",\n      \"")
+            .replace("}", "\n    }")
+    };
+    format!(
+        "{{\n  \"rev\": {rev},\n  \"all\": true,\n  \"targets\": [\n{},\n{}\n  ]\n}}\n",
+        entry(0, "DRAINING"),
+        entry(1, "SERVING")
+    )
+}
+
+#[test]
+fn an_indented_list_is_one_list_however_it_is_split() {
+    let mut harness = Harness::new(2);
+    let text = indented_list(&harness, 42);
+    assert!(text.lines().count() > 15);
+    for (n, line) in text.split_inclusive('\n').enumerate() {
+        // Complete lines, and lines in two parts.
+        let cut = if n % 2 == 0 {
+            line.len()
+        } else {
+            line.len() / 2
+        };
+        for part in [&line[..cut], &line[cut..]] {
+            if !part.is_empty() {
+                harness
+                    .discovery
+                    .connections
+                    .last_mut()
+                    .unwrap()
+                    .send(chunk(part));
+                harness.run_round();
+            }
+        }
+    }
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+    assert_eq!(harness.watch_requests.len(), 1, "the watch goes on");
+    harness
+        .discovery
+        .connections
+        .last_mut()
+        .unwrap()
+        .send(chunk("\n"));
+    harness.send_endpoint_states(43, &[(1, "SERVING")]);
+    harness.run_until("the next list", |s| s.program.list_version() == 43);
+    let mut client = harness.connect();
+    for id in 0..6 {
+        client.send(read_request_of(50 + id, id));
+        let (s, c, _) = harness.next_request();
+        assert_eq!(s, 1, "the first one drains");
+        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    }
+}
+
+#[test]
+fn an_unreadable_line_is_fetched_again_and_skipped_only_the_second_time() {
+    for torn in [
+        "{\"rev\":42,\"all\":fal\n\n",
+        "no list\n",
+        "{\"rev\":42,\"all\":3}\n",
+        "{\"rev\":42,\"targets\":[\"\n",
+    ] {
+        let mut harness = Harness::new(2);
+        harness.discovery_replies = false;
+        harness
+            .discovery
+            .connections
+            .last_mut()
+            .unwrap()
+            .send(chunk(torn));
+        for _ in 0..5 {
+            harness.run_round();
+        }
+        harness.advance(201);
+        harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+        assert!(
+            harness.watch_requests[1].contains("after=41 "),
+            "{}",
+            harness.watch_requests[1]
+        );
+        assert_eq!(harness.program.list_version(), 41);
+        let news = endpoint_list(
+            43,
+            false,
+            &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+        );
+        // What can never be read must not keep back the lines behind it.
+        harness
+            .discovery
+            .connections
+            .last_mut()
+            .unwrap()
+            .send(format!("{WATCH_HEAD}{}{}", chunk(torn), chunk(&news)));
+        harness.run_until("the list behind it", |s| s.program.list_version() == 43);
+        assert_eq!(harness.watch_requests.len(), 2);
+    }
+}
+
+#[test]
+fn a_watch_cut_within_a_line_keeps_the_list_held_and_nothing_of_the_line() {
+    let mut harness = Harness::new(2);
+    harness.discovery_replies = false;
+    let news = endpoint_list(
+        42,
+        false,
+        &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+    );
+    let end = harness.discovery.connections.last_mut().unwrap();
+    end.send(chunk(&news[..news.len() / 2]));
+    harness.run_round();
+    harness.discovery.connections.last_mut().unwrap().close();
+    for _ in 0..5 {
+        harness.run_round();
+    }
+    harness.advance(201);
+    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    assert_eq!(harness.program.list_version(), 41);
+    harness
+        .discovery
+        .connections
+        .last_mut()
+        .unwrap()
+        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+}
+
+#[test]
+fn a_list_right_before_a_reset_is_applied() {
+    let mut harness = Harness::new(2);
+    harness.discovery_replies = false;
+    harness.send_endpoint_states(42, &[(0, "DRAINING")]);
+    harness.discovery.connections.last_mut().unwrap().reset();
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+}
+
+#[test]
+fn a_watch_without_a_length_is_read_and_a_reset_completes_no_list() {
+    let mut harness = Harness::new(2);
+    harness.discovery_replies = false;
+    let drains = |harness: &Harness, rev| {
+        endpoint_list(
+            rev,
+            false,
+            &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+        )
+    };
+    // The watch breaks, and every later reply has neither chunks nor a length.
+    harness.discovery.connections.last_mut().unwrap().close();
+    harness.run_round();
+    harness.advance(201);
+    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    let news = drains(&harness, 42);
+    let end = harness.discovery.connections.last_mut().unwrap();
+    end.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &news[..30]));
+    harness.run_round();
+    harness
+        .discovery
+        .connections
+        .last_mut()
+        .unwrap()
+        .send(&news[30..]);
+    harness.run_until("the list", |s| s.program.list_version() == 42);
+    let later = drains(&harness, 43);
+    harness
+        .discovery
+        .connections
+        .last_mut()
+        .unwrap()
+        .send(&later[..later.len() - 2]);
+    harness.run_round();
+    harness.discovery.connections.last_mut().unwrap().reset();
+    for _ in 0..5 {
+        harness.run_round();
+    }
+    harness.advance(201);
+    harness.run_until("a third call", |s| s.watch_requests.len() == 3);
+    assert!(
+        harness.watch_requests[2].contains("after=42 "),
+        "{}",
+        harness.watch_requests[2]
+    );
+    assert_eq!(
+        harness.program.list_version(),
+        42,
+        "a reset does not complete a list"
+    );
+}
+
+#[test]
+fn an_older_list_neither_revives_draining_endpoints_nor_loses_newer_ones() {
+    for restarted in [false, true] {
+        let mut harness = Harness::new(3);
+        let entries = |harness: &Harness, states: [&str; 3]| -> Vec<String> {
+            let all = states.iter().enumerate().filter(|(_, s)| !s.is_empty());
+            all.map(|(n, s)| endpoint_entry(n, harness.endpoints[n].address, s))
+                .collect()
+        };
+        // The third is new, the first drains and the second is unchanged.
+        let now = endpoint_list(
+            44,
+            true,
+            &entries(&harness, ["DRAINING", "SERVING", "SERVING"]),
+        );
+        harness
+            .discovery
+            .connections
+            .last_mut()
+            .unwrap()
+            .send(chunk(&now));
+        harness.run_until("the list", |s| s.program.list_version() == 44);
+        // An agent that is behind sends an earlier list.
+        let rev = if restarted { 0 } else { 42 };
+        let states = if restarted {
+            ["", "", ""]
+        } else {
+            ["SERVING", "SERVING", ""]
+        };
+        let older = endpoint_list(rev, true, &entries(&harness, states));
+        harness
+            .discovery
+            .connections
+            .last_mut()
+            .unwrap()
+            .send(chunk(&older));
+        harness.run_until("the older list", |s| s.program.list_version() == rev);
+        let mut seen = [0; 3];
+        let mut client = harness.connect();
+        for id in 0..20 {
+            // Two at a time: the second goes to another endpoint.
+            client.send(
+                [
+                    read_request_of(50 + id, id),
+                    read_request_of(150 + id, 100 + id),
+                ]
+                .concat(),
+            );
+            let out = [harness.next_request(), harness.next_request()];
+            for (s, c, _) in out {
+                seen[s] += 1;
+                harness.endpoints[s].connections[c].send(served_reply("v"));
+            }
+            harness.expect_reply(&mut client, &"$1\r\nv\r\n".repeat(2));
+            harness.advance(21);
+        }
+        assert_eq!(seen[0], 0, "the draining endpoint still drains: {seen:?}");
+        assert!(
+            seen[1] > 0 && seen[2] > 0,
+            "the last good list is in force: {seen:?}"
+        );
+        // A later revision is applied again.
+        let later = endpoint_list(45, true, &entries(&harness, ["SERVING", "", ""]));
+        harness
+            .discovery
+            .connections
+            .last_mut()
+            .unwrap()
+            .send(chunk(&later));
+        harness.run_until("the later list", |s| s.program.list_version() == 45);
+        client.send(read_request_of(99, 99));
+        assert_eq!(harness.next_request().0, 0);
+    }
+}
+
+#[test]
+fn a_new_process_forwards_nothing_by_its_old_list_before_discovery_has_replied() {
+    let mut harness = Harness::new(2);
+    harness.discovery_replies = false;
+    harness.restart_with(&[]);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    assert!(
+        harness.read_line(&mut client).starts_with("-BUSY"),
+        "the list of the configuration may be old"
+    );
+    // Discovery's reply and the next request are there in one round.
+    let news = endpoint_list(
+        42,
+        false,
+        &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+    );
+    harness
+        .discovery
+        .connections
+        .last_mut()
+        .unwrap()
+        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+    client.send(read_request(2));
+    let (s, c, _) = harness.next_request();
+    assert_eq!(s, 1, "the other drains since before the start");
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+}
+
+#[test]
+fn a_new_process_with_silent_discovery_serves_by_its_list_after_the_ready_timeout() {
+    let mut harness = Harness::new(1);
+    harness.discovery_replies = false;
+    harness.restart_with(&[]);
+    harness.advance(1001);
+    let mut client = harness.connect();
+    serve_request(&mut harness, &mut client, read_request(1));
+}
+
+#[test]
+fn a_drain_is_applied_before_the_requests_of_the_same_round() {
+    for _ in 0..5 {
+        let mut harness = Harness::new(2);
+        let mut client = harness.connect();
+        serve_request(&mut harness, &mut client, read_request_of(5, 1));
+        harness.advance(30);
+        // The requests are there first; the drain is applied before they are decided all the same.
+        for id in 2..4 {
+            client.send(read_request_of(5 + id, id));
+        }
+        harness.send_endpoint_states(42, &[(0, "DRAINING")]);
+        harness.run_round();
+        for _ in 2..4 {
+            let (s, c, _) = harness.next_request();
+            assert_eq!(s, 1);
+            harness.endpoints[s].connections[c].send(served_reply("v"));
+        }
+        harness.expect_reply(&mut client, &"$1\r\nv\r\n".repeat(2));
+    }
+}
--- /dev/null
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -0,0 +1,222 @@
+//! Events that cross on connections to endpoints: each test forces the order that matters.
+
+mod common;
+
+use common::*;
+use std::time::Duration;
+
+const BODY: usize = 60_000;
+
+/// Two endpoints of different cells, and a client's write of which a part is written to one, which
+/// reads nothing.
+fn partly_written_request() -> (Harness, Connection, usize) {
+    let mut harness = Harness::new(2);
+    harness.endpoints = vec![Peer::with_small_buffers(), Peer::with_small_buffers()];
+    harness.restart_with(&[]);
+    let mut client = harness.connect();
+    client.send(write_with_body(1, BODY));
+    let s = harness.run_until_contacted(|party| {
+        party
+            .connections
+            .first()
+            .is_some_and(|e| e.peek_length() > 0)
+    });
+    (harness, client, s)
+}
+
+#[test]
+fn an_endpoint_that_closes_or_replies_amid_the_write_did_not_execute_the_request() {
+    for what in ["end", "reset", "served", "busy", "half"] {
+        for read in [0, 1, 700, 4000] {
+            let (mut harness, mut client, s) = partly_written_request();
+            let mut broken = harness.endpoints[s].connections.remove(0);
+            while broken.input.len() < read {
+                broken.read_some(read - broken.input.len());
+            }
+            match what {
+                "end" => broken.close(),
+                "reset" => broken.reset(),
+                "served" => broken.send(served_reply("x")),
+                "busy" => broken.send("-BUSY\r\n"),
+                _ => broken.send("*3\r\n$1\r\n"),
+            }
+            // In another cell: only what is provably not executed may go there.
+            let (other, c, words) = harness.next_request();
+            assert_eq!(
+                (other, words[4].len()),
+                (1 - s, BODY),
+                "{what} after {read} bytes"
+            );
+            harness.endpoints[other].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
+            broken.read();
+            assert!(
+                broken.input.len() < BODY,
+                "{what}: it has the complete command"
+            );
+        }
+    }
+}
+
+#[test]
+fn a_client_that_disconnects_amid_the_write_has_nothing_executed_or_counted() {
+    let (mut harness, client, s) = partly_written_request();
+    disconnect_client(&mut harness, client);
+    assert_nothing_forwarded(&mut harness, "amid the write");
+    assert_eq!(harness.program.open(), (0, 0, 0), "its connection goes too");
+    assert!(
+        !harness.endpoints[s].connections[0].is_open
+            && harness.endpoints[s].connections[0].input.len() < BODY
+    );
+    assert_total_with_next_request(
+        &mut harness,
+        1.0,
+        "no complete request has reached an endpoint",
+    );
+}
+
+#[test]
+fn bytes_before_the_first_request_are_not_taken_for_a_reply() {
+    // A complete value, half a line, an end: there before the new connection's first request is
+    // written.
+    for early in [
+        served_reply("x"),
+        "-BUSY\r\n".to_owned(),
+        "*3\r\n$5".to_owned(),
+        String::new(),
+    ] {
+        let mut harness = Harness::new(2);
+        let mut client = harness.connect();
+        client.send(request("API.WRITE", 1, WRITE_FIELDS));
+        // The connection is begun in one round and taken as established in the next.
+        let spoke = harness.run_until_contacted(|party| !party.connections.is_empty());
+        match early.as_str() {
+            "" => harness.endpoints[spoke].connections[0].end_sending(),
+            early => harness.endpoints[spoke].connections[0].send(early),
+        }
+        let (s, c, _) = harness.next_request();
+        assert_ne!(s, spoke, "{early:?}: that connection is out of step");
+        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        assert_eq!(harness.endpoints[spoke].next_command(), None, "{early:?}");
+    }
+}
+
+#[test]
+fn an_endless_reply_is_bounded_in_time_and_reaches_no_other_request() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send("*3\r\n$60000\r\n");
+    let begun = harness.now;
+    while harness.program.open().0 > 0 {
+        harness.endpoints[s].connections[c].send("x");
+        harness.advance(100);
+        assert!(
+            harness.now <= begun + Duration::from_millis(1100),
+            "the reply has no end"
+        );
+    }
+    harness.expect_reply(&mut client, "-ERR failed\r\n");
+    harness.run_until("its connection is closed", |harness| {
+        harness.endpoints[s].connections[c].read();
+        !harness.endpoints[s].connections[c].is_open
+    });
+    serve_request(&mut harness, &mut client, read_request(2));
+}
+
+#[test]
+fn a_request_present_when_its_idle_connection_times_out_is_served() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    serve_request(&mut harness, &mut client, read_request(1));
+    serve_request(&mut harness, &mut client, read_request_of(7, 2));
+    client.send(read_request_of(8, 3));
+    harness.now += Duration::from_millis(6001);
+    let (s, c, _) = harness.next_request();
+    harness.endpoints[s].connections[c].send(served_reply("w"));
+    harness.expect_reply(&mut client, "$1\r\nw\r\n");
+}
+
+#[test]
+fn a_non_idempotent_request_is_retried_only_if_provably_not_executed() {
+    // Read or write, under any name: the settings alone decide.
+    for (name, end, again) in [
+        ("kart-les", "-BUSY\r\n", true),
+        ("kart-les", "-ERR failed\r\n", false),
+        ("form-load", "-BUSY inflight=1\r\n", true),
+        ("form-load", "*3\r\n$1\r\nv", false),
+        ("form-load", "", false),
+        ("a", "-BUSYBODY\r\n", false),
+        // More behind it: the rejection cannot be matched to a request.
+        ("a", "-BUSY\r\n-BUSY\r\n", false),
+        ("a", "-BUSY\r\n*3\r\n", false),
+    ] {
+        let mut harness = Harness::new(3);
+        harness.restart_with(&[
+            ("\"read_like\"", "\"non_idempotent\""),
+            ("\"form-load\"", &format!("{name:?}")),
+        ]);
+        let mut client = harness.connect();
+        client.send(request(
+            "API.WRITE",
+            1,
+            &READ_FIELDS.replace("form-load", name),
+        ));
+        let (s, c, _) = harness.next_request();
+        harness.endpoints[s].connections[c].send(end);
+        if end.is_empty() || !end.ends_with('\n') {
+            harness.endpoints[s].connections[c].close();
+        }
+        if again {
+            let (other, c, words) = harness.next_request();
+            assert!(other != s && words[2].ends_with('1'));
+            harness.endpoints[other].connections[c].send(served_reply("v"));
+            harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        } else {
+            harness.expect_reply(&mut client, "-ERR failed\r\n");
+        }
+        for _ in 0..10 {
+            harness.advance(100);
+            assert_eq!(
+                harness.endpoints.iter_mut().find_map(Peer::next_command),
+                None,
+                "{name} {end:?}"
+            );
+        }
+    }
+}
+
+#[test]
+fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
+    for late in [false, true] {
+        let mut harness = Harness::new(2);
+        harness.restart_with(&[
+            ("\"Group\":\"cell\"", "\"Group\":\"all\""),
+            ("\"WindowMs\":8000.0", "\"WindowMs\":300.0"),
+        ]);
+        harness.run_round();
+        let mut client = harness.connect();
+        client.send(request("API.WRITE", 1, WRITE_FIELDS));
+        let (s, c, _) = harness.next_request();
+        harness.endpoints[1 - s].stop_accepting();
+        harness.advance(250);
+        // It may have been executed: the retry is decided within the window, and its connection
+        // established later.
+        harness.endpoints[s].connections[c].send("-ERR failed\r\n");
+        harness.run_until("the retry", |s| s.program.open().1 == 2);
+        harness.now += Duration::from_millis(if late { 60 } else { 20 });
+        harness.endpoints[1 - s].resume_accepting();
+        if late {
+            let line = harness.read_line(&mut client);
+            assert!(
+                line.starts_with("-BUSY") || line.starts_with("-ERR failed"),
+                "{line}"
+            );
+            assert_nothing_forwarded(&mut harness, "window");
+        } else {
+            assert_eq!(harness.next_request().0, 1 - s);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ingress/tests/endpoint_replies.rs
@@ -0,0 +1,177 @@
+//! Replies of endpoints: well-formed, malformed, unsolicited.
+
+mod common;
+
+use common::*;
+use std::time::Duration;
+
+#[test]
+fn a_rejected_attempt_is_not_executed_and_is_retried_on_another_endpoint() {
+    let mut harness = Harness::new(2);
+    let mut client = harness.connect();
+    client.send(request("API.WRITE", 1, WRITE_FIELDS));
+    let (first, c, _) = harness.next_request();
+    harness.endpoints[first].connections[c].send("-BUSY\r\n");
+    let (second, c, words) = harness.next_request();
+    assert_ne!(first, second);
+    assert_eq!(words[2], "0000000000000001", "the same id");
+    harness.endpoints[second].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+}
+
+const MALFORMED_REPLIES: [&str; 10] = [
+    "\0\x01noise\r\n",
+    "+OK\r\n",
+    ":7\r\n",
+    "-\x07\r\n",
+    "$1\r\nv\r\n",
+    "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+    "*2\r\n$1\r\nv\r\n$-1\r\n",
+    "*3\r\n$3000000000\r\nvvvvvvvvvvvvvvvvvvvv",
+    "*3\r\n$1\r\nvvvv\r\n$-1\r\n$-1\r\n",
+    "*3\r\n$900\r\nv\r\n$-1\r\n$-1\r\n",
+];
+
+#[test]
+fn a_malformed_reply_may_mean_executed_and_closes_its_connection() {
+    for spoilt in MALFORMED_REPLIES {
+        let mut harness = Harness::new(2);
+        let mut client = harness.connect();
+        for (command, answer) in [
+            (read_request(1), "$1\r\nv\r\n"),
+            (request("API.WRITE", 2, WRITE_FIELDS), "-ERR failed\r\n"),
+        ] {
+            client.send(command);
+            let (s, c, words) = harness.next_request();
+            harness.endpoints[s].connections[c].send(spoilt);
+            harness.run_until("its connection is closed", |harness| {
+                harness.advance(30);
+                !harness.endpoints[s].connections[c].is_open
+            });
+            if words[0] == "API.READ" {
+                let (other, c, again) = harness.next_request();
+                assert_eq!(
+                    (other, &again[2]),
+                    (1 - s, &words[2]),
+                    "an idempotent request is retried elsewhere"
+                );
+                harness.endpoints[other].connections[c].send(served_reply("v"));
+            }
+            harness.expect_reply(&mut client, answer);
+        }
+        assert_eq!(
+            harness.endpoints.iter_mut().find_map(Peer::next_command),
+            None,
+            "{spoilt:?}"
+        );
+    }
+}
+
+#[test]
+fn bytes_behind_a_reply_are_never_taken_for_the_next_one() {
+    for (more, wait) in [
+        (served_reply("old"), 0),
+        ("noise".into(), 0),
+        (served_reply("old"), 10),
+        (served_reply("old"), 19),
+    ] {
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        // The next request is there before the bytes behind the reply.
+        harness.advance(wait);
+        client.send(read_request(2));
+        let (_, next, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(&more);
+        harness.run_until("the first connection is closed", |s| {
+            !s.endpoints[0].connections[c].is_open
+        });
+        harness.endpoints[0].connections[next].send(served_reply("new"));
+        harness.expect_reply(&mut client, "$3\r\nnew\r\n");
+        assert_ne!(c, next);
+    }
+}
+
+#[test]
+fn an_idle_connection_with_an_end_or_unsolicited_bytes_is_not_reused() {
+    for bytes in ["", "+\r\n"] {
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.now += Duration::from_millis(50);
+        // Both are there before the next round.
+        client.send(read_request(2));
+        match bytes {
+            "" => harness.endpoints[0].connections[c].close(),
+            _ => harness.endpoints[0].connections[c].send(bytes),
+        }
+        let (_, next, _) = harness.next_request();
+        assert_ne!(c, next);
+    }
+}
+
+#[test]
+fn unreadable_usage_figures_are_ignored_and_the_value_is_served() {
+    for rest in [
+        "$3\r\nx,y\r\n$9\r\nutil=nan,\r\n",
+        ":-7\r\n+\u{1}\r\n",
+        "$1\r\n\u{7}\r\n*-1\r\n",
+    ] {
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (_, c, _) = harness.next_request();
+        harness.endpoints[0].connections[c].send(format!("*3\r\n$1\r\nv\r\n{rest}"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    }
+}
+
+#[test]
+fn true_units_of_a_reply_correct_the_next_increment_where_units_are_post_paid() {
+    // Usage figures of a reply, and the units that the estimate of 2 is corrected to: at most 4
+    // units a request here.
+    let told = [
+        ("used=37,cost=4", 4.0),
+        ("cost=1", 1.0),
+        ("used=37", 2.0),
+        ("cost=5", 2.0),
+        ("cost=-1", 2.0),
+        ("cost=x", 2.0),
+    ];
+    for settled in [true, false] {
+        let mut harness = Harness::new(1);
+        let domain = format!("\"PostPaid\":{settled},\"SharedCounter\"");
+        harness.restart_with(&[("\"SharedCounter\"", &domain)]);
+        let mut client = harness.connect();
+        for (n, (figures, settles_at)) in told.iter().enumerate() {
+            let customer = format!("{:016x}", 500 + n);
+            for (units, total) in [(2, 2.0), (1, if settled { settles_at + 1.0 } else { 3.0 })] {
+                let list = READ_FIELDS.replace("units=1", &format!("units={units}"));
+                client.send(request_of_customer(
+                    500 + n as u64,
+                    "API.READ",
+                    10 + 2 * n as u64 + units,
+                    &list,
+                ));
+                let (s, c, _) = harness.next_request();
+                assert_eq!(
+                    harness.counter.totals[&customer], total,
+                    "{figures}, settled: {settled}"
+                );
+                let answer = format!(
+                    "*3\r\n$1\r\nv\r\n${}\r\n{figures}\r\n$-1\r\n",
+                    figures.len()
+                );
+                harness.endpoints[s].connections[c].send(answer);
+                harness.expect_reply(&mut client, "$1\r\nv\r\n");
+                harness.advance(30);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/ingress/tests/reload.rs
@@ -0,0 +1,88 @@
+//! Reloads of the configuration while requests are in flight.
+
+mod common;
+
+use common::*;
+
+#[test]
+fn a_reload_migrates_discovery_and_counter_at_once_and_loses_no_request_or_count() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    harness.counter.mode = CounterMode::Silent;
+    client.send(read_request(1));
+    let calls = |c: &FakeCounter| {
+        c.peer
+            .connections
+            .iter()
+            .filter(|e| !e.input.is_empty())
+            .count()
+    };
+    harness.run_until("the call", |s| calls(&s.counter) == 1);
+    // Twice in a row: a call on the first counter is still awaited there.
+    let mut first = harness.reload();
+    harness.reload();
+    harness.run_until("the watch at the last address", |s| {
+        s.watch_requests.len() >= 2 && s.discovery.connections.len() == 1
+    });
+    // The same customer's next call must not overtake the one in flight.
+    client.send(read_request(2));
+    for _ in 0..5 {
+        harness.run_round();
+    }
+    assert_eq!((calls(&first), calls(&harness.counter)), (1, 0));
+    first.mode = CounterMode::Replies;
+    first.serve();
+    let (_, c, words) = harness.next_request();
+    assert!(
+        words[2].ends_with('1'),
+        "decided by the old counter's total: {words:?}"
+    );
+    harness.endpoints[0].connections[c].send(served_reply("one"));
+    let (_, c, words) = harness.next_request();
+    assert!(words[2].ends_with('2'), "{words:?}");
+    assert_eq!(
+        harness.counter.calls.len(),
+        1,
+        "the second call went to the new address"
+    );
+    harness.endpoints[0].connections[c].send(served_reply("two"));
+    harness.expect_reply(&mut client, "$3\r\none\r\n$3\r\ntwo\r\n");
+    harness.run_until("the old connection's end", |_| {
+        first.peer.read();
+        first.peer.connections.iter().all(|e| !e.is_open)
+    });
+}
+
+#[test]
+fn calls_behind_a_silent_old_counter_go_to_the_new_one_after_the_call_timeout() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    harness.counter.mode = CounterMode::Silent;
+    client.send(read_request(1));
+    harness.run_until("the call", |s| has_unanswered_call(s));
+    let _silent = harness.reload();
+    harness.advance(200);
+    client.send(read_request(2));
+    for _ in 0..5 {
+        harness.run_round();
+    }
+    harness.advance(51);
+    harness.run_until("the call at the new address", |s| {
+        s.counter.calls.len() == 1
+    });
+}
+
+#[test]
+fn an_unreadable_configuration_changes_nothing() {
+    let mut harness = Harness::new(1);
+    harness.program.reload(Err("half a file".into()));
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n");
+    assert_eq!(
+        (harness.counter.calls.len(), harness.watch_requests.len()),
+        (1, 1)
+    );
+}
--- /dev/null
+++ b/crates/ingress/tests/shutdown.rs
@@ -0,0 +1,257 @@
+//! Graceful shutdown: what is accepted, finished and rejected after SIGTERM.
+
+mod common;
+
+use common::*;
+use std::time::Duration;
+
+/// SIGTERM, and the time in which new connections are accepted is over.
+fn begin_drain(harness: &mut Harness) {
+    harness.program.leave();
+    harness.advance(601);
+}
+
+fn run_until_ended(harness: &mut Harness) {
+    let mut goes_on = true;
+    harness.run_until("the end", |s| {
+        goes_on = goes_on && s.run_round();
+        !goes_on
+    });
+}
+
+#[test]
+fn shutdown_accepts_for_a_while_finishes_open_requests_and_ends() {
+    let mut harness = Harness::new(1);
+    let mut held = harness.connect();
+    held.send(read_request(1));
+    let (_, c, _) = harness.next_request();
+    let mut idle = harness.connect();
+    idle.send("*1\r\n$4\r\nPING\r\n");
+    harness.expect_reply(&mut idle, "+PONG\r\n");
+    harness.program.leave();
+    let mut late = harness.connect();
+    late.send(read_request(2));
+    let (_, c2, _) = harness.next_request();
+    harness.advance(601);
+    harness.run_until_closed(&mut idle);
+    assert_eq!(harness.program.address(), None, "nothing new is accepted");
+    assert!(held.is_open && late.is_open);
+    for (client, c) in [(&mut held, c), (&mut late, c2)] {
+        harness.endpoints[0].connections[c].send(served_reply("v"));
+        harness.expect_reply(client, "$1\r\nv\r\n");
+        harness.run_until_closed(client);
+    }
+    drop((held, idle, late));
+    let mut goes_on = true;
+    harness.run_until("the end", |s| {
+        goes_on = goes_on && s.run_round();
+        !goes_on
+    });
+}
+
+#[test]
+fn a_command_half_read_at_the_drain_is_rejected_at_once() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    let command = read_request(1);
+    client.send(&command[..40]);
+    harness.run_until("a part is buffered", |s| s.program.clients_hold().1 == 40);
+    begin_drain(&mut harness);
+    assert!({
+        client.read();
+        client.is_open
+    });
+    client.send(&command[40..]);
+    // If forwarded, it might reach an endpoint that hangs past SIGKILL.
+    assert_eq!(harness.read_line(&mut client), "-BUSY\r\n");
+    harness.run_until_closed(&mut client);
+    assert_eq!(harness.endpoints[0].next_command(), None);
+}
+
+#[test]
+fn commands_pipelined_during_the_drain_are_replied_to_in_order() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    client.send(read_request(1));
+    let (s, c, _) = harness.next_request();
+    begin_drain(&mut harness);
+    client.send(read_request(2));
+    for _ in 0..5 {
+        harness.run_round();
+    }
+    client.send(read_request(3));
+    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.expect_reply(&mut client, "$1\r\nv\r\n-BUSY\r\n-BUSY\r\n");
+    harness.run_until_closed(&mut client);
+    assert_eq!(harness.endpoints[0].next_command(), None);
+}
+
+#[test]
+fn a_new_client_in_the_backlog_at_the_drain_is_read_before_its_connection_ends() {
+    let mut harness = Harness::new(1);
+    harness.program.leave();
+    let (mut asks, mut silent) = (harness.connect(), harness.connect());
+    // Both are still in the listener's queue.
+    harness.advance(601);
+    asks.send(read_request(1));
+    assert_eq!(harness.read_line(&mut asks), "-BUSY\r\n");
+    harness.run_until_closed(&mut asks);
+    silent.read();
+    assert!(silent.is_open, "its first request may be on its way");
+    harness.advance(201);
+    harness.run_until_closed(&mut silent);
+    drop((asks, silent));
+    run_until_ended(&mut harness);
+}
+
+#[test]
+fn new_clients_without_a_descriptor_are_rejected_before_the_listener_closes() {
+    let mut harness = Harness::with_sockets(1, 48);
+    // Every client waits for an endpoint.
+    let mut held = Vec::new();
+    for id in 0..60 {
+        let mut client = harness.connect();
+        client.send(read_request_of(1000 + id, id));
+        for _ in 0..3 {
+            harness.advance(2);
+        }
+        held.push(client);
+    }
+    harness.program.leave();
+    let mut late: Vec<Connection> = (0..5).map(|_| harness.connect()).collect();
+    harness.advance(601);
+    for client in &mut late {
+        client.send(read_request_of(9, 900));
+        let line = harness.read_line(client);
+        assert!(line.starts_with("-BUSY"), "{line}");
+    }
+}
+
+#[test]
+fn requests_awaiting_counter_connect_or_retry_at_sigterm_are_served_before_the_end() {
+    for waits_for in ["counter", "connect", "retry"] {
+        let mut harness = Harness::new(2);
+        let mut client = harness.connect();
+        match waits_for {
+            "counter" => {
+                harness.counter.mode = CounterMode::Silent;
+                client.send(read_request(1));
+                harness.run_until("the call", |s| has_unanswered_call(s));
+                harness.program.leave();
+                harness.counter.mode = CounterMode::Replies;
+            }
+            "connect" => {
+                harness.endpoints.iter_mut().for_each(Peer::stop_accepting);
+                client.send(read_request(1));
+                harness.run_until("the connection is begun", |s| s.program.open().1 == 1);
+                harness.program.leave();
+                harness.run_round();
+                harness
+                    .endpoints
+                    .iter_mut()
+                    .for_each(Peer::resume_accepting);
+            }
+            _ => {
+                client.send(read_request(1));
+                let (s, c, _) = harness.next_request();
+                begin_drain(&mut harness);
+                harness.endpoints[s].connections[c].send("-BUSY\r\n");
+            }
+        }
+        let (s, c, _) = harness.next_request();
+        harness.advance(601);
+        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.run_until_closed(&mut client);
+        drop(client);
+        run_until_ended(&mut harness);
+    }
+}
+
+#[test]
+fn requests_on_a_hung_endpoint_are_replied_to_before_the_end() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    // Two are pending, longer than the process will run.
+    client.send(request(
+        "API.READ",
+        1,
+        &READ_FIELDS.replace("d=3000", "d=60000"),
+    ));
+    let (s, _, _) = harness.next_request();
+    client.send(request_of_customer(
+        7,
+        "API.READ",
+        2,
+        &READ_FIELDS.replace("d=3000", "d=60000"),
+    ));
+    harness.next_request();
+    let mut half = harness.connect();
+    half.send(&read_request(3)[..40]);
+    harness.run_round();
+    begin_drain(&mut harness);
+    client.read();
+    assert_eq!(client.text(), "");
+    // SIGKILL comes 3.7 s after SIGTERM at the earliest.
+    harness.advance(3001);
+    harness.expect_reply(&mut client, "-ERR failed\r\n-ERR failed\r\n");
+    harness.run_until_closed(&mut client);
+    let _hangs = &harness.endpoints[s];
+    harness.now += Duration::from_millis(501);
+    run_until_ended(&mut harness);
+}
+
+#[test]
+fn a_reply_half_written_at_the_end_continues_for_a_reading_client_and_delays_no_end() {
+    for reads in [true, false] {
+        let mut harness = Harness::new(1);
+        let mut client = Connection::with_small_buffers(harness.program.address().unwrap());
+        client.send(read_request(1));
+        let (s, c, _) = harness.next_request();
+        let value = "v".repeat(60_000);
+        harness.endpoints[s].connections[c].send(served_reply(&value));
+        harness.run_until("the reply is read", |s| s.program.open().0 == 0);
+        for _ in 0..5 {
+            harness.run_round();
+        }
+        assert!(
+            harness.program.clients_hold().1 > 0,
+            "a part of the reply could not be written yet"
+        );
+        begin_drain(&mut harness);
+        harness.advance(3001);
+        if reads {
+            harness.expect_reply(&mut client, &format!("$60000\r\n{value}\r\n"));
+            harness.run_until_closed(&mut client);
+            drop(client);
+        } else {
+            harness.now += Duration::from_millis(501);
+        }
+        run_until_ended(&mut harness);
+    }
+}
+
+#[test]
+fn sighup_beside_sigterm_migrates_open_requests_and_the_process_still_ends() {
+    for first in ["hup", "term"] {
+        let mut harness = Harness::new(1);
+        let mut client = harness.connect();
+        client.send(read_request(1));
+        let (s, c, _) = harness.next_request();
+        if first == "term" {
+            begin_drain(&mut harness);
+        }
+        let _old = harness.reload();
+        if first == "hup" {
+            begin_drain(&mut harness);
+        }
+        harness.run_until("the watch at the new address", |s| {
+            s.discovery.connections.len() == 1
+        });
+        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.expect_reply(&mut client, "$1\r\nv\r\n");
+        harness.run_until_closed(&mut client);
+        drop(client);
+        run_until_ended(&mut harness);
+    }
+}
