--- a/crates/ingress/tests/client_commands.rs
+++ b/crates/ingress/tests/client_commands.rs
@@ -111,18 +111,18 @@
 #[test]
 fn a_client_with_many_commands_does_not_delay_another() {
     let mut harness = Harness::new(1);
-    let (mut rude, mut usual) = (harness.connect(), harness.connect());
-    rude.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
-    usual.send(read_request(1));
+    let (mut busy, mut active) = (harness.connect(), harness.connect());
+    busy.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
+    active.send(read_request(1));
     let (s, c, _) = harness.next_request();
     harness.endpoints[s].connections[c].send(served_reply("v"));
-    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
-    rude.read();
+    harness.expect_reply(&mut active, "$1\r\nv\r\n");
+    busy.read();
     assert!(
-        rude.input.len() < 3000 * 7,
+        busy.input.len() < 3000 * 7,
         "it was served before the other had all its replies"
     );
-    harness.expect_reply(&mut rude, &"+PONG\r\n".repeat(3000));
+    harness.expect_reply(&mut busy, &"+PONG\r\n".repeat(3000));
 }
 
 #[test]
@@ -131,12 +131,12 @@
     let mut client = harness.connect();
     let pings = "*1\r\n$4\r\nPING\r\n".repeat(2000);
     // Far more replies than socket buffers hold.
-    let (mut sent, mut rest) = (0, pings.as_bytes());
+    let (mut sent, mut remaining) = (0, pings.as_bytes());
     harness.run_until("the ingress stops reading", |s| {
-        let n = client.send_some(rest);
-        (sent, rest) = (sent + n, &rest[n..]);
-        if rest.is_empty() {
-            rest = pings.as_bytes();
+        let n = client.send_some(remaining);
+        (sent, remaining) = (sent + n, &remaining[n..]);
+        if remaining.is_empty() {
+            remaining = pings.as_bytes();
         }
         assert!(sent < 256 << 20, "the ingress never stops reading");
         n == 0 && s.program.clients_hold().1 > 256 << 10
@@ -266,10 +266,10 @@
     while sent < 60_000_000 {
         sent += part.len();
         // What loopback does not take at once it takes after a round.
-        let mut rest: &[u8] = &part;
+        let mut remaining: &[u8] = &part;
         harness.run_until("all is sent", |_| {
-            rest = &rest[client.send_some(rest)..];
-            rest.is_empty()
+            remaining = &remaining[client.send_some(remaining)..];
+            remaining.is_empty()
         });
         assert!(
             harness.program.clients_hold().1 < 1 << 20,
--- a/crates/ingress/tests/client_connections.rs
+++ b/crates/ingress/tests/client_connections.rs
@@ -7,11 +7,11 @@
 #[test]
 fn silent_and_incomplete_clients_are_closed_before_idle_ones() {
     let mut harness = Harness::new(1);
-    let (mut silent, mut halting, mut usual) =
+    let (mut silent, mut incomplete, mut active) =
         (harness.connect(), harness.connect(), harness.connect());
-    halting.send("*4\r\n$8\r\nAPI.");
-    usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
-    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    incomplete.send("*4\r\n$8\r\nAPI.");
+    active.send("*1\r\n$4\r\nPING\r\n".repeat(2));
+    harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
     harness.run_until("all are read", |s| {
         s.program.open().2 == 3 && s.program.clients_hold().1 > 0
     });
@@ -21,16 +21,16 @@
     harness.advance(101);
     harness.run_until_closed(&mut silent);
     assert_eq!(
-        harness.read_line(&mut halting),
+        harness.read_line(&mut incomplete),
         "-ERR Protocol error: command not finished in time\r\n"
     );
-    harness.run_until_closed(&mut halting);
+    harness.run_until_closed(&mut incomplete);
     harness.advance(3700);
     harness.run_round();
-    usual.read();
-    assert!(usual.is_open, "between requests for 5.9 s");
+    active.read();
+    assert!(active.is_open, "between requests for 5.9 s");
     harness.advance(101);
-    harness.run_until_closed(&mut usual);
+    harness.run_until_closed(&mut active);
 }
 
 #[test]
@@ -53,9 +53,9 @@
 #[test]
 fn hundreds_of_silent_clients_do_not_displace_an_active_one() {
     let mut harness = Harness::with_sockets(1, 64);
-    let mut usual = harness.connect();
-    usual.send("*1\r\n$4\r\nPING\r\n");
-    harness.expect_reply(&mut usual, "+PONG\r\n");
+    let mut active = harness.connect();
+    active.send("*1\r\n$4\r\nPING\r\n");
+    harness.expect_reply(&mut active, "+PONG\r\n");
     let silent: Vec<Connection> = (0..300)
         .map(|_| {
             let client = harness.connect();
@@ -68,19 +68,19 @@
         "{:?}",
         harness.program.open()
     );
-    usual.send(read_request(1));
+    active.send(read_request(1));
     let (_, c, _) = harness.next_request();
     harness.endpoints[0].connections[c].send(served_reply("v"));
-    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+    harness.expect_reply(&mut active, "$1\r\nv\r\n");
     drop(silent);
 }
 
 #[test]
 fn clients_with_one_command_do_not_displace_a_returning_one() {
     let mut harness = Harness::with_sockets(1, 64);
-    let mut usual = harness.connect();
-    usual.send("*1\r\n$4\r\nPING\r\n".repeat(2));
-    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    let mut active = harness.connect();
+    active.send("*1\r\n$4\r\nPING\r\n".repeat(2));
+    harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
     let mut stayed = Vec::new();
     for _ in 0..60 {
         let mut client = harness.connect();
@@ -89,18 +89,18 @@
         harness.expect_reply(&mut client, "+PONG\r\n");
         stayed.push(client);
     }
-    usual.read();
-    assert!(usual.is_open, "used before all of them, and kept");
+    active.read();
+    assert!(active.is_open, "used before all of them, and kept");
     harness.advance(2201);
     harness.run_until_closed(stayed.last_mut().unwrap());
-    usual.read();
-    assert!(usual.is_open);
+    active.read();
+    assert!(active.is_open);
 }
 
 #[test]
 fn bytes_buffered_for_all_clients_are_bounded_by_the_memory() {
     let mut harness = Harness::with_memory(1, 1024, 32);
-    let mut usual = harness.connect();
+    let mut active = harness.connect();
     let mut clients: Vec<Connection> = (0..120).map(|_| harness.connect()).collect();
     let part = format!("*5\r\n$9\r\nAPI.WRITE\r\n$65536\r\n{}", "x".repeat(60_000));
     for client in &mut clients {
@@ -114,10 +114,10 @@
         harness.program.open().2 < 100,
         "those with the most bytes were closed"
     );
-    usual.send(read_request(1));
+    active.send(read_request(1));
     let (_, c, _) = harness.next_request();
     harness.endpoints[0].connections[c].send(served_reply("v"));
-    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+    harness.expect_reply(&mut active, "$1\r\nv\r\n");
 }
 
 #[test]
--- a/crates/ingress/tests/client_disconnects.rs
+++ b/crates/ingress/tests/client_disconnects.rs
@@ -6,14 +6,14 @@
 
 #[test]
 fn a_client_that_disconnects_during_the_counter_call_has_nothing_forwarded_and_counts_once() {
-    for answered in [true, false] {
+    for replied in [true, false] {
         let mut harness = Harness::new(1);
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
         harness.run_until("the call", |s| has_unanswered_call(s));
         disconnect_client(&mut harness, client);
-        if answered {
+        if replied {
             harness.counter.mode = CounterMode::Replies;
         }
         assert_nothing_forwarded(&mut harness, "counter");
@@ -25,7 +25,7 @@
             "its requests are released"
         );
         // Its units are subtracted with the customer's next increment.
-        assert_total_with_next_request(&mut harness, 1.0, &format!("answered: {answered}"));
+        assert_total_with_next_request(&mut harness, 1.0, &format!("replied: {replied}"));
     }
 }
 
--- a/crates/ingress/tests/common/messages.rs
+++ b/crates/ingress/tests/common/messages.rs
@@ -76,3 +76,12 @@
 pub(crate) fn read_request_of(customer: u64, id: u64) -> Vec<u8> {
     request_of_customer(customer, "API.READ", id, READ_FIELDS)
 }
+
+/// Entries of so many endpoints, each at an address of its own.
+pub(crate) fn many_endpoint_entries(endpoints: usize) -> Vec<String> {
+    let address =
+        |n: usize| SocketAddr::from(([127, (n >> 16) as u8 + 1, (n >> 8) as u8, n as u8], 6379));
+    (0..endpoints)
+        .map(|n| endpoint_entry(n, address(n), "SERVING"))
+        .collect()
+}
--- a/crates/ingress/tests/common/mod.rs
+++ b/crates/ingress/tests/common/mod.rs
@@ -9,6 +9,7 @@
 pub(crate) mod ingress_process;
 mod messages;
 mod peer;
+mod pending_change;
 mod steps;
 
 pub(crate) use config::{config, limits, limits_of, operator_file, SETTINGS};
@@ -16,10 +17,15 @@
 pub(crate) use fake_counter::{CounterMode, FakeCounter};
 pub(crate) use harness::Harness;
 pub(crate) use messages::{
-    chunk, endpoint_entry, endpoint_list, read_request, read_request_of, request,
-    request_of_customer, served_reply, write_with_body, READ_FIELDS, WATCH_HEAD, WRITE_FIELDS,
+    chunk, endpoint_entry, endpoint_list, many_endpoint_entries, read_request, read_request_of,
+    request, request_of_customer, served_reply, write_with_body, READ_FIELDS, WATCH_HEAD,
+    WRITE_FIELDS,
 };
 pub(crate) use peer::Peer;
+pub(crate) use pending_change::{
+    DiscoveryFault, DiscoveryMode, PendingChange, DISCOVERY_FAULTS, DISCOVERY_MODES,
+    NOTIFIED_AFTER, NOTIFIED_AFTER_RELOAD, STEP_MS,
+};
 pub(crate) use steps::{
     assert_nothing_forwarded, assert_total_with_next_request, disconnect_client,
     has_unanswered_call, serve_request,
--- a/crates/ingress/tests/counter_calls.rs
+++ b/crates/ingress/tests/counter_calls.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_request_over_quota_is_rejected_at_once_with_a_retry_after() {
     let mut harness = Harness::new(1);
-    // Other ingresses have used the customer's whole window.
+    // Other ingresses have used the customer's complete window.
     harness
         .counter
         .totals
@@ -15,14 +15,14 @@
     let mut client = harness.connect();
     let before = harness.now;
     client.send(read_request(1));
-    let answer = harness.read_line(&mut client);
-    let after: u64 = answer
+    let reply = harness.read_line(&mut client);
+    let after: u64 = reply
         .strip_prefix("-BUSY ")
         .expect("a rejection")
         .trim()
         .parse()
         .unwrap();
-    assert!((1..=1000).contains(&after), "{answer}");
+    assert!((1..=1000).contains(&after), "{reply}");
     assert_eq!(harness.now, before, "no time has passed");
     assert!(
         harness.endpoints[0].connections.is_empty(),
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_malformed_counter_reply_closes_its_connection_and_fails_no_further_call() {
-    for spoilt in [
+    for malformed in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnan",
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n5",
@@ -109,7 +109,7 @@
         client.send(read_request(1));
         harness.run_until("the call", |s| has_unanswered_call(s));
         let end = harness.counter.unanswered();
-        end.send(spoilt);
+        end.send(malformed);
         harness.run_round();
         harness.advance(26);
         harness.run_until("the connection is closed", |s| {
@@ -129,7 +129,7 @@
         assert_eq!(
             (harness.counter.calls.len(), harness.now),
             (1, before),
-            "{spoilt:?}"
+            "{malformed:?}"
         );
     }
 }
--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -80,7 +80,7 @@
         harness.restart_with_drain_grace(grace, &[]);
         harness.advance(10);
         // From here on discovery has sent a drain, received or not.
-        let told = harness.now;
+        let sent_at = harness.now;
         harness.discovery_replies = false;
         let before = harness.watch_requests.len();
         match what {
@@ -99,8 +99,8 @@
             2
         };
         let mut client = harness.connect();
-        let (mut id, mut last) = (1, told);
-        while harness.now < told + Duration::from_secs(10) {
+        let (mut id, mut last) = (1, sent_at);
+        while harness.now < sent_at + Duration::from_secs(10) {
             if harness.program.list_version() == 41
                 && harness.watch_requests.len() > before + silent
             {
@@ -121,7 +121,7 @@
             id += 1;
             harness.advance(50);
         }
-        let after = last - told;
+        let after = last - sent_at;
         assert_eq!(
             harness.program.list_version(),
             42,
@@ -155,7 +155,7 @@
 #[test]
 fn the_list_of_a_slow_discovery_is_applied_before_it_counts_as_notified() {
     for grace in [2000, 400] {
-        // The whole reply late, or its first line late behind its head.
+        // The complete reply late, or its first line late behind its head.
         apply_from_slow_discovery(grace, 1200, false);
         apply_from_slow_discovery(grace, 2100, true);
     }
@@ -166,8 +166,8 @@
     harness.restart_with_drain_grace(grace, &[]);
     harness.advance(10);
     harness.discovery_replies = false;
-    let told = harness.now;
-    let news = endpoint_list(
+    let sent_at = harness.now;
+    let update = endpoint_list(
         42,
         false,
         &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
@@ -186,7 +186,7 @@
         for (n, at) in calls.iter_mut().enumerate() {
             if at.is_some_and(|at| at <= harness.now) {
                 let head = if head_first { "" } else { WATCH_HEAD };
-                harness.discovery.connections[n].send(format!("{head}{}", chunk(&news)));
+                harness.discovery.connections[n].send(format!("{head}{}", chunk(&update)));
                 *at = None;
             }
         }
@@ -194,7 +194,7 @@
             harness.run_round();
         }
         assert!(
-            harness.now < told + Duration::from_millis(6000),
+            harness.now < sent_at + Duration::from_millis(6000),
             "never received: {} calls",
             calls.len()
         );
@@ -237,7 +237,7 @@
             if refuses {
                 harness.discovery.restart();
             }
-            let (before, news) = (
+            let (before, update) = (
                 harness.discovery.connections.len(),
                 endpoint_list(
                     42,
@@ -249,7 +249,7 @@
                 harness.advance(10);
                 if harness.discovery.connections.len() > before {
                     harness.discovery.connections[before]
-                        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+                        .send(format!("{WATCH_HEAD}{}", chunk(&update)));
                     harness.run_until("the list", |s| s.program.list_version() == 42);
                 }
                 let late = harness.now - back;
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -90,7 +90,7 @@
             harness.watch_requests[1]
         );
         assert_eq!(harness.program.list_version(), 41);
-        let news = endpoint_list(
+        let update = endpoint_list(
             43,
             false,
             &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
@@ -101,7 +101,7 @@
             .connections
             .last_mut()
             .unwrap()
-            .send(format!("{WATCH_HEAD}{}{}", chunk(torn), chunk(&news)));
+            .send(format!("{WATCH_HEAD}{}{}", chunk(torn), chunk(&update)));
         harness.run_until("the list behind it", |s| s.program.list_version() == 43);
         assert_eq!(harness.watch_requests.len(), 2);
     }
@@ -111,13 +111,13 @@
 fn a_watch_cut_within_a_line_keeps_the_list_held_and_nothing_of_the_line() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
-    let news = endpoint_list(
+    let update = endpoint_list(
         42,
         false,
         &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
     );
     let end = harness.discovery.connections.last_mut().unwrap();
-    end.send(chunk(&news[..news.len() / 2]));
+    end.send(chunk(&update[..update.len() / 2]));
     harness.run_round();
     harness.discovery.connections.last_mut().unwrap().close();
     for _ in 0..5 {
@@ -131,7 +131,7 @@
         .connections
         .last_mut()
         .unwrap()
-        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+        .send(format!("{WATCH_HEAD}{}", chunk(&update)));
     harness.run_until("the list", |s| s.program.list_version() == 42);
 }
 
@@ -160,16 +160,16 @@
     harness.run_round();
     harness.advance(201);
     harness.run_until("a second call", |s| s.watch_requests.len() == 2);
-    let news = drains(&harness, 42);
+    let update = drains(&harness, 42);
     let end = harness.discovery.connections.last_mut().unwrap();
-    end.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &news[..30]));
+    end.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &update[..30]));
     harness.run_round();
     harness
         .discovery
         .connections
         .last_mut()
         .unwrap()
-        .send(&news[30..]);
+        .send(&update[30..]);
     harness.run_until("the list", |s| s.program.list_version() == 42);
     let later = drains(&harness, 43);
     harness
@@ -284,7 +284,7 @@
         "the list of the configuration may be old"
     );
     // Discovery's reply and the next request are there in one round.
-    let news = endpoint_list(
+    let update = endpoint_list(
         42,
         false,
         &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
@@ -294,7 +294,7 @@
         .connections
         .last_mut()
         .unwrap()
-        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+        .send(format!("{WATCH_HEAD}{}", chunk(&update)));
     client.send(read_request(2));
     let (s, c, _) = harness.next_request();
     assert_eq!(s, 1, "the other drains since before the start");
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -15,8 +15,8 @@
     harness.restart_with(&[]);
     let mut client = harness.connect();
     client.send(write_with_body(1, BODY));
-    let s = harness.run_until_contacted(|party| {
-        party
+    let s = harness.run_until_contacted(|peer| {
+        peer
             .connections
             .first()
             .is_some_and(|e| e.peek_length() > 0)
@@ -89,16 +89,23 @@
         let mut client = harness.connect();
         client.send(request("API.WRITE", 1, WRITE_FIELDS));
         // The connection is begun in one round and taken as established in the next.
-        let spoke = harness.run_until_contacted(|party| !party.connections.is_empty());
+        let early_endpoint = harness.run_until_contacted(|peer| !peer.connections.is_empty());
         match early.as_str() {
-            "" => harness.endpoints[spoke].connections[0].end_sending(),
-            early => harness.endpoints[spoke].connections[0].send(early),
+            "" => harness.endpoints[early_endpoint].connections[0].end_sending(),
+            early => harness.endpoints[early_endpoint].connections[0].send(early),
         }
         let (s, c, _) = harness.next_request();
-        assert_ne!(s, spoke, "{early:?}: that connection is out of step");
+        assert_ne!(
+            s, early_endpoint,
+            "{early:?}: that connection is out of step"
+        );
         harness.endpoints[s].connections[c].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
-        assert_eq!(harness.endpoints[spoke].next_command(), None, "{early:?}");
+        assert_eq!(
+            harness.endpoints[early_endpoint].next_command(),
+            None,
+            "{early:?}"
+        );
     }
 }
 
--- a/crates/ingress/tests/endpoint_replies.rs
+++ b/crates/ingress/tests/endpoint_replies.rs
@@ -34,16 +34,16 @@
 
 #[test]
 fn a_malformed_reply_may_mean_executed_and_closes_its_connection() {
-    for spoilt in MALFORMED_REPLIES {
+    for malformed in MALFORMED_REPLIES {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
-        for (command, answer) in [
+        for (command, reply) in [
             (read_request(1), "$1\r\nv\r\n"),
             (request("API.WRITE", 2, WRITE_FIELDS), "-ERR failed\r\n"),
         ] {
             client.send(command);
             let (s, c, words) = harness.next_request();
-            harness.endpoints[s].connections[c].send(spoilt);
+            harness.endpoints[s].connections[c].send(malformed);
             harness.run_until("its connection is closed", |harness| {
                 harness.advance(30);
                 !harness.endpoints[s].connections[c].is_open
@@ -57,12 +57,12 @@
                 );
                 harness.endpoints[other].connections[c].send(served_reply("v"));
             }
-            harness.expect_reply(&mut client, answer);
+            harness.expect_reply(&mut client, reply);
         }
         assert_eq!(
             harness.endpoints.iter_mut().find_map(Peer::next_command),
             None,
-            "{spoilt:?}"
+            "{malformed:?}"
         );
     }
 }
@@ -118,7 +118,7 @@
 
 #[test]
 fn unreadable_usage_figures_are_ignored_and_the_value_is_served() {
-    for rest in [
+    for usage_and_load in [
         "$3\r\nx,y\r\n$9\r\nutil=nan,\r\n",
         ":-7\r\n+\u{1}\r\n",
         "$1\r\n\u{7}\r\n*-1\r\n",
@@ -127,7 +127,7 @@
         let mut client = harness.connect();
         client.send(read_request(1));
         let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(format!("*3\r\n$1\r\nv\r\n{rest}"));
+        harness.endpoints[0].connections[c].send(format!("*3\r\n$1\r\nv\r\n{usage_and_load}"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
     }
 }
@@ -136,7 +136,7 @@
 fn true_units_of_a_reply_correct_the_next_increment_where_units_are_post_paid() {
     // Usage figures of a reply, and the units that the estimate of 2 is corrected to: at most 4
     // units a request here.
-    let told = [
+    let corrections = [
         ("used=37,cost=4", 4.0),
         ("cost=1", 1.0),
         ("used=37", 2.0),
@@ -144,14 +144,17 @@
         ("cost=-1", 2.0),
         ("cost=x", 2.0),
     ];
-    for settled in [true, false] {
+    for post_paid in [true, false] {
         let mut harness = Harness::new(1);
-        let domain = format!("\"PostPaid\":{settled},\"SharedCounter\"");
+        let domain = format!("\"PostPaid\":{post_paid},\"SharedCounter\"");
         harness.restart_with(&[("\"SharedCounter\"", &domain)]);
         let mut client = harness.connect();
-        for (n, (figures, settles_at)) in told.iter().enumerate() {
+        for (n, (figures, true_units)) in corrections.iter().enumerate() {
             let customer = format!("{:016x}", 500 + n);
-            for (units, total) in [(2, 2.0), (1, if settled { settles_at + 1.0 } else { 3.0 })] {
+            for (units, total) in [
+                (2, 2.0),
+                (1, if post_paid { true_units + 1.0 } else { 3.0 }),
+            ] {
                 let list = READ_FIELDS.replace("units=1", &format!("units={units}"));
                 client.send(request_of_customer(
                     500 + n as u64,
@@ -162,13 +165,13 @@
                 let (s, c, _) = harness.next_request();
                 assert_eq!(
                     harness.counter.totals[&customer], total,
-                    "{figures}, settled: {settled}"
+                    "{figures}, post_paid: {post_paid}"
                 );
-                let answer = format!(
+                let reply = format!(
                     "*3\r\n$1\r\nv\r\n${}\r\n{figures}\r\n$-1\r\n",
                     figures.len()
                 );
-                harness.endpoints[s].connections[c].send(answer);
+                harness.endpoints[s].connections[c].send(reply);
                 harness.expect_reply(&mut client, "$1\r\nv\r\n");
                 harness.advance(30);
             }
--- /dev/null
+++ b/crates/ingress/tests/restarts.rs
@@ -0,0 +1,237 @@
+//! How soon a process is ready: restarted under load, and with a large endpoint list.
+
+mod common;
+
+use common::ingress_process::{answer_with, line_with, IngressProcess};
+use common::*;
+use rustix::process::Signal;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::Command;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+const PING: &str = "*1\r\n$4\r\nPING\r\n";
+
+/// A restarted process must be ready by then.
+const READY_WITHIN: Duration = Duration::from_secs(10);
+
+/// Replies to each call to discovery with this text, so late.
+fn serve_discovery(listener: TcpListener, late: Duration, text: String) {
+    std::thread::spawn(move || {
+        for stream in listener.incoming() {
+            let (mut stream, text) = (stream.unwrap(), text.clone());
+            std::thread::spawn(move || {
+                let mut head = [0; 4096];
+                if matches!(stream.read(&mut head), Ok(n) if n > 0) {
+                    std::thread::sleep(late);
+                    let _ = stream.write_all(text.as_bytes());
+                    // The watch stays open until the other side closes it.
+                    let _ = stream.read(&mut head);
+                }
+            });
+        }
+    });
+}
+
+/// Sends requests to this address, over restarts; counts those that were served.
+fn send_requests(
+    address: SocketAddr,
+    first_id: u64,
+    ends: Arc<AtomicBool>,
+    served: Arc<AtomicU64>,
+) {
+    let mut id = first_id;
+    while !ends.load(Ordering::Relaxed) {
+        let Ok(mut stream) = TcpStream::connect(address) else {
+            std::thread::yield_now();
+            continue;
+        };
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
+        let mut answer = [0; 512];
+        while !ends.load(Ordering::Relaxed) {
+            id += 1;
+            if stream.write_all(&read_request_of(id % 1000, id)).is_err() {
+                break;
+            }
+            match stream.read(&mut answer) {
+                Ok(n @ 1..) => {
+                    served.fetch_add(u64::from(answer[..n].starts_with(b"$")), Ordering::Relaxed)
+                }
+                _ => break,
+            };
+        }
+    }
+}
+
+/// Waits until `PING` is answered.
+fn wait_until_ready(running: &IngressProcess) {
+    let mut stream = running.connect();
+    // Far beyond the bound, so that the failure says how late a start was.
+    stream
+        .set_read_timeout(Some(Duration::from_secs(300)))
+        .unwrap();
+    loop {
+        stream.write_all(PING.as_bytes()).unwrap();
+        let mut answer = [0; 256];
+        let n = stream.read(&mut answer).unwrap();
+        if answer[..n].starts_with(b"+PONG") {
+            return;
+        }
+    }
+}
+
+/// Restarts an ingress so many times at its address while clients send requests; how long each took
+/// to be ready.
+fn restarts_under_load(name: &str, discovery: &Peer, restarts: usize) -> Vec<Duration> {
+    const CLIENTS: u64 = 3;
+    let (endpoint, counter) = (Peer::new(), Peer::new());
+    answer_with(
+        endpoint.blocking_listener(),
+        b"first=0\r\n",
+        "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n",
+    );
+    answer_with(
+        counter.blocking_listener(),
+        b"\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
+    );
+    let text = config(&counter, discovery, std::slice::from_ref(&endpoint), 1024);
+    let mut running = IngressProcess::start(name, &text);
+    let address = running.address;
+    let text = text.replace(
+        "\"listen\":\"127.0.0.1:0\"",
+        &format!("\"listen\":\"{address}\""),
+    );
+    wait_until_ready(&running);
+    let (ends, served) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU64::new(0)),
+    );
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|n| {
+            let (ends, served) = (ends.clone(), served.clone());
+            std::thread::spawn(move || send_requests(address, n << 32, ends, served))
+        })
+        .collect();
+    let mut took = Vec::new();
+    for n in 0..restarts {
+        let before = served.load(Ordering::Relaxed);
+        running.signal(Signal::TERM);
+        let begun = Instant::now();
+        // It waits for the address while the previous one still listens.
+        let next = IngressProcess::start(&format!("{name}-{n}"), &text);
+        wait_until_ready(&next);
+        took.push(begun.elapsed());
+        let mut old = std::mem::replace(&mut running, next);
+        assert!(
+            old.child.wait().unwrap().success(),
+            "the previous one exits with success"
+        );
+        assert!(
+            served.load(Ordering::Relaxed) > before,
+            "clients are served meanwhile"
+        );
+    }
+    ends.store(true, Ordering::Relaxed);
+    clients
+        .into_iter()
+        .for_each(|client| client.join().unwrap());
+    took
+}
+
+#[test]
+fn nine_in_ten_of_twenty_restarts_under_load_are_ready_within_10_s() {
+    let empty_line = format!("{WATCH_HEAD}{}", chunk("\n"));
+    let discoveries = [
+        ("quick", Some(0)),
+        ("late", Some(300)),
+        ("slow", Some(1500)),
+        ("silent", None),
+    ]
+    .map(|(name, late)| {
+        let discovery = Peer::new();
+        if let Some(late) = late {
+            serve_discovery(
+                discovery.blocking_listener(),
+                Duration::from_millis(late),
+                empty_line.clone(),
+            );
+        }
+        (name, discovery)
+    });
+    let mut took: Vec<Duration> = std::thread::scope(|scope| {
+        let chains = discoveries.each_ref().map(|(name, discovery)| {
+            scope.spawn(move || restarts_under_load(&format!("ready-{name}"), discovery, 5))
+        });
+        chains
+            .into_iter()
+            .flat_map(|chain| chain.join().unwrap())
+            .collect()
+    });
+    took.sort();
+    println!("ready after: {took:?}");
+    assert!(
+        took[17] <= READY_WITHIN,
+        "nine in ten of 20 restarts were ready after {:?}: {took:?}",
+        took[17]
+    );
+}
+
+/// Peak resident memory of a process, in MB.
+fn peak_mb(process: u32) -> usize {
+    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
+    let line = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
+    line.split_whitespace()
+        .nth(1)
+        .unwrap()
+        .parse::<usize>()
+        .unwrap()
+        >> 10
+}
+
+#[test]
+fn a_process_with_54000_endpoints_is_ready_within_10_s_and_applies_the_complete_list() {
+    const ENDPOINTS: usize = 54_000;
+    const MEMORY_MB: usize = 192;
+    let (counter, discovery) = (Peer::new(), Peer::new());
+    let whole = endpoint_list(42, true, &many_endpoint_entries(ENDPOINTS));
+    serve_discovery(
+        discovery.blocking_listener(),
+        Duration::ZERO,
+        format!("{WATCH_HEAD}{}", chunk(&whole)),
+    );
+    let text = config(&counter, &discovery, &[], 1024);
+    let known = format!(
+        "\"targets\":[{}]",
+        many_endpoint_entries(ENDPOINTS).join(",")
+    );
+    let text = text.replace("\"targets\":[]", &known);
+    let begun = Instant::now();
+    let mut running = IngressProcess::start_with(
+        "54000",
+        &text,
+        Command::new(env!("CARGO_BIN_EXE_roseyard-ingress")),
+    );
+    wait_until_ready(&running);
+    let ready = begun.elapsed();
+    loop {
+        let line = line_with(&mut running.log, "");
+        assert!(
+            !line.contains("invalid chunk size"),
+            "the list is rejected: {line}"
+        );
+        if line.contains("endpoint list applied revision=42 ready=54000") {
+            break;
+        }
+    }
+    let (held, peak) = (begun.elapsed(), peak_mb(running.child.id()));
+    println!(
+        "{ENDPOINTS} endpoints: ready after {ready:?}, list applied after {held:?}, peak {peak} MB"
+    );
+    assert!(ready <= READY_WITHIN, "ready after {ready:?}");
+    assert!(peak < MEMORY_MB, "{peak} MB of {MEMORY_MB}");
+}
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -90,17 +90,17 @@
 fn a_new_client_in_the_backlog_at_the_drain_is_read_before_its_connection_ends() {
     let mut harness = Harness::new(1);
     harness.program.leave();
-    let (mut asks, mut silent) = (harness.connect(), harness.connect());
+    let (mut requesting, mut silent) = (harness.connect(), harness.connect());
     // Both are still in the listener's queue.
     harness.advance(601);
-    asks.send(read_request(1));
-    assert_eq!(harness.read_line(&mut asks), "-BUSY\r\n");
-    harness.run_until_closed(&mut asks);
+    requesting.send(read_request(1));
+    assert_eq!(harness.read_line(&mut requesting), "-BUSY\r\n");
+    harness.run_until_closed(&mut requesting);
     silent.read();
     assert!(silent.is_open, "its first request may be on its way");
     harness.advance(201);
     harness.run_until_closed(&mut silent);
-    drop((asks, silent));
+    drop((requesting, silent));
     run_until_ended(&mut harness);
 }
 
