--- a/crates/ingress/src/program/error.rs
+++ b/crates/ingress/src/program/error.rs
@@ -46,6 +46,6 @@
     #[error(transparent)]
     PlatformSettings(#[from] roseyard_platform_config::PlatformConfigError),
     /// The membership's socket or keys could not be set up.
-    #[error("{0}")]
-    Membership(String),
+    #[error(transparent)]
+    Membership(#[from] crate::routing::membership::MembershipError),
 }
--- a/crates/ingress/src/program/event_loop.rs
+++ b/crates/ingress/src/program/event_loop.rs
@@ -3,7 +3,7 @@
 use super::cli::RunOptions;
 use super::signals::{PendingSignals, Signals};
 use super::{Program, ProgramError};
-use crate::routing::Party;
+use crate::routing::EventSource;
 use crate::transport::Ready;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
         run_options: RunOptions,
     ) -> Result<(), ProgramError> {
         self.run_options = Some(run_options);
-        let token = Party::Signal.token();
+        let token = EventSource::Signal.token();
         self.io
             .poller
             .add_level(signals.pipe(), token)
@@ -34,7 +34,7 @@
         wait: Option<Duration>,
         now: impl FnOnce() -> Duration,
     ) -> Result<bool, ProgramError> {
-        let wait = if self.front.has_more() {
+        let wait = if self.frontend.has_scheduled_reads() {
             Some(Duration::ZERO)
         } else {
             wait
@@ -53,7 +53,7 @@
         }
         self.serve_once_synced();
         self.decide_and_write();
-        self.front.keep_spare(&mut self.io);
+        self.frontend.restore_spare(&mut self.io);
         self.accept_connections();
         Ok(!self.is_over())
     }
@@ -64,7 +64,7 @@
             self.on_ready(*event);
         }
         self.serve_once_synced();
-        self.front.resume(&mut self.core, &mut self.io);
+        self.frontend.read_scheduled(&mut self.driver, &mut self.io);
         for event in events.drain(..).filter(|event| !is_discovery(event)) {
             self.on_ready(event);
         }
@@ -74,14 +74,14 @@
     fn decide_and_write(&mut self) {
         let mut responses = std::mem::take(&mut self.responses);
         loop {
-            self.core.run(&mut self.io);
-            self.core.take_answers(&mut responses);
-            for (owner, response) in responses.drain(..) {
-                self.front
-                    .answer(owner, response, &mut self.core, &mut self.io);
+            self.driver.run(&mut self.io);
+            self.driver.take_responses(&mut responses);
+            for response in responses.drain(..) {
+                self.frontend
+                    .respond(response, &mut self.driver, &mut self.io);
             }
-            self.front.flush(&mut self.core, &mut self.io);
-            if !self.core.has_pending() {
+            self.frontend.flush(&mut self.driver, &mut self.io);
+            if !self.driver.has_pending() {
                 break;
             }
         }
@@ -92,80 +92,77 @@
     /// and that retries of open requests need.
     fn accept_connections(&mut self) {
         if std::mem::take(&mut self.accept_pending) {
-            let most = self.io.limits.round_accepts;
-            self.front.accept(most, &mut self.core, &mut self.io);
+            self.frontend.accept(&mut self.driver, &mut self.io);
         }
     }
 
-    /// Becomes ready once discovery has sent a list or has had [`Limits::ready`] for it.
-    ///
-    /// [`Limits::ready`]: crate::limits::Limits::ready
+    /// Becomes ready once discovery has answered, or the time for that is over.
     fn serve_once_synced(&mut self) {
-        if self.front.ready || !(self.core.told() || self.ready_due.is_none()) {
+        if self.frontend.is_ready() || !(self.driver.is_synced() || self.ready_due.is_none()) {
             return;
         }
-        self.front.ready = true;
+        self.frontend.set_ready();
         self.io
             .deadlines
-            .set(&mut self.ready_due, None, Party::Ready);
+            .set(&mut self.ready_due, None, EventSource::Ready);
         tracing::info!(event = "ready", "ready");
-        if let Some(members) = &mut self.members {
-            members.serving(&mut self.io);
+        if let Some(membership) = &mut self.membership {
+            membership.on_serving(&mut self.io);
         }
     }
 
     fn on_ready(&mut self, event: Ready) {
-        let core = &mut self.core;
+        let driver = &mut self.driver;
         let io = &mut self.io;
-        match Party::of_token(event.token) {
-            Party::Client(key) => self.front.on_client(key, event, core, io),
-            Party::Link(key) => core.on_link(key, event, io),
-            Party::Counter(n, serial) => core.on_counter((n, serial), event, io),
-            Party::Watch(serial) => core.on_watch(serial, event, io),
-            Party::Listener => self.accept_pending = true,
-            Party::Members => self.members.iter_mut().for_each(|m| m.on_ready(io)),
+        match EventSource::of_token(event.token) {
+            EventSource::Client(key) => self.frontend.on_client_ready(key, event, driver, io),
+            EventSource::Upstream(key) => driver.on_upstream_ready(key, event, io),
+            EventSource::Counter(n, serial) => driver.on_counter_ready(n, serial, event, io),
+            EventSource::Discovery(serial) => driver.on_discovery_ready(serial, event, io),
+            EventSource::Listener => self.accept_pending = true,
+            EventSource::Membership => self.membership.iter_mut().for_each(|m| m.on_ready(io)),
             _ => self.on_signal(),
         }
     }
 
-    fn on_due(&mut self, source: Party) {
-        let core = &mut self.core;
+    fn on_due(&mut self, source: EventSource) {
+        let driver = &mut self.driver;
         let io = &mut self.io;
         match source {
-            Party::Module => core.on_timer(),
-            Party::Client(key) => self.front.on_client_due(key, core, io),
-            Party::Link(key) => core.on_link_due(key, io),
-            Party::Counter(n, _) => core.on_counter_due(n, io),
-            Party::Watch(_) => core.on_watch_due(io),
-            Party::Listener => {
-                self.front.on_listener_due(io);
+            EventSource::Engine => driver.on_engine_due(),
+            EventSource::Client(key) => self.frontend.on_client_due(key, driver, io),
+            EventSource::Upstream(key) => driver.on_upstream_due(key, io),
+            EventSource::Counter(n, _) => driver.on_counter_due(n, io),
+            EventSource::Discovery(_) => driver.on_discovery_due(io),
+            EventSource::Listener => {
+                self.frontend.on_listener_due(io);
                 self.accept_pending = true;
             }
-            Party::Report => self.front.on_report_due(),
-            Party::SnapshotSettings => self.on_snapshot_due(),
-            Party::Members => self.members.iter_mut().for_each(|m| m.on_due(io)),
-            Party::Status => self.on_status_due(),
-            Party::Ready => self.ready_due = None,
-            Party::Drain => self.on_shutdown_due(),
-            Party::Signal => {}
+            EventSource::AdmissionSummary => self.frontend.on_summary_due(),
+            EventSource::Snapshot => self.on_snapshot_due(),
+            EventSource::Membership => self.membership.iter_mut().for_each(|m| m.on_due(io)),
+            EventSource::Status => self.on_status_due(),
+            EventSource::Ready => self.ready_due = None,
+            EventSource::Shutdown => self.on_shutdown_due(),
+            EventSource::Signal => {}
         }
     }
 
     fn on_snapshot_due(&mut self) {
         self.snapshot_due = None;
-        self.snapshots.write(self.front.controller(), self.io.now);
+        self.snapshots.write(self.frontend.admission(), self.io.now);
         self.snapshots
             .schedule(&mut self.snapshot_due, &mut self.io);
     }
 
     fn on_status_due(&mut self) {
         self.status_due = None;
-        if let (Some(status_file), Some(members)) = (&mut self.status_file, &self.members) {
-            status_file.write(members, self.io.now);
+        if let (Some(status_file), Some(membership)) = (&mut self.status_file, &self.membership) {
+            status_file.write(membership, self.io.now);
             let at = self.io.now + STATUS_INTERVAL;
             self.io
                 .deadlines
-                .set(&mut self.status_due, Some(at), Party::Status);
+                .set(&mut self.status_due, Some(at), EventSource::Status);
         }
     }
 
@@ -186,5 +183,8 @@
 }
 
 fn is_discovery(event: &Ready) -> bool {
-    matches!(Party::of_token(event.token), Party::Watch(_))
+    matches!(
+        EventSource::of_token(event.token),
+        EventSource::Discovery(_)
+    )
 }
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -24,9 +24,10 @@
 pub use signals::Signals;
 
 use crate::clock::Clock;
-use crate::routing::members::Members;
-use crate::routing::{Core, Front, Io, Response};
-use crate::transport::{Key, Ready};
+use crate::routing::frontend::FrontendUsage;
+use crate::routing::membership::MembershipDriver;
+use crate::routing::{CommandResponse, Driver, Frontend, Io, ShutdownLimits};
+use crate::transport::Ready;
 use cli::RunOptions;
 use config::Config;
 use roseyard_operator_config::MachineLimits;
@@ -39,10 +40,11 @@
 /// An ingress between two rounds of its event loop.
 pub struct Program {
     io: Io,
-    core: Core,
-    front: Front,
+    driver: Driver,
+    frontend: Frontend,
     /// None until [`Program::handle_signals`]; tests run without.
     signals: Option<Signals>,
+    shutdown_limits: ShutdownLimits,
     shutdown: ShutdownPhase,
     /// When the next phase of the shutdown is due.
     shutdown_due: Option<Duration>,
@@ -53,7 +55,7 @@
     snapshots: SnapshotStore,
     snapshot_due: Option<Duration>,
     /// The other ingresses, where membership is on.
-    members: Option<Members>,
+    membership: Option<MembershipDriver>,
     /// The file that shows how they are seen, where the operator wants one.
     status_file: Option<StatusFile>,
     status_due: Option<Duration>,
@@ -63,7 +65,7 @@
     accept_pending: bool,
     /// Buffers of a round, kept for their capacity.
     ready_events: Vec<Ready>,
-    responses: Vec<((Key, u64), Response)>,
+    responses: Vec<CommandResponse>,
 }
 
 /// What a program holds, for tests and for the last log line.
@@ -103,12 +105,12 @@
 impl Program {
     /// Where clients connect; none once the listener is closed.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.front.address()
+        self.frontend.address()
     }
 
     /// Revision of the endpoint list in force.
-    pub fn list_version(&self) -> u64 {
-        self.core.list_version()
+    pub fn list_revision(&self) -> u64 {
+        self.driver.list_revision()
     }
 
     /// The earliest deadline.
@@ -124,19 +126,20 @@
     /// What is open now.
     pub fn open(&self) -> OpenCounts {
         OpenCounts {
-            requests: self.core.open_requests(),
-            upstream_connections: self.core.open_links(),
-            clients: self.front.len(),
+            requests: self.driver.open_requests(),
+            upstream_connections: self.driver.upstream_connections(),
+            clients: self.frontend.len(),
         }
     }
 
-    /// Requests open by their clients' numbers, and bytes held for clients' connections.
-    pub fn clients_hold(&self) -> (usize, usize) {
-        self.front.held()
+    /// What the connections of clients hold.
+    pub fn client_usage(&self) -> FrontendUsage {
+        self.frontend.usage()
     }
 
     /// Writes the snapshot of clients for the next start. Call once, after the last round.
     pub fn end(&mut self) {
-        self.snapshots.finish(self.front.controller(), self.io.now);
+        self.snapshots
+            .finish(self.frontend.admission(), self.io.now);
     }
 }
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -68,14 +68,14 @@
                 "descriptor limits not reloaded"
             );
         }
-        self.front.set_policy(operator.policy, io);
+        self.frontend.set_policy(operator.policy, io);
         self.snapshots.set(operator.reputation_snapshot);
         self.snapshots.schedule(&mut self.snapshot_due, io);
-        if let Some(members) = &mut self.members {
-            members.set(&operator.membership);
+        if let Some(membership) = &mut self.membership {
+            membership.reload(&operator.membership);
         }
-        self.front.set_route_field(file.services().route_field());
-        self.core.set_directory(file.services().directory());
+        self.frontend.set_route_field(file.services().route_field());
+        self.driver.set_directory(file.services().directory());
         let counter = config
             .counter
             .map_or_else(|| "none".to_owned(), |address| address.to_string());
@@ -86,6 +86,6 @@
             counter,
             "configuration reloaded"
         );
-        self.core.move_to(discovery, config.counter, io);
+        self.driver.migrate_to(discovery, config.counter, io);
     }
 }
--- a/crates/ingress/src/program/shutdown.rs
+++ b/crates/ingress/src/program/shutdown.rs
@@ -3,18 +3,18 @@
 //! | phase | begins | what happens |
 //! | --- | --- | --- |
 //! | [`ShutdownPhase::Accepting`] | with the signal | connections and requests are still taken |
-//! | [`ShutdownPhase::Draining`] | [`Limits::drain_accept`] later | the listener is closed, new requests are rejected, open ones are finished |
-//! | [`ShutdownPhase::Stopping`] | [`Limits::drain`] later | every open request gets its final response at once |
-//! | [`ShutdownPhase::Over`] | [`Limits::last_linger`] later | connections that are still open are dropped |
+//! | [`ShutdownPhase::Draining`] | [`ShutdownLimits::accept_period`] later | the listener is closed, new requests are rejected, open ones are finished |
+//! | [`ShutdownPhase::Stopping`] | [`ShutdownLimits::drain_timeout`] later | every open request gets its final response at once |
+//! | [`ShutdownPhase::Over`] | [`ShutdownLimits::linger_timeout`] later | connections that are still open are dropped |
 //!
 //! The program ends earlier once a phase has nothing left to do.
 //!
-//! [`Limits::drain_accept`]: crate::limits::Limits::drain_accept
-//! [`Limits::drain`]: crate::limits::Limits::drain
-//! [`Limits::last_linger`]: crate::limits::Limits::last_linger
+//! [`ShutdownLimits::accept_period`]: crate::routing::ShutdownLimits::accept_period
+//! [`ShutdownLimits::drain_timeout`]: crate::routing::ShutdownLimits::drain_timeout
+//! [`ShutdownLimits::linger_timeout`]: crate::routing::ShutdownLimits::linger_timeout
 
 use super::Program;
-use crate::routing::Party;
+use crate::routing::EventSource;
 use std::time::Duration;
 
 /// How far the shutdown has come.
@@ -39,15 +39,15 @@
             return;
         }
         self.shutdown = ShutdownPhase::Accepting;
-        let open_requests = self.core.open_requests();
+        let open_requests = self.driver.open_requests();
         tracing::info!(
             event = "shutdown.started",
             open_requests,
             "shutdown started"
         );
-        self.schedule_next_phase(self.io.limits.drain_accept);
-        if let Some(members) = &mut self.members {
-            members.leave(&mut self.io);
+        self.schedule_next_phase(self.shutdown_limits.accept_period);
+        if let Some(membership) = &mut self.membership {
+            membership.leave(&mut self.io);
         }
     }
 
@@ -67,42 +67,42 @@
     pub(super) fn is_over(&self) -> bool {
         match self.shutdown {
             ShutdownPhase::Serving | ShutdownPhase::Accepting => false,
-            ShutdownPhase::Draining => self.front.is_empty() && self.core.open_requests() == 0,
-            ShutdownPhase::Stopping => self.front.is_empty(),
+            ShutdownPhase::Draining => self.frontend.is_empty() && self.driver.open_requests() == 0,
+            ShutdownPhase::Stopping => self.frontend.is_empty(),
             ShutdownPhase::Over => true,
         }
     }
 
     fn start_draining(&mut self) {
         self.shutdown = ShutdownPhase::Draining;
-        self.front.drain(&mut self.core, &mut self.io);
-        let clients = self.front.len();
+        self.frontend.drain(&mut self.driver, &mut self.io);
+        let clients = self.frontend.len();
         tracing::info!(
             event = "shutdown.draining",
             clients,
             "draining, listener closed"
         );
-        self.schedule_next_phase(self.io.limits.drain);
+        self.schedule_next_phase(self.shutdown_limits.drain_timeout);
     }
 
     /// Prevents requests without a response when an endpoint hangs until SIGKILL.
     fn answer_open_requests(&mut self) {
         self.shutdown = ShutdownPhase::Stopping;
-        let open_requests = self.core.open_requests();
+        let open_requests = self.driver.open_requests();
         tracing::info!(
             event = "shutdown.deadline_exceeded",
             open_requests,
             "drain deadline exceeded, open requests answered"
         );
-        self.core.stop();
-        self.front.stop();
-        self.schedule_next_phase(self.io.limits.last_linger);
+        self.driver.stop();
+        self.frontend.stop();
+        self.schedule_next_phase(self.shutdown_limits.linger_timeout);
     }
 
     fn schedule_next_phase(&mut self, after: Duration) {
         let at = self.io.now + after;
         self.io
             .deadlines
-            .set(&mut self.shutdown_due, Some(at), Party::Drain);
+            .set(&mut self.shutdown_due, Some(at), EventSource::Shutdown);
     }
 }
--- a/crates/ingress/src/program/snapshot_store.rs
+++ b/crates/ingress/src/program/snapshot_store.rs
@@ -2,7 +2,7 @@
 //! on a schedule and at the end.
 
 use super::file_writer::{unix_ms, FileWriter};
-use crate::routing::{Io, Party};
+use crate::routing::{EventSource, Io};
 use roseyard_admission::{AdmissionController, Snapshot, SnapshotError};
 use roseyard_operator_config::SnapshotSettings;
 use std::fs::File;
@@ -60,7 +60,7 @@
             .file
             .as_ref()
             .map(|_| io.now + self.settings.interval);
-        io.deadlines.set(due, at, Party::SnapshotSettings);
+        io.deadlines.set(due, at, EventSource::Snapshot);
     }
 
     /// Starts writing the file, unless the last write is still running.
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -7,8 +7,8 @@
 use super::{file_writer, Program, ProgramError};
 use crate::clock::Clock;
 use crate::limits::Limits;
-use crate::routing::members::Members;
-use crate::routing::{Core, Front, Io, Party, Start, Terms};
+use crate::routing::membership::MembershipDriver;
+use crate::routing::{Driver, EventSource, Frontend, Io, RequestSchema, Start};
 use crate::transport::{allowed, listen, spare, Deadlines, Poller};
 use roseyard_admission::DescriptorBudget;
 use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
@@ -33,50 +33,54 @@
             .resolve(&machine)
             .map_err(ProgramError::OperatorSettings)?;
         let limits = Limits::new(&operator, config.limits.memory_mb, &config.settings);
-        let mut io = open_io(&operator, limits, clock)?;
-        let mut front = open_frontend(config, file, &operator, &mut io)?;
-        let snapshots = SnapshotStore::open(operator.reputation_snapshot, front.gate_mut(), io.now);
-        if let Some(address) = front.address() {
+        let mut io = open_io(&operator, &limits, clock)?;
+        let mut frontend = open_frontend(config, file, &operator, &limits, &mut io)?;
+        let snapshots = SnapshotStore::open(
+            operator.reputation_snapshot,
+            frontend.admission_mut(),
+            io.now,
+        );
+        if let Some(address) = frontend.address() {
             let name = &config.name;
             tracing::info!(event = "listening", name, %address, "listening");
         }
-        let core = open_core(config, file, clock, &mut io)?;
+        let driver = open_driver(config, file, &limits, clock, &mut io)?;
         let mut ready_due = None;
-        let latest_ready = io.now + io.limits.ready;
+        let latest_ready = io.now + limits.event_loop.ready_timeout;
         io.deadlines
-            .set(&mut ready_due, Some(latest_ready), Party::Ready);
+            .set(&mut ready_due, Some(latest_ready), EventSource::Ready);
         let mut snapshot_due = None;
         snapshots.schedule(&mut snapshot_due, &mut io);
         let membership = &operator.membership;
-        let members = Members::start(
+        let membership_driver = MembershipDriver::start(
             membership,
             &config.name,
             file_writer::unix_ms(),
             config.seed ^ MEMBERSHIP_SEED_MASK,
             &mut io,
-        )
-        .map_err(|error| ProgramError::Membership(error.to_string()))?;
+        )?;
         let status_path = membership.status_file.as_deref();
         let status_file = status_path
-            .filter(|_| members.is_some())
+            .filter(|_| membership_driver.is_some())
             .map(StatusFile::new);
         let mut status_due = None;
         if status_file.is_some() {
             io.deadlines
-                .set(&mut status_due, Some(io.now), Party::Status);
+                .set(&mut status_due, Some(io.now), EventSource::Status);
         }
         Ok(Program {
             io,
-            core,
-            front,
+            driver,
+            frontend,
             signals: None,
+            shutdown_limits: limits.shutdown,
             shutdown: ShutdownPhase::Serving,
             shutdown_due: None,
             ready_due,
             machine,
             snapshots,
             snapshot_due,
-            members,
+            membership: membership_driver,
             status_file,
             status_due,
             run_options: None,
@@ -95,8 +99,9 @@
 const HASH_SECRET_MASK: u64 = 0x61c8_8646_80b5_83eb;
 const HASH_SECRET_ROTATION: u32 = 23;
 
-fn open_io(operator: &OperatorSettings, limits: Limits, clock: Clock) -> Result<Io, ProgramError> {
-    let poller = Poller::new(limits.batch).map_err(ProgramError::Poller)?;
+fn open_io(operator: &OperatorSettings, limits: &Limits, clock: Clock) -> Result<Io, ProgramError> {
+    let poller =
+        Poller::new(limits.event_loop.max_events_per_wait).map_err(ProgramError::Poller)?;
     let budget = DescriptorBudget::new(operator.descriptors, operator.descriptor_limits)
         .map_err(ProgramError::Descriptors)?;
     Ok(Io {
@@ -105,7 +110,6 @@
         now: clock.now(),
         budget,
         spare: spare(),
-        limits,
     })
 }
 
@@ -113,23 +117,27 @@
     config: &Config,
     file: &File,
     operator: &OperatorSettings,
+    limits: &Limits,
     io: &mut Io,
-) -> Result<Front, ProgramError> {
-    let listener = take_address(&config.listen, &io.limits)?;
+) -> Result<Frontend, ProgramError> {
+    let listener = take_address(&config.listen, limits)?;
     let settings = decision_settings(config)?;
     let route_field = file.services().route_field();
-    let terms = Terms::new(&config.settings, &settings, &io.limits, route_field);
+    let max_units = limits.frontend.max_units;
+    let schema = RequestSchema::new(&config.settings, &settings, max_units, route_field);
     let secret = config.seed.rotate_left(HASH_SECRET_ROTATION) ^ HASH_SECRET_MASK;
     let policy = operator.policy.clone();
-    Front::new(listener, terms, policy, secret, io).map_err(ProgramError::ListenerRegistration)
+    Frontend::new(listener, schema, policy, secret, limits.frontend, io)
+        .map_err(ProgramError::ListenerRegistration)
 }
 
-fn open_core(
+fn open_driver(
     config: &Config,
     file: &File,
+    limits: &Limits,
     clock: Clock,
     io: &mut Io,
-) -> Result<Core, ProgramError> {
+) -> Result<Driver, ProgramError> {
     let start = Start {
         settings: decision_settings(config)?,
         seed: config.seed,
@@ -138,23 +146,24 @@
         clock,
         discovery: config.discovery,
         counter: config.counter,
+        limits: limits.driver,
     };
-    Core::new(start, &config.known, io).map_err(ProgramError::Settings)
+    Driver::new(start, &config.known, io).map_err(ProgramError::Settings)
 }
 
 fn decision_settings(config: &Config) -> Result<roseyard_decision::Settings, ProgramError> {
     Ok(config.settings.settings()?)
 }
 
-/// Listens on the address. While another process holds it, retries for up to [`Limits::address`]:
-/// a predecessor that is shutting down may not have closed its listener yet.
+/// Listens on the address. While another process holds it, retries for a while: a predecessor that
+/// is shutting down may not have closed its listener yet.
 fn take_address(address: &SocketAddr, limits: &Limits) -> Result<OwnedFd, ProgramError> {
     let since = Instant::now();
     let mut logged = false;
     loop {
-        match listen(address, limits.backlog) {
+        match listen(address, limits.frontend.listen_backlog) {
             Ok(listener) => return Ok(listener),
-            Err(Errno::ADDRINUSE) if since.elapsed() < limits.address => {
+            Err(Errno::ADDRINUSE) if since.elapsed() < limits.event_loop.address_timeout => {
                 if !logged {
                     tracing::warn!(
                         event = "listen.address_in_use",
@@ -163,7 +172,7 @@
                     );
                     logged = true;
                 }
-                std::thread::sleep(limits.address_again);
+                std::thread::sleep(limits.event_loop.address_retry_interval);
             }
             Err(error) => {
                 return Err(ProgramError::Listen {
--- a/crates/ingress/src/program/status_file.rs
+++ b/crates/ingress/src/program/status_file.rs
@@ -2,7 +2,7 @@
 
 use super::file_writer::{unix_ms, FileWriter};
 use super::status_table;
-use crate::routing::members::{Members, Status};
+use crate::routing::membership::{MembershipDriver, Status};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -46,11 +46,11 @@
     }
 
     /// Starts writing the present view, unless the last write is still running.
-    pub fn write(&mut self, members: &Members, now: Duration) {
+    pub fn write(&mut self, membership: &MembershipDriver, now: Duration) {
         if self.writer.is_busy() {
             return;
         }
-        if let Ok(text) = simd_json::to_string_pretty(&members.status(unix_ms(), now)) {
+        if let Ok(text) = simd_json::to_string_pretty(&membership.status(unix_ms(), now)) {
             self.writer.start(self.path.clone(), text.into_bytes());
         }
     }
--- a/crates/ingress/src/program/status_table.rs
+++ b/crates/ingress/src/program/status_table.rs
@@ -1,6 +1,6 @@
 //! The status of the membership as a table for operators.
 
-use crate::routing::members::{MemberStatus, Status};
+use crate::routing::membership::{MemberStatus, Status};
 use std::fmt::Write;
 
 const COLUMNS: usize = 7;
--- a/crates/testbed/src/scale/events/restart.rs
+++ b/crates/testbed/src/scale/events/restart.rs
@@ -29,7 +29,7 @@
 
 /// All control machines restart, and every ingress opens its watch again.
 pub(super) fn control(sizes: &[usize], figures: &mut Figures) {
-    let max_backoff = list::limits().list_again_most;
+    let max_backoff = list::limits().driver.discovery.max_backoff_rejected;
     // Calls are spread over half of the backoff at random.
     let mean_backoff = max_backoff.mul_f64(0.75);
     let calls = targets::INGRESSES as f64 / mean_backoff.as_secs_f64();
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -23,7 +23,7 @@
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = vec![run.division()];
-    let max_bytes = limits().list_bytes;
+    let max_bytes = limits().protocol.max_list_bytes;
     // Kept to the end, so that the memory of each is its own.
     let mut ingresses = Vec::new();
     for &size in &run.sizes {
