--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The state machine of admission.
 //!
-//! [`connect`] decides on new connections, [`request`] on requests, with what they say of a client's
-//! reputation, and [`eviction`] on which idle connection is closed. [`client_histories`] keeps the
-//! histories of clients, and [`connection_table`] the open connections.
+//! [`connect`] decides on new connections, [`request`] on requests, with what they say of a
+//! client's reputation, and [`eviction`] on which idle connection is closed. [`client_histories`]
+//! keeps the histories of clients, and [`connection_table`] the open connections.
 
 mod client_histories;
 mod connect;
--- a/crates/admission/src/descriptor_budget.rs
+++ b/crates/admission/src/descriptor_budget.rs
@@ -1,7 +1,7 @@
 //! The budget of file descriptors of the process.
 //!
-//! Each use has a guaranteed minimum and a maximum. Between the two it borrows what other uses leave
-//! unused, and never what another use is guaranteed.
+//! Each use has a guaranteed minimum and a maximum. Between the two it borrows what other uses
+//! leave unused, and never what another use is guaranteed.
 
 /// What a descriptor is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -45,6 +45,17 @@
     pub max: usize,
 }
 
+impl DescriptorLimits {
+    /// The use always has exactly this many.
+    #[must_use]
+    pub fn exactly(count: usize) -> DescriptorLimits {
+        DescriptorLimits {
+            guaranteed: count,
+            max: count,
+        }
+    }
+}
+
 /// The guaranteed minima are more than the descriptors of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{guaranteed} descriptors are guaranteed, and there are {total}")]
--- a/crates/admission/src/history_cache.rs
+++ b/crates/admission/src/history_cache.rs
@@ -168,8 +168,8 @@
         self.evict_down_to(self.capacity);
     }
 
-    /// Keeps the protected segment at three quarters of the capacity. Prevents known clients of long
-    /// ago from leaving no entries for new ones.
+    /// Keeps the protected segment at three quarters of the capacity. Prevents known clients of
+    /// long ago from leaving no entries for new ones.
     fn demote_oldest(&mut self) {
         if self.segments.len(PROTECTED) > self.capacity.div_ceil(4) * 3 {
             if let Some(oldest) = self.segments.first(PROTECTED) {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -8,7 +8,9 @@
 //! all times of one controller must be counted from the same one.
 //!
 //! ```
-//! use roseyard_admission::{Action, AdmissionController, AdmissionPolicy, ConnectionId, Event, RejectionReason};
+//! use roseyard_admission::{
+//!     Action, AdmissionController, AdmissionPolicy, ConnectionId, Event, RejectionReason,
+//! };
 //! use std::time::Duration;
 //!
 //! let at = |ms| Duration::from_secs(60) + Duration::from_millis(ms);
@@ -22,7 +24,10 @@
 //!     };
 //!     controller.handle(at(50 * n), connected, &mut actions);
 //! }
-//! let closed = Action::Close { connection: ConnectionId(0), reason: RejectionReason::IdleCapacity };
+//! let closed = Action::Close {
+//!     connection: ConnectionId(0),
+//!     reason: RejectionReason::IdleCapacity,
+//! };
 //! assert_eq!(actions[0], closed);
 //! ```
 
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -14,8 +14,8 @@
     pub capacity: usize,
     /// Part of `capacity` on which new clients may be connected but have no requests open, so that
     /// it can be given to known clients at once; requests of new clients beyond the rest of the
-    /// capacity are rejected. Clients that have sent several commands may use half of it. By default
-    /// an eighth of the capacity.
+    /// capacity are rejected. Clients that have sent several commands may use half of it. By
+    /// default an eighth of the capacity.
     pub reserve: usize,
     /// Idle connections that have sent no command. Beyond it the one that has been idle for longest
     /// is closed. By default half of the capacity, at least 1.
@@ -23,8 +23,8 @@
     /// Idle connections that have sent one command. Beyond it the one that has been idle for
     /// longest is closed. By default three tenths of the capacity, at least 1.
     pub max_idle_after_one_request: usize,
-    /// Does the address tell clients apart? False by default, for a proxy in front that connects for
-    /// all clients from a few addresses; then no limit or history goes by address.
+    /// Does the address tell clients apart? False by default, for a proxy in front that connects
+    /// for all clients from a few addresses; then no limit or history goes by address.
     pub by_address: bool,
     /// Connections of one client address. At the limit new ones are rejected. No limit by default.
     pub max_per_client: Option<u32>,
@@ -50,7 +50,8 @@
     pub known_after_served: f32,
     /// Half-life of requests served; 1 hour by default.
     pub known_half_life: Duration,
-    /// Faults, decaying with `suspect_half_life`, from which on an address is suspect; 5 by default.
+    /// Faults, decaying with `suspect_half_life`, from which on an address is suspect; 5 by
+    /// default.
     pub suspect_after_faults: f32,
     /// Half-life of faults; 30 s by default.
     pub suspect_half_life: Duration,
--- a/crates/ingress/src/routing/members.rs
+++ b/crates/ingress/src/routing/members.rs
@@ -8,7 +8,7 @@
     wire, Action, Dropped, Event, Guard, Key, MemberState, Metadata, Name, Received, Settings,
     Stage, Swim, View,
 };
-use roseyard_operator_config::MembershipSettings;
+use roseyard_operator_config::{MembershipSettings, NamedAddress};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs;
@@ -156,7 +156,7 @@
         io.poller
             .add_level(&socket, Party::Members.token())
             .map_err(|e| format!("membership: {e}"))?;
-        let path = |(name, at): &(String, _)| Some((Name::from(name).ok()?, *at));
+        let path = |named: &NamedAddress| Some((Name::from(&named.name).ok()?, named.address));
         let settings = Settings {
             probe_interval: operator.probe_period,
             probe_timeout: operator.probe_timeout,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Intervals, timeouts and bounds; the defaults of [`Settings::new`] are for members that reach each
-/// other directly.
+/// Intervals, timeouts and bounds; the defaults of [`Settings::new`] are for members that reach
+/// each other directly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Time between two probes; 1 s by default.
     pub probe_interval: Duration,
-    /// Time that a direct ack is awaited before other members probe too; under half of the interval,
-    /// 300 ms by default.
+    /// Time that a direct ack is awaited before other members probe too; under half of the
+    /// interval, 300 ms by default.
     pub probe_timeout: Duration,
     /// Members that are requested to ping one that did not answer; 3 by default.
     pub indirect_probes: usize,
@@ -23,8 +23,8 @@
     /// Mean time between two comparisons of all records with one member (anti-entropy); 5 s by
     /// default.
     pub sync_interval: Duration,
-    /// Shortest suspicion timeout, in probe intervals times the logarithm (base ten, at least one) of
-    /// the number of members; 4 by default.
+    /// Shortest suspicion timeout, in probe intervals times the logarithm (base ten, at least one)
+    /// of the number of members; 4 by default.
     pub suspicion_multiplier: u32,
     /// Longest suspicion timeout, that of a suspicion without confirmation, as a multiple of the
     /// shortest one; 6 by default.
@@ -34,8 +34,8 @@
     pub local_health: bool,
     /// Members that there should be, this one included.
     pub expected_members: usize,
-    /// Records of other members that are kept at most; further ones are dropped and counted. 1,024 by
-    /// default.
+    /// Records of other members that are kept at most; further ones are dropped and counted. 1,024
+    /// by default.
     pub max_members: usize,
     /// Addresses that this member sends its requests to join to.
     pub seeds: Vec<SocketAddr>,
--- a/crates/membership/src/swim/apply.rs
+++ b/crates/membership/src/swim/apply.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Is this a newer process that claims a name while another one uses it? That one has to be dead
-    /// or have left first.
+    /// Is this a newer process that claims a name while another one uses it? That one has to be
+    /// dead or have left first.
     fn is_premature_claim(&self, update: &Record) -> bool {
         let known = self.members.get(&update.name);
         let is_newer = known.is_some_and(|member| update.generation > member.record.generation);
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -3,7 +3,8 @@
 //! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping,
 //! ping-req, ack, nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates,
 //! [`sync`] is anti-entropy, [`join`] finds the others, [`receive`] handles datagrams, [`apply`]
-//! merges records, [`health`] is local health and [`members`] the table of members.
+//! merges records, [`timers`] runs what is due, [`health`] is local health and [`members`] the table
+//! of members.
 
 mod apply;
 mod gossip;
@@ -15,6 +16,7 @@
 mod relay;
 mod suspicion;
 mod sync;
+mod timers;
 
 use crate::event::{Action, Event};
 use crate::record::{Metadata, Name, Record, Stage, Status};
@@ -29,22 +31,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-
-/// Time between two rounds of anti-entropy, as a ratio of its interval: the minimum, and the range
-/// above it. Prevents members from comparing their records at the same times.
-const SYNC_JITTER_MIN: f64 = 0.75;
-const SYNC_JITTER_RANGE: f64 = 0.5;
-
-/// When each recurring task is next due.
-#[derive(Clone, Copy, Debug, Default)]
-struct Timers {
-    probe: Duration,
-    gossip: Duration,
-    sync: Duration,
-    join: Duration,
-    reminder: Duration,
-    cleanup: Duration,
-}
+use timers::Timers;
 
 /// One member's part of the protocol.
 #[derive(Clone, Debug)]
@@ -117,8 +104,8 @@
         self.counts
     }
 
-    /// The local health score: 0 is healthy; the probes of this ingress take the score and one times
-    /// as long.
+    /// The local health score: 0 is healthy; the probes of this ingress take the score and one
+    /// times as long.
     pub fn local_health(&self) -> u32 {
         self.health.score()
     }
@@ -186,26 +173,6 @@
             .or_else(recorded)
     }
 
-    /// The time of the next [`Event::Due`].
-    pub fn due(&self) -> Option<Duration> {
-        if !self.started {
-            return Some(Duration::ZERO);
-        }
-        let timers = &self.timers;
-        let mut due = timers
-            .cleanup
-            .min(timers.gossip)
-            .min(timers.sync)
-            .min(timers.probe);
-        if self.should_join() {
-            due = due.min(timers.join);
-        }
-        if let Some(probe) = &self.probe {
-            due = due.min(probe.next_deadline());
-        }
-        Some(due)
-    }
-
     /// Handles an event; what the caller is to do is appended to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
@@ -221,22 +188,6 @@
         self.run_timers(now, actions);
     }
 
-    /// Sets the first deadlines. They are random, so that members that start together do not act
-    /// together.
-    fn start(&mut self, now: Duration) {
-        self.started = true;
-        let random_time =
-            |rng: &mut fastrand::Rng, interval: Duration| now + interval.mul_f64(rng.f64());
-        self.timers = Timers {
-            probe: random_time(&mut self.rng, self.settings.probe_interval),
-            gossip: random_time(&mut self.rng, self.settings.gossip_interval),
-            sync: random_time(&mut self.rng, self.settings.sync_interval),
-            join: now,
-            reminder: now,
-            cleanup: now + self.settings.gossip_interval,
-        };
-    }
-
     fn set_metadata(&mut self, metadata: Metadata) {
         if metadata == self.local.metadata {
             return;
@@ -255,74 +206,6 @@
         self.timers.gossip = now;
     }
 
-    /// Prevents this process from suspecting the others when it was stopped itself: its deadlines are
-    /// moved by the time of its stall.
-    fn absorb_stall(&mut self, now: Duration) {
-        let stall = self
-            .due()
-            .map_or(Duration::ZERO, |due| now.saturating_sub(due));
-        if stall < self.settings.probe_timeout {
-            return;
-        }
-        self.counts.stalls += 1;
-        self.members.postpone(stall);
-        if let Some(probe) = &mut self.probe {
-            probe.postpone(stall);
-        }
-        self.timers.probe += stall;
-        let missed_probes = stall.as_secs_f64() / self.settings.probe_interval.as_secs_f64();
-        self.health.degrade(1 + missed_probes as u32);
-    }
-
-    fn run_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.should_join() && now >= self.timers.join {
-            self.send_join_requests(now, actions);
-        }
-        if now >= self.timers.cleanup {
-            self.timers.cleanup = now + self.settings.gossip_interval;
-            self.cleanup(now, actions);
-        }
-        self.advance_probe(now, actions);
-        if self.join.name_conflict.is_some() {
-            return self.postpone_protocol(now);
-        }
-        if now >= self.timers.probe && self.probe.is_none() {
-            self.timers.probe = now + self.health.scale(self.settings.probe_interval);
-            self.begin_probe(now, actions);
-        }
-        if now >= self.timers.gossip {
-            self.timers.gossip = now + self.settings.gossip_interval;
-            self.gossip(actions);
-        }
-        if now >= self.timers.sync {
-            self.timers.sync = now
-                + self
-                    .settings
-                    .sync_interval
-                    .mul_f64(SYNC_JITTER_MIN + SYNC_JITTER_RANGE * self.rng.f64());
-            self.sync(actions);
-        }
-    }
-
-    /// While it has a name conflict, a member does nothing but request to join.
-    fn postpone_protocol(&mut self, now: Duration) {
-        let later = now + self.settings.probe_interval;
-        self.timers.probe = later;
-        self.timers.gossip = later;
-        self.timers.sync = later;
-    }
-
-    /// Ends what has timed out: suspicions, records of departed members, and relayed pings.
-    fn cleanup(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.expire_suspicions(now, actions);
-        if now >= self.timers.reminder && self.join.name_conflict.is_none() {
-            self.timers.reminder = now + self.settings.probe_interval;
-            self.remind_suspects(actions);
-        }
-        self.remove_departed(now);
-        self.expire_relays(now, actions);
-    }
-
     fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -20,8 +20,8 @@
     hasher.finish() as u32
 }
 
-/// The timeout of a suspicion with so many suspecters: from the longest down to the shortest, by the
-/// logarithm of the confirmations (the Lifeguard paper's formula).
+/// The timeout of a suspicion with so many suspecters: from the longest down to the shortest, by
+/// the logarithm of the confirmations (the Lifeguard paper's formula).
 fn timeout(shortest: Duration, max_multiplier: u32, suspecter_count: usize) -> Duration {
     let longest = shortest * max_multiplier;
     let confirmations = suspecter_count.saturating_sub(1) as f64;
@@ -60,9 +60,9 @@
         (self.settings.probe_interval * self.settings.suspicion_multiplier).mul_f64(logarithm)
     }
 
-    /// Sends suspects the record of their suspicion, and each time one other member, which will send
-    /// it to them too. Prevents a suspicion from never reaching its subject when the partition that
-    /// caused it drops its updates, which are sent a bounded number of times.
+    /// Sends suspects the record of their suspicion, and each time one other member, which will
+    /// send it to them too. Prevents a suspicion from never reaching its subject when the partition
+    /// that caused it drops its updates, which are sent a bounded number of times.
     pub(super) fn remind_suspects(&mut self, actions: &mut Vec<Action>) {
         let suspects: Vec<Name> = self
             .members
--- a/crates/membership/src/swim/sync.rs
+++ b/crates/membership/src/swim/sync.rs
@@ -34,7 +34,8 @@
 }
 
 impl Swim {
-    /// The digest of all records, this member's own included; equal on members with the same records.
+    /// The digest of all records, this member's own included; equal on members with the same
+    /// records.
     pub fn digest(&self) -> u64 {
         self.members
             .records()
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -8,8 +8,8 @@
     Settings::new(expected)
 }
 
-/// The longest time until all members see a death: a round of probes, the longest suspicion, and the
-/// gossip.
+/// The longest time until all members see a death: a round of probes, the longest suspicion, and
+/// the gossip.
 fn max_detection_time(members: usize) -> std::time::Duration {
     let settings = settings(members);
     let logarithm = (members as f64).log10().max(1.0);
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -53,7 +53,10 @@
     })]
 
     #[test]
-    fn the_order_and_number_of_records_do_not_matter(records in prop::collection::vec(record(), 1..8), rotation in 0usize..8) {
+    fn the_order_and_number_of_records_do_not_matter(
+        records in prop::collection::vec(record(), 1..8),
+        rotation in 0usize..8,
+    ) {
         let mut other = records.clone();
         other.rotate_left(rotation % records.len());
         other.extend(records.iter().take(3).cloned());
@@ -62,7 +65,9 @@
     }
 
     #[test]
-    fn a_member_that_left_stays_left_for_its_generation(records in prop::collection::vec(record(), 1..8)) {
+    fn a_member_that_left_stays_left_for_its_generation(
+        records in prop::collection::vec(record(), 1..8),
+    ) {
         let merged = merged(&records);
         let has_left = records
             .iter()
@@ -71,7 +76,9 @@
     }
 
     #[test]
-    fn random_bytes_are_read_to_their_end_or_not_at_all(bytes in prop::collection::vec(any::<u8>(), 0..230)) {
+    fn random_bytes_are_read_to_their_end_or_not_at_all(
+        bytes in prop::collection::vec(any::<u8>(), 0..230),
+    ) {
         if let Some(wire::Contents { message, records }) = wire::read(&bytes) {
             let mut body = wire::Body::new(&message);
             for record in &records {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -38,4 +38,6 @@
 pub use file::File;
 pub use services::Services;
 pub use setting_row::SettingRow;
-pub use settings::{MachineLimits, MembershipSettings, OperatorSettings, SnapshotSettings};
+pub use settings::{
+    MachineLimits, MembershipSettings, NamedAddress, OperatorSettings, SnapshotSettings,
+};
--- a/crates/operator-config/src/schema/admission.rs
+++ b/crates/operator-config/src/schema/admission.rs
@@ -16,7 +16,10 @@
         name: "places",
         kind: ValueKind::Count(1, 1 << 20),
         about: "client connections in all; never more than 'descriptors' leaves them",
-        apply: |settings, value| settings.policy = AdmissionPolicy::with_capacity(value.count().min(settings.descriptor_limits_of(DescriptorUse::Clients).max)),
+        apply: |settings, value| {
+            let max_clients = settings.descriptor_limits_of(DescriptorUse::Clients).max;
+            settings.policy = AdmissionPolicy::with_capacity(value.count().min(max_clients));
+        },
         format: |settings| settings.policy.capacity.to_string(),
     },
     Setting {
@@ -24,7 +27,9 @@
         name: "reserve",
         kind: ValueKind::Ratio,
         about: "share of the places on which newcomers may rest, but not have requests open",
-        apply: |settings, value| settings.policy.reserve = part_of(settings.policy.capacity, value.number()),
+        apply: |settings, value| {
+            settings.policy.reserve = part_of(settings.policy.capacity, value.number());
+        },
         format: |settings| settings.policy.reserve.to_string(),
     },
     Setting {
@@ -32,7 +37,10 @@
         name: "silent-room",
         kind: ValueKind::Ratio,
         about: "share of the places for connections that have asked nothing yet",
-        apply: |settings, value| settings.policy.max_idle_without_request = part_of(settings.policy.capacity, value.number()).max(1),
+        apply: |settings, value| {
+            let connections = part_of(settings.policy.capacity, value.number());
+            settings.policy.max_idle_without_request = connections.max(1);
+        },
         format: |settings| settings.policy.max_idle_without_request.to_string(),
     },
     Setting {
@@ -40,7 +48,10 @@
         name: "once-room",
         kind: ValueKind::Ratio,
         about: "share of the places for connections that rest and have asked once",
-        apply: |settings, value| settings.policy.max_idle_after_one_request = part_of(settings.policy.capacity, value.number()).max(1),
+        apply: |settings, value| {
+            let connections = part_of(settings.policy.capacity, value.number());
+            settings.policy.max_idle_after_one_request = connections.max(1);
+        },
         format: |settings| settings.policy.max_idle_after_one_request.to_string(),
     },
     Setting {
@@ -105,7 +116,10 @@
         },
         format: |settings| {
             let lengths = settings.policy.prefix_lengths;
-            format!("v4={} v6-client={} v6={}", lengths.ipv4_network, lengths.ipv6_client, lengths.ipv6_network)
+            format!(
+                "v4={} v6-client={} v6={}",
+                lengths.ipv4_network, lengths.ipv6_client, lengths.ipv6_network
+            )
         },
     },
     Setting {
@@ -113,7 +127,9 @@
         name: "listed",
         kind: ValueKind::Networks,
         about: "the operator's own addresses and ranges: no cap holds for them, and they go last",
-        apply: |settings, value| settings.policy.allowlist = AddressList::new(value.networks().iter().copied()),
+        apply: |settings, value| {
+            settings.policy.allowlist = AddressList::new(value.networks().iter().copied());
+        },
         format: |settings| match settings.policy.allowlist.len() {
             0 => "none".into(),
             count => format!("{count} ranges"),
@@ -156,7 +172,9 @@
         name: "vouched",
         kind: ValueKind::Count(0, 1 << 16),
         about: "connections at a time that a known customer's name lifts above those that asked once",
-        apply: |settings, value| settings.policy.customer_trusted_connections = value.count() as u32,
+        apply: |settings, value| {
+            settings.policy.customer_trusted_connections = value.count() as u32;
+        },
         format: |settings| settings.policy.customer_trusted_connections.to_string(),
     },
     Setting {
--- a/crates/operator-config/src/schema/descriptors.rs
+++ b/crates/operator-config/src/schema/descriptors.rs
@@ -26,7 +26,12 @@
         name: "total",
         kind: ValueKind::Count(48, 1 << 20),
         about: "descriptors of the process; never more than the platform and the system allow",
-        apply: |settings, value| *settings = OperatorSettings::new(&MachineLimits { platform_descriptors: value.count(), system_descriptors: settings.descriptors }),
+        apply: |settings, value| {
+            *settings = OperatorSettings::new(&MachineLimits {
+                platform_descriptors: value.count(),
+                system_descriptors: settings.descriptors,
+            });
+        },
         format: |settings| settings.descriptors.to_string(),
     },
     Setting {
@@ -36,7 +41,8 @@
         about: "connections of clients: always there, and at most",
         apply: |settings, value| {
             set_limits(settings, DescriptorUse::Clients, value);
-            settings.policy = AdmissionPolicy::with_capacity(settings.descriptor_limits_of(DescriptorUse::Clients).max);
+            let max_clients = settings.descriptor_limits_of(DescriptorUse::Clients).max;
+            settings.policy = AdmissionPolicy::with_capacity(max_clients);
         },
         format: |settings| limits(settings.descriptor_limits_of(DescriptorUse::Clients)),
     },
@@ -53,7 +59,10 @@
         name: "counter",
         kind: ValueKind::Count(1, 32),
         about: "connections to the counter",
-        apply: |settings, value| settings.descriptor_limits[DescriptorUse::Counter as usize] = DescriptorLimits { guaranteed: value.count(), max: value.count() },
+        apply: |settings, value| {
+            let limits = DescriptorLimits::exactly(value.count());
+            settings.descriptor_limits[DescriptorUse::Counter as usize] = limits;
+        },
         format: |settings| settings.descriptor_limits_of(DescriptorUse::Counter).max.to_string(),
     },
 ];
--- a/crates/operator-config/src/schema/membership.rs
+++ b/crates/operator-config/src/schema/membership.rs
@@ -13,7 +13,8 @@
         about: "where this ingress listens for the others; without it no socket is opened (next start)",
         apply: |settings, value| {
             settings.membership.listen = value.addresses().first().copied();
-            settings.descriptor_limits[DescriptorUse::Peers as usize] = DescriptorLimits { guaranteed: 1, max: 1 };
+            let limits = DescriptorLimits::exactly(1);
+            settings.descriptor_limits[DescriptorUse::Peers as usize] = limits;
         },
         format: |settings| optional(settings.membership.listen),
     },
@@ -54,8 +55,13 @@
         name: "paths",
         kind: ValueKind::NamedAddresses(1024),
         about: "where members are reached from here, if not where they listen (next start)",
-        apply: |settings, value| settings.membership.address_overrides = value.named_addresses().to_vec(),
-        format: |settings| list(&settings.membership.address_overrides, |(name, address)| format!("{name}={address}")),
+        apply: |settings, value| {
+            settings.membership.address_overrides = value.named_addresses().to_vec();
+        },
+        format: |settings| {
+            let overrides = &settings.membership.address_overrides;
+            list(overrides, |named| format!("{}={}", named.name, named.address))
+        },
     },
     Setting {
         section: "membership",
@@ -71,7 +77,10 @@
         kind: ValueKind::Label(12),
         about: "this ingress's zone, told to the others (next start)",
         apply: |settings, value| settings.membership.zone = value.text().into(),
-        format: |settings| optional(Some(&settings.membership.zone).filter(|zone| !zone.is_empty())),
+        format: |settings| {
+            let zone = Some(&settings.membership.zone);
+            optional(zone.filter(|zone| !zone.is_empty()))
+        },
     },
     Setting {
         section: "membership",
@@ -118,7 +127,9 @@
         name: "datagrams",
         kind: ValueKind::Count(10, 100_000),
         about: "datagrams sent a second at most, of 256 bytes at most; further ones are dropped and counted",
-        apply: |settings, value| settings.membership.max_datagrams_per_second = value.count() as u32,
+        apply: |settings, value| {
+            settings.membership.max_datagrams_per_second = value.count() as u32;
+        },
         format: |settings| settings.membership.max_datagrams_per_second.to_string(),
     },
     Setting {
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -26,6 +26,15 @@
     pub max_records: usize,
 }
 
+/// The address of a member.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedAddress {
+    /// The member's name.
+    pub name: String,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
 /// How ingresses learn of one another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
@@ -41,7 +50,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Addresses at which members are reached from here, by their names, where these differ from
     /// those that they listen at.
-    pub address_overrides: Vec<(String, SocketAddr)>,
+    pub address_overrides: Vec<NamedAddress>,
     /// Members that there should be, this one included; more than half of them are a majority. 1 by
     /// default.
     pub expected_members: usize,
@@ -56,8 +65,8 @@
     pub gossip_interval: Duration,
     /// Time between two exchanges of all records with one member; 5 s by default.
     pub sync_interval: Duration,
-    /// Shortest suspicion, in probe periods; 4 by default. It grows with the logarithm of the number
-    /// of members.
+    /// Shortest suspicion, in probe periods; 4 by default. It grows with the logarithm of the
+    /// number of members.
     pub suspicion_periods: u32,
     /// Datagrams sent a second at most; further ones are dropped and counted. 2,000 by default.
     pub max_datagrams_per_second: u32,
@@ -126,14 +135,6 @@
 /// Descriptors that clients and servers have together at the least.
 const MIN_CONNECTION_DESCRIPTORS: usize = 4;
 
-/// A number that is both guaranteed and the maximum.
-fn exactly(count: usize) -> DescriptorLimits {
-    DescriptorLimits {
-        guaranteed: count,
-        max: count,
-    }
-}
-
 impl OperatorSettings {
     /// The defaults on such a machine. Of the descriptors that are left to connections, three
     /// quarters are for clients and a quarter for servers; connections to servers may borrow up to
@@ -160,14 +161,14 @@
         OperatorSettings {
             descriptors,
             descriptor_limits: [
-                exactly(FIXED_DESCRIPTORS),
+                DescriptorLimits::exactly(FIXED_DESCRIPTORS),
                 clients,
                 upstream,
-                exactly(COUNTER_DESCRIPTORS),
-                exactly(DISCOVERY_DESCRIPTORS),
-                exactly(FILE_DESCRIPTORS),
-                exactly(SPARE_DESCRIPTORS),
-                exactly(0),
+                DescriptorLimits::exactly(COUNTER_DESCRIPTORS),
+                DescriptorLimits::exactly(DISCOVERY_DESCRIPTORS),
+                DescriptorLimits::exactly(FILE_DESCRIPTORS),
+                DescriptorLimits::exactly(SPARE_DESCRIPTORS),
+                DescriptorLimits::exactly(0),
             ],
             policy: AdmissionPolicy::with_capacity(clients.max),
             reputation_snapshot: SnapshotSettings::default(),
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -1,5 +1,6 @@
 //! The value of a setting, as it was read from the file.
 
+use crate::settings::NamedAddress;
 use ipnet::IpNet;
 use roseyard_admission::Rate;
 use std::net::SocketAddr;
@@ -19,7 +20,7 @@
     Networks(Vec<IpNet>),
     Text(String),
     Addresses(Vec<SocketAddr>),
-    NamedAddresses(Vec<(String, SocketAddr)>),
+    NamedAddresses(Vec<NamedAddress>),
 }
 
 impl Value {
@@ -76,7 +77,7 @@
         }
     }
 
-    pub(crate) fn named_addresses(&self) -> &[(String, SocketAddr)] {
+    pub(crate) fn named_addresses(&self) -> &[NamedAddress] {
         match self {
             Value::NamedAddresses(addresses) => addresses,
             _ => &[],
--- a/crates/operator-config/src/value_reader.rs
+++ b/crates/operator-config/src/value_reader.rs
@@ -1,5 +1,6 @@
 //! Reads the value of a setting by its kind.
 
+use crate::settings::NamedAddress;
 use crate::value::Value;
 use crate::value_kind::{PropertyBounds, ValueKind, MAX_NETWORKS, PREFIX_LENGTHS};
 use crate::value_syntax::{is_label, not_allowed, unsigned};
@@ -220,11 +221,14 @@
     address.ok_or_else(|| not_allowed_error(entry))
 }
 
-fn read_named_address(entry: &KdlEntry) -> Result<(String, SocketAddr), ValueError> {
+fn read_named_address(entry: &KdlEntry) -> Result<NamedAddress, ValueError> {
     let parse = |text: &str| {
         let (name, address) = text.split_once('=')?;
         let address = address.parse().ok()?;
-        is_label(name, MAX_ADDRESS_NAME_BYTES).then(|| (name.to_owned(), address))
+        is_label(name, MAX_ADDRESS_NAME_BYTES).then(|| NamedAddress {
+            name: name.to_owned(),
+            address,
+        })
     };
     let named = entry.value().as_string().and_then(parse);
     named.ok_or_else(|| not_allowed_error(entry))
