--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -22,7 +22,7 @@
     wire, Action, Dropped, Event, Guard, Key, MemberState, Metadata, Name, Received, Settings,
     Stage, Swim,
 };
-use roseyard_operator_config::MembershipSettings;
+use roseyard_operator_config::{MembershipSettings, NamedAddress};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -260,7 +260,8 @@
 
 /// The protocol's settings by the operator's file.
 fn swim_settings(operator: &MembershipSettings) -> Settings {
-    let path = |(name, address): &(String, _)| Some((Name::from(name).ok()?, *address));
+    let address_override =
+        |named: &NamedAddress| Some((Name::from(&named.name).ok()?, named.address));
     Settings {
         probe_interval: operator.probe_period,
         probe_timeout: operator.probe_timeout,
@@ -268,7 +269,11 @@
         sync_interval: operator.sync_interval,
         suspicion_multiplier: operator.suspicion_periods,
         seeds: operator.seeds.clone(),
-        address_overrides: operator.address_overrides.iter().filter_map(path).collect(),
+        address_overrides: operator
+            .address_overrides
+            .iter()
+            .filter_map(address_override)
+            .collect(),
         ..Settings::new(operator.expected_members)
     }
 }
