--- /dev/null
+++ b/crates/ingress/tests/descriptor_exhaustion.rs
@@ -0,0 +1,185 @@
+//! Writes in flight of a process that has no descriptor left.
+
+mod common;
+
+use common::ingress_process::IngressProcess;
+use common::*;
+use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
+use std::time::{Duration, Instant};
+
+const PING: &str = "*1\r\n$4\r\nPING\r\n";
+const CLIENTS: usize = 6;
+const FLOOD: usize = 40;
+/// After so many retries the process gets SIGTERM.
+const RETRIES_BEFORE_SIGTERM: usize = 2;
+
+/// The peers of a process that runs by its own clock.
+struct Peers {
+    counter: FakeCounter,
+    discovery: Peer,
+    endpoints: Vec<Peer>,
+}
+
+impl Peers {
+    fn new(endpoints: usize) -> Peers {
+        Peers {
+            counter: FakeCounter::new(),
+            discovery: Peer::new(),
+            endpoints: (0..endpoints).map(|_| Peer::new()).collect(),
+        }
+    }
+
+    fn serve(&mut self) {
+        self.counter.serve();
+        self.discovery.read();
+        for end in &mut self.discovery.connections {
+            if end.input.ends_with(b"\r\n\r\n") {
+                end.input.clear();
+                end.send(format!("{WATCH_HEAD}{}", chunk("\n")));
+            }
+        }
+        self.endpoints.iter_mut().for_each(Peer::read);
+    }
+
+    fn run_until(&mut self, what: &str, mut come: impl FnMut(&mut Peers) -> bool) {
+        let start = Instant::now();
+        while !come(self) {
+            self.serve();
+            assert!(
+                start.elapsed() < Duration::from_secs(20),
+                "never came: {what}"
+            );
+            std::thread::yield_now();
+        }
+    }
+
+    /// The writes that have come since, by endpoint and connection.
+    fn writes(&mut self) -> Vec<(usize, usize)> {
+        let mut writes = Vec::new();
+        for (endpoint, peer) in self.endpoints.iter_mut().enumerate() {
+            while let Some((connection, words)) = peer.next_command() {
+                if words[0] == "API.WRITE" {
+                    writes.push((endpoint, connection));
+                }
+            }
+        }
+        writes
+    }
+
+    /// Waits until the process is ready; requests before that are rejected.
+    fn run_until_ready(&mut self, client: &mut Connection) {
+        client.send(PING);
+        self.run_until("ready", |_| {
+            client.read();
+            if client.input.starts_with(b"-LOADING") && client.input.ends_with(b"\n") {
+                client.input.clear();
+                client.send(PING);
+            }
+            client.input == b"+PONG\r\n"
+        });
+        client.input.clear();
+    }
+
+    /// Sends a write of each client; where they are in flight.
+    fn send_writes(&mut self, clients: &mut [Connection]) -> Vec<(usize, usize)> {
+        for (n, client) in clients.iter_mut().enumerate() {
+            let n = n as u64;
+            client.send(request_of_customer(
+                500 + n,
+                "API.WRITE",
+                1 + n,
+                WRITE_FIELDS,
+            ));
+        }
+        let mut in_flight = Vec::new();
+        self.run_until("a write of each client", |peers| {
+            in_flight.extend(peers.writes());
+            in_flight.len() == clients.len()
+        });
+        in_flight
+    }
+
+    /// Serves retries until each client has a reply, and sends SIGTERM meanwhile; how many retries
+    /// there were.
+    fn serve_retries(&mut self, clients: &mut [Connection], process: Pid) -> usize {
+        let mut retries = 0;
+        let mut is_terminated = false;
+        self.run_until("a reply to each write", |peers| {
+            for (endpoint, connection) in peers.writes() {
+                retries += 1;
+                peers.endpoints[endpoint].connections[connection].send(served_reply("v"));
+            }
+            if retries >= RETRIES_BEFORE_SIGTERM && !std::mem::replace(&mut is_terminated, true) {
+                kill_process(process, Signal::TERM).unwrap();
+            }
+            clients.iter_mut().for_each(Connection::read);
+            clients.iter().all(|client| !client.input.is_empty())
+        });
+        retries
+    }
+}
+
+/// The process gets no descriptor beyond those that it has open.
+fn limit_descriptors(process: Pid) {
+    let open = std::fs::read_dir(format!("/proc/{}/fd", process.as_raw_nonzero()))
+        .unwrap()
+        .count() as u64;
+    let limit = Rlimit {
+        current: Some(open),
+        maximum: Some(open),
+    };
+    prlimit(Some(process), Resource::Nofile, limit).unwrap();
+}
+
+fn assert_one_reply(client: &Connection) {
+    let text = client.text();
+    let is_one = ["$1\r\nv\r\n", "-ERR failed\r\n"].contains(&text)
+        || text.starts_with("-BUSY") && text.matches("\r\n").count() == 1;
+    assert!(is_one, "exactly one reply: {text:?}");
+}
+
+/// Writes are in flight; then the process has no descriptor left, connections flood in, and the
+/// endpoints reject every write, so that each needs a connection to another. All get one reply,
+/// through SIGHUP and SIGTERM.
+#[test]
+fn writes_in_flight_get_one_reply_each_when_descriptors_run_out() {
+    let mut peers = Peers::new(3);
+    let text = config(
+        &peers.counter.peer,
+        &peers.discovery,
+        &peers.endpoints,
+        1024,
+    );
+    let mut process = IngressProcess::start("run-out", &text);
+    let pid = Pid::from_child(&process.child);
+    let connect = |_| Connection::connect(process.address);
+    let mut clients: Vec<Connection> = (0..CLIENTS).map(connect).collect();
+    peers.run_until_ready(&mut clients[0]);
+    let in_flight = peers.send_writes(&mut clients);
+    limit_descriptors(pid);
+    let mut flood: Vec<Connection> = (0..FLOOD).map(connect).collect();
+    peers.run_until("some of the flood to be rejected", |_| {
+        flood.iter_mut().for_each(Connection::read);
+        flood
+            .iter()
+            .any(|end| end.input.starts_with(b"-BUSY ") || !end.is_open)
+    });
+    kill_process(pid, Signal::HUP).unwrap();
+    for (endpoint, connection) in in_flight {
+        peers.endpoints[endpoint].connections[connection].send("-BUSY\r\n");
+    }
+    let retries = peers.serve_retries(&mut clients, pid);
+    peers.run_until("the end of each connection", |_| {
+        clients.iter_mut().for_each(Connection::read);
+        clients.iter().all(|client| !client.is_open)
+    });
+    clients.iter().for_each(assert_one_reply);
+    let is_served = |client: &&Connection| client.text() == "$1\r\nv\r\n";
+    let served = clients.iter().filter(is_served).count();
+    assert!(
+        served >= 2 && retries >= served,
+        "connections were still opened: {served} served, {retries} retries"
+    );
+    peers.run_until("the end", |_| process.child.try_wait().unwrap().is_some());
+    assert_eq!(process.child.wait().unwrap().code(), Some(0));
+}
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -1,6 +1,5 @@
-//! The fourth term of the standing test with the system's last descriptor gone: idle clients hold
-//! all there are while discovery is down. This test takes its own process's descriptors away, which
-//! the ingress shares: it has to be the only one of its file.
+//! Idle clients hold the system's last descriptor while discovery is down. This test limits its own
+//! process's descriptors, which the ingress shares: it must be the only one of its file.
 
 mod common;
 
@@ -9,11 +8,10 @@
 use std::fs::File;
 use std::time::Duration;
 
-/// So many descriptors are there to be lent to the test itself, which keeps one for each connection
-/// that it accepts.
+/// Descriptors kept for the test itself, which needs one for each connection that it accepts.
 const LENT: usize = 8;
 
-/// No descriptor is left to this process while this lives, but for those that are lent.
+/// While this lives, the process has no descriptor left but those that are lent.
 struct Shortage {
     before: Rlimit,
     held: Vec<File>,
@@ -33,7 +31,7 @@
                     .unwrap()
             })
             .max();
-        // Whatever number of gaps the process has inherited below the highest descriptor.
+        // However many gaps there are below the highest descriptor.
         let current = Some(highest.unwrap() + 1 + LENT as u64);
         setrlimit(
             Resource::Nofile,
@@ -52,11 +50,11 @@
         Shortage { before, held }
     }
 
-    /// One is free for what the test itself does; the ingress never has it.
+    /// One descriptor is free for the test itself; the ingress never gets it.
     fn lend<T>(&mut self, work: impl FnOnce() -> T) -> T {
         self.held.pop().expect("descriptors to lend");
         let done = work();
-        // Unless the work has used it up.
+        // Unless the work has kept it.
         self.held.extend(File::open("/dev/null").ok());
         done
     }
@@ -77,21 +75,21 @@
         .unwrap();
 }
 
-/// Rounds until the party has a connection more; none within this time of the test's clock is a
-/// failure.
+/// Runs rounds until the peer has another connection, which must come within this time of the test's
+/// clock.
 fn until_connected(
     harness: &mut Harness,
     shortage: &mut Shortage,
-    (what, party): (&str, fn(&mut Harness) -> &mut Peer),
+    (what, peer): (&str, fn(&mut Harness) -> &mut Peer),
     most: Duration,
 ) {
-    let (before, since) = (party(harness).connections.len(), harness.now);
+    let (before, since) = (peer(harness).connections.len(), harness.now);
     loop {
         for _ in 0..5 {
             round(harness);
-            shortage.lend(|| party(harness).accept());
+            shortage.lend(|| peer(harness).accept());
         }
-        if party(harness).connections.len() > before {
+        if peer(harness).connections.len() > before {
             return;
         }
         let open = harness.program.open();
@@ -104,43 +102,44 @@
 }
 
 const IDLE: usize = 30;
-const NEWCOMERS: usize = 12;
+const NEW_CLIENTS: usize = 12;
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 
 #[test]
-fn discovery_counter_and_endpoints_are_reached_though_idle_clients_hold_the_last_descriptor() {
+fn discovery_counter_and_endpoints_are_reachable_while_idle_clients_hold_the_last_descriptor() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
-    let mut usual = harness.connect();
-    usual.send(PING.repeat(2));
-    harness.expect_reply(&mut usual, "+PONG\r\n+PONG\r\n");
+    let mut active = harness.connect();
+    active.send(PING.repeat(2));
+    harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
     let mut idle: Vec<Connection> = (0..IDLE).map(|_| harness.connect()).collect();
     for client in &mut idle {
         client.send(PING);
         harness.expect_reply(client, "+PONG\r\n");
     }
-    // The counter's connections and discovery's are gone, and newcomers wait for what they leave.
+    // The connections of counter and discovery are closed, and new clients wait for their
+    // descriptors.
     harness.discovery.stop();
     harness.counter.peer.connections.clear();
-    idle.extend((0..NEWCOMERS).map(|_| harness.connect()));
+    idle.extend((0..NEW_CLIENTS).map(|_| harness.connect()));
     let mut shortage = Shortage::new();
     for _ in 0..10 {
         harness.now += Duration::from_millis(50);
         round(&mut harness);
     }
     assert!(
-        harness.program.open().2 < IDLE + NEWCOMERS,
+        harness.program.open().2 < IDLE + NEW_CLIENTS,
         "there were more clients than descriptors"
     );
     shortage.lend(|| harness.discovery.restart());
-    // A call that broke is made again within half of the grace, 1 s at most.
+    // A call that broke is repeated within half of the grace, 1 s at most.
     until_connected(
         &mut harness,
         &mut shortage,
         ("discovery", |s| &mut s.discovery),
         Duration::from_millis(1050),
     );
-    let news = endpoint_list(
+    let update = endpoint_list(
         42,
         false,
         &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
@@ -150,11 +149,11 @@
         .connections
         .last_mut()
         .unwrap()
-        .send(format!("{WATCH_HEAD}{}", chunk(&news)));
+        .send(format!("{WATCH_HEAD}{}", chunk(&update)));
     while harness.program.list_version() == 41 {
         round(&mut harness);
     }
-    usual.send(read_request(1));
+    active.send(read_request(1));
     until_connected(
         &mut harness,
         &mut shortage,
@@ -168,11 +167,11 @@
     until_connected(
         &mut harness,
         &mut shortage,
-        ("the server", |s| &mut s.endpoints[1]),
+        ("the endpoint", |s| &mut s.endpoints[1]),
         Duration::ZERO,
     );
     let (endpoint, connection, _) = harness.next_request();
     harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
-    harness.expect_reply(&mut usual, "$1\r\nv\r\n");
+    harness.expect_reply(&mut active, "$1\r\nv\r\n");
     assert_eq!((endpoint, harness.counter.calls.len()), (1, 1));
 }
--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! The system has no descriptor left. This test takes its own process's descriptors away, which the
-//! ingress shares: it has to be the only one of its file.
+//! Retries while the system has no descriptor left. This test limits its own process's descriptors,
+//! which the ingress shares: it must be the only one of its file.
 
 mod common;
 
@@ -7,15 +7,14 @@
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use std::time::Duration;
 
-/// In one round servers turn submits away and newcomers wait at the listener. The descriptors of
-/// the links that are free again belong to the further attempts of what is held, not to the
-/// newcomers.
+/// In one round endpoints reject writes and new clients wait at the listener. The descriptors of the
+/// connections that are closed belong to the retries, not to the new clients.
 #[test]
-fn newcomers_do_not_take_the_descriptors_of_further_attempts() {
+fn new_clients_do_not_take_the_descriptors_of_retries() {
     let mut harness = Harness::new(3);
     let to = harness.program.address().unwrap();
     let mut clients: Vec<Connection> = (0..6).map(|_| Connection::connect(to)).collect();
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(request_of_customer(
             500 + n as u64,
@@ -23,10 +22,11 @@
             1 + n as u64,
             WRITE_FIELDS,
         ));
-        out.push(harness.next_request());
+        in_flight.push(harness.next_request());
     }
-    // In this order the ingress hears of the answers first.
-    out.iter()
+    // In this order the ingress sees the replies first.
+    in_flight
+        .iter()
         .for_each(|(s, c, _)| harness.endpoints[*s].connections[*c].send("-BUSY\r\n"));
     let flood: Vec<Connection> = (0..12).map(|_| Connection::connect(to)).collect();
     let before = getrlimit(Resource::Nofile);
@@ -58,21 +58,21 @@
         .unwrap();
     setrlimit(Resource::Nofile, before).unwrap();
     drop(filling);
-    // As many as the budget of further attempts pays for after six requests.
+    // As many as the retry budget allows after six requests.
     for n in 0..2 {
         let (s, c, words) = harness.next_request();
-        assert_eq!(words[0], "API.WRITE", "further attempt {n}");
+        assert_eq!(words[0], "API.WRITE", "retry {n}");
         harness.endpoints[s].connections[c].send(served_reply("v"));
     }
-    harness.run_until("an answer to each submit", |_| {
+    harness.run_until("a reply to each write", |_| {
         clients.iter_mut().for_each(Connection::read);
         clients.iter().all(|c| !c.input.is_empty())
     });
     let served = clients.iter().filter(|c| c.text() == "$1\r\nv\r\n").count();
-    let refused = clients
+    let rejected = clients
         .iter()
         .filter(|c| c.text().starts_with("-BUSY "))
         .count();
-    assert_eq!((served, refused), (2, 4), "exactly one answer each");
+    assert_eq!((served, rejected), (2, 4), "exactly one reply each");
     drop(flood);
 }
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -16,8 +16,7 @@
     let mut client = harness.connect();
     client.send(write_with_body(1, BODY));
     let s = harness.run_until_contacted(|peer| {
-        peer
-            .connections
+        peer.connections
             .first()
             .is_some_and(|e| e.peek_length() > 0)
     });
--- a/crates/ingress/tests/fleet.rs
+++ b/crates/ingress/tests/fleet.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn one_of_three_that_is_killed_is_seen_gone_and_comes_back_under_its_name() {
+fn a_killed_member_is_seen_gone_and_rejoins_under_its_name() {
     let mut rig = rig(3, 1);
     let marks: Vec<usize> = rig.members.iter().map(|m| m.log.mark()).collect();
     rig.kill(2).unwrap();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn who_leaves_by_sigterm_is_left_and_not_suspected() {
+fn a_member_that_shuts_down_has_left_and_is_not_suspected() {
     let mut rig = rig(3, 2);
     let marks: Vec<usize> = rig.members.iter().map(|m| m.log.mark()).collect();
     rig.signal(1, Signal::TERM).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn one_that_was_stopped_wakes_with_a_view_that_does_not_win() {
+fn a_stopped_member_resumes_with_a_view_that_does_not_prevail() {
     let rig = rig(4, 3);
     let marks: Vec<usize> = rig.members.iter().map(|m| m.log.mark()).collect();
     rig.signal(3, Signal::STOP).unwrap();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_minority_of_a_split_knows_that_it_is_one_and_serves_on() {
+fn the_minority_of_a_partition_knows_it_and_goes_on_serving() {
     let mut rig = rig(5, 4);
     rig.net.split(&[0, 1], &[2, 3, 4]);
     rig.until(PATIENCE, "two of five have no majority", |r| {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn one_way_cuts_loss_doubles_and_delay_leave_nobody_gone() {
+fn one_way_cuts_loss_duplicates_and_delay_leave_no_member_gone() {
     let rig = rig(4, 5);
     let marks: Vec<usize> = rig.members.iter().map(|m| m.log.mark()).collect();
     let bad = Rules {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn keys_are_rotated_through_a_running_fleet_with_a_restart_in_the_middle() {
+fn keys_are_rotated_in_a_running_fleet_across_a_restart() {
     let mut rig = rig(3, 6);
     let marks: Vec<usize> = rig.members.iter().map(|m| m.log.mark()).collect();
     rig.write_key("next", 9).unwrap();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn strangers_and_replays_are_dropped_and_a_flood_of_them_harms_nobody() {
+fn unauthenticated_and_replayed_datagrams_are_dropped_and_a_flood_has_no_effect() {
     let rig = rig(3, 7);
     let mark = rig.members[0].log.mark();
     let at = rig.members[0].listens.unwrap();
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn the_younger_of_two_live_processes_of_one_name_is_refused_and_says_why() {
+fn the_younger_of_two_processes_with_one_name_is_rejected_with_a_reason() {
     let mut rig = rig(3, 8);
     // The third takes the second's name.
     rig.kill(2).unwrap();
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn all_start_anew_within_a_second_with_nothing_in_memory() {
+fn all_members_restart_within_a_second_without_state() {
     let mut rig = rig(4, 9);
     let begin = Instant::now();
     (0..4).for_each(|n| rig.kill(n).unwrap());
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn one_scenario_played_twice_does_the_same_and_breaks_no_rule_under_load() {
+fn a_scenario_played_twice_is_the_same_and_breaks_no_rule_under_load() {
     let text = "members 4; seed 11; lasts \"14s\"; rate 60
         at \"1s\" { kill 3; net loss=0.2 twice=0.2 most=\"40ms\" }
         when 0 logs=\"member=n3 from=suspected to=gone\" { start 3 }
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn what_the_form_endpoints_saw_is_the_judges_alone() {
+fn the_checker_records_each_attempt_at_form_endpoints_once() {
     let rig = rig(2, 12);
     served(&rig, 0, 0x77);
     let seen: Vec<What> = rig
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn without_the_operators_word_no_socket_is_opened_and_mistakes_are_named() {
+fn without_configuration_no_socket_is_opened_and_errors_are_named() {
     let file = std::env::temp_dir().join(format!("roseyard-members-{}.kdl", std::process::id()));
     let check = |text: &str| {
         std::fs::write(&file, text).unwrap();
--- a/crates/ingress/tests/scale.rs
+++ b/crates/ingress/tests/scale.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_costs_the_same_however_many_services_there_are() {
+fn request_cost_is_independent_of_the_number_of_services() {
     let reports = daemon::run(&options(&[SMALL, LARGE], 2, 1)).unwrap();
     let divided = reports
         .iter()
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_service_without_servers_costs_the_others_no_request() {
+fn a_service_without_endpoints_costs_the_others_no_request() {
     for fault in [Fault::ServersDie, Fault::ServersDrain, Fault::ComesBackCold] {
         let findings = fault.play(&options(&[], 1, 2)).unwrap();
         let broken: Vec<_> = findings.iter().filter(|f| !f.kept && !f.timed).collect();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn routes_that_move_lose_no_request_and_repeat_none() {
+fn moving_routes_loses_and_repeats_no_request() {
     let findings = Fault::RoutesMove.play(&options(&[], 1, 1)).unwrap();
     assert!(findings.iter().all(|finding| finding.kept), "{findings:#?}");
 }
--- a/crates/ingress/tests/services.rs
+++ b/crates/ingress/tests/services.rs
@@ -1,4 +1,5 @@
-//! Services on real connections: routes, servers, and what a reload moves while requests are out.
+//! Services on real connections: routes, endpoints, and what a reload moves while requests are in
+//! flight.
 
 mod common;
 
@@ -7,7 +8,7 @@
 use roseyard_operator_config::File;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two services with a server each and no default: a request needs its route.
+/// Two services with an endpoint each and no default: a request needs its route.
 const TWO: &str = "services {
     route-field \"route\"
     service \"forms\" { servers \"s-0\" }
@@ -21,8 +22,8 @@
     Harness::with_operator_file(2, 1024, 192, file)
 }
 
-/// A request with this list of names and values, of a customer of its own: no quota is in the way.
-fn alone(id: u64, list: &str) -> Vec<u8> {
+/// A request with these fields, of a customer of its own: it is within its quota.
+fn unlimited_request(id: u64, list: &str) -> Vec<u8> {
     let name = if list.starts_with("c=submit") {
         "API.WRITE"
     } else {
@@ -31,17 +32,17 @@
     request_of_customer(0x1000 + id, name, id, list)
 }
 
-/// A request that may be repeated, with this route.
+/// An idempotent request with this route.
 fn routed(id: u64, route: &str) -> Vec<u8> {
-    alone(id, &format!("{READ_FIELDS},route={route}"))
+    unlimited_request(id, &format!("{READ_FIELDS},route={route}"))
 }
 
-/// The number of a request that has come to a server.
-fn number(words: &[String]) -> u64 {
+/// The id of a request that has come to an endpoint.
+fn request_id(words: &[String]) -> u64 {
     u64::from_str_radix(&words[2], 16).unwrap()
 }
 
-/// The ingress reads this file of the operator's again.
+/// The ingress reloads with this operator's file.
 fn reload(harness: &mut Harness, file: &str) {
     let text = config(
         &harness.counter.peer,
@@ -49,14 +50,14 @@
         &harness.endpoints,
         1024,
     );
-    let file = File::parse("roseyard.kdl", file).map_err(|wrong| wrong.to_string());
+    let file = File::parse("roseyard.kdl", file).map_err(|error| error.to_string());
     let config = Config::parse(text.into(), |_| None);
     harness
         .program
         .reload(config.and_then(|config| Ok((config, file?))));
 }
 
-/// Sends a request and answers it; the server that it came to.
+/// Sends a request and replies to it; the endpoint that it came to.
 fn endpoint_of(harness: &mut Harness, client: &mut Connection, command: Vec<u8>) -> usize {
     client.send(command);
     let (endpoint, connection, _) = harness.next_request();
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn each_service_gets_the_requests_of_its_routes_alone() {
+fn each_service_gets_only_the_requests_of_its_routes() {
     let mut harness = harness(TWO);
     let mut client = harness.connect();
     for id in 0..40 {
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn the_route_goes_to_the_endpoint_with_the_rest_of_the_list() {
+fn the_route_is_forwarded_with_the_other_fields() {
     let mut harness = harness(TWO);
     let mut client = harness.connect();
     client.send(routed(1, "eu/b"));
@@ -89,11 +90,11 @@
 }
 
 #[test]
-fn a_request_whose_service_is_not_known_is_told_so_and_nothing_is_counted() {
+fn a_request_of_an_unknown_service_is_an_error_and_is_not_counted() {
     let mut harness = harness(TWO);
     let long = "x".repeat(129);
     let mut client = harness.connect();
-    for (command, said) in [
+    for (command, error) in [
         (routed(1, "odd"), "-ERR unknown route\r\n"),
         (routed(2, "A"), "-ERR unknown route\r\n"),
         (read_request(3), "-ERR route is missing\r\n"),
@@ -105,7 +106,7 @@
         ),
     ] {
         client.send(command);
-        harness.expect_reply(&mut client, said);
+        harness.expect_reply(&mut client, error);
     }
     assert_eq!(harness.program.open().0, 0);
     assert!(
@@ -120,12 +121,12 @@
     assert_eq!(
         endpoint_of(&mut harness, &mut client, routed(7, "a")),
         0,
-        "the connection goes on"
+        "the connection stays open"
     );
 }
 
 #[test]
-fn requests_without_a_route_and_endpoints_that_no_line_names_are_the_default_s() {
+fn requests_without_a_route_and_unselected_endpoints_belong_to_the_default_service() {
     let mut harness = harness(&TWO.replace(
         "service \"forms\" { servers \"s-0\" }",
         "default \"forms\"; service \"forms\"",
@@ -133,7 +134,11 @@
     let mut client = harness.connect();
     for id in 0..10 {
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, alone(id, READ_FIELDS)),
+            endpoint_of(
+                &mut harness,
+                &mut client,
+                unlimited_request(id, READ_FIELDS)
+            ),
             0
         );
     }
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn a_service_whose_endpoints_have_left_harms_no_other() {
+fn a_service_without_endpoints_does_not_affect_the_others() {
     let mut harness = harness(TWO);
     let (mut client, mut other) = (harness.connect(), harness.connect());
     harness.send_endpoint_states(42, &[(0, "DELETED")]);
@@ -158,16 +163,16 @@
     client.read();
     assert!(
         !client.text().starts_with('$'),
-        "no server of another service has answered: {}",
+        "no endpoint of another service has replied: {}",
         client.text()
     );
     assert!(harness.endpoints[0].next_command().is_none());
 }
 
-/// Waits for the next command at any server; the client must not have been answered before.
-fn arrival(harness: &mut Harness, client: &mut Connection) -> (usize, usize, Vec<String>) {
+/// Runs until a command has come at any endpoint; the client must not have a reply before.
+fn next_request_of(harness: &mut Harness, client: &mut Connection) -> (usize, usize, Vec<String>) {
     let mut found = None;
-    harness.run_until("a command at a server", |s| {
+    harness.run_until("a command at an endpoint", |s| {
         found = s
             .endpoints
             .iter_mut()
@@ -176,7 +181,7 @@
         client.read();
         assert!(
             found.is_some() || client.text().is_empty(),
-            "answered without a server: {}",
+            "replied to without an endpoint: {}",
             client.text()
         );
         found.is_some()
@@ -184,16 +189,16 @@
     found.unwrap()
 }
 
-/// Requests that are out, few enough for the load bound of servers that have answered nothing yet:
-/// who sent them, and where they arrived.
+/// Requests in flight, few enough for the load limit of endpoints that have not replied yet: their
+/// clients, and where they arrived.
 #[derive(Default)]
-struct Out {
+struct InFlight {
     clients: BTreeMap<u64, Connection>,
     arrived: BTreeMap<u64, (usize, usize)>,
 }
 
-impl Out {
-    /// Each from a client of its own, one after the other; returns the servers that they came to.
+impl InFlight {
+    /// Sends each from a client of its own, one after the other; the endpoints that they came to.
     fn send(
         &mut self,
         harness: &mut Harness,
@@ -203,10 +208,10 @@
         let mut endpoints = BTreeSet::new();
         for id in ids {
             let mut client = harness.connect();
-            client.send(alone(id, list));
-            let (endpoint, connection, words) = arrival(harness, &mut client);
+            client.send(unlimited_request(id, list));
+            let (endpoint, connection, words) = next_request_of(harness, &mut client);
             self.clients.insert(id, client);
-            assert_eq!(number(&words), id);
+            assert_eq!(request_id(&words), id);
             assert_eq!(
                 self.arrived.insert(id, (endpoint, connection)),
                 None,
@@ -217,8 +222,8 @@
         endpoints
     }
 
-    /// All are answered, and each client has its own answer, once.
-    fn answer(mut self, harness: &mut Harness) {
+    /// Replies to all; each client gets its own reply, once.
+    fn reply_to_all(mut self, harness: &mut Harness) {
         for (id, (endpoint, connection)) in &self.arrived {
             harness.endpoints[*endpoint].connections[*connection]
                 .send(served_reply(&format!("{id:04}")));
@@ -226,30 +231,30 @@
         for (id, client) in &mut self.clients {
             harness.expect_reply(client, &format!("$4\r\n{id:04}\r\n"));
         }
-        assert_eq!(harness.program.open().0, 0, "nothing is held any more");
+        assert_eq!(harness.program.open().0, 0, "no request is open any more");
         harness.advance(5000);
         assert!(
             harness
                 .endpoints
                 .iter_mut()
                 .all(|endpoint| endpoint.next_command().is_none()),
-            "none was repeated"
+            "none was retried"
         );
         for (id, client) in &mut self.clients {
             client.read();
-            assert_eq!(client.text(), "", "request {id} was answered once");
+            assert_eq!(client.text(), "", "request {id} had one reply");
         }
     }
 }
 
 #[test]
-fn a_route_that_is_moved_while_requests_are_out_loses_none_and_repeats_none() {
+fn moving_a_route_loses_and_repeats_no_request_in_flight() {
     let mut harness = harness(TWO);
     let read = format!("{READ_FIELDS},route=a");
     let write = format!("{WRITE_FIELDS},route=a");
-    let mut out = Out::default();
-    assert_eq!(out.send(&mut harness, 0..2, &read), [0].into());
-    assert_eq!(out.send(&mut harness, 2..3, &write), [0].into());
+    let mut in_flight = InFlight::default();
+    assert_eq!(in_flight.send(&mut harness, 0..2, &read), [0].into());
+    assert_eq!(in_flight.send(&mut harness, 2..3, &write), [0].into());
     reload(
         &mut harness,
         &TWO.replace(
@@ -258,55 +263,55 @@
         ),
     );
     assert_eq!(
-        out.send(&mut harness, 3..5, &read),
+        in_flight.send(&mut harness, 3..5, &read),
         [1].into(),
-        "new ones go by the new file"
+        "new requests go by the new file"
     );
-    assert_eq!(out.send(&mut harness, 5..6, &write), [1].into());
-    out.answer(&mut harness);
+    assert_eq!(in_flight.send(&mut harness, 5..6, &write), [1].into());
+    in_flight.reply_to_all(&mut harness);
 }
 
 #[test]
-fn endpoints_that_are_moved_while_requests_are_out_lose_none_and_repeat_none() {
+fn moving_endpoints_loses_and_repeats_no_request_in_flight() {
     let mut harness = harness(TWO);
     let (a, b) = (
         format!("{READ_FIELDS},route=a"),
         format!("{READ_FIELDS},route=eu/b"),
     );
-    let mut out = Out::default();
-    assert_eq!(out.send(&mut harness, 0..2, &a), [0].into());
-    assert_eq!(out.send(&mut harness, 2..4, &b), [1].into());
+    let mut in_flight = InFlight::default();
+    assert_eq!(in_flight.send(&mut harness, 0..2, &a), [0].into());
+    assert_eq!(in_flight.send(&mut harness, 2..4, &b), [1].into());
     let exchanged = TWO
         .replace("s-0", "s-x")
         .replace("s-1", "s-0")
         .replace("s-x", "s-1");
     reload(&mut harness, &exchanged);
-    assert_eq!(out.send(&mut harness, 4..5, &a), [1].into());
-    assert_eq!(out.send(&mut harness, 5..6, &b), [0].into());
-    out.answer(&mut harness);
+    assert_eq!(in_flight.send(&mut harness, 4..5, &a), [1].into());
+    assert_eq!(in_flight.send(&mut harness, 5..6, &b), [0].into());
+    in_flight.reply_to_all(&mut harness);
 }
 
 #[test]
-fn services_come_and_go_by_a_reload_while_requests_are_out() {
+fn reloads_add_and_remove_services_while_requests_are_in_flight() {
     let mut harness = harness("");
-    let mut out = Out::default();
-    // What the platform does not read is passed over: without the section a route is nothing.
-    out.send(&mut harness, 0..1, &format!("{READ_FIELDS},route=odd"));
+    let mut in_flight = InFlight::default();
+    // Without the section a route is an unknown field, which is ignored.
+    in_flight.send(&mut harness, 0..1, &format!("{READ_FIELDS},route=odd"));
     reload(&mut harness, TWO);
     assert_eq!(
-        out.send(&mut harness, 1..3, &format!("{READ_FIELDS},route=eu/b")),
+        in_flight.send(&mut harness, 1..3, &format!("{READ_FIELDS},route=eu/b")),
         [1].into()
     );
     reload(&mut harness, "");
-    out.send(&mut harness, 3..4, &format!("{READ_FIELDS},route=odd"));
-    out.answer(&mut harness);
+    in_flight.send(&mut harness, 3..4, &format!("{READ_FIELDS},route=odd"));
+    in_flight.reply_to_all(&mut harness);
 }
 
 #[test]
-fn a_reload_with_a_mistake_keeps_the_services_in_force() {
+fn a_reload_with_an_error_keeps_the_services_in_force() {
     let mut harness = harness(TWO);
     let mut client = harness.connect();
-    let mistakes = [
+    let invalid_files = [
         TWO.replace(
             "route \"a\" service=\"forms\"",
             "route \"a\" service=\"ordrs\"",
@@ -316,27 +321,27 @@
         TWO.replace("s-0", "s-1"),
         TWO.replace("services {", "services {\nmost 1"),
     ];
-    for (wrong, id) in mistakes.iter().zip((0..).step_by(2)) {
-        reload(&mut harness, wrong);
+    for (invalid, id) in invalid_files.iter().zip((0..).step_by(2)) {
+        reload(&mut harness, invalid);
         assert_eq!(
             endpoint_of(&mut harness, &mut client, routed(id, "a")),
             0,
-            "{wrong}"
+            "{invalid}"
         );
         assert_eq!(
             endpoint_of(&mut harness, &mut client, routed(id + 1, "eu/b")),
             1,
-            "{wrong}"
+            "{invalid}"
         );
     }
 }
 
 #[test]
-fn without_the_section_every_endpoint_answers_every_request() {
+fn without_a_services_section_every_endpoint_serves_every_request() {
     let mut harness = harness("");
-    let mut out = Out::default();
-    let mut endpoints = out.send(&mut harness, 0..2, READ_FIELDS);
-    endpoints.extend(out.send(&mut harness, 2..4, &format!("{READ_FIELDS},route=any")));
+    let mut in_flight = InFlight::default();
+    let mut endpoints = in_flight.send(&mut harness, 0..2, READ_FIELDS);
+    endpoints.extend(in_flight.send(&mut harness, 2..4, &format!("{READ_FIELDS},route=any")));
     assert_eq!(endpoints, [0, 1].into());
-    out.answer(&mut harness);
+    in_flight.reply_to_all(&mut harness);
 }
