--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -5,8 +5,45 @@
 
 use common::*;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
+use std::fs::{self, File};
 use std::time::Duration;
 
+/// Leaves this process without a descriptor until it is dropped.
+struct ExhaustedDescriptors {
+    limit_before: Rlimit,
+    _held: Vec<File>,
+}
+
+impl ExhaustedDescriptors {
+    fn new() -> ExhaustedDescriptors {
+        let limit_before = getrlimit(Resource::Nofile);
+        let limit = Rlimit {
+            current: Some(highest_descriptor() + 1),
+            maximum: limit_before.maximum,
+        };
+        setrlimit(Resource::Nofile, limit).unwrap();
+        ExhaustedDescriptors {
+            limit_before,
+            _held: std::iter::from_fn(|| File::open("/dev/null").ok()).collect(),
+        }
+    }
+}
+
+impl Drop for ExhaustedDescriptors {
+    fn drop(&mut self) {
+        setrlimit(Resource::Nofile, self.limit_before).unwrap();
+    }
+}
+
+fn highest_descriptor() -> u64 {
+    let open = fs::read_dir("/proc/self/fd").unwrap();
+    let numbers = open.map(|entry| {
+        let name = entry.unwrap().file_name();
+        name.to_str().unwrap().parse().unwrap()
+    });
+    numbers.max().unwrap()
+}
+
 /// In one round endpoints reject writes and new clients wait at the listener. The descriptors of the
 /// connections that are closed belong to the retries, not to the new clients.
 #[test]
@@ -29,35 +66,13 @@
         .iter()
         .for_each(|(s, c, _)| harness.endpoints[*s].connections[*c].send("-BUSY\r\n"));
     let flood: Vec<Connection> = (0..12).map(|_| Connection::connect(to)).collect();
-    let before = getrlimit(Resource::Nofile);
-    let open = std::fs::read_dir("/proc/self/fd").unwrap();
-    let highest = open
-        .map(|e| {
-            e.unwrap()
-                .file_name()
-                .to_str()
-                .unwrap()
-                .parse::<u64>()
-                .unwrap()
-        })
-        .max();
-    let current = Some(highest.unwrap() + 1);
-    setrlimit(
-        Resource::Nofile,
-        Rlimit {
-            current,
-            maximum: before.maximum,
-        },
-    )
-    .unwrap();
-    let filling: Vec<_> = std::iter::from_fn(|| std::fs::File::open("/dev/null").ok()).collect();
+    let exhausted = ExhaustedDescriptors::new();
     let now = harness.now;
     harness
         .program
         .round(Some(Duration::from_millis(1)), || now)
         .unwrap();
-    setrlimit(Resource::Nofile, before).unwrap();
-    drop(filling);
+    drop(exhausted);
     // As many as the retry budget allows after six requests.
     for n in 0..2 {
         let (s, c, words) = harness.next_request();
