--- a/crates/testbed/src/fleet/daemon_log.rs
+++ b/crates/testbed/src/fleet/daemon_log.rs
@@ -4,6 +4,9 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
+/// Longest wait for an expected event.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
+
 /// The lines that a daemon has logged, over all of its processes.
 #[derive(Default)]
 pub struct DaemonLog {
--- a/crates/testbed/src/fleet/member.rs
+++ b/crates/testbed/src/fleet/member.rs
@@ -1,7 +1,6 @@
 //! One daemon of a fleet.
 
-use super::daemon_log::DaemonLog;
-use super::MAX_WAIT;
+use super::daemon_log::{DaemonLog, MAX_WAIT};
 use crate::daemon::spawn;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead};
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 mod member;
 mod wait;
 
-pub use daemon_log::DaemonLog;
+pub use daemon_log::{DaemonLog, MAX_WAIT};
 pub use member::Member;
 pub use wait::membership_state;
 
@@ -22,8 +22,6 @@
 use std::time::Duration;
 use tokio::runtime::{Builder, Runtime};
 
-/// Longest wait for an expected event.
-pub const MAX_WAIT: Duration = Duration::from_secs(30);
 /// A client of [`Fleet::request`] waits this long for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Descriptors of each daemon.
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -2,7 +2,7 @@
 
 use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::RunOptions;
+use super::run_options::RunOptions;
 use roseyard_admission::{Action, AdmissionController, AdmissionPolicy, ConnectionId, Event, Rate};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -2,7 +2,8 @@
 
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::{targets, RunOptions};
+use super::run_options::RunOptions;
+use super::targets;
 use kdl::KdlDocument;
 use roseyard_operator_config::File;
 
--- a/crates/testbed/src/scale/daemon/case.rs
+++ b/crates/testbed/src/scale/daemon/case.rs
@@ -1,14 +1,9 @@
 //! The cases that are measured: a version of the daemon at a size.
 
-use super::DaemonOptions;
+use super::options::{DaemonOptions, ALL_TENANTS, SOME_TENANTS};
 use crate::scale::targets;
 use crate::scale::topology::ServiceTopology;
 
-/// Tenants at the planned size.
-pub(super) const ALL_TENANTS: u64 = targets::TENANTS as u64;
-/// Tenants where their number is not varied.
-pub(super) const SOME_TENANTS: u64 = 1_000;
-
 /// How servers are divided into services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Division {
--- a/crates/testbed/src/scale/daemon/faults/flood.rs
+++ b/crates/testbed/src/scale/daemon/faults/flood.rs
@@ -1,8 +1,8 @@
 //! Clients flood one service.
 
+use super::finding::{Fault, Finding};
 use super::testbed::FaultTestbed;
-use super::{Fault, Finding};
-use crate::scale::daemon::DaemonOptions;
+use crate::scale::daemon::options::DaemonOptions;
 use std::io;
 
 /// Requests a second of the flood.
--- a/crates/testbed/src/scale/daemon/faults/reload.rs
+++ b/crates/testbed/src/scale/daemon/faults/reload.rs
@@ -1,10 +1,10 @@
 //! The operator's file changes under load, by SIGHUP.
 
+use super::finding::{Fault, Finding};
 use super::testbed::{FaultTestbed, LARGEST, OTHERS_RATE, WARM_UP};
-use super::{Fault, Finding};
 use crate::checker::{check, Verdict};
 use crate::client_load::LoadOutcome;
-use crate::scale::daemon::{DaemonOptions, INGRESSES, SETTLE_TIME};
+use crate::scale::daemon::options::{DaemonOptions, INGRESSES, SETTLE_TIME};
 use crate::scale::topology::ServiceTopology;
 use std::io;
 use std::time::Duration;
--- a/crates/testbed/src/scale/daemon/faults/servers.rs
+++ b/crates/testbed/src/scale/daemon/faults/servers.rs
@@ -1,8 +1,8 @@
 //! All servers of a service die, drain, or come back cold.
 
+use super::finding::{Fault, Finding};
 use super::testbed::FaultTestbed;
-use super::{Fault, Finding};
-use crate::scale::daemon::{DaemonOptions, SETTLE_TIME};
+use crate::scale::daemon::options::{DaemonOptions, SETTLE_TIME};
 use crate::scale::topology::ServiceTopology;
 use std::io;
 use std::net::Ipv4Addr;
--- a/crates/testbed/src/scale/daemon/faults/start.rs
+++ b/crates/testbed/src/scale/daemon/faults/start.rs
@@ -1,8 +1,8 @@
 //! The daemon has just started: requests come before any service was used.
 
+use super::finding::{Fault, Finding};
 use super::testbed::{FaultTestbed, OTHERS_RATE, SERVERS};
-use super::{Fault, Finding};
-use crate::scale::daemon::{DaemonOptions, INGRESSES};
+use crate::scale::daemon::options::{DaemonOptions, INGRESSES};
 use crate::scale::targets;
 use std::io;
 
--- a/crates/testbed/src/scale/daemon/faults/testbed.rs
+++ b/crates/testbed/src/scale/daemon/faults/testbed.rs
@@ -1,14 +1,14 @@
 //! A daemon among the fakes, with a load of the service that has the fault, and one of all others.
 
-use super::{Fault, Finding};
+use super::finding::{Fault, Finding};
 use crate::checker::{Event, Observation};
 use crate::client_load::LoadOutcome;
 use crate::scale::daemon::load::{Routes, TenantLoad};
 use crate::scale::daemon::measured_daemon::MeasuredDaemon;
+use crate::scale::daemon::options::{DaemonOptions, Runtimes, INGRESSES, SETTLE_TIME};
 use crate::scale::daemon::platform::LoopbackPlatform;
 use crate::scale::daemon::sample::latency_ms;
 use crate::scale::daemon::servers::ServerOptions;
-use crate::scale::daemon::{DaemonOptions, Runtimes, INGRESSES, SETTLE_TIME};
 use crate::scale::topology::{target, Service, ServiceTopology};
 use serde_json::Value;
 use std::collections::HashMap;
--- a/crates/testbed/src/scale/daemon/mod.rs
+++ b/crates/testbed/src/scale/daemon/mod.rs
@@ -8,121 +8,20 @@
 mod load;
 mod measured_daemon;
 mod metered_listener;
+mod options;
 mod platform;
 mod quantities;
 mod sample;
 mod servers;
 
+pub use options::DaemonOptions;
+
 use super::measure;
 use super::report::RoleReport;
-use super::topology::ServiceTopology;
-use super::{targets, RunOptions};
-use crate::platform_settings;
-use crate::runtime::single_thread_runtime;
-use case::{cases, CaseSeries, Division, SOME_TENANTS};
-use load::{Routes, TenantLoad};
-use platform::LoopbackPlatform;
+use case::{cases, CaseSeries, Division};
 use quantities::{empty_figures, push_samples, Sample};
 use sample::{direct_latency_note, sample};
-use serde_json::Value;
-use servers::ServerOptions;
 use std::io;
-use std::path::PathBuf;
-use std::time::Duration;
-use tokio::runtime::Runtime;
-
-/// Ingresses that the settings name.
-const INGRESSES: u32 = targets::INGRESSES as u32;
-/// Quota of each tenant, so high that no request is rejected for it.
-const QUOTA_UNITS_PER_SECOND: f64 = 1000.0;
-/// Time after a load or a start until the work that they leave behind is done.
-const SETTLE_TIME: Duration = Duration::from_millis(500);
-
-/// What is measured.
-#[derive(Clone, Debug)]
-pub struct DaemonOptions {
-    /// The daemon's program.
-    pub daemon: PathBuf,
-    /// An earlier version of it, measured alternately with the other.
-    pub before: Option<PathBuf>,
-    /// Are 1 and all tenants measured at the largest size too?
-    pub all_tenants: bool,
-    /// Does the daemon have a shared counter?
-    pub counter: bool,
-    /// May the daemon check the health of servers?
-    pub health_checks: bool,
-    /// Do servers close a connection once they have responded to a request on it? Each request then
-    /// needs a new one.
-    pub servers_close: bool,
-    /// Requests a second.
-    pub rate: f64,
-    /// Ingresses through which each tenant's requests come; 1 needs no shared counter.
-    pub ingress_count: u32,
-    /// Sizes in servers, real seconds of load, samples, whether servers are divided into services
-    /// too, and the seed for times, tenants and services.
-    pub run: RunOptions,
-}
-
-impl DaemonOptions {
-    fn server_options(&self) -> ServerOptions {
-        ServerOptions {
-            service_time: Duration::ZERO,
-            close_after_response: self.servers_close,
-        }
-    }
-
-    /// Starts a platform of these servers.
-    fn start_platform(
-        &self,
-        topology: &ServiceTopology,
-        runtimes: &Runtimes,
-    ) -> io::Result<LoopbackPlatform> {
-        runtimes.platform.block_on(LoopbackPlatform::start(
-            topology,
-            self.server_options(),
-            self.counter,
-        ))
-    }
-
-    /// The platform's settings for one of the planned ingresses.
-    fn settings(&self) -> Value {
-        self.settings_for(INGRESSES)
-    }
-
-    /// The platform's settings for one of so many ingresses.
-    fn settings_for(&self, ingresses: u32) -> Value {
-        let mut settings = platform_settings::settings_for(ingresses, QUOTA_UNITS_PER_SECOND);
-        settings["Ceilings"]["Probes"] = self.health_checks.into();
-        settings
-    }
-
-    /// A load of all services.
-    fn load(&self, topology: &ServiceTopology, seed: u64) -> TenantLoad {
-        TenantLoad {
-            rate: self.rate,
-            tenants: SOME_TENANTS,
-            ingress_count: self.ingress_count,
-            idempotent: true,
-            seed,
-            routes: Routes::of_all(topology),
-        }
-    }
-}
-
-/// The runtimes of the platform and of the clients, each with a thread of its own.
-struct Runtimes {
-    platform: Runtime,
-    clients: Runtime,
-}
-
-impl Runtimes {
-    fn start() -> io::Result<Runtimes> {
-        Ok(Runtimes {
-            platform: single_thread_runtime("platform")?,
-            clients: single_thread_runtime("clients")?,
-        })
-    }
-}
 
 /// The report of the cases of one series.
 struct SeriesReport {
--- a/crates/testbed/src/scale/daemon/sample.rs
+++ b/crates/testbed/src/scale/daemon/sample.rs
@@ -1,13 +1,13 @@
 //! One sample of a case: a daemon and a platform of its own, measured without load, under load and
 //! under changes of the endpoint list.
 
-use super::case::{Case, ALL_TENANTS, SOME_TENANTS};
+use super::case::Case;
 use super::load::TenantLoad;
 use super::measured_daemon::MeasuredDaemon;
 use super::metered_listener::Totals;
+use super::options::{DaemonOptions, Runtimes, ALL_TENANTS, SETTLE_TIME, SOME_TENANTS};
 use super::platform::LoopbackPlatform;
 use super::quantities::Sample;
-use super::{DaemonOptions, Runtimes, SETTLE_TIME};
 use crate::client_load::LoadOutcome;
 use crate::scale::topology::{target, ServiceTopology};
 use std::io;
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -3,8 +3,9 @@
 use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState, RESTART_STATES};
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
+use super::run_options::RunOptions;
 use super::simulated_ingress::{SimulatedEnvironment, SimulatedFleet};
-use super::{targets, RunOptions};
+use super::targets;
 use std::sync::Arc;
 
 /// Servers of each ingress here: the cost of a change by the servers is the endpoint list's role.
--- a/crates/testbed/src/scale/events/rack.rs
+++ b/crates/testbed/src/scale/events/rack.rs
@@ -1,9 +1,10 @@
 //! A rack fails: one server in each of many services stops, and discovery reports it later.
 
-use super::{line_bytes, run_until, Figures};
+use super::measurement::{line_bytes, run_until, Figures};
 use crate::scale::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
+use crate::scale::run_options::RunOptions;
 use crate::scale::simulated_ingress::{Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet};
-use crate::scale::{targets, RunOptions};
+use crate::scale::targets;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/testbed/src/scale/events/regions.rs
+++ b/crates/testbed/src/scale/events/regions.rs
@@ -1,12 +1,13 @@
 //! Two regions cannot reach each other: half of a service's servers are out of reach of half of the
 //! ingresses, and the others of the others.
 
-use super::{run_until, Figures};
+use super::measurement::{run_until, Figures};
 use crate::scale::endpoint_set::EndpointSet;
+use crate::scale::run_options::RunOptions;
 use crate::scale::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet, Split,
 };
-use crate::scale::{targets, RunOptions};
+use crate::scale::targets;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/testbed/src/scale/events/restart.rs
+++ b/crates/testbed/src/scale/events/restart.rs
@@ -1,10 +1,11 @@
 //! An ingress restarts, and all control machines restart.
 
-use super::{line_bytes, Figures, PEAK_LOAD};
+use super::measurement::{line_bytes, Figures, PEAK_LOAD};
 use crate::scale::endpoint_set::EndpointSet;
 use crate::scale::measure::{millis, timed};
+use crate::scale::run_options::RunOptions;
 use crate::scale::simulated_ingress::{SimulatedEnvironment, SimulatedIngress};
-use crate::scale::{list, targets, RunOptions};
+use crate::scale::{list, targets};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/testbed/src/scale/events/zone.rs
+++ b/crates/testbed/src/scale/events/zone.rs
@@ -1,13 +1,14 @@
 //! A zone fails and returns with cold servers.
 
-use super::{line_bytes, run_until, Figures, PEAK_LOAD};
+use super::measurement::{line_bytes, run_until, Figures, PEAK_LOAD};
 use crate::scale::endpoint_set::{EndpointEntry, EndpointSet, EndpointState};
 use crate::scale::measure::{millis, timed};
 use crate::scale::report::RoleReport;
+use crate::scale::run_options::RunOptions;
 use crate::scale::simulated_ingress::{
     Arrival, SimulatedEnvironment, SimulatedFleet, SimulatedIngress, VIRTUAL_START_UNIX_MS,
 };
-use crate::scale::{targets, RunOptions};
+use crate::scale::targets;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -3,8 +3,9 @@
 use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState, RESTART_STATES};
 use super::measure::{millis, resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
+use super::run_options::RunOptions;
 use super::simulated_ingress::{settings_of_ingress, SimulatedEnvironment, SimulatedIngress};
-use super::{targets, RunOptions};
+use super::targets;
 use roseyard_ingress::limits::Limits;
 use roseyard_ingress::protocol::list;
 use roseyard_operator_config::{MachineLimits, OperatorSettings};
--- a/crates/testbed/src/scale/membership/fleet.rs
+++ b/crates/testbed/src/scale/membership/fleet.rs
@@ -1,12 +1,15 @@
 //! A fleet whose members are all real, in virtual time.
 
 use super::peers::{guard, number_at, swim, Datagram, NETWORK_LATENCY};
-use super::{AGREE_WITHIN, MAX_PROCESSOR_TIME};
 use crate::scale::measure::processor_time;
 use roseyard_membership::{Action, Event, Guard, Swim};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Processor time after which a fleet that does not agree is given up.
+pub(super) const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(60);
+/// Virtual time in which a fleet has to agree.
+pub(super) const AGREE_WITHIN: Duration = Duration::from_secs(120);
 /// A zone's share of the ingresses.
 const ZONE_SHARE: f64 = 330.0 / 4300.0;
 /// Virtual time between two checks whether all agree.
--- a/crates/testbed/src/scale/membership/mod.rs
+++ b/crates/testbed/src/scale/membership/mod.rs
@@ -7,18 +7,15 @@
 
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
-use super::{targets, RunOptions};
-use fleet::VirtualFleet;
+use super::run_options::RunOptions;
+use super::targets;
+use fleet::{VirtualFleet, AGREE_WITHIN, MAX_PROCESSOR_TIME};
 use roseyard_membership::Settings;
 use single_member::SingleMember;
 use std::time::Duration;
 
 /// Largest complete fleet.
 const MAX_FLEET: usize = 300;
-/// Processor time after which a fleet that does not agree is given up.
-const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(60);
-/// Virtual time in which a fleet has to agree.
-const AGREE_WITHIN: Duration = Duration::from_secs(120);
 /// Virtual time until gossip of the start has ended.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
 const SPLIT_DURATION: Duration = Duration::from_secs(300);
--- a/crates/testbed/src/scale/quotas.rs
+++ b/crates/testbed/src/scale/quotas.rs
@@ -3,10 +3,11 @@
 use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
+use super::run_options::RunOptions;
 use super::simulated_ingress::{
     Demand, RequestLoad, SimulatedEnvironment, SimulatedIngress, Traffic,
 };
-use super::{targets, RunOptions};
+use super::targets;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/testbed/src/scale/role.rs
+++ b/crates/testbed/src/scale/role.rs
@@ -1,9 +1,10 @@
 //! The roles, and the sizes that each takes.
 
 use super::report::RoleReport;
+use super::run_options::RunOptions;
 use super::{
     admission, configuration, counter, decision, discovery, events, list, membership, quotas,
-    servers, targets, RunOptions,
+    servers, targets,
 };
 use std::ops::RangeInclusive;
 
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -2,10 +2,11 @@
 
 use super::endpoint_set::EndpointSet;
 use super::report::{RoleReport, SizeSeries};
+use super::run_options::RunOptions;
 use super::simulated_ingress::{
     Arrival, Demand, RequestLoad, SimulatedEnvironment, SimulatedFleet,
 };
-use super::{targets, RunOptions};
+use super::targets;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/testbed/src/scale/simulated_ingress/fleet.rs
+++ b/crates/testbed/src/scale/simulated_ingress/fleet.rs
@@ -1,6 +1,8 @@
 //! Several simulated ingresses that run in step.
 
-use super::{RequestLoad, SimulatedEnvironment, SimulatedIngress, Traffic};
+use super::environment::SimulatedEnvironment;
+use super::ingress::SimulatedIngress;
+use super::traffic::{RequestLoad, Traffic};
 use crate::scale::endpoint_set::EndpointSet;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/testbed/src/scale/simulated_ingress/outputs.rs
+++ b/crates/testbed/src/scale/simulated_ingress/outputs.rs
@@ -1,7 +1,8 @@
 //! Carries out the engine's outputs in virtual time, and gives it the results.
 
 use super::environment::{Arrival, AttemptEnd, SimulatedEnvironment};
-use super::SimulatedIngress;
+use super::ingress::SimulatedIngress;
+use super::pending::Pending;
 use roseyard_decision::{CounterKey, CounterResult, EndpointId, Outcome};
 use roseyard_ingress::protocol::http;
 use roseyard_request_engine::{AttemptResult, Key, Output, Response};
@@ -10,24 +11,6 @@
 const COUNTER_ADDRESS: &str = "127.0.0.1:6400";
 const COUNTER_LATENCY: Duration = Duration::from_millis(1);
 
-/// What an ingress waits for.
-pub(super) enum Pending {
-    CounterReply {
-        key: CounterKey,
-        total: f64,
-        called_at: Duration,
-    },
-    AttemptEnd {
-        request: Key,
-        attempt: u16,
-        outcome: Outcome,
-    },
-    HealthCheckEnd {
-        endpoint: EndpointId,
-        outcome: Outcome,
-    },
-}
-
 impl SimulatedIngress {
     pub(super) fn finish(&mut self, pending: Pending, environment: &mut SimulatedEnvironment) {
         match pending {
--- a/crates/testbed/src/scenario/client.rs
+++ b/crates/testbed/src/scenario/client.rs
@@ -1,6 +1,6 @@
 //! The clients of a scenario: each request on a connection of its own, at a daemon that runs.
 
-use super::Scenario;
+use super::model::Scenario;
 use crate::checker::{History, Observation, ResponseKind};
 use crate::request::{non_idempotent_request, request};
 use std::io::{Read, Write};
--- a/crates/testbed/src/scenario/parser.rs
+++ b/crates/testbed/src/scenario/parser.rs
@@ -1,6 +1,6 @@
 //! Reads a scenario from KDL.
 
-use super::{FaultAction, Scenario, Step, When};
+use super::model::{FaultAction, Scenario, Step, When};
 use crate::faulty_network::Rules;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::ops::RangeInclusive;
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -1,7 +1,7 @@
 //! Runs a scenario on real daemons.
 
 use super::client::{ClientTargets, Clients};
-use super::{FaultAction, Scenario, Step, When};
+use super::model::{FaultAction, Scenario, Step, When};
 use crate::checker::{check, Verdict};
 use crate::fleet::{Fleet, FleetOptions, MAX_WAIT};
 use rustix::process::Signal;
