--- a/crates/decision/src/balancer/mod.rs
+++ b/crates/decision/src/balancer/mod.rs
@@ -35,6 +35,21 @@
     pub may_be_trial: bool,
 }
 
+impl ChoiceInput {
+    /// Whether the request may be tried at this ejected endpoint.
+    fn is_trial_due(&self, endpoint: &Endpoint) -> bool {
+        self.may_be_trial && self.now >= endpoint.next_trial_at
+    }
+}
+
+/// What the candidates of one choice have in common.
+struct ChoiceTerms {
+    /// The least part that an endpoint counts as, inside or outside of the subset.
+    min_weight: f64,
+    budget: SlowStartBudget,
+    scorer: Scorer,
+}
+
 /// An eligible endpoint.
 struct Candidate {
     endpoint: EndpointId,
@@ -74,10 +89,7 @@
         rng: &mut Rng,
     ) -> Option<EndpointId> {
         let endpoints = &self.table.endpoints;
-        let min_weight =
-            OUTSIDE_SUBSET_WEIGHT.min(OUTSIDE_SUBSET_TOTAL / endpoints.len().max(1) as f64);
-        let budget = self.slow_start_budget(input, min_weight);
-        let scorer = Scorer::new(endpoints, &self.settings, input.now);
+        let terms = self.terms(input);
         let ejection_allowed = outlier::ejection_allowed(endpoints);
         let mut trial = None;
         let mut best: Option<Candidate> = None;
@@ -86,33 +98,57 @@
                 continue;
             }
             if endpoint.is_ejected(ejection_allowed) {
-                if input.may_be_trial && input.now >= endpoint.next_trial_at {
-                    trial = trial.or(Some(id));
+                if trial.is_none() && input.is_trial_due(endpoint) {
+                    trial = Some(id);
                 }
                 continue;
             }
-            let limits = &self.settings.endpoint_limits;
-            let warm_up_ratio = warm_up_ratio(endpoint, limits, input.now);
-            let weight = endpoint.subset_weight.max(min_weight);
-            if !budget.admits(endpoint, weight, warm_up_ratio) {
+            let Some(candidate) = self.candidate(id, endpoint, input, &terms, rng) else {
                 continue;
-            }
-            let capacity = endpoint.entry.weight * warm_up_ratio * weight;
-            let candidate = Candidate {
-                endpoint: id,
-                is_second_choice: self.is_second_choice(endpoint, input),
-                score: scorer.score(endpoint, capacity, rng),
             };
-            if best
-                .as_ref()
-                .is_none_or(|best| candidate.is_better_than(best))
-            {
+            let is_better = |best: &Candidate| candidate.is_better_than(best);
+            if best.as_ref().is_none_or(is_better) {
                 best = Some(candidate);
             }
         }
         trial.or(best.map(|candidate| candidate.endpoint))
     }
 
+    /// What the candidates of one choice have in common.
+    fn terms(&self, input: &ChoiceInput) -> ChoiceTerms {
+        let endpoints = &self.table.endpoints;
+        let count = endpoints.len().max(1) as f64;
+        let min_weight = OUTSIDE_SUBSET_WEIGHT.min(OUTSIDE_SUBSET_TOTAL / count);
+        ChoiceTerms {
+            min_weight,
+            budget: self.slow_start_budget(input, min_weight),
+            scorer: Scorer::new(endpoints, &self.settings, input.now),
+        }
+    }
+
+    /// The endpoint with its score, unless its slow-start budget is used up.
+    fn candidate(
+        &self,
+        id: EndpointId,
+        endpoint: &Endpoint,
+        input: &ChoiceInput,
+        terms: &ChoiceTerms,
+        rng: &mut Rng,
+    ) -> Option<Candidate> {
+        let limits = &self.settings.endpoint_limits;
+        let warm_up_ratio = warm_up_ratio(endpoint, limits, input.now);
+        let weight = endpoint.subset_weight.max(terms.min_weight);
+        if !terms.budget.admits(endpoint, weight, warm_up_ratio) {
+            return None;
+        }
+        let capacity = endpoint.entry.weight * warm_up_ratio * weight;
+        Some(Candidate {
+            endpoint: id,
+            is_second_choice: self.is_second_choice(endpoint, input),
+            score: terms.scorer.score(endpoint, capacity, rng),
+        })
+    }
+
     /// Whether the endpoint is expected to refuse the connection. Once in a while those that are
     /// come first instead, to learn whether they accept connections again.
     fn is_second_choice(&self, endpoint: &Endpoint, input: &ChoiceInput) -> bool {
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -84,16 +84,17 @@
         decision: QuotaDecision,
         state: &mut IngressState,
     ) {
-        let Some(request) = self
-            .requests
-            .get_mut(&id)
-            .filter(|request| request.is_awaiting_counter)
-        else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.is_awaiting_counter = false;
+        if !std::mem::take(&mut request.is_awaiting_counter) {
+            return;
+        }
         let IncomingRequest {
-            customer, units, ..
+            customer,
+            units,
+            class,
+            ..
         } = request.incoming;
         if request.is_closed {
             let quota = state.quotas.get_mut(customer);
@@ -103,7 +104,6 @@
             return self.remove_if_finished(id, state);
         }
         let endpoint = self.upstream.choose(request, state.now, &mut self.rng);
-        let class = request.incoming.class;
         let is_overloaded = self.is_overloaded(class, state);
         let quota = state.quotas.get_mut(customer);
         let Some(quota) = quota.filter(|_| decision.is_within_quota) else {
--- a/crates/decision/src/service/timers.rs
+++ b/crates/decision/src/service/timers.rs
@@ -1,7 +1,7 @@
 //! What a service does when its timers are due.
 
 use crate::action::Action;
-use crate::ids::RequestId;
+use crate::ids::{EndpointId, RequestId};
 use crate::load_shedding::OBJECTIVE_RATIO_MAX;
 use crate::service::hedging::{self, HedgeDecision, HedgeInput};
 use crate::service::state::{IngressState, Service, Timer};
@@ -60,12 +60,7 @@
         if now + mean_latency >= request.deadline {
             return;
         }
-        let input = HedgeInput {
-            is_endpoint_lost: self.upstream.is_lost(last.endpoint),
-            is_busy: self.is_too_busy_to_hedge(class, now),
-            is_budget_available: self.retry_budget.is_available(),
-            now,
-        };
+        let input = self.hedge_input(class, last.endpoint, now);
         match hedging::decide(request, &self.settings, &input) {
             HedgeDecision::Hedge => {
                 let endpoint = self.upstream.choose(request, now, &mut self.rng);
@@ -86,6 +81,15 @@
             .set(duration(now + mean_latency), Timer::Hedge(id));
     }
 
+    fn hedge_input(&self, class: usize, endpoint: EndpointId, now: f64) -> HedgeInput {
+        HedgeInput {
+            is_endpoint_lost: self.upstream.is_lost(endpoint),
+            is_busy: self.is_too_busy_to_hedge(class, now),
+            is_budget_available: self.retry_budget.is_available(),
+            now,
+        }
+    }
+
     fn is_too_busy_to_hedge(&self, class: usize, now: f64) -> bool {
         let ratio_max = hedging::HEDGE_LOAD_RATIO_MAX * OBJECTIVE_RATIO_MAX;
         self.upstream.latency.objective_ratio() > ratio_max
--- a/crates/decision/src/service/upstream.rs
+++ b/crates/decision/src/service/upstream.rs
@@ -99,12 +99,7 @@
     ) {
         let endpoints = &self.balancer.table.endpoints;
         let ejection_allowed = outlier::ejection_allowed(endpoints);
-        // Most attempts end with a response, which is no failure and needs no walk over endpoints.
-        let failure_decay = if end.outcome == Outcome::Ok {
-            outlier::FAILURE_DECAY_MIN_SECONDS
-        } else {
-            outlier::failure_decay_seconds(endpoints, &self.settings.endpoint_limits)
-        };
+        let failure_decay = self.failure_decay_seconds(end.outcome);
         let Some((endpoint, connect_failures)) = self.balancer.endpoint_mut(endpoint) else {
             return;
         };
@@ -114,22 +109,32 @@
         });
         connect_failures.record(&mut endpoint.circuit_breaker, end.outcome, now);
         outlier::record_outcome(endpoint, end, failure_decay, now, resumed_at);
+        let is_ejected = endpoint.is_ejected(ejection_allowed);
         let latency = seconds(end.elapsed);
         let is_stalled = now - latency < resumed_at;
-        let has_latency = matches!(end.outcome, Outcome::Ok | Outcome::Timeout);
-        if has_latency && !endpoint.is_ejected(ejection_allowed) && !is_stalled {
+        let is_ok = end.outcome == Outcome::Ok;
+        if (is_ok || end.outcome == Outcome::Timeout) && !is_ejected && !is_stalled {
             let objective = seconds(self.settings.classes[class].latency_objective);
-            self.latency
-                .record_objective_ratio(latency / objective, now);
-        }
-        if end.outcome != Outcome::Ok {
-            return;
+            let ratio = latency / objective;
+            self.latency.record_objective_ratio(ratio, now);
         }
-        if !is_stalled {
+        if is_ok && !is_stalled {
             let ratio = self.latency.record_response(class, latency);
             endpoint.record_latency_ratio(ratio);
         }
-        self.load_shedder.record_response(now);
+        if is_ok {
+            self.load_shedder.record_response(now);
+        }
+    }
+
+    /// How long a failure takes to decay. Most attempts end with a response, which is no failure
+    /// and needs no walk over the endpoints.
+    fn failure_decay_seconds(&self, outcome: Outcome) -> f64 {
+        if outcome == Outcome::Ok {
+            return outlier::FAILURE_DECAY_MIN_SECONDS;
+        }
+        let endpoints = &self.balancer.table.endpoints;
+        outlier::failure_decay_seconds(endpoints, &self.settings.endpoint_limits)
     }
 
     /// Takes in an endpoint's load report, if there is one.
