--- a/crates/ingress/tests/client_commands.rs
+++ b/crates/ingress/tests/client_commands.rs
@@ -169,10 +169,8 @@
     harness.expect_reply(&mut client, &format!("${}\r\n{body}\r\n", body.len()));
 }
 
-#[test]
-fn an_invalid_command_is_an_error_and_the_connection_stays_open() {
-    let mut harness = Harness::new(1);
-    let mut client = harness.connect();
+/// Commands that are well-formed and cannot be executed.
+fn invalid_commands() -> Vec<Vec<u8>> {
     let with_field = |from: &str, to: &str| request("API.READ", 1, &READ_FIELDS.replace(from, to));
     let word = |at: usize, text: &str| {
         let mut out = Vec::new();
@@ -188,7 +186,7 @@
         }
         out
     };
-    let wrong = [
+    vec![
         request("API.READ", 1, "c=form-load"),
         request("API.READ", 1, WRITE_FIELDS),
         request("API.WRITE", 1, READ_FIELDS),
@@ -231,8 +229,14 @@
         b"*1\r\n$5\r\nHELLO\r\n".to_vec(),
         b"*0\r\n".to_vec(),
         b"*-1\r\n".to_vec(),
-    ];
-    for command in wrong {
+    ]
+}
+
+#[test]
+fn an_invalid_command_is_an_error_and_the_connection_stays_open() {
+    let mut harness = Harness::new(1);
+    let mut client = harness.connect();
+    for command in invalid_commands() {
         client.send(&command);
         assert!(
             harness.read_line(&mut client).starts_with("-ERR "),
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -101,6 +101,24 @@
     }
 }
 
+/// Discovery sends that the first endpoint drains, which is applied.
+fn apply_drain(harness: &mut Harness) {
+    let update = endpoint_list(
+        42,
+        false,
+        &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
+    );
+    harness
+        .discovery
+        .connections
+        .last_mut()
+        .unwrap()
+        .send(format!("{WATCH_HEAD}{}", chunk(&update)));
+    while harness.program.list_version() == 41 {
+        round(harness);
+    }
+}
+
 const IDLE: usize = 30;
 const NEW_CLIENTS: usize = 12;
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
@@ -139,20 +157,7 @@
         ("discovery", |s| &mut s.discovery),
         Duration::from_millis(1050),
     );
-    let update = endpoint_list(
-        42,
-        false,
-        &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
-    );
-    harness
-        .discovery
-        .connections
-        .last_mut()
-        .unwrap()
-        .send(format!("{WATCH_HEAD}{}", chunk(&update)));
-    while harness.program.list_version() == 41 {
-        round(&mut harness);
-    }
+    apply_drain(&mut harness);
     active.send(read_request(1));
     until_connected(
         &mut harness,
--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -7,28 +7,8 @@
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use std::time::Duration;
 
-/// In one round endpoints reject writes and new clients wait at the listener. The descriptors of the
-/// connections that are closed belong to the retries, not to the new clients.
-#[test]
-fn new_clients_do_not_take_the_descriptors_of_retries() {
-    let mut harness = Harness::new(3);
-    let to = harness.program.address().unwrap();
-    let mut clients: Vec<Connection> = (0..6).map(|_| Connection::connect(to)).collect();
-    let mut in_flight = Vec::new();
-    for (n, client) in clients.iter_mut().enumerate() {
-        client.send(request_of_customer(
-            500 + n as u64,
-            "API.WRITE",
-            1 + n as u64,
-            WRITE_FIELDS,
-        ));
-        in_flight.push(harness.next_request());
-    }
-    // In this order the ingress sees the replies first.
-    in_flight
-        .iter()
-        .for_each(|(s, c, _)| harness.endpoints[*s].connections[*c].send("-BUSY\r\n"));
-    let flood: Vec<Connection> = (0..12).map(|_| Connection::connect(to)).collect();
+/// Runs one round while the process has no descriptor left.
+fn run_round_without_descriptors(harness: &mut Harness) {
     let before = getrlimit(Resource::Nofile);
     let open = std::fs::read_dir("/proc/self/fd").unwrap();
     let highest = open
@@ -58,6 +38,31 @@
         .unwrap();
     setrlimit(Resource::Nofile, before).unwrap();
     drop(filling);
+}
+
+/// In one round endpoints reject writes and new clients wait at the listener. The descriptors of the
+/// connections that are closed belong to the retries, not to the new clients.
+#[test]
+fn new_clients_do_not_take_the_descriptors_of_retries() {
+    let mut harness = Harness::new(3);
+    let to = harness.program.address().unwrap();
+    let mut clients: Vec<Connection> = (0..6).map(|_| Connection::connect(to)).collect();
+    let mut in_flight = Vec::new();
+    for (n, client) in clients.iter_mut().enumerate() {
+        client.send(request_of_customer(
+            500 + n as u64,
+            "API.WRITE",
+            1 + n as u64,
+            WRITE_FIELDS,
+        ));
+        in_flight.push(harness.next_request());
+    }
+    // In this order the ingress sees the replies first.
+    in_flight
+        .iter()
+        .for_each(|(s, c, _)| harness.endpoints[*s].connections[*c].send("-BUSY\r\n"));
+    let flood: Vec<Connection> = (0..12).map(|_| Connection::connect(to)).collect();
+    run_round_without_descriptors(&mut harness);
     // As many as the retry budget allows after six requests.
     for n in 0..2 {
         let (s, c, words) = harness.next_request();
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -197,6 +197,29 @@
     );
 }
 
+/// Sends 20 pairs of requests and serves them; how many each endpoint got.
+fn requests_by_endpoint(harness: &mut Harness, client: &mut Connection) -> [usize; 3] {
+    let mut seen = [0; 3];
+    for id in 0..20 {
+        // Two at a time: the second goes to another endpoint.
+        client.send(
+            [
+                read_request_of(50 + id, id),
+                read_request_of(150 + id, 100 + id),
+            ]
+            .concat(),
+        );
+        let out = [harness.next_request(), harness.next_request()];
+        for (s, c, _) in out {
+            seen[s] += 1;
+            harness.endpoints[s].connections[c].send(served_reply("v"));
+        }
+        harness.expect_reply(client, &"$1\r\nv\r\n".repeat(2));
+        harness.advance(21);
+    }
+    seen
+}
+
 #[test]
 fn an_older_list_neither_revives_draining_endpoints_nor_loses_newer_ones() {
     for restarted in [false, true] {
@@ -234,25 +257,8 @@
             .unwrap()
             .send(chunk(&older));
         harness.run_until("the older list", |s| s.program.list_version() == rev);
-        let mut seen = [0; 3];
         let mut client = harness.connect();
-        for id in 0..20 {
-            // Two at a time: the second goes to another endpoint.
-            client.send(
-                [
-                    read_request_of(50 + id, id),
-                    read_request_of(150 + id, 100 + id),
-                ]
-                .concat(),
-            );
-            let out = [harness.next_request(), harness.next_request()];
-            for (s, c, _) in out {
-                seen[s] += 1;
-                harness.endpoints[s].connections[c].send(served_reply("v"));
-            }
-            harness.expect_reply(&mut client, &"$1\r\nv\r\n".repeat(2));
-            harness.advance(21);
-        }
+        let seen = requests_by_endpoint(&mut harness, &mut client);
         assert_eq!(seen[0], 0, "the draining endpoint still drains: {seen:?}");
         assert!(
             seen[1] > 0 && seen[2] > 0,
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -68,7 +68,7 @@
         ends.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
     });
     let ends = &harness.counter.peer.connections;
-    let call = ends.iter().map(|e| e.text()).find(|t| !t.is_empty());
+    let call = ends.iter().map(Connection::text).find(|t| !t.is_empty());
     let host = harness.counter.peer.address;
     assert_eq!(
         call.unwrap(),
@@ -103,7 +103,7 @@
             .discovery
             .connections
             .iter()
-            .map(|e| e.text())
+            .map(Connection::text)
             .collect();
         assert!(
             start.elapsed() < Duration::from_secs(20),
