--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -32,7 +32,7 @@
 
 /// What the client is to read for each command: the text, once it is decided.
 fn front(model: &[Option<String>]) -> String {
-    model.iter().map_while(|answer| answer.clone()).collect()
+    model.iter().map_while(Clone::clone).collect()
 }
 
 proptest! {
