--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -65,6 +65,7 @@
     }
 
     /// Number of services that have endpoints or requests.
+    #[must_use]
     pub fn services(&self) -> usize {
         self.services.len()
     }
--- a/crates/decision/tests/common/attempts.rs
+++ b/crates/decision/tests/common/attempts.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Four requests each 20 ms at one ingress. The endpoints of `unresponsive` never answer, the others
-/// after 20 ms.
+/// Four requests each 20 ms at one ingress. The endpoints of `unresponsive` never answer, the
+/// others after 20 ms.
 pub(crate) fn steady_requests(
     sim: &mut Simulation,
     class: usize,
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,7 +1,6 @@
 //! Simulated ingresses for the tests: `simulation` drives them through legal event orders, `rules`
-//! checks every action, `attempts` ends them, `counter` is the counter service, `service_simulation` is
-//! one ingress with several services, `fixtures` are
-//! settings and entries.
+//! checks every action, `attempts` ends attempts, `counter` is the counter service, `fixtures` are
+//! settings and entries. `service_simulation` is one ingress with several services.
 #![allow(dead_code, unused_imports)]
 
 mod attempts;
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -83,10 +83,8 @@
 impl Deployment {
     fn settings(self) -> Settings {
         let mut settings = settings(self.ingress_count as u32);
-        (
-            settings.classes[0].latency_objective,
-            settings.classes[2].latency_objective,
-        ) = (ms(400), ms(1000));
+        settings.classes[0].latency_objective = ms(400);
+        settings.classes[2].latency_objective = ms(1000);
         settings.classes[2].priority_weight = 3.0;
         if !self.counter {
             settings.counter = None;
@@ -204,14 +202,14 @@
             let mut sim = Simulation::new(deployment.settings(), deployment.ingress_count, 6);
             // Of many ingresses one may reject its first few: what goes out from all of them has to
             // fit.
-            let mut attempts = (1..200).map(|customer| {
+            let mut requests = (1..200).map(|customer| {
                 let id = sim.request(0, 2, 0, customer);
                 sim.end_all_calls(CallOutcome::Replied);
                 sim.advance(ms(50));
                 (id, sim.attempt_count(0, id))
             });
-            let (id, _) = attempts
-                .find(|(_, sent)| *sent == 1)
+            let (id, _) = requests
+                .find(|(_, attempts)| *attempts == 1)
                 .expect("one that is forwarded");
             sim.end_attempt(0, id, 0, outcome);
             sim.advance(Duration::from_secs(3));
--- a/crates/decision/tests/endpoints.rs
+++ b/crates/decision/tests/endpoints.rs
@@ -29,10 +29,8 @@
     // served badly.
     let forwarded_at_once = |class: usize| {
         let mut settings = settings(1);
-        (
-            settings.classes[0].latency_objective,
-            settings.classes[2].latency_objective,
-        ) = (ms(400), ms(1000));
+        settings.classes[0].latency_objective = ms(400);
+        settings.classes[2].latency_objective = ms(1000);
         let mut sim = Simulation::new(settings, 1, 5);
         steady_requests(&mut sim, 0, 100, &[]);
         steady_requests(&mut sim, 2, 100, &[]);
--- a/crates/decision/tests/infrequent_requests.rs
+++ b/crates/decision/tests/infrequent_requests.rs
@@ -27,20 +27,8 @@
             let customer = 1_000_000 + step * 100 + ingress as u64;
             sim.request(ingress, 0, 2, customer);
         }
-        loop {
-            let now = sim.now;
-            let due = sim
-                .requests
-                .iter()
-                .flat_map(|(k, r)| r.attempts.iter().enumerate().map(move |a| (*k, a)));
-            let ready = due
-                .filter(|(_, (_, a))| a.outcome.is_none())
-                .map(|(k, (n, a))| (k, n, outcome_of(k.0, a.endpoint), a.forwarded_at))
-                .find(|(_, _, (_, after), sent)| now >= *sent + *after);
-            let Some((key, n, (outcome, _), _)) = ready else {
-                break;
-            };
-            sim.end_attempt(key.0, key.1, n, outcome);
+        while let Some((id, outcome)) = next_ended(sim, &outcome_of) {
+            sim.end_attempt(id.ingress, id.request, id.number, outcome);
         }
         sim.requests
             .retain(|_, r| r.answer.is_none() || r.attempts.iter().any(|a| a.outcome.is_none()));
@@ -48,6 +36,19 @@
     }
 }
 
+/// The first attempt in flight whose time is over, and its outcome.
+fn next_ended(
+    sim: &Simulation,
+    outcome_of: impl Fn(usize, u32) -> (Outcome, Duration),
+) -> Option<(AttemptId, Outcome)> {
+    sim.attempts_in_flight().into_iter().find_map(|id| {
+        let attempt = &sim.requests[&(id.ingress, id.request)].attempts[id.number];
+        let (outcome, after) = outcome_of(id.ingress, attempt.endpoint);
+        (sim.now >= attempt.forwarded_at + after).then_some((id, outcome))
+    })
+}
+
+/// The share of the forwards since then that `counts`.
 fn share_since(sim: &Simulation, since: Duration, counts: impl Fn(usize, u32) -> bool) -> f64 {
     let late: Vec<_> = sim
         .forwards
@@ -201,10 +202,8 @@
 #[test]
 fn ingresses_do_not_all_check_the_same_few_endpoints_first() {
     let mut settings = without_hedging();
-    (
-        settings.permissions.health_checks,
-        settings.load_reports_on_health_check,
-    ) = (true, true);
+    settings.permissions.health_checks = true;
+    settings.load_reports_on_health_check = true;
     let mut sim = Simulation::new(settings, INGRESSES, ENDPOINTS);
     run_requests(&mut sim, 5, |_, _| (Outcome::Ok, ms(100)));
     let mut first = std::collections::BTreeMap::new();
@@ -263,14 +262,7 @@
             sim.end_all_calls(CallOutcome::NotAdded);
             forwarded += usize::from(round >= 8 && sim.attempt_count(ingress, id) > 0);
         }
-        sim.advance(ms(100));
-        while sim
-            .requests
-            .values()
-            .any(|r| r.attempts.iter().any(|a| a.outcome.is_none()))
-        {
-            sim.end(0, Outcome::Ok);
-        }
+        end_all_and_advance(&mut sim, 100);
         sim.advance(ms(1400));
     }
     let share = forwarded as f64 / f64::from(32 * 16);
