--- a/crates/decision/src/balancer/mod.rs
+++ b/crates/decision/src/balancer/mod.rs
@@ -149,12 +149,18 @@
         })
     }
 
-    /// Whether the endpoint is expected to refuse the connection. Once in a while those that are
-    /// come first instead, to learn whether they accept connections again.
+    /// Whether the endpoint is only chosen where no other is left: normally those that are expected
+    /// to refuse the connection. While a trial is due it is the others, so that a first attempt
+    /// finds out whether one of them accepts connections again.
     fn is_second_choice(&self, endpoint: &Endpoint, input: &ChoiceInput) -> bool {
         let failures = &self.connect_failures;
-        let is_trial = failures.is_half_open(input.now) && input.is_first_attempt;
-        failures.is_refusal_expected(endpoint.circuit_breaker) != is_trial
+        let is_refusal_expected = failures.is_refusal_expected(endpoint.circuit_breaker);
+        let is_trial_due = failures.is_half_open(input.now) && input.is_first_attempt;
+        if is_trial_due {
+            !is_refusal_expected
+        } else {
+            is_refusal_expected
+        }
     }
 
     fn slow_start_budget(&self, input: &ChoiceInput, min_subset_weight: f64) -> SlowStartBudget {
--- a/crates/decision/src/balancer/slow_start.rs
+++ b/crates/decision/src/balancer/slow_start.rs
@@ -6,9 +6,10 @@
 use crate::settings::{EndpointLimits, Settings};
 use crate::util::{seconds, EPSILON};
 
-/// The part of the overload multiple that is used where most endpoints are warming up.
+/// Safety factor on the overload multiple where the budget follows full capacity, as it does where
+/// most endpoints are warming up.
 const OVERLOAD_MULTIPLE_USED_RATIO: f64 = 0.8;
-/// The part of the overload multiple that is used by each endpoint's share of the present capacity.
+/// Safety factor on the overload multiple where the budget follows the present, warm capacity.
 const OVERLOAD_MULTIPLE_OF_WARM: f64 = 0.5;
 
 /// The share of its capacity that an endpoint surely has by its age.
@@ -20,9 +21,10 @@
     (initial + (1.0 - initial) * age / warm_up_seconds).min(1.0)
 }
 
-/// How many requests of a class go to endpoints that are warming up, within one overload window.
+/// How many requests of a class go to endpoints that are warming up, within
+/// [`forward_window_seconds`](crate::endpoint::forward_window_seconds).
 pub(crate) struct SlowStartBudget {
-    /// Requests for an endpoint of full weight and capacity.
+    /// Requests for a warm endpoint that lies in the subset as a whole.
     requests: f64,
 }
 
@@ -71,10 +73,16 @@
         }
     }
 
-    /// Whether the endpoint may get one more request. A sample decides for a fraction of one:
-    /// whole ones from hundreds of ingresses overload an endpoint.
-    pub(crate) fn admits(&self, endpoint: &Endpoint, weight: f64, warm_up_ratio: f64) -> bool {
-        let budget = warm_up_ratio * self.requests * weight;
+    /// Whether the endpoint may get one more request, by its part in the subset and its warm-up;
+    /// its weight in the list does not count. A sample decides for a fraction of one: whole ones
+    /// from hundreds of ingresses overload an endpoint.
+    pub(crate) fn admits(
+        &self,
+        endpoint: &Endpoint,
+        subset_weight: f64,
+        warm_up_ratio: f64,
+    ) -> bool {
+        let budget = warm_up_ratio * self.requests * subset_weight;
         let used = endpoint.recent_forwards.len() as f64 + endpoint.budget_sample.value;
         let is_used_up = used >= budget;
         warm_up_ratio >= 1.0 || !is_used_up
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -9,7 +9,7 @@
 };
 use crate::ids::{CounterKey, EndpointId, RequestId, ServiceId, TimerTag};
 use crate::quota::{CounterDecision, CustomerQuotas};
-use crate::service::{IngressState, QuotaDecision, Service};
+use crate::service::{EventContext, QuotaDecision, Service};
 use crate::service_table::ServiceTable;
 use crate::settings::{DiscoveryMode, Settings, SettingsError};
 use crate::util::seconds;
@@ -219,7 +219,7 @@
         &mut self,
         request: RequestId,
         actions: &mut Vec<Action>,
-        act: impl FnOnce(&mut Service, &mut IngressState),
+        act: impl FnOnce(&mut Service, &mut EventContext),
     ) {
         if let Some(&service) = self.requests.get(&request) {
             self.with_service(service, actions, act);
@@ -231,13 +231,13 @@
         &mut self,
         id: ServiceId,
         actions: &mut Vec<Action>,
-        act: impl FnOnce(&mut Service, &mut IngressState),
+        act: impl FnOnce(&mut Service, &mut EventContext),
     ) {
         let endpoint_count = self.services.endpoint_count();
         let Some(service) = self.services.get_mut(id) else {
             return;
         };
-        let mut state = IngressState {
+        let mut state = EventContext {
             now: seconds(self.clock),
             resumed_at: self.resumed_at,
             quotas: &mut self.quotas,
--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -51,7 +51,7 @@
     /// The part of it, 0 to 1, that lies in this ingress's subset.
     pub subset_weight: f64,
     pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
-    /// Its last response, or when it was first used after an idle time.
+    /// When it last responded, or was first used after an idle time: waiting counts from here.
     pub last_response_at: f64,
     /// Latency relative to the service's mean for the same class.
     pub latency_ratio: f64,
@@ -62,9 +62,9 @@
     /// Failures, decaying with time.
     pub recent_failures: f64,
     pub last_failure_at: f64,
-    /// It has not answered for so long that it is ejected.
+    /// It has not responded for long; ejected only where `ejection_allowed`.
     pub unresponsive: bool,
-    /// An ejected endpoint gets a trial request from this time on.
+    /// An ejected endpoint may get a trial request from this time on, where hedging is permitted.
     pub next_trial_at: f64,
     pub last_health_check_at: f64,
     /// When attempts were forwarded to it within [`forward_window_seconds`], oldest first.
--- a/crates/decision/src/health/circuit_breaker.rs
+++ b/crates/decision/src/health/circuit_breaker.rs
@@ -1,6 +1,6 @@
 //! Circuit breakers: endpoints that accept no connections get requests only where no other endpoint
-//! is left, and a trial once in a while. An ingress that comes by once in many seconds remembers a
-//! failed connection until an attempt gets through.
+//! is left, and a trial once in a while. An ingress with little traffic keeps the
+//! breaker open until an attempt succeeds.
 
 use crate::event::Outcome;
 
@@ -26,7 +26,7 @@
 /// Failed connections of a service. Times are in seconds.
 #[derive(Default)]
 pub(crate) struct ConnectFailures {
-    /// Share of the connections to endpoints with a breaker that was not closed that failed.
+    /// Share of failures among connections to endpoints whose breaker was not closed.
     connect_failure_ratio: f64,
     /// From this time on, one request may try an endpoint that refuses connections.
     half_open_at: f64,
--- a/crates/decision/src/health/outlier.rs
+++ b/crates/decision/src/health/outlier.rs
@@ -1,5 +1,7 @@
-//! Outlier detection. An unresponsive endpoint is ejected: it gets a trial request once in a while
-//! and nothing else. An endpoint that fails gets fewer requests while its failures decay.
+//! Outlier detection. An unresponsive endpoint is ejected: it gets no requests but, where hedging
+//! is permitted, a trial once in a while. It is back with any response to an attempt or a health
+//! check, or when its start time changes. An endpoint that fails gets fewer requests while its
+//! failures decay.
 
 use crate::action::{Action, Notice};
 use crate::endpoint::{forward_window_seconds, Endpoint, Endpoints};
--- a/crates/decision/src/load_shedding.rs
+++ b/crates/decision/src/load_shedding.rs
@@ -23,7 +23,7 @@
 const PEAK_TIME_CONSTANT_SECONDS: f64 = 6.0;
 /// Factor on the least limit before the first response.
 const LEAST_LIMIT_FACTOR_AT_START: f64 = 1.5;
-/// The limit's fluctuation is at most this part of it, if it is more than what peers have unseen.
+/// The fluctuation is at least the root of the limit, up to this part of the limit.
 const FLUCTUATION_DIVISOR: f64 = 4.0;
 
 /// A service's present load at this ingress.
@@ -84,8 +84,8 @@
         let by_throughput = self.throughput(now) * objective * permitted_ratio * slowdown;
         let limit = by_throughput.max(self.least_limit(settings, load));
         // The number in flight fluctuates by about its root: while responses are quick a few more
-        // are harmless, else the sample decides. Of many ingresses, one's own fluctuation says
-        // nothing about the endpoints: customers that are rejected for it retry.
+        // are harmless, else the sample decides. Of many ingresses, the local
+        // fluctuation is no evidence: customers that are rejected for it retry.
         let root = limit.sqrt();
         let unobserved =
             unobserved_load_ratio(settings.ingress_count) * (slowdown * root).min(limit);
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -5,7 +5,7 @@
 use crate::quota::Verdict;
 use crate::service::hedging::HEDGE_DELAY_MEAN_LATENCIES;
 use crate::service::request::Request;
-use crate::service::state::{IngressState, Service, Timer};
+use crate::service::state::{EventContext, Service, Timer};
 use crate::util::{duration, seconds};
 
 /// A request is answered so many ticks before its client gives up.
@@ -23,7 +23,7 @@
 
 impl Service {
     /// A request has arrived.
-    pub(crate) fn on_request(&mut self, incoming: &IncomingRequest, state: &mut IngressState) {
+    pub(crate) fn on_request(&mut self, incoming: &IncomingRequest, state: &mut EventContext) {
         let id = incoming.request;
         let deadline = self.deadline(incoming, state.now);
         self.requests.insert(id, Request::new(incoming, deadline));
@@ -40,7 +40,7 @@
                 .timers
                 .set(duration(state.now + wait_seconds), Timer::CounterWait(id)),
             Verdict::DecideLocally => self.decide_locally(id, true, state),
-            Verdict::ConcurrencyLimit => self.reject(id, state),
+            Verdict::ConcurrencyLimit => self.finish_unserved(id, state),
         }
     }
 
@@ -61,7 +61,7 @@
         &mut self,
         id: RequestId,
         is_unreported: bool,
-        state: &mut IngressState,
+        state: &mut EventContext,
     ) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -82,7 +82,7 @@
         &mut self,
         id: RequestId,
         decision: QuotaDecision,
-        state: &mut IngressState,
+        state: &mut EventContext,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -107,7 +107,7 @@
         let is_overloaded = self.is_overloaded(class, state);
         let quota = state.quotas.get_mut(customer);
         let Some(quota) = quota.filter(|_| decision.is_within_quota) else {
-            return self.reject(id, state);
+            return self.finish_unserved(id, state);
         };
         match endpoint {
             Some(endpoint) if !is_overloaded => {
@@ -117,14 +117,14 @@
             }
             _ => {
                 quota.refund(units);
-                self.reject(id, state);
+                self.finish_unserved(id, state);
             }
         }
     }
 
     /// Whether a new request of the class is to be rejected for the load. The sample is held for a
     /// few responses: drawn for each request, all ingresses would fill up to the next whole one.
-    fn is_overloaded(&mut self, class: usize, state: &IngressState) -> bool {
+    fn is_overloaded(&mut self, class: usize, state: &EventContext) -> bool {
         let now = state.now;
         let hold_seconds = SAMPLE_HELD_MEAN_LATENCIES * self.upstream.latency.mean(class);
         let shedder = &mut self.upstream.load_shedder;
@@ -134,7 +134,7 @@
     }
 
     /// Whether it is the only request here, and the ingress as a whole is idle.
-    fn is_only_request(&self, state: &IngressState) -> bool {
+    fn is_only_request(&self, state: &EventContext) -> bool {
         self.requests.len() == 1
             && self.upstream.load_shedder.is_ingress_idle(
                 state.request_count as f64 - 1.0,
--- a/crates/decision/src/service/attempts.rs
+++ b/crates/decision/src/service/attempts.rs
@@ -6,7 +6,7 @@
 use crate::ids::{EndpointId, RequestId};
 use crate::service::hedging::hedge_delay_seconds;
 use crate::service::request::Attempt;
-use crate::service::state::{IngressState, Service, Timer};
+use crate::service::state::{EventContext, Service, Timer};
 use crate::util::duration;
 
 impl Service {
@@ -14,7 +14,7 @@
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
-        state: &mut IngressState,
+        state: &mut EventContext,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -46,7 +46,7 @@
     }
 
     /// An attempt has ended: learns from its outcome, then closes the request or retries it.
-    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, state: &mut IngressState) {
+    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, state: &mut EventContext) {
         let Some(request) = self.requests.get_mut(&end.request) else {
             return;
         };
@@ -73,12 +73,12 @@
         if end.finished || end.outcome == Outcome::Ok {
             return self.close(end.request, state);
         }
-        self.retry_or_reject(end.request, state);
+        self.retry_or_finish(end.request, state);
         self.remove_if_finished(end.request, state);
     }
 
     /// Retries a request that has no attempt in flight, if its deadline and the budget allow it.
-    fn retry_or_reject(&mut self, id: RequestId, state: &mut IngressState) {
+    fn retry_or_finish(&mut self, id: RequestId, state: &mut EventContext) {
         let Some(request) = self
             .requests
             .get(&id)
@@ -97,7 +97,7 @@
                 return self.forward(id, endpoint, state);
             }
         }
-        self.reject(id, state);
+        self.finish_unserved(id, state);
     }
 
     /// A streamed response has started: other attempts are cancelled.
@@ -105,7 +105,7 @@
         &mut self,
         id: RequestId,
         attempt: u16,
-        state: &mut IngressState,
+        state: &mut EventContext,
     ) {
         let Some(request) = self.open_request(id) else {
             return;
--- a/crates/decision/src/service/closing.rs
+++ b/crates/decision/src/service/closing.rs
@@ -3,15 +3,15 @@
 use crate::action::Action;
 use crate::ids::RequestId;
 use crate::service::request::Request;
-use crate::service::state::{IngressState, Service};
+use crate::service::state::{EventContext, Service};
 use crate::settings::{DeduplicationScope, Idempotency, Settings};
 use crate::util::duration;
 
 impl Service {
-    /// Answers finally: rejected where a retry is safe, else failed. The client is to wait until
-    /// its units are refilled or what is in flight here is answered: without a wait, clients would
-    /// retry at once; with a longer one, their next attempt would be late.
-    pub(super) fn reject(&mut self, id: RequestId, state: &mut IngressState) {
+    /// Ends a request without a response: rejected where a retry is safe, else failed. The client
+    /// is to wait until its units are refilled or what is in flight here is answered: without a
+    /// wait, clients would retry at once; with a longer one, their next attempt would be late.
+    pub(super) fn finish_unserved(&mut self, id: RequestId, state: &mut EventContext) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_closed) else {
             return;
         };
@@ -27,7 +27,7 @@
     }
 
     /// The client has its final answer or has disconnected: nothing more goes out for the request.
-    pub(crate) fn close(&mut self, id: RequestId, state: &mut IngressState) {
+    pub(crate) fn close(&mut self, id: RequestId, state: &mut EventContext) {
         let Some(request) = self.open_request(id) else {
             return self.remove_if_finished(id, state);
         };
@@ -45,7 +45,7 @@
         &self,
         id: RequestId,
         kept: Option<u16>,
-        state: &mut IngressState,
+        state: &mut EventContext,
     ) {
         if !self.settings.permissions.cancel {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn remove_if_finished(&mut self, id: RequestId, state: &mut IngressState) {
+    pub(super) fn remove_if_finished(&mut self, id: RequestId, state: &mut EventContext) {
         if self.requests.get(&id).is_some_and(Request::is_finished) {
             self.requests.remove(&id);
             state.finished_requests.push(id);
--- a/crates/decision/src/service/hedging.rs
+++ b/crates/decision/src/service/hedging.rs
@@ -1,20 +1,22 @@
 //! Hedging: when a request that waits for long goes to a second endpoint as well. Prevents
 //! unresponsive endpoints and single hanging responses from holding up requests. Where hedging is
-//! not permitted, a request moves away from an unresponsive endpoint.
+//! not permitted, a request moves away from an unresponsive endpoint. In service it never is: the
+//! request engine, which tracks one attempt a request, withdraws the permission.
 
 use crate::service::request::Request;
 use crate::service::retry::may_execute_again;
 use crate::settings::Settings;
 use crate::util::seconds;
 
-/// A request is hedged after so many mean latencies ...
+/// A request is hedged after this many mean latencies ...
 pub(crate) const HEDGE_DELAY_MEAN_LATENCIES: f64 = 3.0;
 /// ... or this share of the latency objective: later, the response would be late.
 const HEDGE_DELAY_OF_OBJECTIVE: f64 = 0.45;
 /// Requests at a responsive endpoint are hedged below this part of the permitted latency ratio.
 pub(crate) const HEDGE_LOAD_RATIO_MAX: f64 = 0.4;
 const ATTEMPTS_IN_FLIGHT_MAX: usize = 2;
-/// A cancelled attempt is retried within so many ticks.
+/// Ticks that cancelling an attempt and retrying it are given, when they are checked against the
+/// deduplication window.
 const CANCEL_AND_RETRY_TICKS: f64 = 4.0;
 
 /// What to do when a request has waited for its hedge delay.
--- a/crates/decision/src/service/mod.rs
+++ b/crates/decision/src/service/mod.rs
@@ -16,4 +16,4 @@
 mod upstream;
 
 pub(crate) use self::admission::QuotaDecision;
-pub(crate) use self::state::{IngressState, Service};
+pub(crate) use self::state::{EventContext, Service};
--- a/crates/decision/src/service/retry.rs
+++ b/crates/decision/src/service/retry.rs
@@ -5,13 +5,15 @@
 use crate::settings::{DeduplicationScope, Idempotency, Settings};
 use crate::util::seconds;
 
-/// Retries earned by each forwarded request: they are always a small part of the load.
+/// Retries earned by each forwarded request: a small part of the load.
 const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Most retries that are saved up.
 const RETRY_BUDGET_MAX: f64 = 20.0;
 const RETRY_BUDGET_INITIAL: f64 = 1.0;
-/// What a retry costs if the endpoint did not execute the attempt before it.
+/// What a retry costs, in retries, if the attempt before it was provably not executed.
 const COST_WHERE_NOT_EXECUTED: f64 = 0.5;
-/// A retry reaches its endpoint within so many ticks.
+/// Ticks that a retry is given to reach its endpoint, when it is checked against the deduplication
+/// window.
 const RETRY_TICKS: f64 = 2.0;
 
 /// The retries and hedged requests that a service may forward.
@@ -70,8 +72,8 @@
         now: f64,
     ) -> AllowedEndpoints {
         let permissions = &settings.permissions;
-        let would_hedge = !permissions.hedging && request.has_attempt_in_flight();
-        if would_hedge || request.attempts.len() >= permissions.max_attempts as usize {
+        let is_forbidden_hedge = !permissions.hedging && request.has_attempt_in_flight();
+        if is_forbidden_hedge || request.attempts.len() >= permissions.max_attempts as usize {
             return AllowedEndpoints::None;
         }
         let Some(first) = request.first_possible_execution() else {
@@ -105,8 +107,9 @@
     }
 }
 
-/// Whether the request may be executed again: it is idempotent, or a duplicate forwarded after so
-/// many ticks would still be dropped.
+/// Whether the request may be executed again: it is idempotent, or a duplicate forwarded after this
+/// many ticks would still be dropped. The request engine checks the window once more, without a
+/// margin, before the first byte is written.
 pub(crate) fn may_execute_again(
     request: &Request,
     settings: &Settings,
--- a/crates/decision/src/service/state.rs
+++ b/crates/decision/src/service/state.rs
@@ -1,4 +1,4 @@
-//! The state of one service, and what stands above it.
+//! The state of one service, and the context of the events that it handles.
 
 use crate::action::Action;
 use crate::event::{EndpointEntry, LoadReport, Outcome};
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What stands above single services while one of them handles an event. Times are in seconds.
-pub(crate) struct IngressState<'a> {
+/// What a service needs of the ingress while it handles an event. Times are in seconds.
+pub(crate) struct EventContext<'a> {
     pub now: f64,
     /// When this ingress's last stall ended.
     pub resumed_at: f64,
--- a/crates/decision/src/service/timers.rs
+++ b/crates/decision/src/service/timers.rs
@@ -4,7 +4,7 @@
 use crate::ids::{EndpointId, RequestId};
 use crate::load_shedding::OBJECTIVE_RATIO_MAX;
 use crate::service::hedging::{self, HedgeDecision, HedgeInput};
-use crate::service::state::{IngressState, Service, Timer};
+use crate::service::state::{EventContext, Service, Timer};
 use crate::util::duration;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 impl Service {
     /// Handles all timers that are due.
-    pub(crate) fn run_due_timers(&mut self, clock: Duration, state: &mut IngressState) {
+    pub(crate) fn run_due_timers(&mut self, clock: Duration, state: &mut EventContext) {
         while let Some(timer) = self.timers.pop_due(clock) {
             match timer {
                 Timer::CounterWait(id) => self.on_counter_wait_timer(id, state),
@@ -24,27 +24,28 @@
         }
     }
 
-    fn on_counter_wait_timer(&mut self, id: RequestId, state: &mut IngressState) {
+    fn on_counter_wait_timer(&mut self, id: RequestId, state: &mut EventContext) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.is_awaiting_counter && !request.is_closed) {
             self.decide_locally(id, false, state);
         }
     }
 
-    fn on_deadline_timer(&mut self, id: RequestId, state: &mut IngressState) {
+    fn on_deadline_timer(&mut self, id: RequestId, state: &mut EventContext) {
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|r| !r.is_closed && !r.is_streaming) else {
             return;
         };
         if request.attempts.is_empty() {
-            return self.reject(id, state);
+            return self.finish_unserved(id, state);
         }
+        // Once an attempt has been made, a client whose deadline has passed is not told to retry.
         state.actions.push(Action::Fail { request: id });
         self.close(id, state);
     }
 
     /// A request has waited for its hedge delay.
-    fn on_hedge_timer(&mut self, id: RequestId, state: &mut IngressState) {
+    fn on_hedge_timer(&mut self, id: RequestId, state: &mut EventContext) {
         let now = state.now;
         self.upstream
             .detect_unresponsive(state.resumed_at, now, state.actions);
@@ -96,7 +97,7 @@
             || self.upstream.is_overloaded(class, 1.0, now)
     }
 
-    pub(super) fn on_maintenance_timer(&mut self, state: &mut IngressState) {
+    pub(super) fn on_maintenance_timer(&mut self, state: &mut EventContext) {
         let now = state.now;
         self.upstream
             .detect_unresponsive(state.resumed_at, now, state.actions);
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -1,8 +1,8 @@
 //! Reload: SIGHUP reads both files again.
 //!
-//! Discovery and the counter move to the new addresses at once; admission, membership keys, services
-//! and routes follow the operator's file; all else stays as it was started. If either file cannot be
-//! read or does not fit, nothing changes.
+//! Discovery and the counter move to the new addresses at once; admission, membership keys,
+//! services and routes follow the operator's file; all else stays as it was started. If either file
+//! cannot be read or does not fit, nothing changes.
 
 use super::config::Config;
 use super::{cli::RunOptions, Program, ProgramError};
--- a/crates/ingress/src/program/shutdown.rs
+++ b/crates/ingress/src/program/shutdown.rs
@@ -57,9 +57,9 @@
         match self.shutdown {
             ShutdownPhase::Accepting => self.start_draining(),
             ShutdownPhase::Draining => self.answer_open_requests(),
-            ShutdownPhase::Serving | ShutdownPhase::Stopping | ShutdownPhase::Over => {
-                self.shutdown = ShutdownPhase::Over;
-            }
+            ShutdownPhase::Stopping => self.shutdown = ShutdownPhase::Over,
+            // No deadline is set in these phases.
+            ShutdownPhase::Serving | ShutdownPhase::Over => {}
         }
     }
 
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -59,7 +59,7 @@
         seed: u64,
         limits: EngineLimits,
     ) -> Result<RequestEngine<O, C, V>, SettingsError> {
-        // A request has one attempt in flight, also where the platform allows hedging.
+        // Hedging is disabled here: the engine tracks one attempt a request.
         settings.permissions.hedging = false;
         let idempotency_by_class = settings
             .classes
