--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -65,7 +65,7 @@
         self.arm(key, io);
     }
 
-    /// Asks admission for a connection: the time after which to retry, if it is rejected.
+    /// Consults admission on a connection: the time after which to retry, if it is rejected.
     fn connection_rejection(&mut self, key: Key, peer: IpAddr, io: &mut Io) -> Option<Duration> {
         let mut rejected = None;
         let event = Event::Connected {
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Asks admission for a request: the time after which to retry, if it is rejected.
+    /// Consults admission on a request: the time after which to retry, if it is rejected.
     fn request_rejection(&mut self, key: Key, customer: u64, io: &mut Io) -> Option<Duration> {
         let mut rejected = None;
         let event = Event::RequestReceived {
--- a/crates/ingress/tests/change_notification.rs
+++ b/crates/ingress/tests/change_notification.rs
@@ -128,15 +128,15 @@
             change.harness.advance(STEP_MS);
         }
         // Takes longer than a call may stay silent.
-        let whole = endpoint_list(42, true, &many_endpoint_entries(600));
+        let complete_list = endpoint_list(42, true, &many_endpoint_entries(600));
         let part = if trickles {
             1
         } else {
-            whole.len().div_ceil(PARTS)
+            complete_list.len().div_ceil(PARTS)
         };
         change.harness.discovery.connections[before].send(WATCH_HEAD);
         for n in 0..PARTS {
-            let text = &whole[n * part..whole.len().min((n + 1) * part)];
+            let text = &complete_list[n * part..complete_list.len().min((n + 1) * part)];
             change.harness.discovery.connections[before].send(chunk(text));
             for _ in 0..5 {
                 change.harness.run_round();
--- a/crates/ingress/tests/disconnect_before_attempt.rs
+++ b/crates/ingress/tests/disconnect_before_attempt.rs
@@ -126,13 +126,17 @@
             .flat_map(|id| read_request_of(5000 + id, 5000 + id))
             .take(UNREAD_BEHIND)
             .collect();
-        let mut rest = &behind[..];
+        let mut remaining = &behind[..];
         // What the system does not take at once it takes while the ingress reads.
         for _ in 0..100 {
-            rest = &rest[self.client.send_some(rest)..];
+            remaining = &remaining[self.client.send_some(remaining)..];
             self.harness.run_round();
         }
-        assert!(rest.is_empty(), "{} bytes could not be sent", rest.len());
+        assert!(
+            remaining.is_empty(),
+            "{} bytes could not be sent",
+            remaining.len()
+        );
         assert_eq!(
             self.harness.program.open().0,
             1,
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -198,11 +198,11 @@
     const ENDPOINTS: usize = 54_000;
     const MEMORY_MB: usize = 192;
     let (counter, discovery) = (Peer::new(), Peer::new());
-    let whole = endpoint_list(42, true, &many_endpoint_entries(ENDPOINTS));
+    let complete_list = endpoint_list(42, true, &many_endpoint_entries(ENDPOINTS));
     serve_discovery(
         discovery.blocking_listener(),
         Duration::ZERO,
-        format!("{WATCH_HEAD}{}", chunk(&whole)),
+        format!("{WATCH_HEAD}{}", chunk(&complete_list)),
     );
     let text = config(&counter, &discovery, &[], 1024);
     let known = format!(
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -12,7 +12,7 @@
                      $70\r\nc=submit,t=seedling,d=3000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0\r\n\
                      $4\r\nbody\r\n";
 
-/// Waits until an endpoint has been sent something whole, and hands its bytes out.
+/// Waits until an endpoint has been sent something that ends like this; connection and bytes.
 fn bytes_at_endpoint(harness: &mut Harness, end: &str) -> (usize, String) {
     let mut found = None;
     harness.run_until("bytes at the endpoint", |s| {
