--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -69,7 +69,7 @@
             frontend: FrontendLimits::new(memory_bytes, settings, protocol, shutdown),
             driver: DriverLimits {
                 engine: EngineLimits {
-                    requests: settings.max_open().unwrap_or(DEFAULT_MAX_REQUESTS),
+                    requests: settings.max_open_requests().unwrap_or(DEFAULT_MAX_REQUESTS),
                     bytes: memory_bytes / MEMORY_PER_HELD_REQUESTS,
                 },
                 upstream: UpstreamLimits::new(settings, protocol),
--- /dev/null
+++ b/crates/ingress/src/program/start.rs
@@ -0,0 +1,185 @@
+//! Start: from two files to a program that listens and watches discovery.
+
+use super::config::Config;
+use super::shutdown::ShutdownPhase;
+use super::snapshot_store::SnapshotStore;
+use super::status_file::StatusFile;
+use super::{file_writer, Program, ProgramError};
+use crate::clock::Clock;
+use crate::limits::Limits;
+use crate::routing::membership::MembershipDriver;
+use crate::routing::{Driver, EventSource, Frontend, Io, RequestSchema, Start};
+use crate::transport::{allowed, listen, spare, Deadlines, Poller};
+use roseyard_admission::DescriptorBudget;
+use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
+use rustix::fd::OwnedFd;
+use rustix::io::Errno;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+/// The machine's limits by the platform's configuration and by the system.
+pub(super) fn machine_limits(config: &Config) -> MachineLimits {
+    MachineLimits {
+        platform_descriptors: config.limits.sockets,
+        system_descriptors: allowed(),
+    }
+}
+
+impl Program {
+    /// Listens, and opens the watch on discovery.
+    pub fn start(config: &Config, file: &File, clock: Clock) -> Result<Program, ProgramError> {
+        let machine = machine_limits(config);
+        let operator = file
+            .resolve(&machine)
+            .map_err(ProgramError::OperatorSettings)?;
+        let limits = Limits::new(&operator, config.limits.memory_mb, &config.settings);
+        let mut io = open_io(&operator, &limits, clock)?;
+        let mut frontend = open_frontend(config, file, &operator, &limits, &mut io)?;
+        let snapshots = SnapshotStore::open(
+            operator.reputation_snapshot,
+            frontend.admission_mut(),
+            io.now,
+        );
+        if let Some(address) = frontend.address() {
+            let name = &config.name;
+            tracing::info!(event = "listening", name, %address, "listening");
+        }
+        let driver = open_driver(config, file, &limits, clock, &mut io)?;
+        let mut ready_due = None;
+        let latest_ready = io.now + limits.event_loop.ready_timeout;
+        io.deadlines
+            .set(&mut ready_due, Some(latest_ready), EventSource::Ready);
+        let mut snapshot_due = None;
+        snapshots.schedule(&mut snapshot_due, &mut io);
+        let membership = &operator.membership;
+        let membership_driver = MembershipDriver::start(
+            membership,
+            &config.name,
+            file_writer::unix_ms(),
+            config.seed ^ MEMBERSHIP_SEED_MASK,
+            &mut io,
+        )?;
+        let status_path = membership.status_file.as_deref();
+        let status_file = status_path
+            .filter(|_| membership_driver.is_some())
+            .map(StatusFile::new);
+        let mut status_due = None;
+        if status_file.is_some() {
+            io.deadlines
+                .set(&mut status_due, Some(io.now), EventSource::Status);
+        }
+        Ok(Program {
+            io,
+            driver,
+            frontend,
+            signals: None,
+            shutdown_limits: limits.shutdown,
+            shutdown: ShutdownPhase::Serving,
+            shutdown_due: None,
+            ready_due,
+            machine,
+            snapshots,
+            snapshot_due,
+            membership: membership_driver,
+            status_file,
+            status_due,
+            run_options: None,
+            accept_pending: false,
+            ready_events: Vec::new(),
+            responses: Vec::new(),
+        })
+    }
+}
+
+/// Keeps the membership's random numbers apart from the decisions'.
+const MEMBERSHIP_SEED_MASK: u64 = 0x5eed;
+
+/// Keeps the hash secret of client tables apart from the decisions' random numbers, which clients
+/// can see the effects of.
+const HASH_SECRET_MASK: u64 = 0x61c8_8646_80b5_83eb;
+const HASH_SECRET_ROTATION: u32 = 23;
+
+fn open_io(operator: &OperatorSettings, limits: &Limits, clock: Clock) -> Result<Io, ProgramError> {
+    let poller =
+        Poller::new(limits.event_loop.max_events_per_wait).map_err(ProgramError::Poller)?;
+    let budget = DescriptorBudget::new(operator.descriptors, operator.descriptor_limits)
+        .map_err(ProgramError::Descriptors)?;
+    Ok(Io {
+        poller,
+        deadlines: Deadlines::default(),
+        now: clock.now(),
+        budget,
+        spare: spare(),
+    })
+}
+
+fn open_frontend(
+    config: &Config,
+    file: &File,
+    operator: &OperatorSettings,
+    limits: &Limits,
+    io: &mut Io,
+) -> Result<Frontend, ProgramError> {
+    let listener = take_address(&config.listen, limits)?;
+    let settings = decision_settings(config)?;
+    let route_field = file.services().route_field();
+    let max_units = limits.frontend.max_units;
+    let schema = RequestSchema::new(&config.settings, &settings, max_units, route_field);
+    let secret = config.seed.rotate_left(HASH_SECRET_ROTATION) ^ HASH_SECRET_MASK;
+    let policy = operator.policy.clone();
+    Frontend::new(listener, schema, policy, secret, limits.frontend, io)
+        .map_err(ProgramError::ListenerRegistration)
+}
+
+fn open_driver(
+    config: &Config,
+    file: &File,
+    limits: &Limits,
+    clock: Clock,
+    io: &mut Io,
+) -> Result<Driver, ProgramError> {
+    let start = Start {
+        settings: decision_settings(config)?,
+        seed: config.seed,
+        zones: config.settings.zone_names().to_vec(),
+        directory: file.services().directory().clone(),
+        clock,
+        discovery: config.discovery,
+        counter: config.counter,
+        limits: limits.driver,
+    };
+    Driver::new(start, &config.known, io).map_err(ProgramError::Settings)
+}
+
+fn decision_settings(config: &Config) -> Result<roseyard_decision::Settings, ProgramError> {
+    Ok(config.settings.settings()?)
+}
+
+/// Listens on the address. While another process holds it, retries for a while: a predecessor that
+/// is shutting down may not have closed its listener yet.
+fn take_address(address: &SocketAddr, limits: &Limits) -> Result<OwnedFd, ProgramError> {
+    let since = Instant::now();
+    let mut logged = false;
+    loop {
+        match listen(address, limits.frontend.listen_backlog) {
+            Ok(listener) => return Ok(listener),
+            Err(Errno::ADDRINUSE) if since.elapsed() < limits.event_loop.address_timeout => {
+                if !logged {
+                    tracing::warn!(
+                        event = "listen.address_in_use",
+                        %address,
+                        "address in use, retrying"
+                    );
+                    logged = true;
+                }
+                std::thread::sleep(limits.event_loop.address_retry_interval);
+            }
+            Err(error) => {
+                return Err(ProgramError::Listen {
+                    address: *address,
+                    error,
+                })
+            }
+        }
+    }
+}
--- a/crates/ingress/src/routing/counter_client/limits.rs
+++ b/crates/ingress/src/routing/counter_client/limits.rs
@@ -48,7 +48,7 @@
     ) -> CounterLimits {
         CounterLimits {
             protocol,
-            connections: operator.share(DescriptorUse::Counter).most,
+            connections: operator.descriptor_limits_of(DescriptorUse::Counter).max,
             connect_timeout,
             max_reply_bytes: MAX_REPLY_BYTES,
             max_calls_per_connection: MAX_CALLS_PER_CONNECTION,
--- a/crates/ingress/src/routing/discovery/call.rs
+++ b/crates/ingress/src/routing/discovery/call.rs
@@ -3,7 +3,7 @@
 use super::backoff::CallFailure;
 use super::limits::DiscoveryLimits;
 use crate::protocol::http::{self, Body, Head};
-use crate::protocol::list::Lists;
+use crate::protocol::list::ListSplitter;
 use crate::protocol::Malformed;
 use crate::routing::io::{MAX_IDLE_BUFFER_BYTES, READ_BUFFER_BYTES};
 use crate::transport::{Fill, Ready, Stream};
@@ -61,7 +61,7 @@
     /// The framing of the reply, once its head has come.
     body: Option<Body>,
     received_line: bool,
-    lists: Lists,
+    lists: ListSplitter,
     /// Since when a list has been incomplete.
     list_part_since: Option<Duration>,
 }
@@ -85,7 +85,7 @@
             is_established: false,
             body: None,
             received_line: false,
-            lists: Lists::default(),
+            lists: ListSplitter::default(),
             list_part_since: None,
         }
     }
--- a/crates/ingress/src/routing/discovery/limits.rs
+++ b/crates/ingress/src/routing/discovery/limits.rs
@@ -54,7 +54,7 @@
             previous_call_timeout: PREVIOUS_CALL_TIMEOUT,
             min_backoff: MIN_BACKOFF,
             max_backoff_rejected,
-            max_backoff_closed: if settings.pushed() {
+            max_backoff_closed: if settings.is_push_discovery() {
                 first_line_timeout
             } else {
                 max_backoff_rejected
@@ -65,7 +65,7 @@
 
 /// A pushed drain must be received within half of its grace once an agent is back.
 fn first_line_timeout(settings: &PlatformSettings) -> Duration {
-    let timeout = if settings.pushed() {
+    let timeout = if settings.is_push_discovery() {
         settings.drain_grace() / 2
     } else {
         MAX_FIRST_LINE_TIMEOUT
@@ -78,6 +78,6 @@
 fn max_backoff_rejected(settings: &PlatformSettings, first_line_timeout: Duration) -> Duration {
     let notified = NOTIFIED_AFTER + settings.drain_grace();
     let remaining = notified.saturating_sub(NOTIFIED_MARGIN + SILENCE_TIMEOUT + first_line_timeout);
-    let by_ingresses = MAX_BACKOFF_PER_INGRESS * settings.ingresses();
+    let by_ingresses = MAX_BACKOFF_PER_INGRESS * settings.ingress_count();
     by_ingresses.clamp(MIN_BACKOFF, remaining.min(MAX_BACKOFF))
 }
--- a/crates/ingress/src/routing/driver/mod.rs
+++ b/crates/ingress/src/routing/driver/mod.rs
@@ -139,7 +139,7 @@
     /// Revision of the endpoint list held.
     #[must_use]
     pub fn list_revision(&self) -> u64 {
-        self.engine.endpoint_registry().rev
+        self.engine.endpoint_registry().revision()
     }
 
     /// Requests without a final response or with an attempt in flight.
@@ -217,9 +217,9 @@
                 let attempt = AttemptId { request, attempt };
                 self.upstream.cancel(attempt, &mut self.engine, io);
             }
-            Output::Respond { owner, answer } => self.responses.push(CommandResponse {
+            Output::Respond { owner, response } => self.responses.push(CommandResponse {
                 command: owner,
-                response: answer,
+                response,
             }),
             Output::IncrementCounter {
                 key,
--- a/crates/ingress/src/routing/endpoint_list.rs
+++ b/crates/ingress/src/routing/endpoint_list.rs
@@ -23,18 +23,18 @@
         io: &mut Io,
     ) {
         let boot_time = |ms| self.clock.from_unix_ms(ms);
-        let (stale, unreadable) = engine.apply_endpoint_list(list, &self.zones, boot_time);
-        for endpoint in stale {
+        let applied = engine.apply_endpoint_list(list, &self.zones, boot_time);
+        for endpoint in applied.stale {
             upstream.close_idle(endpoint, io);
             if engine.endpoint_registry().get(endpoint).is_none() {
                 upstream.forget(endpoint);
             }
         }
-        let revision = list.rev;
-        if unreadable > 0 {
+        let revision = list.revision;
+        if applied.unreadable > 0 {
             tracing::warn!(
                 event = "discovery.entries_unreadable",
-                count = unreadable,
+                count = applied.unreadable,
                 revision,
                 "endpoint list entries unreadable"
             );
--- a/crates/ingress/src/routing/engine.rs
+++ b/crates/ingress/src/routing/engine.rs
@@ -1,6 +1,6 @@
 //! The request engine with this program's types.
 
-use crate::protocol::command::Held;
+use crate::protocol::command::RequestCommand;
 use crate::transport::Key;
 use roseyard_request_engine::RequestEngine;
 
@@ -14,9 +14,9 @@
 }
 
 /// The engine as the ingress uses it.
-pub type IngressEngine = RequestEngine<CommandId, Held, Vec<u8>>;
+pub type IngressEngine = RequestEngine<CommandId, RequestCommand, Vec<u8>>;
 /// A request as the frontend submits it.
-pub type Submission = roseyard_request_engine::Submission<CommandId, Held>;
+pub type Submission = roseyard_request_engine::Submission<CommandId, RequestCommand>;
 /// A final response.
 pub type Response = roseyard_request_engine::Response<Vec<u8>>;
 
--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -51,8 +51,8 @@
         // Upstream may have borrowed the descriptor that admission counts on.
         if !driver.take_descriptor(DescriptorUse::Clients, io) {
             let event = Event::Closed {
-                conn: connection_id(key),
-                fault: false,
+                connection: connection_id(key),
+                client_fault: false,
             };
             self.listener.handle(event, io, |_, _| ());
             return self.reject_client(key, self.listener.controller.policy().retry_after);
@@ -69,14 +69,14 @@
     fn connection_rejection(&mut self, key: Key, peer: IpAddr, io: &mut Io) -> Option<Duration> {
         let mut rejected = None;
         let event = Event::Connected {
-            conn: connection_id(key),
-            peer,
+            connection: connection_id(key),
+            peer_address: peer,
         };
         let listener = &mut self.listener;
         let clients = &mut self.clients;
         let buffered_bytes = &mut self.buffered_bytes;
         listener.handle(event, io, |action, io| match action {
-            Action::RejectConnection { after, .. } => rejected = Some(after),
+            Action::RejectConnection { retry_after, .. } => rejected = Some(retry_after),
             _ => carry_out(action, clients, buffered_bytes, io),
         });
         rejected
--- a/crates/ingress/src/routing/frontend/commands.rs
+++ b/crates/ingress/src/routing/frontend/commands.rs
@@ -1,6 +1,6 @@
 //! Commands of the platform's protocol: what a request may name, and what a client's words mean.
 
-use crate::protocol::command::{self, Held};
+use crate::protocol::command::{self, InvalidCommand, RequestCommand};
 use crate::routing::engine::{CommandId, Submission};
 use roseyard_decision::{CustomerId, Idempotency, RequestClass, Settings};
 use roseyard_platform_config::PlatformSettings;
@@ -115,7 +115,8 @@
     schema: &RequestSchema,
     directory: &Directory,
 ) -> Result<Command, &'static str> {
-    let request = command::request(words, schema.route_field.as_deref())?;
+    let request = command::request(words, schema.route_field.as_deref())
+        .map_err(|InvalidCommand(error)| error)?;
     let mut classes = schema.classes.iter();
     let class = classes
         .position(|class| class.name == request.class)
@@ -129,7 +130,7 @@
         Some(route) => directory.service_of_route(route).ok_or("unknown route")?,
         None => directory.default_service().ok_or("route is missing")?,
     };
-    let command = Held::new(words, &request);
+    let command = RequestCommand::new(words, &request);
     let wait_seconds = (request.wait_ms / 1000.0).min(MAX_WAIT_SECONDS);
     let submission = Submission {
         service,
@@ -161,13 +162,15 @@
     if class.is_idempotent != command::is_read(words[0]) {
         return Err("this class goes with the other command");
     }
-    if class.has_idempotency_key && request.key.is_none() {
+    if class.has_idempotency_key && request.idempotency_key.is_none() {
         return Err("k is missing");
     }
     if request.units < 1.0 || request.units > schema.max_units {
         return Err("units out of range");
     }
-    if request.ingress_count < 1 || request.ingress_count > ingresses || request.first >= ingresses
+    if request.ingress_count < 1
+        || request.ingress_count > ingresses
+        || request.first_ingress >= ingresses
     {
         return Err("spread or first out of range");
     }
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -270,12 +270,12 @@
     fn request_rejection(&mut self, key: Key, customer: u64, io: &mut Io) -> Option<Duration> {
         let mut rejected = None;
         let event = Event::RequestReceived {
-            conn: connection_id(key),
+            connection: connection_id(key),
             customer,
         };
         self.listener.handle(event, io, |action, _| {
-            if let Action::RejectRequest { after } = action {
-                rejected = Some(after);
+            if let Action::RejectRequest { retry_after } = action {
+                rejected = Some(retry_after);
             }
         });
         rejected
--- a/crates/ingress/src/routing/frontend/limits.rs
+++ b/crates/ingress/src/routing/frontend/limits.rs
@@ -85,7 +85,7 @@
             max_accepts_per_round: MAX_ACCEPTS_PER_ROUND,
             max_discard_bytes_per_round: MAX_DISCARD_BYTES_PER_ROUND,
             max_discard_bytes: MAX_DISCARD_BYTES,
-            max_units: settings.most_units().unwrap_or(MAX_COUNTER_UNITS),
+            max_units: settings.max_request_units().unwrap_or(MAX_COUNTER_UNITS),
             max_pipelined_requests: MAX_PIPELINED_REQUESTS,
             retry_after_at_capacity: RETRY_AFTER_AT_CAPACITY,
             listen_backlog: LISTEN_BACKLOG,
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -8,7 +8,7 @@
 use crate::transport::{accept, is_fd_shortage, listening_at, spare, Key, Stream};
 use roseyard_admission::{
     Action, AdmissionController, AdmissionPolicy, ConnectionId, DescriptorUse, Event,
-    RejectionReason, REJECTION_REASONS,
+    RejectionCounts, RejectionReason, REJECTION_REASONS,
 };
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
@@ -46,14 +46,6 @@
     Failed,
 }
 
-/// What was rejected so far.
-#[derive(Default)]
-struct AdmissionTotals {
-    /// Connections, by reason.
-    connections: [u64; REJECTION_REASONS.len()],
-    requests: u64,
-}
-
 /// The listener and admission.
 pub(super) struct Listener {
     /// None once it is closed.
@@ -65,7 +57,7 @@
     /// Kept from event to event, for its capacity.
     actions: Vec<Action>,
     /// What was last logged.
-    logged: AdmissionTotals,
+    logged: RejectionCounts,
     /// When it is logged again.
     summary_due: Option<Duration>,
 }
@@ -81,7 +73,7 @@
         io.poller
             .add_level(&socket, EventSource::Listener.token())?;
         for of in RESERVED_DESCRIPTORS {
-            while io.budget.used(of) < io.budget.share(of).least && io.budget.take(of) {}
+            while io.budget.used(of) < io.budget.limits(of).guaranteed && io.budget.take(of) {}
         }
         Ok(Listener {
             socket: Some(socket),
@@ -89,7 +81,7 @@
             limits,
             paused_until: None,
             actions: Vec::new(),
-            logged: AdmissionTotals::default(),
+            logged: RejectionCounts::default(),
             summary_due: None,
         })
     }
@@ -134,7 +126,7 @@
 
     /// Takes the next connection that waits, unless nothing is to be accepted just now.
     pub(super) fn accept(&mut self, io: &mut Io) -> Accepted {
-        if let Some(until) = self.controller.pause(io.now) {
+        if let Some(until) = self.controller.accept_paused_until(io.now) {
             self.pause(until, io);
             return Accepted::Nothing;
         }
@@ -212,10 +204,7 @@
     /// Logs what was rejected since the last summary, by reason.
     pub(super) fn on_summary_due(&mut self) {
         self.summary_due = None;
-        let totals = AdmissionTotals {
-            connections: self.controller.counts(),
-            requests: self.controller.refused(),
-        };
+        let totals = self.controller.rejection_counts();
         let logged = std::mem::replace(&mut self.logged, totals);
         let since = |reason: RejectionReason| {
             self.logged.connections[reason as usize] - logged.connections[reason as usize]
@@ -229,7 +218,7 @@
             let requests = self.logged.requests - logged.requests;
             rejected.push(format!("refused {requests}"));
         }
-        let clients = self.controller.held();
+        let clients = self.controller.open_connections();
         let rejected = rejected.join(", ");
         tracing::info!(event = "admission.summary", clients, rejected = %rejected, "admission summary");
     }
--- a/crates/ingress/src/routing/frontend/mod.rs
+++ b/crates/ingress/src/routing/frontend/mod.rs
@@ -34,7 +34,7 @@
 use std::net::SocketAddr;
 
 /// What the frontend holds for its clients.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FrontendUsage {
     /// Requests without a reply, by their clients' ids.
     pub open_requests: usize,
@@ -182,8 +182,8 @@
     fn close(&mut self, key: Key, is_fault: bool, io: &mut Io) -> Option<Client> {
         let client = remove(key, &mut self.clients, &mut self.buffered_bytes, io)?;
         let event = Event::Closed {
-            conn: connection_id(key),
-            fault: is_fault,
+            connection: connection_id(key),
+            client_fault: is_fault,
         };
         self.notify_admission(event, io);
         Some(client)
@@ -252,14 +252,14 @@
     let mut client = clients.remove(key)?;
     io.deadlines
         .set(&mut client.due, None, EventSource::Client(key));
-    io.budget.give(DescriptorUse::Clients);
+    io.budget.release(DescriptorUse::Clients);
     *buffered_bytes -= client.buffered_bytes;
     Some(client)
 }
 
 /// Closes a connection that admission has named. Rejections are handled where they were decided.
 fn carry_out(action: Action, clients: &mut Slots<Client>, buffered_bytes: &mut usize, io: &mut Io) {
-    if let Action::Close { conn, .. } = action {
-        remove(Key::unpack(conn.0), clients, buffered_bytes, io);
+    if let Action::Close { connection, .. } = action {
+        remove(Key::unpack(connection.0), clients, buffered_bytes, io);
     }
 }
--- a/crates/ingress/src/routing/frontend/output.rs
+++ b/crates/ingress/src/routing/frontend/output.rs
@@ -22,7 +22,7 @@
         if let Some(id) = client.complete(response.command.number, reply) {
             self.open_request_ids.remove(&id);
             let event = Event::Answered {
-                conn: connection_id(key),
+                connection: connection_id(key),
                 served,
             };
             self.notify_admission(event, io);
--- a/crates/ingress/src/routing/frontend/timeouts.rs
+++ b/crates/ingress/src/routing/frontend/timeouts.rs
@@ -76,7 +76,7 @@
         }
         let admission = &self.listener.controller;
         let reputation = admission.reputation(connection_id(key), io.now);
-        let is_fault = reputation <= Some(Reputation::Silent);
+        let is_fault = reputation <= Some(Reputation::NoCommand);
         self.disconnect(key, is_fault, driver, io);
     }
 
--- a/crates/ingress/src/routing/membership/keys.rs
+++ b/crates/ingress/src/routing/membership/keys.rs
@@ -1,7 +1,7 @@
 //! The keys that the operator's file names, one a file.
 
 use roseyard_membership::Key;
-use roseyard_operator_config::Membership;
+use roseyard_operator_config::MembershipSettings;
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -39,7 +39,7 @@
 }
 
 /// Reads the keys of the operator's file, the one to send with first.
-pub(super) fn read_keys(operator: &Membership) -> Result<Vec<Key>, KeyFileError> {
+pub(super) fn read_keys(operator: &MembershipSettings) -> Result<Vec<Key>, KeyFileError> {
     let files = operator.key_file.iter().chain(&operator.other_key_file);
     let key = |path: &PathBuf| {
         read_key(path).map_err(|reason| KeyFileError {
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -22,7 +22,7 @@
     wire, Action, Dropped, Event, Guard, Key, MemberState, Metadata, Name, Received, Settings,
     Stage, Swim,
 };
-use roseyard_operator_config::Membership;
+use roseyard_operator_config::{MembershipSettings, NamedAddress};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     /// # Errors
     /// If name or keys cannot be used, or the socket cannot be opened.
     pub fn start(
-        operator: &Membership,
+        operator: &MembershipSettings,
         name: &str,
         generation: u64,
         seed: u64,
@@ -100,7 +100,7 @@
     }
 
     /// The operator's file was read again: its keys are in force, and its bound on what is sent.
-    pub fn reload(&mut self, operator: &Membership) {
+    pub fn reload(&mut self, operator: &MembershipSettings) {
         self.rate = send_rate(operator);
         match read_keys(operator) {
             Ok(keys) => {
@@ -171,13 +171,13 @@
     /// Authenticates and parses a datagram.
     fn open(&mut self, datagram: &[u8], source: SocketAddr) -> Result<Received, Dropped> {
         let opened = self.guard.open(datagram)?;
-        let (message, updates) = wire::read(opened.body).ok_or(Dropped::Malformed)?;
+        let contents = wire::read(opened.body).ok_or(Dropped::Malformed)?;
         Ok(Received {
             source,
             sender: opened.sender,
             generation: opened.generation,
-            message,
-            updates,
+            message: contents.message,
+            updates: contents.records,
         })
     }
 
@@ -259,23 +259,28 @@
 }
 
 /// The protocol's settings by the operator's file.
-fn swim_settings(operator: &Membership) -> Settings {
-    let path = |(name, address): &(String, _)| Some((Name::from(name).ok()?, *address));
+fn swim_settings(operator: &MembershipSettings) -> Settings {
+    let address_override =
+        |named: &NamedAddress| Some((Name::from(&named.name).ok()?, named.address));
     Settings {
-        probe_interval: operator.period,
-        probe_timeout: operator.timeout,
-        gossip_interval: operator.gossip,
-        sync_interval: operator.sync,
-        suspicion_multiplier: operator.suspicion,
+        probe_interval: operator.probe_period,
+        probe_timeout: operator.probe_timeout,
+        gossip_interval: operator.gossip_interval,
+        sync_interval: operator.sync_interval,
+        suspicion_multiplier: operator.suspicion_periods,
         seeds: operator.seeds.clone(),
-        paths: operator.paths.iter().filter_map(path).collect(),
-        ..Settings::new(operator.expected)
+        address_overrides: operator
+            .address_overrides
+            .iter()
+            .filter_map(address_override)
+            .collect(),
+        ..Settings::new(operator.expected_members)
     }
 }
 
 /// The bound on datagrams sent, by the operator's file.
-fn send_rate(operator: &Membership) -> Rate {
-    let per_second = f64::from(operator.datagrams);
+fn send_rate(operator: &MembershipSettings) -> Rate {
+    let per_second = f64::from(operator.max_datagrams_per_second);
     Rate {
         per_second,
         burst: (per_second / BURST_DIVISOR).max(MIN_BURST),
--- a/crates/ingress/src/routing/shutdown_limits.rs
+++ b/crates/ingress/src/routing/shutdown_limits.rs
@@ -30,7 +30,7 @@
             accept_period: ACCEPT_PERIOD,
             new_client_grace: NEW_CLIENT_GRACE,
             linger_timeout: LINGER_TIMEOUT,
-            drain_timeout: settings.longest_deadline().min(MAX_DRAIN_TIMEOUT),
+            drain_timeout: settings.max_deadline().min(MAX_DRAIN_TIMEOUT),
         }
     }
 }
--- a/crates/ingress/src/routing/upstream/attempts.rs
+++ b/crates/ingress/src/routing/upstream/attempts.rs
@@ -50,7 +50,7 @@
             return Err(Outcome::ConnectFailed);
         }
         let Ok(stream) = self.pool.connect(&address, io) else {
-            io.budget.give(DescriptorUse::Upstream);
+            io.budget.release(DescriptorUse::Upstream);
             return Err(Outcome::ConnectFailed);
         };
         let key = self.pool.connections.insert_with(|_| UpstreamConnection {
@@ -149,7 +149,7 @@
         };
         let outcome = if connection.is_request_written() {
             let idle_time = connection.idle_time;
-            self.pool.idle_risk.told(idle_time, true, io.now);
+            self.pool.idle_risk.record_outcome(idle_time, true, io.now);
             Outcome::Reset
         } else {
             Outcome::ConnectFailed
@@ -203,7 +203,7 @@
 /// An attempt is on this connection from now on.
 fn assign(request: UpstreamRequest, connection: Key, engine: &mut IngressEngine) {
     if let RequestKind::Attempt(attempt) = request.kind {
-        engine.carry(attempt.request, Some(connection));
+        engine.set_carrier(attempt.request, Some(connection));
     }
 }
 
--- a/crates/ingress/src/routing/upstream/limits.rs
+++ b/crates/ingress/src/routing/upstream/limits.rs
@@ -44,14 +44,14 @@
             protocol,
             connect_timeout: connect_timeout(settings),
             idle_timeout: settings
-                .idle_connection()
+                .idle_connection_timeout()
                 .unwrap_or(DEFAULT_ENDPOINT_IDLE_TIMEOUT)
                 .mul_f64(IDLE_TIMEOUT_RATIO),
             min_idle_time: MIN_IDLE_TIME,
             reply_part_timeout: REPLY_PART_TIMEOUT,
             health_check_timeout: HEALTH_CHECK_TIMEOUT,
-            max_units: settings.most_units().unwrap_or(MAX_COUNTER_UNITS),
-            units_are_estimated: settings.post_paid(),
+            max_units: settings.max_request_units().unwrap_or(MAX_COUNTER_UNITS),
+            units_are_estimated: settings.has_estimated_units(),
         }
     }
 }
--- a/crates/ingress/src/routing/upstream/pool.rs
+++ b/crates/ingress/src/routing/upstream/pool.rs
@@ -101,7 +101,7 @@
                     self.endpoints.get_mut(&endpoint)?.idle.remove(position);
                     return Some(key);
                 }
-                IdleConnectionUse::Leave => return None,
+                IdleConnectionUse::LeaveForIdempotent => return None,
                 IdleConnectionUse::Close => self.close(key, io),
             }
         }
@@ -145,7 +145,7 @@
         let Some(mut connection) = self.connections.remove(key) else {
             return;
         };
-        io.budget.give(DescriptorUse::Upstream);
+        io.budget.release(DescriptorUse::Upstream);
         self.idle_by_age.remove(&(connection.last_used_at, key));
         io.deadlines
             .set(&mut connection.due, None, EventSource::Upstream(key));
--- a/crates/ingress/src/routing/upstream/replies.rs
+++ b/crates/ingress/src/routing/upstream/replies.rs
@@ -90,7 +90,7 @@
         connection.stream.take(length);
         let is_reusable = !reply.is_unexpected && connection.stream.input().is_empty();
         let idle_time = connection.idle_time;
-        self.pool.idle_risk.told(idle_time, false, io.now);
+        self.pool.idle_risk.record_outcome(idle_time, false, io.now);
         // Prevents a request from being executed twice when a rejection with more bytes behind it
         // is another request's.
         let outcome = if reply.outcome == Outcome::Overloaded && !is_reusable {
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping,
 //! ping-req, ack, nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates,
-//! [`sync`] is anti-entropy, [`join`] finds the others, [`apply`] takes in records, [`health`] is
-//! local health and [`members`] the table of members.
+//! [`sync`] is anti-entropy, [`join`] finds the others, [`receive`] handles datagrams, [`apply`]
+//! merges records, [`timers`] runs what is due, [`health`] is local health and [`members`] the table
+//! of members.
 
 mod apply;
 mod gossip;
@@ -15,6 +16,7 @@
 mod relay;
 mod suspicion;
 mod sync;
+mod timers;
 
 use crate::event::{Action, Event};
 use crate::record::{Metadata, Name, Record, Stage, Status};
@@ -29,17 +31,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-
-/// When each recurring task is next due.
-#[derive(Clone, Copy, Debug, Default)]
-struct Timers {
-    probe: Duration,
-    gossip: Duration,
-    sync: Duration,
-    join: Duration,
-    reminder: Duration,
-    sweep: Duration,
-}
+use timers::Timers;
 
 /// One member's part of the protocol.
 #[derive(Clone, Debug)]
@@ -65,7 +57,7 @@
 
 impl Swim {
     /// A member of this name that listens at this address; `generation` is the Unix time of its
-    /// start in milliseconds.
+    /// start in milliseconds, and `seed` that of its random choices.
     pub fn new(
         settings: Settings,
         name: Name,
@@ -74,13 +66,12 @@
         metadata: Metadata,
         seed: u64,
     ) -> Swim {
-        let status = Status::Alive;
         let local = Record {
             name,
             address,
             generation,
             incarnation: 0,
-            status,
+            status: Status::Alive,
             metadata_version: 0,
             metadata,
         };
@@ -113,13 +104,13 @@
         self.counts
     }
 
-    /// How far this ingress trusts itself: 0 is well; probes take one more and so many times as
-    /// long.
+    /// The local health score: 0 is healthy; the probes of this ingress take the score and one
+    /// times as long.
     pub fn local_health(&self) -> u32 {
         self.health.score()
     }
 
-    /// The process that holds this one's name, while this one is kept out for that.
+    /// The process that uses this one's name, while this one cannot join for that.
     pub fn name_conflict(&self) -> Option<SocketAddr> {
         self.join.name_conflict
     }
@@ -128,7 +119,7 @@
     pub fn state(&self, name: &Name) -> MemberState {
         self.members
             .get(name)
-            .map_or(MemberState::NeverSeen, |member| member.state())
+            .map_or(MemberState::NeverSeen, members::Member::state)
     }
 
     /// A member as seen from here.
@@ -142,20 +133,19 @@
             Some(member) => View {
                 state: member.state(),
                 record: Some(member.record.clone()),
-                age: Some(now.saturating_sub(member.last_heard)),
+                age: Some(now.saturating_sub(member.last_received_at)),
             },
         }
     }
 
-    /// All members that were ever heard of and are remembered, this one left out.
+    /// All other members that there are records of.
     pub fn views(&self, now: Duration) -> impl Iterator<Item = (Name, View)> + '_ {
         self.members
             .names()
             .map(move |name| (*name, self.view(name, now)))
     }
 
-    /// How many are seen of those that there should be. One that is kept out by a name conflict
-    /// sees nobody.
+    /// How many of the expected members this one sees; none while it has a name conflict.
     pub fn quorum(&self) -> Quorum {
         let alive = self
             .members
@@ -173,33 +163,17 @@
         }
     }
 
-    /// Where a member is reached from here.
+    /// The address at which a member is reached from here.
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
-        let stated = || self.members.get(name).map(|member| member.record.address);
-        self.settings.paths.get(name).copied().or_else(stated)
-    }
-
-    /// When [`Swim::handle`] wants [`Event::Due`] next.
-    pub fn due(&self) -> Option<Duration> {
-        if !self.started {
-            return Some(Duration::ZERO);
-        }
-        let timers = &self.timers;
-        let mut due = timers
-            .sweep
-            .min(timers.gossip)
-            .min(timers.sync)
-            .min(timers.probe);
-        if self.wants_to_join() {
-            due = due.min(timers.join);
-        }
-        if let Some(probe) = &self.probe {
-            due = due.min(probe.next_deadline());
-        }
-        Some(due)
+        let recorded = || self.members.get(name).map(|member| member.record.address);
+        self.settings
+            .address_overrides
+            .get(name)
+            .copied()
+            .or_else(recorded)
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles an event; what the caller is to do is appended to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.start(now);
@@ -214,21 +188,6 @@
         self.run_timers(now, actions);
     }
 
-    /// Sets the first deadlines, spread so that members started together do not act together.
-    fn start(&mut self, now: Duration) {
-        self.started = true;
-        let spread =
-            |rng: &mut fastrand::Rng, interval: Duration| now + interval.mul_f64(rng.f64());
-        self.timers = Timers {
-            probe: spread(&mut self.rng, self.settings.probe_interval),
-            gossip: spread(&mut self.rng, self.settings.gossip_interval),
-            sync: spread(&mut self.rng, self.settings.sync_interval),
-            join: now,
-            reminder: now,
-            sweep: now + self.settings.gossip_interval,
-        };
-    }
-
     fn set_metadata(&mut self, metadata: Metadata) {
         if metadata == self.local.metadata {
             return;
@@ -247,78 +206,12 @@
         self.timers.gossip = now;
     }
 
-    /// Guards against a process that was stopped and takes all others for silent: what waited
-    /// through its own stall proves nothing, and its deadlines go on from here.
-    fn absorb_stall(&mut self, now: Duration) {
-        let stall = self
-            .due()
-            .map_or(Duration::ZERO, |due| now.saturating_sub(due));
-        if stall < self.settings.probe_timeout {
-            return;
-        }
-        self.counts.stalls += 1;
-        self.members.postpone(stall);
-        if let Some(probe) = &mut self.probe {
-            probe.postpone(stall);
-        }
-        self.timers.probe += stall;
-        let missed_probes = stall.as_secs_f64() / self.settings.probe_interval.as_secs_f64();
-        self.health.degrade(1 + missed_probes as u32);
-    }
-
-    fn run_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.wants_to_join() && now >= self.timers.join {
-            self.ask_to_join(now, actions);
-        }
-        if now >= self.timers.sweep {
-            self.timers.sweep = now + self.settings.gossip_interval;
-            self.sweep(now, actions);
-        }
-        self.advance_probe(now, actions);
-        if self.join.name_conflict.is_some() {
-            return self.postpone_protocol(now);
-        }
-        if now >= self.timers.probe && self.probe.is_none() {
-            self.timers.probe = now + self.health.scale(self.settings.probe_interval);
-            self.begin_probe(now, actions);
-        }
-        if now >= self.timers.gossip {
-            self.timers.gossip = now + self.settings.gossip_interval;
-            self.gossip(actions);
-        }
-        if now >= self.timers.sync {
-            self.timers.sync = now
-                + self
-                    .settings
-                    .sync_interval
-                    .mul_f64(0.75 + 0.5 * self.rng.f64());
-            self.sync(actions);
-        }
-    }
-
-    /// One whose name is held by another takes no part but asking to join.
-    fn postpone_protocol(&mut self, now: Duration) {
-        let later = now + self.settings.probe_interval;
-        (self.timers.probe, self.timers.gossip, self.timers.sync) = (later, later, later);
-    }
-
-    /// Ends what has timed out: suspicions, records of members that are no more, and relayed pings.
-    fn sweep(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.expire_suspicions(now, actions);
-        if now >= self.timers.reminder && self.join.name_conflict.is_none() {
-            self.timers.reminder = now + self.settings.probe_interval;
-            self.remind_suspects(actions);
-        }
-        self.forget_departed(now);
-        self.expire_relays(now, actions);
-    }
-
     fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
 
-    /// Addresses of up to `count` members whose records pass, drawn at random.
+    /// Addresses of up to `count` random members whose records are eligible.
     fn random_addresses(
         &mut self,
         count: usize,
@@ -331,8 +224,8 @@
             .map(|record| record.name)
             .collect();
         let draws = names.len().min(count);
-        let drawn: BTreeSet<usize> = (0..draws).map(|_| self.rng.usize(0..names.len())).collect();
-        drawn
+        let indexes: BTreeSet<usize> = (0..draws).map(|_| self.rng.usize(0..names.len())).collect();
+        indexes
             .into_iter()
             .filter_map(|index| self.address(&names[index]))
             .collect()
