--- a/crates/request-engine/src/directory/change.rs
+++ b/crates/request-engine/src/directory/change.rs
@@ -49,7 +49,8 @@
     },
     /// Sets how much the directory may hold.
     SetBounds(DirectoryBounds),
-    /// While set, everything belongs to [`SINGLE_SERVICE`], whatever else the directory holds.
+    /// While set, everything belongs to [`SINGLE_SERVICE`](super::SINGLE_SERVICE), whatever else
+    /// the directory holds.
     SetSingle(bool),
 }
 
