--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Identifies a connection. The lower 32 bits are its slot in the caller's table, which is reused
-/// once it has closed; the others are the slot's generation, which tells its users apart.
+/// once it has closed; the others are the slot's generation, which distinguishes its users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
--- a/crates/decision/src/balancer/mod.rs
+++ b/crates/decision/src/balancer/mod.rs
@@ -21,7 +21,7 @@
 /// Endpoints outside of the subset are used where those inside fail: each counts as this part of
 /// one ...
 const OUTSIDE_SUBSET_WEIGHT: f64 = 0.01;
-/// ... and all of them as so many inside at most.
+/// ... and all of them as this many inside at most.
 const OUTSIDE_SUBSET_TOTAL: f64 = 2.0;
 
 /// What the choice of an endpoint depends on, besides the endpoints. Times are in seconds.
--- a/crates/decision/src/balancer/score.rs
+++ b/crates/decision/src/balancer/score.rs
@@ -8,7 +8,7 @@
 use crate::util::EPSILON;
 use fastrand::Rng;
 
-/// A reported request weighs so much of one in flight from here.
+/// A reported request weighs this much of one in flight from here.
 const REPORTED_REQUEST_WEIGHT: f64 = 0.5;
 /// Factor on the score of an endpoint in another zone.
 const OTHER_ZONE_FACTOR: f64 = 1.02;
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -19,7 +19,7 @@
 
 /// Pause before subscribing again after a call to discovery failed.
 const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
-/// A gap so long between two events, while requests cause timers, is a stall of this ingress.
+/// A gap this long between two events, while requests cause timers, is a stall of this ingress.
 const STALL_SECONDS: f64 = 0.25;
 /// Units of a request whose estimate is no number.
 const DEFAULT_UNITS: f64 = 1.0;
--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -11,7 +11,7 @@
 use crate::util::seconds;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Load reports are averaged over so many seconds, and fade as fast.
+/// Load reports are averaged over this many seconds, and fade as fast.
 pub(crate) const LOAD_REPORT_TIME_CONSTANT_SECONDS: f64 = 5.0;
 /// The least weight of a load report: single ones are stale, and ingresses that follow them move
 /// from endpoint to endpoint together.
@@ -19,7 +19,7 @@
     min: 0.03,
     max: 1.0,
 };
-/// The first responses of an endpoint count as if so many average ones had come before.
+/// The first responses of an endpoint count as if this many average ones had come before.
 const LATENCY_RATIO_PRIOR_RESPONSES: f64 = 8.0;
 const LATENCY_RATIO_RESPONSES_MAX: f64 = 4.0 * MEAN_RESPONSES - LATENCY_RATIO_PRIOR_RESPONSES;
 const LATENCY_RATIO_MIN: f64 = 0.5;
--- a/crates/decision/src/health/outlier.rs
+++ b/crates/decision/src/health/outlier.rs
@@ -14,11 +14,11 @@
 const UNRESPONSIVE_AFTER_MEAN_LATENCIES: f64 = 9.0;
 /// Time between two trials of an ejected endpoint.
 const EJECTION_TRIAL_INTERVAL_SECONDS: f64 = 2.0;
-/// A failure weighs as much as so many requests in flight.
+/// A failure weighs as much as this many requests in flight.
 const FAILURE_LOAD_REQUESTS: f64 = 3.0;
 pub(crate) const FAILURE_DECAY_MIN_SECONDS: f64 = 4.0;
 const FAILURE_DECAY_MAX_SECONDS: f64 = 30.0;
-/// A failure decays over so many visits of this ingress: otherwise an ingress with few requests
+/// A failure decays over this many visits of this ingress: otherwise an ingress with few requests
 /// would have forgotten it by its next one.
 const FAILURE_DECAY_VISITS: f64 = 2.0;
 
--- a/crates/decision/src/latency.rs
+++ b/crates/decision/src/latency.rs
@@ -5,14 +5,14 @@
 use crate::util::ewma::{Ewma, SampleWeight};
 use crate::util::{seconds, EPSILON};
 
-/// Means are taken over so many responses.
+/// Means are taken over this many responses.
 pub(crate) const MEAN_RESPONSES: f64 = 30.0;
 /// Until responses come, a class's mean is taken as its latency objective divided by this.
 pub(crate) const INITIAL_MEAN_DIVISOR: f64 = 8.0;
 const MEAN_MIN_SECONDS: f64 = 1e-3;
-/// One slow response counts at most as so many times the mean.
+/// One slow response counts at most as this many times the mean.
 const RATIO_TO_MEAN_MAX: f64 = 4.0;
-/// The latency ratio is averaged over so many seconds where responses are few.
+/// The latency ratio is averaged over this many seconds where responses are few.
 const RATIO_TIME_CONSTANT_SECONDS: f64 = 3.0;
 const RATIO_WEIGHT: SampleWeight = SampleWeight {
     min: 1.0 / MEAN_RESPONSES,
--- a/crates/decision/src/load_shedding.rs
+++ b/crates/decision/src/load_shedding.rs
@@ -13,7 +13,7 @@
 /// Requests in flight for each endpoint, over all ingresses, that never overload it: its cores stay
 /// idle.
 pub(crate) const IDLE_IN_FLIGHT_PER_ENDPOINT: f64 = 2.0;
-/// Up to so many ingresses, each one's own requests in flight show the load of the endpoints.
+/// Up to this many ingresses, each one's own requests in flight show the load of the endpoints.
 const OBSERVING_INGRESSES_MAX: f64 = 4.0;
 /// The classes that earn least for their work are limited to this share of the limit.
 const LEAST_CLASS_RATIO: f64 = 0.2;
@@ -97,8 +97,8 @@
         load.in_flight as f64 + sample > limit + fluctuation
     }
 
-    /// Whether so many requests in flight, over all services, are no more than this ingress's part
-    /// of what all endpoints bear while they are idle.
+    /// Whether this many requests in flight, over all services, are no more than this ingress's
+    /// part of what all endpoints bear while they are idle.
     pub(crate) fn is_ingress_idle(
         &self,
         other_requests: f64,
--- a/crates/decision/src/quota/admission_odds.rs
+++ b/crates/decision/src/quota/admission_odds.rs
@@ -4,7 +4,7 @@
 /// Ratios before any total, for first attempts and for retries: most customers stay within their
 /// quota, and rejected ones retry.
 const INITIAL_RATIO: [f64; 2] = [0.6, 0.3];
-/// The initial ratio weighs as much as so many totals.
+/// The initial ratio weighs as much as this many totals.
 const INITIAL_WEIGHT_TOTALS: f64 = 5.0;
 /// Older totals fade beyond this number.
 const WEIGHT_MAX_TOTALS: f64 = 40.0;
--- a/crates/decision/src/quota/ceiling.rs
+++ b/crates/decision/src/quota/ceiling.rs
@@ -84,7 +84,7 @@
         self.shared_allowance -= units;
     }
 
-    /// Whether so many units stay under the ceiling. `is_confirmed`: a total has come for them.
+    /// Whether this many units stay under the ceiling. `is_confirmed`: a total has come for them.
     pub(crate) fn admits(&self, units: f64, is_confirmed: bool) -> bool {
         self.local_allowance >= units || self.is_shared_available(is_confirmed)
     }
--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -8,13 +8,13 @@
 use crate::util::EPSILON;
 use std::collections::VecDeque;
 
-/// A customer is infrequent at this ingress below so many requests in a window, if many ingresses
+/// A customer is infrequent at this ingress below this many requests in a window, if many ingresses
 /// share the quota: what is known here is older than the counter's total.
 const INFREQUENT_REQUESTS_MAX: f64 = 2.0;
 const WINDOW_MIN_SECONDS: f64 = 0.1;
 /// The longest time to live that a counter keeps a key for.
 const WINDOW_MAX_SECONDS: f64 = 60.0;
-/// A quota that is idle for so long is dropped.
+/// A quota that is idle for this long is dropped.
 pub(crate) const IDLE_TIMEOUT_SECONDS: f64 = 30.0;
 
 /// A call to the counter that has not been answered.
@@ -36,7 +36,7 @@
     pub plan: usize,
     /// The ingresses that share the quota.
     pub sharing: Sharing,
-    /// The counter forgets a key after so long.
+    /// The counter forgets a key after this long.
     pub window_seconds: f64,
     pub bucket: TokenBucket,
     pub refilled_at: f64,
@@ -141,13 +141,13 @@
         self.assumed_peer_units = 0.0;
     }
 
-    /// Whether the quota and the ceiling admit so many units. `is_confirmed`: a total has come for
+    /// Whether the quota and the ceiling admit this many units. `is_confirmed`: a total has come for
     /// them.
     pub(crate) fn admits(&self, units: f64, is_confirmed: bool) -> bool {
         self.is_under_ceiling(units, is_confirmed) && self.bucket.admits(units)
     }
 
-    /// Whether the ceiling alone admits so many units.
+    /// Whether the ceiling alone admits this many units.
     pub(crate) fn is_under_ceiling(&self, units: f64, is_confirmed: bool) -> bool {
         self.ceiling
             .as_ref()
--- a/crates/decision/src/quota/mod.rs
+++ b/crates/decision/src/quota/mod.rs
@@ -33,7 +33,7 @@
 
 /// What the quota answers to a new request.
 pub(crate) enum Verdict {
-    /// The counter is called; its total is awaited for so long.
+    /// The counter is called; its total is awaited for this long.
     AwaitCounter { wait_seconds: f64 },
     /// To be decided without a total.
     DecideLocally,
--- a/crates/decision/src/quota/reconciliation.rs
+++ b/crates/decision/src/quota/reconciliation.rs
@@ -1,5 +1,5 @@
 //! Reconciliation of a customer's bucket with the counter, which all ingresses add to. What a total
-//! holds beyond the own increments is the peers' use; between totals it is assumed.
+//! holds beyond this ingress's own increments is the peers' use; between totals it is assumed.
 
 use crate::quota::ceiling::WindowStart;
 use crate::quota::customer::CustomerQuota;
@@ -7,7 +7,7 @@
 
 /// What each peer is assumed to admit, as a part of what is admitted here without a total.
 const ASSUMED_PEER_RATIO: f64 = 0.5;
-/// The peers' rate is averaged over so many windows, and over this time at least.
+/// The peers' rate is averaged over this many windows, and over this time at least.
 const PEER_RATE_WINDOWS: f64 = 2.0;
 const PEER_RATE_MIN_SECONDS: f64 = 1.0;
 
@@ -40,8 +40,8 @@
         if is_first_total {
             self.bucket.available_units = self.bucket.burst;
         }
-        // The peers' rejected requests stay in the total until their next increment: so much may be
-        // owed.
+        // The peers' rejected requests stay in the total until their next increment: the
+        // balance may go this far below zero.
         let most_owed = self.sharing.ingress_count.min(self.bucket.burst);
         self.bucket.available_units = (self.bucket.available_units - peer_units).max(-most_owed);
         let elapsed = (now - self.last_total_at).max(0.0);
--- a/crates/decision/src/quota/sharing.rs
+++ b/crates/decision/src/quota/sharing.rs
@@ -1,6 +1,6 @@
 //! How many ingresses a customer's requests come through.
 
-/// Up to so many ingresses, what each one sees is enough to extrapolate from.
+/// Up to this many ingresses, what each one sees is enough to extrapolate from.
 const FEW_INGRESSES_MAX: f64 = 6.0;
 
 /// The number of ingresses that share a customer's quota.
--- a/crates/decision/src/quota/token_bucket.rs
+++ b/crates/decision/src/quota/token_bucket.rs
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// Adds what has been refilled in so many seconds and returns the units that overflowed.
+    /// Adds what has been refilled in this many seconds and returns the units that overflowed.
     pub(crate) fn refill(&mut self, elapsed_seconds: f64) -> f64 {
         let filled = self.available_units + self.rate * elapsed_seconds;
         let overflow = (filled - self.burst).max(0.0);
@@ -22,17 +22,17 @@
         overflow
     }
 
-    /// Whether so many units are available.
+    /// Whether this many units are available.
     pub(crate) fn has_available(&self, units: f64) -> bool {
         self.available_units + EPSILON >= units
     }
 
-    /// Whether the quota admits so many units.
+    /// Whether the quota admits this many units.
     pub(crate) fn admits(&self, units: f64) -> bool {
         self.rate <= 0.0 || self.has_available(units)
     }
 
-    /// Seconds until so many units are available.
+    /// Seconds until this many units are available.
     pub(crate) fn seconds_until_available(&self, units: f64) -> f64 {
         (units - self.available_units).max(0.0) / self.rate.max(EPSILON)
     }
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -8,9 +8,9 @@
 use crate::service::state::{EventContext, Service, Timer};
 use crate::util::{duration, seconds};
 
-/// A request is answered so many ticks before its client gives up.
+/// A request is answered this many ticks before its client gives up.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
-/// The sample that decides for a fraction of one request is held for so many mean latencies.
+/// The sample that decides for a fraction of one request is held for this many mean latencies.
 const SAMPLE_HELD_MEAN_LATENCIES: f64 = HEDGE_DELAY_MEAN_LATENCIES;
 
 /// Whether a request is within its quota.
--- a/crates/decision/src/util/mod.rs
+++ b/crates/decision/src/util/mod.rs
@@ -17,7 +17,7 @@
     time.as_secs_f64()
 }
 
-/// The duration of so many seconds, rounded to a microsecond; a negative one is zero.
+/// The duration of this many seconds, rounded to a microsecond; a negative one is zero.
 pub(crate) fn duration(seconds: f64) -> Duration {
     Duration::from_micros((seconds.clamp(0.0, MAX_SECONDS) * 1e6).round() as u64)
 }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,4 +1,4 @@
-//! The real ingress around roseyard's decisions.
+//! The ingress: sockets, event loop and configuration around the decisions.
 //!
 //! Four layers, each knowing only those before it: [`transport`] (epoll, sockets, buffers, tables,
 //! deadlines), [`protocol`] (parsers and encoders), [`routing`] (clients, requests and their
--- a/crates/ingress/src/routing/driver/start.rs
+++ b/crates/ingress/src/routing/driver/start.rs
@@ -44,7 +44,7 @@
 /// The client of the counter, if there is one; the settings follow.
 ///
 /// The settings' time-out is the simulator's, where a call that is late is never answered. On
-/// sockets a late total still tells what the others use, so a call waits longer here; how long a
+/// sockets a late total still shows what the others use, so a call waits longer here; how long a
 /// request waits for it is a decision.
 pub(super) fn start_counter(
     address: Option<SocketAddr>,
--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Frontend {
-    /// Connections wait at the listener: accepts as many as a round has room for.
+    /// Connections wait at the listener: accepts as many as one round may.
     pub fn accept(&mut self, driver: &mut Driver, io: &mut Io) {
         self.accept_up_to(self.limits.max_accepts_per_round, driver, io);
     }
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads on from those that had more input than a round has room for.
+    /// Reads on from those that had more input than one round may read.
     pub fn read_scheduled(&mut self, driver: &mut Driver, io: &mut Io) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(client) = self.clients.get_mut(key) {
--- a/crates/ingress/src/routing/frontend/limits.rs
+++ b/crates/ingress/src/routing/frontend/limits.rs
@@ -30,7 +30,7 @@
     pub protocol: ProtocolLimits,
     /// Times of a graceful shutdown.
     pub shutdown: ShutdownLimits,
-    /// Bytes of replies that a client may leave unread before its commands are left unread.
+    /// Bytes of unread replies of one client, beyond which its commands are not read.
     pub max_unread_reply_bytes: usize,
     /// Bytes read ahead from a client with the most commands pending, to see the end that stands
     /// behind them.
--- a/crates/ingress/src/routing/membership/keys.rs
+++ b/crates/ingress/src/routing/membership/keys.rs
@@ -50,7 +50,7 @@
     files.map(key).collect()
 }
 
-/// What tells keys apart in log lines.
+/// Marks that distinguish keys in log lines.
 pub(super) fn fingerprints(keys: &[Key]) -> String {
     let fingerprints: Vec<_> = keys.iter().map(Key::fingerprint).collect();
     fingerprints.join(" ")
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -33,7 +33,7 @@
 const MAX_REMEMBERED_NAMES: usize = 4096;
 /// Longer than the longest datagram, so that one that is too long is seen to be.
 const RECEIVE_BUFFER_BYTES: usize = 512;
-/// One part in so many of a second's datagrams may be sent at once.
+/// One part in this many of a second's datagrams may be sent at once.
 const BURST_DIVISOR: f64 = 5.0;
 const MIN_BURST: f64 = 8.0;
 
--- a/crates/ingress/src/routing/shutdown_limits.rs
+++ b/crates/ingress/src/routing/shutdown_limits.rs
@@ -15,10 +15,11 @@
     pub accept_period: Duration,
     /// A client without a request yet is waited for this long once the drain has begun.
     pub new_client_grace: Duration,
-    /// A half-closed connection is closed after this at the latest.
+    /// How long replies are still written once every request has its final reply. A half-closed
+    /// connection is closed after this at the latest.
     pub linger_timeout: Duration,
-    /// Every request has its final reply this long after accepting has ended: SIGKILL may come 0.1
-    /// s later.
+    /// Every request has its final reply this long after accepting has ended. A SIGKILL 0.1 s later
+    /// loses only replies that their clients are slow to read.
     pub drain_timeout: Duration,
 }
 
--- a/crates/ingress/src/routing/upstream/limits.rs
+++ b/crates/ingress/src/routing/upstream/limits.rs
@@ -30,7 +30,7 @@
     pub reply_part_timeout: Duration,
     /// A health check must be answered within this.
     pub health_check_timeout: Duration,
-    /// Most quota units of a request; a reply with more true units than that tells none.
+    /// Most quota units of a request; true units beyond it in a reply are ignored.
     pub max_units: f64,
     /// A request's units are an estimate, which the reply corrects.
     pub units_are_estimated: bool,
--- a/crates/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -127,7 +127,7 @@
         &self.input[self.taken..]
     }
 
-    /// Takes so many bytes of the input.
+    /// Takes this many bytes of the input.
     pub fn take(&mut self, bytes: usize) {
         self.taken = (self.taken + bytes).min(self.input.len());
         if self.taken == self.input.len() {
@@ -136,8 +136,9 @@
         }
     }
 
-    /// Reads until nothing waits or `limit` bytes are held. `ended` says that the poller has reported
-    /// an end: only then is a short read followed by another, as an event comes for later bytes.
+    /// Reads until nothing waits or `limit` bytes are held. `ended` says that the poller has
+    /// reported an end: only then is a short read followed by another, as an event comes for later
+    /// bytes.
     pub fn fill(&mut self, limit: usize, chunk: usize, ended: bool) -> Fill {
         loop {
             if self.input.len() - self.taken >= limit {
@@ -168,8 +169,8 @@
         self.input().is_empty() && matches!(seen, Err(Errno::AGAIN))
     }
 
-    /// Discards what waits, up to `limit` bytes, and returns how many were discarded. TCP drops what
-    /// is read with TRUNC inside the kernel, so a large value costs neither memory nor copies.
+    /// Discards what waits, up to `limit` bytes, and returns how many were discarded. TCP drops
+    /// what is read with TRUNC inside the kernel, so a large value costs neither memory nor copies.
     pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (Fill, usize) {
         self.input = Vec::new();
         self.taken = 0;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -45,7 +45,7 @@
 }
 
 impl Settings {
-    /// The defaults for so many members.
+    /// The defaults for this many members.
     pub fn new(expected_members: usize) -> Settings {
         let ms = Duration::from_millis;
         Settings {
--- a/crates/membership/src/swim/gossip.rs
+++ b/crates/membership/src/swim/gossip.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// An update is sent so many times the logarithm (base ten, rounded up, at least one) of the number
-/// of members.
+/// An update is sent this many times the logarithm (base ten, rounded up, at least one) of the
+/// number of members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
 /// Names whose records are still to be sent, the least sent first.
--- a/crates/membership/src/swim/members.rs
+++ b/crates/membership/src/swim/members.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Suspecters of a member that count; with so many the suspicion has its shortest timeout.
+/// Suspecters of a member that count; with this many the suspicion has its shortest timeout.
 pub(super) const MAX_SUSPECTERS: usize = 3;
 
 /// Another member, as seen from here.
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -20,7 +20,7 @@
     hasher.finish() as u32
 }
 
-/// The timeout of a suspicion with so many suspecters: from the longest down to the shortest, by
+/// The timeout of a suspicion with this many suspecters: from the longest down to the shortest, by
 /// the logarithm of the confirmations (the Lifeguard paper's formula).
 fn timeout(shortest: Duration, max_multiplier: u32, suspecter_count: usize) -> Duration {
     let longest = shortest * max_multiplier;
--- a/crates/operator-config/src/value_kind.rs
+++ b/crates/operator-config/src/value_kind.rs
@@ -27,11 +27,11 @@
     OneOf(&'static [&'static str]),
     /// The path of a file.
     Path,
-    /// A label of up to so many bytes; see [`is_label`](crate::value_syntax::is_label).
+    /// A label of up to this many bytes; see [`is_label`](crate::value_syntax::is_label).
     Label(usize),
-    /// Addresses with ports, up to so many.
+    /// Addresses with ports, up to this many.
     Addresses(usize),
-    /// Labels with an address and port each, such as `n1=127.0.0.1:7946`; up to so many.
+    /// Labels with an address and port each, such as `n1=127.0.0.1:7946`; up to this many.
     NamedAddresses(usize),
 }
 
--- a/crates/request-engine/src/engine/endpoints.rs
+++ b/crates/request-engine/src/engine/endpoints.rs
@@ -51,7 +51,8 @@
 
     /// Changes the directory to another one, which is in force from now on. Services are matched by
     /// name and keep their ids and their state; the decision module learns only of endpoints that
-    /// move to another service. Returns the number of changes.
+    /// move to another service. Returns the number of changes. An error leaves the changes before
+    /// it in force.
     pub fn set_directory(&mut self, directory: &Directory) -> Result<usize, DirectoryError> {
         let changes = self.directory.difference(directory);
         let count = changes.len();
--- a/crates/request-engine/src/idle_connection_risk.rs
+++ b/crates/request-engine/src/idle_connection_risk.rs
@@ -3,7 +3,7 @@
 //! An endpoint may close an idle connection long before the time in the settings, and its close may
 //! arrive only after the next request was written: that request has then failed, and may have
 //! executed. Nothing announces such a close, so the risk is learned from the outcomes of requests:
-//! the resets on connections that were idle for so long, compared with the resets on new
+//! the resets on connections that were idle for this long, compared with the resets on new
 //! connections. Resets that affect both alike do not count against idle connections.
 
 use std::time::Duration;
@@ -16,8 +16,8 @@
 /// Time constant by which observations decay. Connections that were held to be dead are used again
 /// after a few of these, which detects endpoints that no longer close them.
 const DECAY_SECONDS: f64 = 10.0;
-/// The estimate of the next shorter interval weighs as so many requests: prevents a decision on one
-/// reset when few requests were observed.
+/// The estimate of the next shorter interval weighs as this many requests: prevents a decision on
+/// one reset when few requests were observed.
 const PRIOR_REQUESTS: f64 = 8.0;
 /// An idle connection is not used for a request that must not be sent twice if its reset
 /// probability exceeds that of a new connection by more than this.
@@ -76,7 +76,7 @@
         outcomes.resets += f64::from(u8::from(was_reset));
     }
 
-    /// The reset probability on a new connection and on one that has been idle for so long.
+    /// The reset probability on a new connection and on one that has been idle for this long.
     #[must_use]
     pub fn risks(&self, idle: Duration, now: Duration) -> ResetRisk {
         let decay = self.decay(now);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Decides whether a request is written to a connection that has been idle for so long.
+    /// Decides whether a request is written to a connection that has been idle for this long.
     #[must_use]
     pub fn choose(&self, idle: Duration, is_idempotent: bool, now: Duration) -> IdleConnectionUse {
         let risk = self.risks(idle, now);
--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Plays a load of idempotent requests for so long, and waits for the responses.
+/// Plays a load of idempotent requests for this long, and waits for the responses.
 pub async fn play(load: OpenLoopLoad, destination: SocketAddr, length: Duration) -> LoadOutcome {
     play_with(load, destination, length, None, |_, customer, id| {
         request(customer, id)
--- a/crates/testbed/src/fakes.rs
+++ b/crates/testbed/src/fakes.rs
@@ -60,7 +60,7 @@
         })
     }
 
-    /// The configuration of an ingress with so many descriptors.
+    /// The configuration of an ingress with this many descriptors.
     #[must_use]
     pub fn ingress_configuration(&self, descriptors: usize) -> Value {
         json!({
--- a/crates/testbed/src/faulty_network.rs
+++ b/crates/testbed/src/faulty_network.rs
@@ -136,7 +136,7 @@
 }
 
 impl FaultyNetwork {
-    /// Paths among so many members, carried on this runtime until it ends.
+    /// Paths among this many members, carried on this runtime until it ends.
     pub fn start(members: usize, seed: u64, runtime: &Handle) -> io::Result<FaultyNetwork> {
         let state = Arc::new(Mutex::new(NetworkState::default()));
         let sockets = bind_relays(members, runtime)?;
--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -76,7 +76,7 @@
     pub busy_replies: AtomicU64,
 }
 
-/// The n-th of so many source addresses, in 127.64.0.0/10.
+/// The n-th of this many source addresses, in 127.64.0.0/10.
 #[must_use]
 pub fn source_address(n: u64, addresses: u32) -> Ipv4Addr {
     let offset = (n % u64::from(addresses.max(1))) as u32;
--- a/crates/testbed/src/platform_settings.rs
+++ b/crates/testbed/src/platform_settings.rs
@@ -12,7 +12,7 @@
     settings_for(1, QUOTA_UNITS_PER_SECOND)
 }
 
-/// The same for one of so many ingresses, with this quota of each customer in units a second.
+/// The same for one of this many ingresses, with this quota of each customer in units a second.
 pub(crate) fn settings_for(ingresses: u32, quota_units_per_second: f64) -> Value {
     let class = |name: &str, effect: &str, group: &str| {
         json!({"Name": name, "Effect": effect, "Group": group, "Stream": false, "DeadlineMs": 4000.0,
--- a/crates/testbed/src/request.rs
+++ b/crates/testbed/src/request.rs
@@ -13,7 +13,7 @@
     encode("API.WRITE", &parameters("sign", 1), customer, id)
 }
 
-/// A request of a customer whose requests come through so many ingresses; `extra_parameters` is
+/// A request of a customer whose requests come through this many ingresses; `extra_parameters` is
 /// appended to its list of names and values.
 #[must_use]
 pub fn request_through(
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -55,7 +55,7 @@
 }
 
 impl Controller {
-    /// A controller that remembers so many addresses and has [`OPEN`] connections.
+    /// A controller that remembers this many addresses and has [`OPEN`] connections.
     fn new(addresses: usize) -> Controller {
         let policy = AdmissionPolicy {
             by_address: true,
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -10,7 +10,7 @@
 /// Longest file in bytes; the program rejects a longer one.
 const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// Reads a file of so many routes, with services and servers in proportion to the planned size.
+/// Reads a file of this many routes, with services and servers in proportion to the planned size.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
--- a/crates/testbed/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -23,7 +23,7 @@
     demand: Demand::ByServers,
 };
 
-/// Runs all of so many ingresses under the load of the peak.
+/// Runs all of this many ingresses under the load of the peak.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
--- a/crates/testbed/src/scale/daemon/faults/servers.rs
+++ b/crates/testbed/src/scale/daemon/faults/servers.rs
@@ -103,7 +103,7 @@
 }
 
 impl ColdAttempts {
-    /// Adds the attempts since so many events.
+    /// Adds the attempts since this many events.
     fn add(&mut self, testbed: &FaultTestbed, mark: usize) {
         let addresses: Vec<Ipv4Addr> = testbed.victim_service().addresses().collect();
         for (slot, attempts) in testbed.attempts_at_victim(mark) {
--- a/crates/testbed/src/scale/daemon/faults/testbed.rs
+++ b/crates/testbed/src/scale/daemon/faults/testbed.rs
@@ -61,7 +61,7 @@
         FaultTestbed::start_among(INGRESSES, options)
     }
 
-    /// A daemon whose settings name so many ingresses.
+    /// A daemon whose settings name this many ingresses.
     pub(super) fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<FaultTestbed> {
         let topology = ServiceTopology::long_tail(SERVERS, SERVICES, LARGEST, ROUTES);
         FaultTestbed::start_with(options, topology, ingresses)
@@ -167,7 +167,7 @@
         self.platform.servers.history.events()
     }
 
-    /// Attempts at the victim's servers since so many events, by the number of their address.
+    /// Attempts at the victim's servers since this many events, by the number of their address.
     pub(super) fn attempts_at_victim(&self, mark: usize) -> HashMap<usize, u64> {
         let slots: Vec<usize> = self
             .victim_service()
--- a/crates/testbed/src/scale/daemon/load.rs
+++ b/crates/testbed/src/scale/daemon/load.rs
@@ -112,7 +112,7 @@
         request_through(self.idempotent, tenant, id, self.ingress_count, &route)
     }
 
-    /// Plays it in an open loop for so long.
+    /// Plays it in an open loop for this long.
     pub(super) async fn play(&self, destination: SocketAddr, length: Duration) -> LoadOutcome {
         self.play_recorded(destination, length, None).await
     }
--- a/crates/testbed/src/scale/daemon/measured_daemon.rs
+++ b/crates/testbed/src/scale/daemon/measured_daemon.rs
@@ -29,8 +29,8 @@
 }
 
 impl MeasuredDaemon {
-    /// Starts the program with the endpoint list in its configuration, and waits until it responds to
-    /// `PING`.
+    /// Starts the program with the endpoint list in its configuration, and waits until it responds
+    /// to `PING`.
     pub(super) fn start(
         program: &Path,
         topology: &ServiceTopology,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Share of a core that the daemon uses over so long.
+    /// Share of a core that the daemon uses over this long.
     pub(super) fn core_share(&self, length: Duration) -> io::Result<f64> {
         let began_at = Instant::now();
         let before = self.daemon.scheduled_time()?;
--- a/crates/testbed/src/scale/daemon/options.rs
+++ b/crates/testbed/src/scale/daemon/options.rs
@@ -76,7 +76,7 @@
         self.settings_for(INGRESSES)
     }
 
-    /// The platform's settings for one of so many ingresses.
+    /// The platform's settings for one of this many ingresses.
     pub(super) fn settings_for(&self, ingresses: u32) -> Value {
         let mut settings = platform_settings::settings_for(ingresses, QUOTA_UNITS_PER_SECOND);
         settings["Ceilings"]["Probes"] = self.health_checks.into();
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -17,7 +17,7 @@
 /// Framing of a chunk around a line.
 const CHUNK_BYTES: usize = 8;
 
-/// Sends the restarts of servers to all of so many ingresses.
+/// Sends the restarts of servers to all of this many ingresses.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
--- a/crates/testbed/src/scale/events/mod.rs
+++ b/crates/testbed/src/scale/events/mod.rs
@@ -13,7 +13,7 @@
 use super::targets;
 use measurement::Figures;
 
-/// Runs each event with so many ingresses.
+/// Runs each event with this many ingresses.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::default();
     let first = run.sizes[0];
--- a/crates/testbed/src/scale/events/zone.rs
+++ b/crates/testbed/src/scale/events/zone.rs
@@ -29,7 +29,7 @@
     run.report("zone", "ingresses", figures.0, vec![run.division()])
 }
 
-/// The servers of one zone among so many.
+/// The servers of one zone among this many.
 fn zone_servers(servers: usize) -> impl Iterator<Item = usize> {
     (0..servers).step_by(ZONES)
 }
--- a/crates/testbed/src/scale/membership/fleet.rs
+++ b/crates/testbed/src/scale/membership/fleet.rs
@@ -171,7 +171,7 @@
             .all(|swim| Some(swim.digest()) == digest && swim.quorum().seen == count)
     }
 
-    /// Bytes of a member, in and out, since the fleet had sent so many.
+    /// Bytes of a member, in and out, since the fleet had sent this many.
     pub(super) fn bytes_of_member(&self, since: u64) -> f64 {
         2.0 * (self.bytes - since) as f64 / self.members.len() as f64
     }
--- a/crates/testbed/src/scale/membership/peers.rs
+++ b/crates/testbed/src/scale/membership/peers.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// The guard of a member, for so many peers.
+/// The guard of a member, for this many peers.
 pub(super) fn guard(number: usize, members: usize) -> Guard {
     Guard::new("scale", vec![Key::new(&[7; 32])], name(number), members + 1)
 }
--- a/crates/testbed/src/scale/membership/single_member.rs
+++ b/crates/testbed/src/scale/membership/single_member.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Runs for so long. In each period one of the peers pings the member, as in a fleet where each
-    /// pings one.
+    /// Runs for this long. In each period one of the peers pings the member, as in a fleet where
+    /// each pings one.
     pub(super) fn run(&mut self, length: Duration) {
         let until = self.now + length;
         let mut ping_at = self.now;
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -13,14 +13,14 @@
 
 /// A service of the mean size.
 const SERVERS: usize = 17;
-/// An ingress closes a connection to a server that has been idle for so long, by the testbed's
+/// An ingress closes a connection to a server that has been idle for this long, by the testbed's
 /// settings.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(12);
 const WARM_UP: Duration = IDLE_TIMEOUT;
 const LENGTH: Duration = Duration::from_secs(6);
 const STEP: Duration = Duration::from_secs(1);
 
-/// Runs one service's share of the traffic through all of so many ingresses.
+/// Runs one service's share of the traffic through all of this many ingresses.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
--- a/crates/testbed/src/scale/simulated_ingress/ingress.rs
+++ b/crates/testbed/src/scale/simulated_ingress/ingress.rs
@@ -23,7 +23,7 @@
     bytes: 64 << 20,
 };
 
-/// The platform's settings for one of so many ingresses.
+/// The platform's settings for one of this many ingresses.
 #[must_use]
 pub fn settings_of_ingress(ingresses: usize, number: usize) -> PlatformSettings {
     let mut settings = platform_settings::settings();
@@ -50,7 +50,7 @@
 }
 
 impl SimulatedIngress {
-    /// Number `number` of so many ingresses, which knows the services and no server yet.
+    /// Number `number` of this many ingresses, which knows the services and no server yet.
     #[must_use]
     pub fn new(
         endpoints: &Arc<EndpointSet>,
--- a/crates/testbed/src/scale/topology.rs
+++ b/crates/testbed/src/scale/topology.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// So many servers in so many services by a power law, the largest of this size.
+    /// So many servers in this many services by a power law, the largest of this size.
     pub(crate) fn long_tail(
         servers: u32,
         services: u32,
