--- a/crates/ingress/src/protocol/http.rs
+++ b/crates/ingress/src/protocol/http.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 as a client of the counter and of discovery.
+//! HTTP/1.1 as a client of the counter and of discovery: replies parsed, calls written.
 
 use super::{Malformed, Parsed, ProtocolLimits};
 use std::io::Write;
 
-/// How an answer's body is framed.
+/// How a reply's body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// So many bytes.
+    /// This many bytes.
     Length(usize),
     /// In chunks.
     Chunked,
@@ -14,19 +14,19 @@
     UntilEnd,
 }
 
-/// An answer's head.
+/// A reply's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     /// Status.
     pub status: u16,
     /// The body's framing.
     pub body: Body,
-    /// The other side will close after this answer.
+    /// The peer closes the connection after this reply.
     pub closes: bool,
 }
 
-/// The head of an answer and its length.
-pub fn head(input: &[u8], limits: &ProtocolLimits) -> Parsed<Head> {
+/// The head of a reply and its length.
+pub fn reply_head(input: &[u8], limits: &ProtocolLimits) -> Parsed<Head> {
     let seen = &input[..input.len().min(limits.max_line_bytes)];
     let Some(end) = seen.windows(4).position(|w| w == b"\r\n\r\n") else {
         return match input.len() >= limits.max_line_bytes {
@@ -103,14 +103,14 @@
     Ok(Some((&found[..size], start + size + 2)))
 }
 
-/// A whole answer with its body: what the counter sends. `ended`: the other side has ended its
-/// sending, which alone ends a body without a length; a reset does not.
-pub fn answer<'a>(
+/// A complete reply with its body, as the counter sends it. `ended`: the peer has ended its sending,
+/// which alone ends a body without a length; a reset does not.
+pub fn reply<'a>(
     input: &'a [u8],
     ended: bool,
     limits: &ProtocolLimits,
 ) -> Parsed<(Head, &'a [u8])> {
-    let Some((found, at)) = head(input, limits)? else {
+    let Some((found, at)) = reply_head(input, limits)? else {
         return Ok(None);
     };
     match found.body {
@@ -137,7 +137,7 @@
 }
 
 /// Appends a call to the counter.
-pub fn put_tally(out: &mut Vec<u8>, host: &str, name: u64, add: f64, keep_ms: u64) {
+pub fn put_increment(out: &mut Vec<u8>, host: &str, name: u64, add: f64, keep_ms: u64) {
     let _ = write!(
         out,
         "POST /tally/{name:016x}?n={add}&keep_ms={keep_ms} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
@@ -151,86 +151,3 @@
         "GET /discovery/hosts?watch=1&after={after} HTTP/1.1\r\nHost: {host}\r\n\r\n"
     );
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn limits() -> ProtocolLimits {
-        ProtocolLimits::new(192 << 20)
-    }
-
-    fn parsed(text: &str) -> Result<Option<(u16, String, bool, usize)>, Malformed> {
-        let found = answer(text.as_bytes(), false, &limits())?;
-        Ok(found.map(|((h, body), used)| {
-            (
-                h.status,
-                String::from_utf8_lossy(body).into(),
-                h.closes,
-                used,
-            )
-        }))
-    }
-
-    #[test]
-    fn a_total_comes_with_its_length_or_in_a_chunk() {
-        let plain = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\nX: y\r\n\r\n12.5HTTP";
-        assert_eq!(
-            parsed(plain),
-            Ok(Some((200, "12.5".into(), false, plain.len() - 4)))
-        );
-        let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n12\r\n0\r\n\r\n";
-        assert_eq!(
-            parsed(chunked),
-            Ok(Some((200, "12".into(), false, chunked.len())))
-        );
-        for end in 0..plain.len() - 4 {
-            assert_eq!(parsed(&plain[..end]), Ok(None), "{end}");
-        }
-    }
-
-    #[test]
-    fn a_refusal_may_close_and_an_odd_answer_is_malformed() {
-        let refusal = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-        assert_eq!(
-            parsed(refusal),
-            Ok(Some((503, String::new(), true, refusal.len())))
-        );
-        for bad in [
-            "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
-            "SMTP 200\r\n\r\n",
-        ] {
-            assert!(parsed(bad).is_err(), "{bad:?}");
-        }
-    }
-
-    #[test]
-    fn a_body_without_a_length_is_whole_when_the_sending_has_ended() {
-        let text = b"HTTP/1.1 200 OK\r\n\r\n12";
-        assert_eq!(answer(text, false, &limits()), Ok(None), "more may follow");
-        let (found, used) = answer(text, true, &limits()).unwrap().unwrap();
-        assert_eq!(
-            (found.0.body, found.1, used),
-            (Body::UntilEnd, &b"12"[..], text.len())
-        );
-        assert_eq!(
-            answer(&text[..18], true, &limits()),
-            Ok(None),
-            "its head is not whole"
-        );
-    }
-
-    #[test]
-    fn a_call_is_worded_as_the_counter_takes_it() {
-        let mut out = Vec::new();
-        put_tally(&mut out, "127.0.0.1:6400", 0xb4d65521, 2.5, 4000);
-        let text = String::from_utf8(out).unwrap();
-        assert!(
-            text.starts_with("POST /tally/00000000b4d65521?n=2.5&keep_ms=4000 HTTP/1.1\r\n"),
-            "{text}"
-        );
-        assert!(text.ends_with("\r\n\r\n"));
-    }
-}
--- a/crates/ingress/src/routing/counter_client/connection.rs
+++ b/crates/ingress/src/routing/counter_client/connection.rs
@@ -212,7 +212,7 @@
             let output = stream.output();
             let before = output.len();
             let keep_ms = call.time_to_live.as_millis().max(1) as u64;
-            http::put_tally(output, &to.host, call.key.0, call.amount, keep_ms);
+            http::put_increment(output, &to.host, call.key.0, call.amount, keep_ms);
             self.bytes_put += (output.len() - before) as u64;
             call.end = Some(self.bytes_put);
             self.has_output = true;
--- a/crates/ingress/src/routing/counter_client/replies.rs
+++ b/crates/ingress/src/routing/counter_client/replies.rs
@@ -45,8 +45,7 @@
         };
         loop {
             let input = stream.input();
-            let ((head, body), length) = match http::answer(input, is_ended, &self.limits.protocol)
-            {
+            let ((head, body), length) = match http::reply(input, is_ended, &self.limits.protocol) {
                 Ok(Some(found)) => found,
                 Ok(None) => {
                     let since = self.reply_part_since.or(Some(now));
--- a/crates/ingress/src/routing/discovery/call.rs
+++ b/crates/ingress/src/routing/discovery/call.rs
@@ -143,7 +143,7 @@
     /// Takes the head of the reply, past interim ones.
     fn take_head(&mut self) -> Result<(), CallError> {
         while self.body.is_none() {
-            let head = http::head(self.stream.input(), &self.limits.protocol)?;
+            let head = http::reply_head(self.stream.input(), &self.limits.protocol)?;
             match head {
                 Some((head, length)) if (100..=199).contains(&head.status) => {
                     self.stream.take(length);
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -180,8 +180,8 @@
         let used = [
             resp::command(&input, &limits).ok().flatten().map(|f| f.1),
             resp::value(&input, &limits).ok().flatten().map(|f| f.1),
-            http::answer(&input, false, &limits).ok().flatten().map(|f| f.1),
-            http::answer(&input, true, &limits).ok().flatten().map(|f| f.1),
+            http::reply(&input, false, &limits).ok().flatten().map(|f| f.1),
+            http::reply(&input, true, &limits).ok().flatten().map(|f| f.1),
             http::chunk(&input, &limits).ok().flatten().map(|f| f.1),
         ];
         prop_assert!(used.into_iter().flatten().all(|n| n > 0 && n <= input.len()));
