--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -141,8 +141,8 @@
         self.assumed_peer_units = 0.0;
     }
 
-    /// Whether the quota and the ceiling admit this many units. `is_confirmed`: a total has come for
-    /// them.
+    /// Whether the quota and the ceiling admit this many units. `is_confirmed`: a total has come
+    /// for them.
     pub(crate) fn admits(&self, units: f64, is_confirmed: bool) -> bool {
         self.is_under_ceiling(units, is_confirmed) && self.bucket.admits(units)
     }
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -1,7 +1,7 @@
 //! The platform's requests: `API.READ` and `API.WRITE`.
 //!
-//! The platform's field names (`c`, `t`, `d`, `units`, `spread`, `first`, `k`, `r`) are mapped here,
-//! and nowhere else.
+//! The platform's field names (`c`, `t`, `d`, `units`, `spread`, `first`, `k`, `r`) are mapped
+//! here, and nowhere else.
 
 use super::resp::{decimal, put_array, put_bulk, put_bulk_of};
 use roseyard_request_engine::MAX_NAME_BYTES;
--- a/crates/ingress/src/protocol/http.rs
+++ b/crates/ingress/src/protocol/http.rs
@@ -103,8 +103,8 @@
     Ok(Some((&found[..size], start + size + 2)))
 }
 
-/// A complete reply with its body, as the counter sends it. `ended`: the peer has ended its sending,
-/// which alone ends a body without a length; a reset does not.
+/// A complete reply with its body, as the counter sends it. `ended`: the peer has ended its
+/// sending, which alone ends a body without a length; a reset does not.
 pub fn reply<'a>(
     input: &'a [u8],
     ended: bool,
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Does the end of a line complete what is held? So it does for a whole list, for an empty line,
-    /// and for one that was cut: no string goes over a line end, and no list has an empty line.
+    /// Does the end of a line complete what is held? So it does for a whole list, for an empty
+    /// line, and for one that was cut: no string goes over a line end, and no list has an empty
+    /// line.
     fn is_complete(&self) -> bool {
         let line = self.held.rsplit(|byte| *byte == b'\n').next();
         let is_empty = line.unwrap_or_default().trim_ascii().is_empty();
--- a/crates/ingress/src/routing/counter_client/mod.rs
+++ b/crates/ingress/src/routing/counter_client/mod.rs
@@ -23,7 +23,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Spreads keys evenly over the connections, whatever their bits (2^64 divided by the golden ratio).
+/// Spreads keys evenly over the connections, whatever their bits (2^64 divided by the golden
+/// ratio).
 const KEY_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The counter's connections.
--- a/crates/ingress/src/routing/discovery/mod.rs
+++ b/crates/ingress/src/routing/discovery/mod.rs
@@ -165,8 +165,8 @@
         );
     }
 
-    /// Reads on the call with this serial number; a previous call that brings a line takes the place
-    /// of the present one. None if nothing more is to be done.
+    /// Reads on the call with this serial number; a previous call that brings a line takes the
+    /// place of the present one. None if nothing more is to be done.
     fn read(
         &mut self,
         serial: u32,
--- a/crates/ingress/src/routing/frontend/commands.rs
+++ b/crates/ingress/src/routing/frontend/commands.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// Parses a request by the schema. Prevents figures that would falsify another customer's quota, and
-/// requests that no endpoint takes.
+/// Parses a request by the schema. Prevents figures that would falsify another customer's quota,
+/// and requests that no endpoint takes.
 fn parse_request(
     words: &[&[u8]],
     owner: CommandId,
--- a/crates/ingress/src/routing/mod.rs
+++ b/crates/ingress/src/routing/mod.rs
@@ -8,9 +8,10 @@
 //! - [`discovery`]: the watch on the endpoint list
 //! - [`membership`]: the other ingresses
 //!
-//! [`driver`] joins the request engine with upstream, counter and discovery; the event loop joins it
-//! with frontend and membership. Neither the driver nor what it joins knows the platform's words for
-//! customers, classes and plans: the frontend hands it a [`Submission`] and gets the [`Response`].
+//! [`driver`] joins the request engine with upstream, counter and discovery; the event loop joins
+//! it with frontend and membership. Neither the driver nor what it joins knows the platform's words
+//! for customers, classes and plans: the frontend hands it a [`Submission`] and gets the
+//! [`Response`].
 
 pub mod counter_client;
 pub mod discovery;
--- a/crates/ingress/src/transport/deadlines.rs
+++ b/crates/ingress/src/transport/deadlines.rs
@@ -17,8 +17,8 @@
 }
 
 impl<D: Ord + Copy> Deadlines<D> {
-    /// Moves the deadline of `purpose` from where `slot` says to `at`, or cancels it. The owner keeps
-    /// the slot, so that a deadline can be moved without a search.
+    /// Moves the deadline of `purpose` from where `slot` says to `at`, or cancels it. The owner
+    /// keeps the slot, so that a deadline can be moved without a search.
     pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, purpose: D) {
         if let Some(old) = slot.take() {
             self.due.remove(&(old, purpose));
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -3,8 +3,8 @@
 //! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping,
 //! ping-req, ack, nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates,
 //! [`sync`] is anti-entropy, [`join`] finds the others, [`receive`] handles datagrams, [`apply`]
-//! merges records, [`timers`] runs what is due, [`health`] is local health and [`members`] the table
-//! of members.
+//! merges records, [`timers`] runs what is due, [`health`] is local health and [`members`] the
+//! table of members.
 
 mod apply;
 mod gossip;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! `roseyard-testbed`: fakes, load and faults around the real daemon. Everything stays on loopback and
-//! stops by itself.
+//! `roseyard-testbed`: fakes, load and faults around the real daemon. Everything stays on loopback
+//! and stops by itself.
 
 mod cli;
 
