--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -11,11 +11,12 @@
 use crate::routing::{Driver, EventSource, Frontend, Io, RequestSchema, Start};
 use crate::transport::{allowed, listen, spare, Deadlines, Poller};
 use roseyard_admission::DescriptorBudget;
+use roseyard_decision::Settings;
 use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use std::net::SocketAddr;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// The machine's limits by the platform's configuration and by the system.
 pub(super) fn machine_limits(config: &Config) -> MachineLimits {
@@ -34,7 +35,11 @@
             .map_err(ProgramError::OperatorSettings)?;
         let limits = Limits::new(&operator, config.limits.memory_mb, &config.settings);
         let mut io = open_io(&operator, &limits, clock)?;
-        let mut frontend = open_frontend(config, file, &operator, &limits, &mut io)?;
+        let listener = take_address(&config.listen, &limits)?;
+        let settings = config.settings.settings()?;
+        let mut frontend = open_frontend(
+            listener, &settings, config, file, &operator, &limits, &mut io,
+        )?;
         let snapshots = SnapshotStore::open(
             operator.reputation_snapshot,
             frontend.admission_mut(),
@@ -44,11 +49,9 @@
             let name = &config.name;
             tracing::info!(event = "listening", name, %address, "listening");
         }
-        let driver = open_driver(config, file, &limits, clock, &mut io)?;
-        let mut ready_due = None;
+        let driver = open_driver(config, settings, file, &limits, clock, &mut io)?;
         let latest_ready = io.now + limits.event_loop.ready_timeout;
-        io.deadlines
-            .set(&mut ready_due, Some(latest_ready), EventSource::Ready);
+        let ready_due = schedule(&mut io, latest_ready, EventSource::Ready);
         let mut snapshot_due = None;
         snapshots.schedule(&mut snapshot_due, &mut io);
         let membership = &operator.membership;
@@ -63,11 +66,9 @@
         let status_file = status_path
             .filter(|_| membership_driver.is_some())
             .map(StatusFile::new);
-        let mut status_due = None;
-        if status_file.is_some() {
-            io.deadlines
-                .set(&mut status_due, Some(io.now), EventSource::Status);
-        }
+        let now = io.now;
+        let first_status = status_file.as_ref();
+        let status_due = first_status.and_then(|_| schedule(&mut io, now, EventSource::Status));
         Ok(Program {
             io,
             driver,
@@ -113,18 +114,25 @@
     })
 }
 
+/// Sets a new deadline and returns its slot.
+fn schedule(io: &mut Io, at: Duration, source: EventSource) -> Option<Duration> {
+    let mut due = None;
+    io.deadlines.set(&mut due, Some(at), source);
+    due
+}
+
 fn open_frontend(
+    listener: OwnedFd,
+    settings: &Settings,
     config: &Config,
     file: &File,
     operator: &OperatorSettings,
     limits: &Limits,
     io: &mut Io,
 ) -> Result<Frontend, ProgramError> {
-    let listener = take_address(&config.listen, limits)?;
-    let settings = decision_settings(config)?;
     let route_field = file.services().route_field();
     let max_units = limits.frontend.max_units;
-    let schema = RequestSchema::new(&config.settings, &settings, max_units, route_field);
+    let schema = RequestSchema::new(&config.settings, settings, max_units, route_field);
     let secret = config.seed.rotate_left(HASH_SECRET_ROTATION) ^ HASH_SECRET_MASK;
     let policy = operator.policy.clone();
     Frontend::new(listener, schema, policy, secret, limits.frontend, io)
@@ -133,13 +141,14 @@
 
 fn open_driver(
     config: &Config,
+    settings: Settings,
     file: &File,
     limits: &Limits,
     clock: Clock,
     io: &mut Io,
 ) -> Result<Driver, ProgramError> {
     let start = Start {
-        settings: decision_settings(config)?,
+        settings,
         seed: config.seed,
         zones: config.settings.zone_names().to_vec(),
         directory: file.services().directory().clone(),
@@ -151,10 +160,6 @@
     Driver::new(start, &config.known, io).map_err(ProgramError::Settings)
 }
 
-fn decision_settings(config: &Config) -> Result<roseyard_decision::Settings, ProgramError> {
-    Ok(config.settings.settings()?)
-}
-
 /// Listens on the address. While another process holds it, retries for a while: a predecessor that
 /// is shutting down may not have closed its listener yet.
 fn take_address(address: &SocketAddr, limits: &Limits) -> Result<OwnedFd, ProgramError> {
