--- a/crates/ingress/src/program/event_loop.rs
+++ b/crates/ingress/src/program/event_loop.rs
@@ -104,7 +104,7 @@
         self.frontend.set_ready();
         self.io
             .deadlines
-            .set(&mut self.ready_due, None, EventSource::Ready);
+            .set(&mut self.ready_due, None, EventSource::ReadyTimeout);
         tracing::info!(event = "ready", "ready");
         if let Some(membership) = &mut self.membership {
             membership.on_serving(&mut self.io);
@@ -114,7 +114,7 @@
     fn on_ready(&mut self, event: Ready) {
         let driver = &mut self.driver;
         let io = &mut self.io;
-        match EventSource::of_token(event.token) {
+        match EventSource::from_token(event.token) {
             EventSource::Client(key) => self.frontend.on_client_ready(key, event, driver, io),
             EventSource::Upstream(key) => driver.on_upstream_ready(key, event, io),
             EventSource::Counter(n, serial) => driver.on_counter_ready(n, serial, event, io),
@@ -143,7 +143,7 @@
             EventSource::Snapshot => self.on_snapshot_due(),
             EventSource::Membership => self.membership.iter_mut().for_each(|m| m.on_due(io)),
             EventSource::Status => self.on_status_due(),
-            EventSource::Ready => self.ready_due = None,
+            EventSource::ReadyTimeout => self.ready_due = None,
             EventSource::Shutdown => self.on_shutdown_due(),
             EventSource::Signal => {}
         }
@@ -185,7 +185,7 @@
 
 fn is_discovery(event: &Ready) -> bool {
     matches!(
-        EventSource::of_token(event.token),
+        EventSource::from_token(event.token),
         EventSource::Discovery(_)
     )
 }
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -61,7 +61,10 @@
         let io = &mut self.io;
         // Cannot fail: the shares were checked against the total just now.
         let limits = operator.descriptor_limits;
-        if let Err(error) = io.budget.set_limits(operator.descriptors, limits) {
+        if let Err(error) = io
+            .descriptor_budget
+            .set_limits(operator.descriptors, limits)
+        {
             tracing::warn!(
                 event = "reload.descriptors",
                 %error,
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -8,7 +8,7 @@
 use crate::clock::Clock;
 use crate::limits::Limits;
 use crate::routing::membership::MembershipDriver;
-use crate::routing::{Driver, EventSource, Frontend, Io, RequestSchema, Start};
+use crate::routing::{Driver, DriverConfig, EventSource, Frontend, Io, RequestSchema};
 use crate::transport::{allowed, listen, spare, Deadlines, Poller};
 use roseyard_admission::DescriptorBudget;
 use roseyard_decision::Settings;
@@ -51,7 +51,7 @@
         }
         let driver = open_driver(config, settings, file, &limits, clock, &mut io)?;
         let latest_ready = io.now + limits.event_loop.ready_timeout;
-        let ready_due = schedule(&mut io, latest_ready, EventSource::Ready);
+        let ready_due = schedule(&mut io, latest_ready, EventSource::ReadyTimeout);
         let mut snapshot_due = None;
         snapshots.schedule(&mut snapshot_due, &mut io);
         let membership = &operator.membership;
@@ -103,14 +103,14 @@
 fn open_io(operator: &OperatorSettings, limits: &Limits, clock: Clock) -> Result<Io, ProgramError> {
     let poller =
         Poller::new(limits.event_loop.max_events_per_wait).map_err(ProgramError::Poller)?;
-    let budget = DescriptorBudget::new(operator.descriptors, operator.descriptor_limits)
+    let descriptor_budget = DescriptorBudget::new(operator.descriptors, operator.descriptor_limits)
         .map_err(ProgramError::Descriptors)?;
     Ok(Io {
         poller,
         deadlines: Deadlines::default(),
         now: clock.now(),
-        budget,
-        spare: spare(),
+        descriptor_budget,
+        spare_descriptor: spare(),
     })
 }
 
@@ -147,7 +147,7 @@
     clock: Clock,
     io: &mut Io,
 ) -> Result<Driver, ProgramError> {
-    let start = Start {
+    let driver_config = DriverConfig {
         settings,
         seed: config.seed,
         zones: config.settings.zone_names().to_vec(),
@@ -157,7 +157,7 @@
         counter: config.counter,
         limits: limits.driver,
     };
-    Driver::new(start, &config.known, io).map_err(ProgramError::Settings)
+    Driver::new(driver_config, &config.known, io).map_err(ProgramError::Settings)
 }
 
 /// Listens on the address. While another process holds it, retries for a while: a predecessor that
--- a/crates/ingress/src/routing/driver/events.rs
+++ b/crates/ingress/src/routing/driver/events.rs
@@ -33,13 +33,13 @@
     pub fn on_discovery_ready(&mut self, serial: u32, ready: Ready, io: &mut Io) {
         let Driver {
             watch,
-            list_reader,
+            list_applier,
             engine,
             upstream,
             ..
         } = self;
         watch.on_ready(serial, ready, io, &mut |list, io| {
-            list_reader.apply(list, engine, upstream, io);
+            list_applier.apply(list, engine, upstream, io);
         });
     }
 
--- a/crates/ingress/src/routing/driver/mod.rs
+++ b/crates/ingress/src/routing/driver/mod.rs
@@ -5,11 +5,11 @@
 mod rejections;
 mod start;
 
-pub use start::{DriverLimits, Start};
+pub use start::{DriverConfig, DriverLimits};
 
 use super::counter_client::CounterClient;
 use super::discovery::DiscoveryWatch;
-use super::endpoint_list::EndpointListReader;
+use super::endpoint_list::EndpointListApplier;
 use super::engine::{CommandId, CommandResponse, IngressEngine, Response, Submission};
 use super::event_source::EventSource;
 use super::io::Io;
@@ -32,7 +32,7 @@
     upstream: Upstream,
     counter: Option<CounterClient>,
     watch: DiscoveryWatch,
-    list_reader: EndpointListReader,
+    list_applier: EndpointListApplier,
     responses: Vec<CommandResponse>,
     rejections: Rejections,
     engine_due: Option<Duration>,
@@ -44,30 +44,30 @@
     /// # Errors
     /// The settings' error if they do not fit together.
     pub fn new(
-        start: Start,
+        config: DriverConfig,
         known: &EndpointListMessage,
         io: &mut Io,
     ) -> Result<Driver, SettingsError> {
-        let limits = start.limits;
-        let mut settings = start.settings;
-        let counter = start_counter(start.counter, &mut settings, limits.counter);
+        let limits = config.limits;
+        let mut settings = config.settings;
+        let counter = start_counter(config.counter, &mut settings, limits.counter);
         let mut driver = Driver {
-            engine: RequestEngine::new(settings, start.seed, limits.engine)?,
+            engine: RequestEngine::new(settings, config.seed, limits.engine)?,
             upstream: Upstream::new(limits.upstream),
             counter,
-            watch: DiscoveryWatch::new(start.discovery, limits.discovery, start.seed),
-            list_reader: EndpointListReader {
-                zones: start.zones,
-                clock: start.clock,
+            watch: DiscoveryWatch::new(config.discovery, limits.discovery, config.seed),
+            list_applier: EndpointListApplier {
+                zones: config.zones,
+                clock: config.clock,
             },
             responses: Vec::new(),
             rejections: Rejections::default(),
             engine_due: None,
         };
         // Before the list: each endpoint is put into its service at once.
-        driver.set_directory(&start.directory);
+        driver.set_directory(&config.directory);
         driver
-            .list_reader
+            .list_applier
             .apply(known, &mut driver.engine, &mut driver.upstream, io);
         driver.open_watch(io);
         driver.run(io);
@@ -80,13 +80,13 @@
             // Lists that the old address has sent and that were not read yet are not lost.
             let Driver {
                 watch,
-                list_reader,
+                list_applier,
                 engine,
                 upstream,
                 ..
             } = self;
             watch.read_remaining(io, &mut |list, io| {
-                list_reader.apply(list, engine, upstream, io);
+                list_applier.apply(list, engine, upstream, io);
             });
             self.watch.migrate_to(discovery);
             self.open_watch(io);
--- a/crates/ingress/src/routing/driver/start.rs
+++ b/crates/ingress/src/routing/driver/start.rs
@@ -22,7 +22,7 @@
 }
 
 /// What the driver is started with.
-pub struct Start {
+pub struct DriverConfig {
     /// The decisions' settings.
     pub settings: Settings,
     /// Seed of their random numbers.
--- a/crates/ingress/src/routing/endpoint_list.rs
+++ b/crates/ingress/src/routing/endpoint_list.rs
@@ -7,13 +7,13 @@
 use crate::protocol::list::EndpointListMessage;
 
 /// What an endpoint list is read by.
-pub(super) struct EndpointListReader {
+pub(super) struct EndpointListApplier {
     /// Names of the zones, by index.
     pub(super) zones: Vec<String>,
     pub(super) clock: Clock,
 }
 
-impl EndpointListReader {
+impl EndpointListApplier {
     /// Applies a list; idle connections to endpoints that take no more requests are closed.
     pub(super) fn apply(
         &self,
@@ -27,7 +27,7 @@
         for endpoint in applied.stale {
             upstream.close_idle(endpoint, io);
             if engine.endpoint_registry().get(endpoint).is_none() {
-                upstream.forget(endpoint);
+                upstream.remove_endpoint(endpoint);
             }
         }
         let revision = list.revision;
--- a/crates/ingress/src/routing/event_source.rs
+++ b/crates/ingress/src/routing/event_source.rs
@@ -33,7 +33,7 @@
     /// A client's connection.
     Client(Key),
     /// The time-out of the first reply of discovery: `PING` is answered.
-    Ready,
+    ReadyTimeout,
     /// The next step of the shutdown.
     Shutdown,
 }
@@ -64,7 +64,7 @@
             EventSource::Membership => (MEMBERSHIP, 0),
             EventSource::Signal
             | EventSource::Engine
-            | EventSource::Ready
+            | EventSource::ReadyTimeout
             | EventSource::Shutdown
             | EventSource::AdmissionSummary
             | EventSource::RejectionSummary
@@ -76,7 +76,7 @@
 
     /// The source of a token.
     #[must_use]
-    pub fn of_token(token: u64) -> EventSource {
+    pub fn from_token(token: u64) -> EventSource {
         let id = token & ((1 << KIND_SHIFT) - 1);
         match token >> KIND_SHIFT {
             CLIENT => EventSource::Client(Key::unpack(id)),
--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -34,10 +34,10 @@
 
     /// Holds a spare descriptor again after it was used.
     pub fn restore_spare(&mut self, io: &mut Io) {
-        if io.spare.is_none() {
-            io.spare = spare();
-            if io.spare.is_none() && self.evict_client(io) {
-                io.spare = spare();
+        if io.spare_descriptor.is_none() {
+            io.spare_descriptor = spare();
+            if io.spare_descriptor.is_none() && self.evict_client(io) {
+                io.spare_descriptor = spare();
             }
         }
     }
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -73,7 +73,9 @@
         io.poller
             .add_level(&socket, EventSource::Listener.token())?;
         for of in RESERVED_DESCRIPTORS {
-            while io.budget.used(of) < io.budget.limits(of).guaranteed && io.budget.take(of) {}
+            while io.descriptor_budget.used(of) < io.descriptor_budget.limits(of).guaranteed
+                && io.descriptor_budget.take(of)
+            {}
         }
         Ok(Listener {
             socket: Some(socket),
@@ -149,12 +151,12 @@
     /// Rejects one connection with the spare descriptor, and pauses. Prevents a loop that spins on
     /// a listener when no descriptor is left.
     pub(super) fn reject_one(&mut self, io: &mut Io) {
-        io.spare = None;
+        io.spare_descriptor = None;
         let socket = self.socket.as_ref();
         if let Some(Ok((stream, _))) = socket.map(|socket| accept(socket, READ_BUFFER_BYTES)) {
             reject(stream, self.controller.policy().retry_after);
         }
-        io.spare = spare();
+        io.spare_descriptor = spare();
         tracing::warn!(
             event = "clients.descriptors_exhausted",
             "descriptors exhausted, accepting paused"
@@ -190,7 +192,7 @@
         let Some(socket) = self.socket.take() else {
             return;
         };
-        io.spare = None;
+        io.spare_descriptor = None;
         for _ in 0..self.limits.listen_backlog {
             match accept(&socket, READ_BUFFER_BYTES) {
                 Ok((stream, _)) => reject(stream, self.controller.policy().retry_after),
@@ -198,7 +200,7 @@
                 Err(_) => break,
             }
         }
-        io.spare = spare();
+        io.spare_descriptor = spare();
     }
 
     /// Logs what was rejected since the last summary, by reason.
--- a/crates/ingress/src/routing/frontend/mod.rs
+++ b/crates/ingress/src/routing/frontend/mod.rs
@@ -252,7 +252,7 @@
     let mut client = clients.remove(key)?;
     io.deadlines
         .set(&mut client.due, None, EventSource::Client(key));
-    io.budget.release(DescriptorUse::Clients);
+    io.descriptor_budget.release(DescriptorUse::Clients);
     *buffered_bytes -= client.buffered_bytes;
     Some(client)
 }
--- a/crates/ingress/src/routing/io.rs
+++ b/crates/ingress/src/routing/io.rs
@@ -21,9 +21,9 @@
     /// The time of this round.
     pub now: Duration,
     /// Descriptors, by what they are for.
-    pub budget: DescriptorBudget,
+    pub descriptor_budget: DescriptorBudget,
     /// A descriptor held unused, released when the system has none left.
-    pub spare: Option<OwnedFd>,
+    pub spare_descriptor: Option<OwnedFd>,
 }
 
 impl Io {
@@ -34,7 +34,7 @@
     /// The system's error if the connection cannot be begun.
     pub fn connect(&mut self, to: &SocketAddr) -> rustix::io::Result<Stream> {
         match connect(to, READ_BUFFER_BYTES) {
-            Err(error) if is_fd_shortage(error) && self.spare.take().is_some() => {
+            Err(error) if is_fd_shortage(error) && self.spare_descriptor.take().is_some() => {
                 connect(to, READ_BUFFER_BYTES)
             }
             opened => opened,
--- a/crates/ingress/src/routing/mod.rs
+++ b/crates/ingress/src/routing/mod.rs
@@ -27,7 +27,7 @@
 
 pub use counter_client::CounterLimits;
 pub use discovery::DiscoveryLimits;
-pub use driver::{Driver, DriverLimits, Start};
+pub use driver::{Driver, DriverConfig, DriverLimits};
 pub use engine::{CommandId, CommandResponse, IngressEngine, Response, Submission};
 pub use event_source::EventSource;
 pub use frontend::{Frontend, FrontendLimits, RequestSchema};
--- a/crates/ingress/src/routing/upstream/attempts.rs
+++ b/crates/ingress/src/routing/upstream/attempts.rs
@@ -50,7 +50,7 @@
             return Err(Outcome::ConnectFailed);
         }
         let Ok(stream) = self.pool.connect(&address, io) else {
-            io.budget.release(DescriptorUse::Upstream);
+            io.descriptor_budget.release(DescriptorUse::Upstream);
             return Err(Outcome::ConnectFailed);
         };
         let key = self.pool.connections.insert_with(|_| UpstreamConnection {
--- a/crates/ingress/src/routing/upstream/mod.rs
+++ b/crates/ingress/src/routing/upstream/mod.rs
@@ -77,8 +77,8 @@
     }
 
     /// Forgets an endpoint that is no longer listed.
-    pub fn forget(&mut self, endpoint: EndpointId) {
-        self.pool.forget(endpoint);
+    pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
+        self.pool.remove_endpoint(endpoint);
     }
 
     /// Begins an attempt, to be given up at the deadline.
--- a/crates/ingress/src/routing/upstream/pool.rs
+++ b/crates/ingress/src/routing/upstream/pool.rs
@@ -57,7 +57,7 @@
 
     /// Takes a descriptor for this use; an idle connection is closed if there is none.
     pub(super) fn take_descriptor(&mut self, of: DescriptorUse, io: &mut Io) -> bool {
-        io.budget.take(of) || self.evict_idle(io) && io.budget.take(of)
+        io.descriptor_budget.take(of) || self.evict_idle(io) && io.descriptor_budget.take(of)
     }
 
     /// Closes the idle connection that was used longest ago; false if none is idle.
@@ -145,7 +145,7 @@
         let Some(mut connection) = self.connections.remove(key) else {
             return;
         };
-        io.budget.release(DescriptorUse::Upstream);
+        io.descriptor_budget.release(DescriptorUse::Upstream);
         self.idle_by_age.remove(&(connection.last_used_at, key));
         io.deadlines
             .set(&mut connection.due, None, EventSource::Upstream(key));
@@ -180,7 +180,7 @@
     }
 
     /// Forgets an endpoint that is no longer listed.
-    pub(super) fn forget(&mut self, endpoint: EndpointId) {
+    pub(super) fn remove_endpoint(&mut self, endpoint: EndpointId) {
         self.endpoints.remove(&endpoint);
     }
 }
