--- a/crates/decision/src/balancer/endpoint_table.rs
+++ b/crates/decision/src/balancer/endpoint_table.rs
@@ -1,7 +1,7 @@
 //! The endpoints of a service that have a state: all listed ones, unless there are very many.
 
 use crate::balancer::endpoint_ring::EndpointRing;
-use crate::balancer::subset::{subset_weights, KNOWN_ENDPOINTS_MIN, SUBSET_ENDPOINTS_MIN};
+use crate::balancer::subset::{subset_weights, MIN_KNOWN_ENDPOINTS, MIN_SUBSET_ENDPOINTS};
 use crate::endpoint::{Endpoint, Endpoints};
 use crate::event::{EndpointEntry, EndpointState};
 use crate::health::circuit_breaker::CircuitBreaker;
@@ -32,7 +32,7 @@
     /// removed.
     pub(crate) fn update(&mut self, entry: &EndpointEntry, now: f64, rng: &mut Rng) {
         self.ring.update(entry);
-        let is_list_short = self.ring.len() as f64 <= KNOWN_ENDPOINTS_MIN;
+        let is_list_short = self.ring.len() as f64 <= MIN_KNOWN_ENDPOINTS;
         if is_list_short || self.endpoints.contains_key(&entry.endpoint) {
             self.upsert(*entry, now, rng);
         }
@@ -71,8 +71,8 @@
                 &weights,
             )
         };
-        let subset = arc(SUBSET_ENDPOINTS_MIN);
-        let known = arc(KNOWN_ENDPOINTS_MIN);
+        let subset = arc(MIN_SUBSET_ENDPOINTS);
+        let known = arc(MIN_KNOWN_ENDPOINTS);
         for ((entry, subset_weight), known_weight) in ring.iter().zip(subset).zip(known) {
             let is_known = known_weight > 0.0;
             if is_known && !self.endpoints.contains_key(&entry.endpoint) {
@@ -112,7 +112,7 @@
 fn new_endpoint(entry: EndpointEntry, sample: f64, now: f64) -> Endpoint {
     Endpoint {
         entry,
-        budget_sample: HeldSample {
+        slow_start_sample: HeldSample {
             value: sample,
             drawn_at: 0.0,
         },
--- a/crates/decision/src/balancer/slow_start.rs
+++ b/crates/decision/src/balancer/slow_start.rs
@@ -83,7 +83,7 @@
         warm_up_ratio: f64,
     ) -> bool {
         let budget = warm_up_ratio * self.requests * subset_weight;
-        let used = endpoint.recent_forwards.len() as f64 + endpoint.budget_sample.value;
+        let used = endpoint.recent_forwards.len() as f64 + endpoint.slow_start_sample.value;
         let is_used_up = used >= budget;
         warm_up_ratio >= 1.0 || !is_used_up
     }
--- a/crates/decision/src/balancer/subset.rs
+++ b/crates/decision/src/balancer/subset.rs
@@ -7,13 +7,13 @@
 //! ingresses reach all endpoints, and an endpoint that comes or goes moves little of each arc.
 
 /// Least number of endpoints in a subset: with fewer, a few outliers leave no choice.
-pub(crate) const SUBSET_ENDPOINTS_MIN: f64 = 12.0;
+pub(crate) const MIN_SUBSET_ENDPOINTS: f64 = 12.0;
 /// Least number of arcs over each point of the ring: with fewer, the traffic of single ingresses
 /// shows at endpoints.
-pub(crate) const ARCS_OVER_ENDPOINT_MIN: f64 = 4.0;
+pub(crate) const MIN_ARCS_PER_ENDPOINT: f64 = 4.0;
 /// Least number of endpoints that an ingress keeps state for: enough for the case that its whole
 /// subset fails.
-pub(crate) const KNOWN_ENDPOINTS_MIN: f64 = 256.0;
+pub(crate) const MIN_KNOWN_ENDPOINTS: f64 = 256.0;
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 /// The part, 0 to 1, of each endpoint that lies on the arc of one ingress, an arc of at least
@@ -26,7 +26,7 @@
 ) -> Vec<f64> {
     let count = weights.len() as f64;
     let total = weights.iter().sum::<f64>();
-    let endpoints = min_endpoints.max(ARCS_OVER_ENDPOINT_MIN * count / f64::from(ingress_count));
+    let endpoints = min_endpoints.max(MIN_ARCS_PER_ENDPOINT * count / f64::from(ingress_count));
     let arc = total * (endpoints / count.max(1.0));
     if arc >= total {
         return vec![1.0; weights.len()];
--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -70,7 +70,7 @@
     /// When attempts were forwarded to it within [`forward_window_seconds`], oldest first.
     pub recent_forwards: VecDeque<f64>,
     /// Decides whether a fraction of one request is left of the slow-start budget.
-    pub budget_sample: HeldSample,
+    pub slow_start_sample: HeldSample,
 }
 
 impl Endpoint {
--- a/crates/decision/src/health/outlier.rs
+++ b/crates/decision/src/health/outlier.rs
@@ -16,7 +16,7 @@
 const EJECTION_TRIAL_INTERVAL_SECONDS: f64 = 2.0;
 /// A failure weighs as much as this many requests in flight.
 const FAILURE_LOAD_REQUESTS: f64 = 3.0;
-pub(crate) const FAILURE_DECAY_MIN_SECONDS: f64 = 4.0;
+pub(crate) const MIN_FAILURE_DECAY_SECONDS: f64 = 4.0;
 const FAILURE_DECAY_MAX_SECONDS: f64 = 30.0;
 /// A failure decays over this many visits of this ingress: otherwise an ingress with few requests
 /// would have forgotten it by its next one.
@@ -99,7 +99,7 @@
     }
     let window = forward_window_seconds(limits);
     (FAILURE_DECAY_VISITS * window * subset_endpoints / f64::max(forwards, 1.0))
-        .clamp(FAILURE_DECAY_MIN_SECONDS, FAILURE_DECAY_MAX_SECONDS)
+        .clamp(MIN_FAILURE_DECAY_SECONDS, FAILURE_DECAY_MAX_SECONDS)
 }
 
 /// The failures of an endpoint as requests in flight.
--- a/crates/decision/src/quota/mod.rs
+++ b/crates/decision/src/quota/mod.rs
@@ -32,7 +32,7 @@
 const EXTRAPOLATED_CALL_RATIO_MIN: f64 = 0.25;
 
 /// What the quota answers to a new request.
-pub(crate) enum Verdict {
+pub(crate) enum QuotaCheck {
     /// The counter is called; its total is awaited for this long.
     AwaitCounter { wait_seconds: f64 },
     /// To be decided without a total.
@@ -81,7 +81,7 @@
         rng: &mut Rng,
         now: f64,
         actions: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> QuotaCheck {
         let plan = &self.settings.plans[request.plan];
         let ingress_count = request.ingress_count.clamp(1, self.settings.ingress_count);
         let ingress_count = f64::from(ingress_count);
@@ -92,26 +92,26 @@
         });
         customer.sharing.ingress_count = customer.sharing.ingress_count.max(ingress_count);
         if customer.is_at_concurrency_limit(plan.max_concurrent) {
-            return Verdict::ConcurrencyLimit;
+            return QuotaCheck::ConcurrencyLimit;
         }
         customer.refill(now);
         customer.recent_requests += 1.0;
         let is_sampled = rng.f64() < self.sampling.counter_call_ratio;
         if !has_counter || !is_sampled {
-            return Verdict::DecideLocally;
+            return QuotaCheck::DecideLocally;
         }
         let over_quota_is_free = plan.over_quota_cost <= 0.0;
         if self.sampling.is_reduced()
             && customer.can_skip_counter(request.units, over_quota_is_free)
         {
-            return Verdict::DecideLocally;
+            return QuotaCheck::DecideLocally;
         }
         actions.push(Action::IncrementCounter {
             key: CounterKey(request.customer.0),
             amount: customer.start_call(request, self.sampling.counter_call_ratio),
             time_to_live: duration(customer.window_seconds),
         });
-        Verdict::AwaitCounter {
+        QuotaCheck::AwaitCounter {
             wait_seconds: self.sampling.wait_seconds,
         }
     }
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -3,7 +3,7 @@
 use crate::event::IncomingRequest;
 use crate::ids::RequestId;
 use crate::load_shedding;
-use crate::quota::Verdict;
+use crate::quota::QuotaCheck;
 use crate::rejection::{RejectReason, ShedLoad};
 use crate::service::hedging::HEDGE_DELAY_MEAN_LATENCIES;
 use crate::service::request::Request;
@@ -34,15 +34,15 @@
         if !self.is_maintenance_scheduled {
             self.on_maintenance_timer(state);
         }
-        let verdict = state
+        let quota_check = state
             .quotas
             .admit(incoming, &mut self.rng, state.now, state.actions);
-        match verdict {
-            Verdict::AwaitCounter { wait_seconds } => self
+        match quota_check {
+            QuotaCheck::AwaitCounter { wait_seconds } => self
                 .timers
                 .set(duration(state.now + wait_seconds), Timer::CounterWait(id)),
-            Verdict::DecideLocally => self.decide_locally(id, true, state),
-            Verdict::ConcurrencyLimit => {
+            QuotaCheck::DecideLocally => self.decide_locally(id, true, state),
+            QuotaCheck::ConcurrencyLimit => {
                 self.finish_unserved(id, RejectReason::ConcurrencyLimit, state);
             }
         }
@@ -133,7 +133,9 @@
         let now = state.now;
         let hold_seconds = SAMPLE_HELD_MEAN_LATENCIES * self.upstream.latency.mean(class);
         let shedder = &mut self.upstream.load_shedder;
-        shedder.sample.renew(now, hold_seconds, &mut self.rng);
+        shedder
+            .sample
+            .renew_if_expired(now, hold_seconds, &mut self.rng);
         let sample = shedder.sample.value;
         let shed_load = self.upstream.shed_load(class, sample, now);
         shed_load.filter(|_| !self.may_measure_latency(state) && !self.is_only_request(state))
--- a/crates/decision/src/service/upstream.rs
+++ b/crates/decision/src/service/upstream.rs
@@ -132,7 +132,7 @@
     /// and needs no walk over the endpoints.
     fn failure_decay_seconds(&self, outcome: Outcome) -> f64 {
         if outcome == Outcome::Ok {
-            return outlier::FAILURE_DECAY_MIN_SECONDS;
+            return outlier::MIN_FAILURE_DECAY_SECONDS;
         }
         let endpoints = &self.balancer.table.endpoints;
         outlier::failure_decay_seconds(endpoints, &self.settings.endpoint_limits)
@@ -190,7 +190,9 @@
         let window = forward_window_seconds(&self.settings.endpoint_limits);
         let table = &mut self.balancer.table;
         for endpoint in table.endpoints.values_mut() {
-            endpoint.budget_sample.renew(now, window, rng);
+            endpoint
+                .slow_start_sample
+                .renew_if_expired(now, window, rng);
             endpoint.expire_forwards(window, now);
         }
         self.health_checks
--- a/crates/decision/src/util/held_random.rs
+++ b/crates/decision/src/util/held_random.rs
@@ -10,7 +10,12 @@
 
 impl HeldSample {
     /// Draws a new number if the last one was drawn `hold_seconds` ago or earlier.
-    pub(crate) fn renew(&mut self, now: f64, hold_seconds: f64, rng: &mut fastrand::Rng) {
+    pub(crate) fn renew_if_expired(
+        &mut self,
+        now: f64,
+        hold_seconds: f64,
+        rng: &mut fastrand::Rng,
+    ) {
         if now >= self.drawn_at + hold_seconds {
             *self = HeldSample {
                 value: rng.f64(),
--- a/crates/decision/tests/subset.rs
+++ b/crates/decision/tests/subset.rs
@@ -9,7 +9,7 @@
 /// The number of endpoints in an arc, by the weights of all.
 fn arc_endpoints(ingress_count: u32, min_endpoints: f64, weights: &[f64]) -> f64 {
     let count = weights.len() as f64;
-    min_endpoints.max(ARCS_OVER_ENDPOINT_MIN * count / f64::from(ingress_count))
+    min_endpoints.max(MIN_ARCS_PER_ENDPOINT * count / f64::from(ingress_count))
 }
 
 proptest! {
@@ -22,9 +22,9 @@
     ) {
         let mut sums = vec![0.0; weights.len()];
         let (count, total) = (weights.len() as f64, weights.iter().sum::<f64>());
-        let arc = arc_endpoints(ingress_count, SUBSET_ENDPOINTS_MIN, &weights).min(count) / count;
+        let arc = arc_endpoints(ingress_count, MIN_SUBSET_ENDPOINTS, &weights).min(count) / count;
         for ingress in 0..ingress_count {
-            let parts = subset_weights(ingress, ingress_count, SUBSET_ENDPOINTS_MIN, &weights);
+            let parts = subset_weights(ingress, ingress_count, MIN_SUBSET_ENDPOINTS, &weights);
             let own: f64 = parts.iter().zip(&weights).map(|(part, weight)| part * weight).sum();
             prop_assert!(
                 (own / total - arc).abs() < 1e-9,
@@ -47,8 +47,8 @@
     ) {
         let mut ingresses_of = vec![0u32; weights.len()];
         for ingress in 0..ingress_count {
-            let subset = subset_weights(ingress, ingress_count, SUBSET_ENDPOINTS_MIN, &weights);
-            let known = subset_weights(ingress, ingress_count, KNOWN_ENDPOINTS_MIN, &weights);
+            let subset = subset_weights(ingress, ingress_count, MIN_SUBSET_ENDPOINTS, &weights);
+            let known = subset_weights(ingress, ingress_count, MIN_KNOWN_ENDPOINTS, &weights);
             prop_assert!(subset.iter().zip(&known).all(|(inside, near)| *inside <= near + 1e-9));
             for (ingresses, part) in ingresses_of.iter_mut().zip(&known) {
                 *ingresses += u32::from(*part > 0.0);
@@ -56,7 +56,7 @@
         }
         // As many ingresses know an endpoint as begin on it or within one arc before it.
         let (count, total) = (weights.len() as f64, weights.iter().sum::<f64>());
-        let known = arc_endpoints(ingress_count, KNOWN_ENDPOINTS_MIN, &weights) / count;
+        let known = arc_endpoints(ingress_count, MIN_KNOWN_ENDPOINTS, &weights) / count;
         for (weight, ingresses) in weights.iter().zip(ingresses_of) {
             let even = (known + weight / total).min(1.0) * f64::from(ingress_count);
             prop_assert!(
@@ -74,8 +74,8 @@
     ) {
         let mut more = weights.clone();
         more.insert(at, 1.0);
-        let before = subset_weights(ingress, 100, SUBSET_ENDPOINTS_MIN, &weights);
-        let mut after = subset_weights(ingress, 100, SUBSET_ENDPOINTS_MIN, &more);
+        let before = subset_weights(ingress, 100, MIN_SUBSET_ENDPOINTS, &weights);
+        let mut after = subset_weights(ingress, 100, MIN_SUBSET_ENDPOINTS, &more);
         after.remove(at);
         let moved: f64 = before.iter().zip(&after).map(|(a, b)| (a - b).abs()).sum();
         prop_assert!(moved < 3.0, "{moved} endpoints' worth of an arc moved");
