--- a/crates/ingress/src/program/event_loop.rs
+++ b/crates/ingress/src/program/event_loop.rs
@@ -53,7 +53,7 @@
         }
         self.serve_once_synced();
         self.decide_and_write();
-        self.frontend.restore_spare(&mut self.io);
+        self.frontend.restore_spare_descriptor(&mut self.io);
         self.accept_connections();
         Ok(!self.is_over())
     }
@@ -64,7 +64,8 @@
             self.on_ready(*event);
         }
         self.serve_once_synced();
-        self.frontend.read_scheduled(&mut self.driver, &mut self.io);
+        self.frontend
+            .read_scheduled_clients(&mut self.driver, &mut self.io);
         for event in events.drain(..).filter(|event| !is_discovery(event)) {
             self.on_ready(event);
         }
--- a/crates/ingress/src/program/shutdown.rs
+++ b/crates/ingress/src/program/shutdown.rs
@@ -95,7 +95,7 @@
             "drain deadline exceeded, open requests answered"
         );
         self.driver.stop();
-        self.frontend.stop();
+        self.frontend.close_connections();
         self.schedule_next_phase(self.shutdown_limits.linger_timeout);
     }
 
--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -33,7 +33,7 @@
     }
 
     /// Holds a spare descriptor again after it was used.
-    pub fn restore_spare(&mut self, io: &mut Io) {
+    pub fn restore_spare_descriptor(&mut self, io: &mut Io) {
         if io.spare_descriptor.is_none() {
             io.spare_descriptor = spare();
             if io.spare_descriptor.is_none() && self.evict_client(io) {
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -37,7 +37,7 @@
     }
 
     /// Reads on from those that had more input than one round may read.
-    pub fn read_scheduled(&mut self, driver: &mut Driver, io: &mut Io) {
+    pub fn read_scheduled_clients(&mut self, driver: &mut Driver, io: &mut Io) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(client) = self.clients.get_mut(key) {
                 client.is_read_scheduled = false;
--- a/crates/ingress/src/routing/frontend/shutdown.rs
+++ b/crates/ingress/src/routing/frontend/shutdown.rs
@@ -32,7 +32,7 @@
     }
 
     /// Every request has had its reply: no connection is waited for any longer.
-    pub fn stop(&mut self) {
+    pub fn close_connections(&mut self) {
         for key in self.keys() {
             if let Some(client) = self.clients.get_mut(key) {
                 if client.phase == Phase::Open {
