--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -36,7 +36,7 @@
         let limits = Limits::new(&operator, config.limits.memory_mb, &config.settings);
         let mut io = open_io(&operator, &limits, clock)?;
         let listener = take_address(&config.listen, &limits)?;
-        let settings = config.settings.settings()?;
+        let settings = config.settings.decision_settings()?;
         let mut frontend = open_frontend(
             listener, &settings, config, file, &operator, &limits, &mut io,
         )?;
--- a/crates/ingress/src/routing/driver/mod.rs
+++ b/crates/ingress/src/routing/driver/mod.rs
@@ -151,7 +151,7 @@
     /// Requests without a final response or with an attempt in flight.
     #[must_use]
     pub fn open_requests(&self) -> usize {
-        self.engine.open()
+        self.engine.open_request_count()
     }
 
     /// Connections to endpoints.
--- a/crates/ingress/src/routing/endpoint_list.rs
+++ b/crates/ingress/src/routing/endpoint_list.rs
@@ -24,22 +24,22 @@
     ) {
         let boot_time = |ms| self.clock.from_unix_ms(ms);
         let applied = engine.apply_endpoint_list(list, &self.zones, boot_time);
-        for endpoint in applied.stale {
+        for endpoint in applied.stale_endpoints {
             upstream.close_idle(endpoint, io);
             if engine.endpoint_registry().get(endpoint).is_none() {
                 upstream.remove_endpoint(endpoint);
             }
         }
         let revision = list.revision;
-        if applied.unreadable > 0 {
+        if applied.unreadable_count > 0 {
             tracing::warn!(
                 event = "discovery.entries_unreadable",
-                count = applied.unreadable,
+                count = applied.unreadable_count,
                 revision,
                 "endpoint list entries unreadable"
             );
         }
-        let ready = engine.endpoint_registry().ready();
+        let ready = engine.endpoint_registry().ready_endpoint_count();
         tracing::info!(
             event = "discovery.list_applied",
             revision,
--- a/crates/ingress/src/routing/upstream/attempts.rs
+++ b/crates/ingress/src/routing/upstream/attempts.rs
@@ -183,7 +183,7 @@
         };
         let endpoint = connection.endpoint;
         let is_usable =
-            engine.takes_work(endpoint) && engine.address(endpoint) == Some(connection.address);
+            engine.is_serving(endpoint) && engine.address(endpoint) == Some(connection.address);
         if is_usable {
             self.pool.put_idle(key, io);
         } else {
@@ -196,20 +196,20 @@
 fn may_write(request: &UpstreamRequest, engine: &IngressEngine, now: Duration) -> bool {
     match request.kind {
         RequestKind::Attempt(id) => engine.may_write(id.request, id.attempt, request.deadline, now),
-        RequestKind::HealthCheck => engine.takes_work(request.endpoint) && now < request.deadline,
+        RequestKind::HealthCheck => engine.is_serving(request.endpoint) && now < request.deadline,
     }
 }
 
 /// An attempt is on this connection from now on.
 fn assign(request: UpstreamRequest, connection: Key, engine: &mut IngressEngine) {
     if let RequestKind::Attempt(attempt) = request.kind {
-        engine.set_carrier(attempt.request, Some(connection));
+        engine.set_attempt_connection(attempt.request, Some(connection));
     }
 }
 
 /// A request has ended without a reply.
 fn end(request: UpstreamRequest, outcome: Outcome, engine: &mut IngressEngine, now: Duration) {
-    end_with(request, AttemptResult::of(outcome), engine, now);
+    end_with(request, AttemptResult::from_outcome(outcome), engine, now);
 }
 
 /// A request has ended.
--- a/crates/ingress/src/routing/upstream/mod.rs
+++ b/crates/ingress/src/routing/upstream/mod.rs
@@ -117,7 +117,7 @@
 
     /// Cancels an attempt: its connection is closed.
     pub fn cancel(&mut self, attempt: AttemptId, engine: &mut IngressEngine, io: &mut Io) {
-        let Some(key) = engine.carrier(attempt.request) else {
+        let Some(key) = engine.attempt_connection(attempt.request) else {
             return;
         };
         let Some(connection) = self.pool.connections.get(key) else {
--- a/crates/ingress/tests/endpoint_list_parsing.rs
+++ b/crates/ingress/tests/endpoint_list_parsing.rs
@@ -20,10 +20,14 @@
         r#"{"uid":"s","endpoint":"x","state":"SERVING","boot_ms":"y"}"#,
     ] {
         let list = line(odd);
-        assert_eq!((list.endpoints.len(), list.unreadable), (2, 1), "{odd}");
+        assert_eq!(
+            (list.endpoints.len(), list.unreadable_count),
+            (2, 1),
+            "{odd}"
+        );
     }
     let list = line(r#"{"uid":"s-2","state":"DRAINING","capacity_hint":"big","pod_group":-1}"#);
-    assert_eq!((list.endpoints.len(), list.unreadable), (3, 0));
+    assert_eq!((list.endpoints.len(), list.unreadable_count), (3, 0));
     assert_eq!(
         (list.endpoints[1].uid.as_str(), list.endpoints[1].state),
         ("s-2", EndpointRecordState::Draining)
@@ -99,7 +103,7 @@
         let at = entry.iter().position(|e| e.starts_with(&format!("\"{name}\""))).unwrap();
         entry[at] = format!("\"{name}\":{value}");
         let list = line(&format!("{{{}}}", entry.join(",")));
-        prop_assert_eq!(list.endpoints.len() + list.unreadable, 3);
+        prop_assert_eq!(list.endpoints.len() + list.unreadable_count, 3);
         prop_assert!(list.endpoints.len() >= 2);
     }
 }
--- a/crates/operator-config/src/services/build_directory.rs
+++ b/crates/operator-config/src/services/build_directory.rs
@@ -119,7 +119,7 @@
                 first.insert(selector, (service, entry.span));
                 // Fails for a service beyond the maximum only, which has an error already.
                 let _ = directory.apply(DirectoryChange::Assign {
-                    endpoints: selector.clone(),
+                    selector: selector.clone(),
                     service: Arc::clone(service),
                 });
             }
--- a/crates/operator-config/src/services/section.rs
+++ b/crates/operator-config/src/services/section.rs
@@ -28,7 +28,7 @@
     pub(crate) fn none() -> Services {
         Services {
             route_field: None,
-            directory: Directory::single(),
+            directory: Directory::single_service(),
             first_lines: BTreeMap::new(),
         }
     }
@@ -50,7 +50,7 @@
     /// file.
     pub(crate) fn setting_rows(&self, source_of: impl Fn(SourceSpan) -> String) -> Vec<SettingRow> {
         let directory = &self.directory;
-        let max_services = if directory.is_single() {
+        let max_services = if directory.is_single_service() {
             DEFAULT_MAX_SERVICES
         } else {
             directory.bounds().services
@@ -108,7 +108,7 @@
 impl fmt::Display for Services {
     /// The number of services, routes and selectors, on one line.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        if self.directory.is_single() {
+        if self.directory.is_single_service() {
             return f.write_str("services: none given, one service holds everything");
         }
         let services = self.directory.service_count();
--- a/crates/operator-config/tests/services.rs
+++ b/crates/operator-config/tests/services.rs
@@ -34,7 +34,7 @@
     let services = file.services();
     let directory = services.directory();
     assert_eq!(services.route_field(), Some("route"));
-    assert!(!directory.is_single());
+    assert!(!directory.is_single_service());
     assert_eq!(
         (
             directory.service_count(),
@@ -79,7 +79,7 @@
         File::none(),
         File::parse("f", "admission { places 3 }").unwrap(),
     ] {
-        assert!(file.services().directory().is_single());
+        assert!(file.services().directory().is_single_service());
         assert_eq!(
             file.services().directory().default_service(),
             Some(SINGLE_SERVICE)
--- a/crates/platform-config/src/error.rs
+++ b/crates/platform-config/src/error.rs
@@ -12,7 +12,7 @@
     Field(#[from] serde_path_to_error::Error<simd_json::Error>),
     /// A time in milliseconds is not finite, or not above 0.
     #[error("{field}: {value} is not a time")]
-    NotATime {
+    InvalidDuration {
         /// The field.
         field: &'static str,
         /// Its value.
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -20,15 +20,15 @@
 use std::time::Duration;
 
 impl PlatformSettings {
-    /// Decodes the settings' JSON. Their values are checked by [`PlatformSettings::settings`].
+    /// Decodes the settings' JSON. Their values are checked by [`PlatformSettings::decision_settings`].
     pub fn parse(text: &[u8]) -> Result<PlatformSettings, PlatformConfigError> {
         decode(&mut text.to_vec())
     }
 
     /// The decision module's settings. An error names the field that cannot be mapped; ranges are
     /// checked by [`Settings::check`].
-    pub fn settings(&self) -> Result<Settings, PlatformConfigError> {
-        mapping::settings(self)
+    pub fn decision_settings(&self) -> Result<Settings, PlatformConfigError> {
+        mapping::decision_settings(self)
     }
 
     /// Number of ingresses of the platform.
--- a/crates/platform-config/src/mapping.rs
+++ b/crates/platform-config/src/mapping.rs
@@ -19,7 +19,9 @@
 /// Values of a load report that say how many requests an endpoint holds.
 const REQUEST_COUNT_FIELDS: [&str; 2] = ["busy_reqs", "pending"];
 
-pub(crate) fn settings(platform: &PlatformSettings) -> Result<Settings, PlatformConfigError> {
+pub(crate) fn decision_settings(
+    platform: &PlatformSettings,
+) -> Result<Settings, PlatformConfigError> {
     let discovery = discovery_mode(&platform.discovery)?;
     let counter = counter(platform)?;
     let classes = platform
@@ -158,7 +160,7 @@
     if milliseconds.is_finite() && milliseconds > 0.0 {
         Ok(duration_from_ms(milliseconds))
     } else {
-        Err(PlatformConfigError::NotATime {
+        Err(PlatformConfigError::InvalidDuration {
             field,
             value: milliseconds,
         })
--- a/crates/platform-config/tests/fields.rs
+++ b/crates/platform-config/tests/fields.rs
@@ -45,7 +45,7 @@
     let platform_settings = PlatformSettings::parse(settings.to_string().as_bytes())
         .map_err(|error| error.to_string())?;
     let settings = platform_settings
-        .settings()
+        .decision_settings()
         .map_err(|error| error.to_string())?;
     settings.check().map_err(|error| error.to_string())?;
     roseyard_decision::Dispatcher::new(settings.clone(), 1).map_err(|error| error.to_string())?;
--- a/crates/request-engine/src/attempt.rs
+++ b/crates/request-engine/src/attempt.rs
@@ -19,7 +19,7 @@
 
 impl<V> AttemptResult<V> {
     /// A result that has nothing but its outcome.
-    pub fn of(outcome: Outcome) -> AttemptResult<V> {
+    pub fn from_outcome(outcome: Outcome) -> AttemptResult<V> {
         AttemptResult {
             outcome,
             value: None,
--- a/crates/request-engine/src/directory/apply.rs
+++ b/crates/request-engine/src/directory/apply.rs
@@ -16,11 +16,11 @@
             DirectoryChange::RemoveService { name } => self.remove_service(name),
             DirectoryChange::SetRoute { route, service } => self.set_route(route, service),
             DirectoryChange::RemoveRoute { route } => self.remove_route(route),
-            DirectoryChange::Assign { endpoints, service } => self.assign(endpoints, service),
-            DirectoryChange::Unassign { endpoints } => self.unassign(endpoints),
+            DirectoryChange::Assign { selector, service } => self.assign(selector, service),
+            DirectoryChange::Unassign { selector } => self.unassign(selector),
             DirectoryChange::SetDefault { service } => self.set_default(service),
             DirectoryChange::SetBounds(bounds) => self.set_bounds(bounds),
-            DirectoryChange::SetSingle(is_single) => Ok(self.set_single(is_single)),
+            DirectoryChange::SetSingleService(enabled) => Ok(self.set_single_service(enabled)),
         }
     }
 
@@ -59,7 +59,7 @@
                 return Err(DirectoryError::ServiceInUse {
                     name,
                     routes: service.route_count,
-                    endpoints: service.selector_count,
+                    selectors: service.selector_count,
                     default: is_default,
                 });
             }
@@ -98,11 +98,11 @@
 
     fn assign(
         &mut self,
-        endpoints: EndpointSelector,
+        selector: EndpointSelector,
         service: Arc<str>,
     ) -> Result<DirectoryEffect, DirectoryError> {
         let id = self.id_of(&service)?;
-        let previous = match &endpoints {
+        let previous = match &selector {
             EndpointSelector::Network(network) => self.networks.insert(*network, id),
             EndpointSelector::Uid(uid) => self.uids.insert(Arc::clone(uid), id),
         };
@@ -110,11 +110,11 @@
         if previous == Some(id) {
             return Ok(DirectoryEffect::Unchanged);
         }
-        Ok(DirectoryEffect::Reassigned(endpoints))
+        Ok(DirectoryEffect::Reassigned(selector))
     }
 
-    fn unassign(&mut self, endpoints: EndpointSelector) -> Result<DirectoryEffect, DirectoryError> {
-        let previous = match &endpoints {
+    fn unassign(&mut self, selector: EndpointSelector) -> Result<DirectoryEffect, DirectoryError> {
+        let previous = match &selector {
             EndpointSelector::Network(network) => self.networks.remove(*network),
             EndpointSelector::Uid(uid) => {
                 let previous = self.uids.remove(uid);
@@ -123,10 +123,10 @@
             }
         };
         if previous.is_none() {
-            return Err(DirectoryError::UnknownEndpoints { endpoints });
+            return Err(DirectoryError::UnknownSelector { selector });
         }
         self.count_selectors(previous, None);
-        Ok(DirectoryEffect::Reassigned(endpoints))
+        Ok(DirectoryEffect::Reassigned(selector))
     }
 
     fn set_default(
@@ -141,9 +141,9 @@
         Ok(DirectoryEffect::DefaultReassigned)
     }
 
-    fn set_single(&mut self, is_single: bool) -> DirectoryEffect {
-        let previous = std::mem::replace(&mut self.is_single, is_single);
-        if previous == is_single {
+    fn set_single_service(&mut self, enabled: bool) -> DirectoryEffect {
+        let previous = std::mem::replace(&mut self.is_single_service, enabled);
+        if previous == enabled {
             return DirectoryEffect::Unchanged;
         }
         DirectoryEffect::AllReassigned
--- a/crates/request-engine/src/directory/change.rs
+++ b/crates/request-engine/src/directory/change.rs
@@ -33,14 +33,14 @@
     /// Assigns endpoints to a service, or moves them to another one.
     Assign {
         /// The endpoints.
-        endpoints: EndpointSelector,
+        selector: EndpointSelector,
         /// Name of their service.
         service: Arc<str>,
     },
     /// Removes a selector.
     Unassign {
         /// The endpoints.
-        endpoints: EndpointSelector,
+        selector: EndpointSelector,
     },
     /// Sets the service of requests without a route and of endpoints that no selector names.
     SetDefault {
@@ -51,7 +51,7 @@
     SetBounds(DirectoryBounds),
     /// While set, everything belongs to [`SINGLE_SERVICE`](super::SINGLE_SERVICE), whatever else
     /// the directory holds.
-    SetSingle(bool),
+    SetSingleService(bool),
 }
 
 /// Which endpoints a change may have moved to another service.
--- a/crates/request-engine/src/directory/difference.rs
+++ b/crates/request-engine/src/directory/difference.rs
@@ -13,8 +13,8 @@
         if bounds_for_both != self.bounds {
             changes.push(DirectoryChange::SetBounds(bounds_for_both));
         }
-        if new.is_single && !self.is_single {
-            changes.push(DirectoryChange::SetSingle(true));
+        if new.is_single_service && !self.is_single_service {
+            changes.push(DirectoryChange::SetSingleService(true));
         }
         changes.extend(self.added_services(new));
         changes.extend(self.set_routes(new));
@@ -24,8 +24,8 @@
                 service: new.default_name().cloned(),
             });
         }
-        if self.is_single && !new.is_single {
-            changes.push(DirectoryChange::SetSingle(false));
+        if self.is_single_service && !new.is_single_service {
+            changes.push(DirectoryChange::SetSingleService(false));
         }
         changes.extend(self.unassigned(new));
         changes.extend(self.removed_routes(new));
@@ -120,28 +120,27 @@
     }
 
     fn assigned(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let differs = |(endpoints, service): &(EndpointSelector, &Arc<str>)| {
-            self.service_of_selector(endpoints) != Some(service)
+        let differs = |(selector, service): &(EndpointSelector, &Arc<str>)| {
+            self.service_of_selector(selector) != Some(service)
         };
         let mut assigned: Vec<_> = new.selectors().filter(differs).collect();
         assigned.sort_unstable();
-        let change =
-            |(endpoints, service): (EndpointSelector, &Arc<str>)| DirectoryChange::Assign {
-                endpoints,
-                service: Arc::clone(service),
-            };
+        let change = |(selector, service): (EndpointSelector, &Arc<str>)| DirectoryChange::Assign {
+            selector,
+            service: Arc::clone(service),
+        };
         assigned.into_iter().map(change).collect()
     }
 
     fn unassigned(&self, new: &Directory) -> Vec<DirectoryChange> {
-        let current = self.selectors().map(|(endpoints, _)| endpoints);
+        let current = self.selectors().map(|(selector, _)| selector);
         let mut removed: Vec<_> = current
-            .filter(|endpoints| new.service_of_selector(endpoints).is_none())
+            .filter(|selector| new.service_of_selector(selector).is_none())
             .collect();
         removed.sort_unstable();
         removed
             .into_iter()
-            .map(|endpoints| DirectoryChange::Unassign { endpoints })
+            .map(|selector| DirectoryChange::Unassign { selector })
             .collect()
     }
 }
--- a/crates/request-engine/src/directory/error.rs
+++ b/crates/request-engine/src/directory/error.rs
@@ -19,14 +19,14 @@
         name: Arc<str>,
     },
     /// The service is still referred to.
-    #[error("service '{name}' is in use: by {routes} routes, by {endpoints} networks, addresses or uids of servers{}", if *.default { ", as the default" } else { "" })]
+    #[error("service '{name}' is in use: by {routes} routes, by {selectors} networks, addresses or uids of servers{}", if *.default { ", as the default" } else { "" })]
     ServiceInUse {
         /// Its name.
         name: Arc<str>,
         /// Number of routes that name it.
         routes: usize,
         /// Number of endpoint selectors that name it.
-        endpoints: usize,
+        selectors: usize,
         /// Whether it is the default.
         default: bool,
     },
@@ -37,10 +37,10 @@
         route: Arc<str>,
     },
     /// No service has this endpoint selector.
-    #[error("no service has a line for the servers '{endpoints}'")]
-    UnknownEndpoints {
+    #[error("no service has a line for the servers '{selector}'")]
+    UnknownSelector {
         /// The selector.
-        endpoints: EndpointSelector,
+        selector: EndpointSelector,
     },
     /// There would be more services than the bound.
     #[error("more than {max} services")]
--- a/crates/request-engine/src/directory/mod.rs
+++ b/crates/request-engine/src/directory/mod.rs
@@ -34,7 +34,7 @@
 /// is longer, and a request with a longer route is not looked up.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The service of a [`Directory::single`]; a named service never has this id.
+/// The service of a [`Directory::single_service`]; a named service never has this id.
 pub const SINGLE_SERVICE: ServiceId = ServiceId(0);
 
 /// A service and the number of references to it.
@@ -48,7 +48,7 @@
 /// Services with their routes and endpoints.
 #[derive(Clone, Debug)]
 pub struct Directory {
-    is_single: bool,
+    is_single_service: bool,
     bounds: DirectoryBounds,
     services: HashMap<ServiceId, Service>,
     ids_by_name: HashMap<Arc<str>, ServiceId>,
@@ -62,9 +62,9 @@
 
 impl Directory {
     /// One service that holds everything: the directory of a platform without services.
-    pub fn single() -> Directory {
+    pub fn single_service() -> Directory {
         Directory {
-            is_single: true,
+            is_single_service: true,
             ..Directory::new(DirectoryBounds {
                 services: 0,
                 routes: 0,
@@ -75,7 +75,7 @@
     /// A directory without services.
     pub fn new(bounds: DirectoryBounds) -> Directory {
         Directory {
-            is_single: false,
+            is_single_service: false,
             bounds,
             services: HashMap::new(),
             ids_by_name: HashMap::new(),
@@ -88,8 +88,8 @@
     }
 
     /// Whether one service holds everything.
-    pub fn is_single(&self) -> bool {
-        self.is_single
+    pub fn is_single_service(&self) -> bool {
+        self.is_single_service
     }
 
     /// How much it may hold.
@@ -124,7 +124,7 @@
 
     /// The service of a route; none if the route is unknown.
     pub fn service_of_route(&self, route: &str) -> Option<ServiceId> {
-        if self.is_single {
+        if self.is_single_service {
             return Some(SINGLE_SERVICE);
         }
         self.routes.get(route).copied()
@@ -132,7 +132,7 @@
 
     /// The service of requests without a route and of endpoints that no selector names.
     pub fn default_service(&self) -> Option<ServiceId> {
-        if self.is_single {
+        if self.is_single_service {
             return Some(SINGLE_SERVICE);
         }
         self.default
@@ -141,7 +141,7 @@
     /// The service of an endpoint: by its uid, else by the longest network that holds its address,
     /// else the default; none if there is no default.
     pub fn service_of_endpoint(&self, uid: &str, address: SocketAddr) -> Option<ServiceId> {
-        if self.is_single {
+        if self.is_single_service {
             return Some(SINGLE_SERVICE);
         }
         let by_uid = self.uids.get(uid).copied();
@@ -187,12 +187,12 @@
             .map(|(uid, id)| (EndpointSelector::Uid(Arc::clone(uid)), *id));
         networks
             .chain(uids)
-            .filter_map(|(endpoints, id)| Some((endpoints, self.shared_name(id)?)))
+            .filter_map(|(selector, id)| Some((selector, self.shared_name(id)?)))
     }
 
     /// Name of the service that has exactly this selector.
-    fn service_of_selector(&self, endpoints: &EndpointSelector) -> Option<&Arc<str>> {
-        let id = match endpoints {
+    fn service_of_selector(&self, selector: &EndpointSelector) -> Option<&Arc<str>> {
+        let id = match selector {
             EndpointSelector::Network(network) => self.networks.get(*network),
             EndpointSelector::Uid(uid) => self.uids.get(uid).copied(),
         };
--- a/crates/request-engine/src/endpoint_list_message.rs
+++ b/crates/request-engine/src/endpoint_list_message.rs
@@ -14,7 +14,7 @@
     /// The readable entries, in the message's order.
     pub endpoints: Vec<EndpointRecord>,
     /// Number of entries that could not be read.
-    pub unreadable: usize,
+    pub unreadable_count: usize,
 }
 
 /// One endpoint as the platform describes it.
@@ -121,7 +121,7 @@
                 WireEntry::Leaving { uid, state } => {
                     message.endpoints.push(EndpointRecord::leaving(uid, state));
                 }
-                WireEntry::Unreadable(_) => message.unreadable += 1,
+                WireEntry::Unreadable(_) => message.unreadable_count += 1,
             }
         }
         message
--- a/crates/request-engine/src/endpoint_registry/mod.rs
+++ b/crates/request-engine/src/endpoint_registry/mod.rs
@@ -51,7 +51,7 @@
 
     /// Number of endpoints that accept requests.
     #[must_use]
-    pub fn ready(&self) -> usize {
+    pub fn ready_endpoint_count(&self) -> usize {
         self.ready_count
     }
 
@@ -72,7 +72,7 @@
     {
         let mut pending = PendingUpdate::default();
         let mut named = HashSet::new();
-        let mut unreadable = list.unreadable;
+        let mut unreadable_count = list.unreadable_count;
         for record in &list.endpoints {
             if self.is_outdated(record, list.revision, resolver.started_at(record)) {
                 continue;
@@ -80,7 +80,7 @@
             match self.apply_record(record, list.revision, resolver, &mut pending) {
                 Some(id) if list.is_full => _ = named.insert(id),
                 Some(_) => {}
-                None => unreadable += 1,
+                None => unreadable_count += 1,
             }
         }
         if list.is_full {
@@ -90,7 +90,7 @@
             self.remove(id, list.revision);
         }
         self.revision = list.revision;
-        pending.finish(list.is_full, unreadable)
+        pending.finish(list.is_full, unreadable_count)
     }
 
     /// Whether a record that names an endpoint as serving is older than what is known of it. Such a
@@ -154,7 +154,7 @@
             pending.removed.remove(&id);
         }
         if state != EndpointState::Ready || !is_same_process {
-            pending.stale.push(id);
+            pending.stale_endpoints.push(id);
         }
         if state == EndpointState::Ready && has_moved {
             self.supersede(id, address, pending);
@@ -212,7 +212,7 @@
                 continue;
             };
             pending.entries.extend(superseded.removal_entry());
-            pending.stale.push(id);
+            pending.stale_endpoints.push(id);
             pending.removed.insert(id);
         }
     }
@@ -231,7 +231,7 @@
                 continue;
             }
             if endpoint.revision <= revision {
-                pending.stale.push(*id);
+                pending.stale_endpoints.push(*id);
                 pending.removed.insert(*id);
             } else {
                 pending.entries.extend(endpoint.current_entry());
--- a/crates/request-engine/src/engine/endpoints.rs
+++ b/crates/request-engine/src/engine/endpoints.rs
@@ -39,8 +39,8 @@
         self.events
             .push_back(Event::EndpointListChanged(applied.update));
         AppliedEndpointList {
-            stale: applied.stale,
-            unreadable: applied.unreadable,
+            stale_endpoints: applied.stale_endpoints,
+            unreadable_count: applied.unreadable_count,
         }
     }
 
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -76,14 +76,14 @@
             held_bytes: 0,
             limits,
             endpoint_registry: EndpointRegistry::default(),
-            directory: Directory::single(),
+            directory: Directory::single_service(),
             due: None,
             is_stopped: false,
         })
     }
 
     /// Number of requests without a final response or with an attempt in flight.
-    pub fn open(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
@@ -158,27 +158,27 @@
         };
         !request.is_finished
             && in_flight.number == attempt
-            && self.takes_work(in_flight.endpoint)
+            && self.is_serving(in_flight.endpoint)
             && request.is_before_end(deadline, now)
     }
 
     /// Whether an endpoint accepts new requests.
-    pub fn takes_work(&self, endpoint: EndpointId) -> bool {
+    pub fn is_serving(&self, endpoint: EndpointId) -> bool {
         self.endpoint_registry
             .get(endpoint)
             .is_some_and(Endpoint::is_ready)
     }
 
     /// Sets the driver's own key of what carries a request's attempt in flight.
-    pub fn set_carrier(&mut self, request: Key, carrier: Option<Key>) {
+    pub fn set_attempt_connection(&mut self, request: Key, connection: Option<Key>) {
         if let Some(request) = self.requests.get_mut(request) {
-            request.carrier = carrier;
+            request.connection = connection;
         }
     }
 
     /// The driver's own key of what carries a request's attempt in flight.
-    pub fn carrier(&self, request: Key) -> Option<Key> {
-        self.requests.get(request)?.carrier
+    pub fn attempt_connection(&self, request: Key) -> Option<Key> {
+        self.requests.get(request)?.connection
     }
 
     /// An attempt has ended. An end that was reported before, or that of an attempt that is not in
--- a/crates/request-engine/src/request.rs
+++ b/crates/request-engine/src/request.rs
@@ -16,7 +16,7 @@
     pub(crate) idempotency: Idempotency,
     pub(crate) in_flight: Option<AttemptInFlight>,
     /// The driver's own key of what carries the attempt in flight.
-    pub(crate) carrier: Option<Key>,
+    pub(crate) connection: Option<Key>,
     /// Number of attempts started.
     attempts: u16,
     /// Whether some attempt may have reached an endpoint.
@@ -37,7 +37,7 @@
             bytes,
             idempotency,
             in_flight: None,
-            carrier: None,
+            connection: None,
             attempts: 0,
             may_have_arrived: false,
             may_have_executed: false,
@@ -64,7 +64,7 @@
     /// Ends the attempt in flight and returns it; none if another attempt is in flight, or none.
     pub(crate) fn end_attempt(&mut self, number: u16, outcome: Outcome) -> Option<AttemptInFlight> {
         let attempt = self.in_flight.take_if(|attempt| attempt.number == number)?;
-        self.carrier = None;
+        self.connection = None;
         if may_have_executed(outcome) {
             self.may_have_executed = true;
             self.retry_until = self.retry_until.or(self.retry_end(&attempt));
--- a/crates/request-engine/tests/directory.rs
+++ b/crates/request-engine/tests/directory.rs
@@ -53,7 +53,7 @@
     prop_assert_eq!(directory.service_count(), model.services.len());
     prop_assert_eq!(directory.route_count(), model.routes.len());
     prop_assert_eq!(directory.selector_count(), model.selectors.len());
-    prop_assert_eq!(directory.is_single(), model.single);
+    prop_assert_eq!(directory.is_single_service(), model.single);
     for name in NAMES {
         let id = directory.id(name);
         prop_assert_eq!(id.is_some(), model.has(name));
@@ -127,7 +127,7 @@
 fn change() -> impl Strategy<Value = DirectoryChange> {
     let name = || prop::sample::select(&NAMES[..]);
     let route = || prop::sample::select(&ROUTES[..]);
-    let selector = || {
+    let any_selector = || {
         prop_oneof![
             prop::sample::select(&NETWORKS[..]).prop_map(network),
             prop::sample::select(&UIDS[..]).prop_map(EndpointSelector::uid),
@@ -138,12 +138,12 @@
         2 => name().prop_map(remove),
         4 => (route(), name()).prop_map(|(route, name)| set_route(route, name)),
         2 => route().prop_map(|route| DirectoryChange::RemoveRoute { route: route.into() }),
-        4 => (selector(), name()).prop_map(|(endpoints, name)| assign(endpoints, name)),
-        2 => selector().prop_map(|endpoints| DirectoryChange::Unassign { endpoints }),
+        4 => (any_selector(), name()).prop_map(|(selector, name)| assign(selector, name)),
+        2 => any_selector().prop_map(|selector| DirectoryChange::Unassign { selector }),
         1 => prop::option::of(name()).prop_map(set_default),
         1 => (0..6usize, 0..8usize)
             .prop_map(|(services, routes)| DirectoryChange::SetBounds(DirectoryBounds { services, routes })),
-        1 => any::<bool>().prop_map(DirectoryChange::SetSingle),
+        1 => any::<bool>().prop_map(DirectoryChange::SetSingleService),
     ]
 }
 
@@ -214,7 +214,7 @@
 
 #[test]
 fn without_a_section_one_service_holds_everything() {
-    let directory = Directory::single();
+    let directory = Directory::single_service();
     let address = "10.0.0.1:80".parse().unwrap();
     assert_eq!(directory.service_of_route("any"), Some(ServiceId(0)));
     assert_eq!(directory.default_service(), Some(ServiceId(0)));
@@ -255,7 +255,7 @@
         (set_route("b", "mail"), "more than 1 routes"),
         (DirectoryChange::RemoveRoute { route: "b".into() }, "there is no route 'b'"),
         (assign(unknown.clone(), "odd"), "there is no service 'odd'"),
-        (DirectoryChange::Unassign { endpoints: unknown }, "no service has a line for the servers 's-1'"),
+        (DirectoryChange::Unassign { selector: unknown }, "no service has a line for the servers 's-1'"),
         (set_default(Some("odd")), "there is no service 'odd'"),
         (DirectoryChange::SetBounds(DirectoryBounds { services: 1, routes: 9 }), "more than 1 services"),
     ] {
--- a/crates/request-engine/tests/directory/changes.rs
+++ b/crates/request-engine/tests/directory/changes.rs
@@ -22,9 +22,9 @@
     }
 }
 
-pub(crate) fn assign(endpoints: EndpointSelector, service: &str) -> DirectoryChange {
+pub(crate) fn assign(selector: EndpointSelector, service: &str) -> DirectoryChange {
     DirectoryChange::Assign {
-        endpoints,
+        selector,
         service: service.into(),
     }
 }
--- a/crates/request-engine/tests/directory/model.rs
+++ b/crates/request-engine/tests/directory/model.rs
@@ -58,15 +58,14 @@
                 is_valid
             }
             DirectoryChange::RemoveRoute { route } => self.routes.remove(&**route).is_some(),
-            DirectoryChange::Assign { endpoints, service } => {
+            DirectoryChange::Assign { selector, service } => {
                 let is_valid = self.has(service);
                 if is_valid {
-                    self.selectors
-                        .insert(endpoints.clone(), service.to_string());
+                    self.selectors.insert(selector.clone(), service.to_string());
                 }
                 is_valid
             }
-            DirectoryChange::Unassign { endpoints } => self.selectors.remove(endpoints).is_some(),
+            DirectoryChange::Unassign { selector } => self.selectors.remove(selector).is_some(),
             DirectoryChange::SetDefault { service } => {
                 let is_valid = service.as_ref().is_none_or(|name| self.has(name));
                 if is_valid {
@@ -82,7 +81,7 @@
                 }
                 is_valid
             }
-            DirectoryChange::SetSingle(single) => {
+            DirectoryChange::SetSingleService(single) => {
                 self.single = *single;
                 true
             }
@@ -92,7 +91,7 @@
     pub(crate) fn endpoint(&self, uid: &str, address: SocketAddr) -> Option<&String> {
         let ip = address.ip().to_canonical();
         let by_uid = self.selectors.get(&EndpointSelector::uid(uid));
-        let holds = |selector: &EndpointSelector| match selector {
+        let holds = |candidate: &EndpointSelector| match candidate {
             EndpointSelector::Network(network) if network.contains(&ip) => {
                 Some(network.prefix_len())
             }
--- a/crates/request-engine/tests/directory_cost.rs
+++ b/crates/request-engine/tests/directory_cost.rs
@@ -27,8 +27,8 @@
     let name = format!("service-{n}");
     directory.apply(add(&name)).unwrap();
     directory.apply(set_route(&name, &name)).unwrap();
-    for endpoints in selectors(n) {
-        directory.apply(assign(endpoints, &name)).unwrap();
+    for selector in selectors(n) {
+        directory.apply(assign(selector, &name)).unwrap();
     }
 }
 
@@ -40,9 +40,9 @@
             route: name.as_str().into(),
         })
         .unwrap();
-    for endpoints in selectors(n) {
+    for selector in selectors(n) {
         directory
-            .apply(DirectoryChange::Unassign { endpoints })
+            .apply(DirectoryChange::Unassign { selector })
             .unwrap();
     }
     directory.apply(remove(&name)).unwrap();
@@ -116,11 +116,11 @@
             routes: 2 * size + 2,
         });
         let name = |n: usize| format!("service-{n}");
-        let selector = |n: usize| EndpointSelector::uid(&format!("s-{n}"));
+        let uid_selector = |n: usize| EndpointSelector::uid(&format!("s-{n}"));
         for n in 0..size {
             directory.apply(add(&name(n))).unwrap();
             directory.apply(set_route(&name(n), &name(n))).unwrap();
-            directory.apply(assign(selector(n), &name(n))).unwrap();
+            directory.apply(assign(uid_selector(n), &name(n))).unwrap();
             let network = IpNet::from(std::net::IpAddr::from((n as u32).to_be_bytes()));
             directory
                 .apply(assign(EndpointSelector::network(network), &name(n)))
@@ -137,7 +137,7 @@
             let (route, service) = (&names[n * 7919 % size], &names[n * 6007 % size]);
             directory.apply(set_route(route, service)).unwrap();
             directory
-                .apply(assign(selector(n * 7919 % size), service))
+                .apply(assign(uid_selector(n * 7919 % size), service))
                 .unwrap();
             directory.apply(add("one more")).unwrap();
             directory.apply(remove("one more")).unwrap();
--- a/crates/request-engine/tests/endpoint_registry.rs
+++ b/crates/request-engine/tests/endpoint_registry.rs
@@ -16,7 +16,7 @@
         list,
         &RecordResolver {
             zones,
-            directory: &Directory::single(),
+            directory: &Directory::single_service(),
             to_engine_time,
         },
     )
@@ -42,7 +42,7 @@
         revision,
         is_full,
         endpoints: entries.iter().map(record).collect(),
-        unreadable: 0,
+        unreadable_count: 0,
     }
 }
 
@@ -73,7 +73,10 @@
         panic!()
     };
     assert!(!ids.contains(&entries[0].endpoint), "an id is never reused");
-    assert_eq!((registry.ready(), registry.revision()), (2, 4));
+    assert_eq!(
+        (registry.ready_endpoint_count(), registry.revision()),
+        (2, 4)
+    );
 }
 
 #[test]
@@ -96,14 +99,14 @@
             &list(2, false, &[("s-1", "SERVING", 7001, 0.0)]),
             &[],
         );
-        assert!(same.stale.is_empty());
+        assert!(same.stale_endpoints.is_empty());
         let change = apply(
             &mut registry,
             &list(3, false, &[("s-1", state, port, started_at_unix_ms)]),
             &[],
         );
         assert_eq!(
-            change.stale,
+            change.stale_endpoints,
             [EndpointId(1)],
             "{state} {port} {started_at_unix_ms}"
         );
@@ -134,7 +137,11 @@
         updates,
         [(1, EndpointState::Removed, 3), (2, EndpointState::Ready, 3)]
     );
-    assert_eq!(change.stale, [EndpointId(1)], "its connections are stale");
+    assert_eq!(
+        change.stale_endpoints,
+        [EndpointId(1)],
+        "its connections are stale"
+    );
     assert!(registry.get(EndpointId(1)).is_none() && registry.get(EndpointId(2)).is_some());
 }
 
@@ -148,7 +155,10 @@
     );
     malformed.endpoints[1].started_at_unix_ms = f64::NAN;
     let change = apply(&mut registry, &malformed, &[]);
-    assert_eq!((change.unreadable, registry.ready()), (1, 1));
+    assert_eq!(
+        (change.unreadable_count, registry.ready_endpoint_count()),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -167,13 +177,17 @@
     malformed.endpoints[0].address = "nowhere".into();
     let change = apply(&mut registry, &malformed, &[]);
     assert_eq!(
-        (change.unreadable, registry.ready(), change.stale),
+        (
+            change.unreadable_count,
+            registry.ready_endpoint_count(),
+            change.stale_endpoints
+        ),
         (0, 1, vec![EndpointId(2)])
     );
     malformed.endpoints[0].uid = "s-3".into();
     let change = apply(&mut registry, &malformed, &[]);
     assert_eq!(
-        (change.unreadable, registry.ready()),
+        (change.unreadable_count, registry.ready_endpoint_count()),
         (1, 1),
         "one that was never named serving is unreadable"
     );
--- a/crates/request-engine/tests/model/harness.rs
+++ b/crates/request-engine/tests/model/harness.rs
@@ -111,7 +111,7 @@
             revision: self.revision,
             is_full: true,
             endpoints: endpoints.collect(),
-            unreadable: 0,
+            unreadable_count: 0,
         };
         self.engine.apply_endpoint_list(&list, &[], |_| None);
         self.carry_out_outputs();
@@ -132,7 +132,7 @@
             command: id,
             bytes: 20,
         };
-        let open = self.engine.open();
+        let open = self.engine.open_request_count();
         match self.engine.submit(submission) {
             Ok(key) => {
                 self.keys.insert(id, key);
@@ -196,7 +196,7 @@
         self.engine.on_attempt_ended(
             key,
             attempt + 1,
-            AttemptResult::of(Outcome::Overloaded),
+            AttemptResult::from_outcome(Outcome::Overloaded),
             self.now,
         );
         self.carry_out_outputs();
@@ -258,7 +258,7 @@
             self.engine.on_attempt_ended(
                 request,
                 attempt,
-                AttemptResult::of(Outcome::NotStarted),
+                AttemptResult::from_outcome(Outcome::NotStarted),
                 self.now,
             );
             return;
@@ -288,7 +288,7 @@
         self.engine.on_attempt_ended(
             request,
             attempt,
-            AttemptResult::of(Outcome::Cancelled),
+            AttemptResult::from_outcome(Outcome::Cancelled),
             self.now,
         );
     }
@@ -332,7 +332,11 @@
         for id in in_flight {
             self.end_attempt(id, Outcome::Timeout);
         }
-        assert_eq!(self.engine.open(), 0, "every request is removed");
+        assert_eq!(
+            self.engine.open_request_count(),
+            0,
+            "every request is removed"
+        );
         let before = self.references.len();
         self.submit_after_stop();
         assert_eq!(self.references.len(), before);
--- a/crates/request-engine/tests/services.rs
+++ b/crates/request-engine/tests/services.rs
@@ -55,11 +55,11 @@
 fn an_endpoint_that_moves_serves_its_new_service_and_finishes_what_it_has() {
     let mut harness = Harness::new(&two_services(), one_each());
     let in_flight = harness.submit("left").unwrap();
-    let endpoints = EndpointSelector::uid("l");
+    let selector = EndpointSelector::uid("l");
     harness
         .engine
         .change_directory(DirectoryChange::Assign {
-            endpoints,
+            selector,
             service: "right".into(),
         })
         .unwrap();
@@ -107,11 +107,11 @@
 fn an_endpoint_without_a_service_gets_nothing_until_a_selector_names_it() {
     let mut harness = Harness::new(&two_services(), vec![record("x", "10.9.0.1:80", Serving)]);
     assert_eq!(harness.submit("left"), None);
-    let endpoints = EndpointSelector::network("10.9.0.0/24".parse().unwrap());
+    let selector = EndpointSelector::network("10.9.0.0/24".parse().unwrap());
     harness
         .engine
         .change_directory(DirectoryChange::Assign {
-            endpoints,
+            selector,
             service: "left".into(),
         })
         .unwrap();
@@ -155,10 +155,10 @@
                 name: Arc::clone(&name),
             })
             .unwrap();
-        let endpoints = EndpointSelector::network(network.parse().unwrap());
+        let selector = EndpointSelector::network(network.parse().unwrap());
         directory
             .apply(DirectoryChange::Assign {
-                endpoints,
+                selector,
                 service: Arc::clone(&name),
             })
             .unwrap();
--- a/crates/request-engine/tests/services/harness.rs
+++ b/crates/request-engine/tests/services/harness.rs
@@ -58,7 +58,7 @@
         revision,
         is_full,
         endpoints,
-        unreadable: 0,
+        unreadable_count: 0,
     }
 }
 
@@ -72,10 +72,10 @@
                 name: Arc::clone(&name),
             })
             .unwrap();
-        let endpoints = EndpointSelector::network(network.parse().unwrap());
+        let selector = EndpointSelector::network(network.parse().unwrap());
         directory
             .apply(DirectoryChange::Assign {
-                endpoints,
+                selector,
                 service: Arc::clone(&name),
             })
             .unwrap();
@@ -118,9 +118,9 @@
 
     pub(crate) fn apply_list(&mut self, list: &EndpointListMessage) -> Vec<EndpointId> {
         let applied = self.engine.apply_endpoint_list(list, &[], |_| None);
-        assert_eq!(applied.unreadable, 0);
+        assert_eq!(applied.unreadable_count, 0);
         assert_eq!(self.run(), None);
-        applied.stale
+        applied.stale_endpoints
     }
 
     /// Carries out all outputs; the last attempt that is forwarded, with its endpoint.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -27,7 +27,7 @@
 impl Host {
     /// Handles one batch and returns its reply as a frame. An error names the record, and ends the
     /// batch there.
-    pub fn batch(&mut self, clock_ms: f64, payload: &[u8]) -> Result<Vec<u8>, BatchError> {
+    pub fn handle_batch(&mut self, clock_ms: f64, payload: &[u8]) -> Result<Vec<u8>, BatchError> {
         if !clock_ms.is_finite() || clock_ms < 0.0 {
             return Err(BatchError::InvalidClock { clock_ms });
         }
@@ -116,7 +116,7 @@
     ) -> Result<(), RecordError> {
         let rejected = |source| RecordError::PlatformConfig { instance, source };
         let platform_settings = PlatformSettings::parse(settings).map_err(rejected)?;
-        let settings = platform_settings.settings().map_err(rejected)?;
+        let settings = platform_settings.decision_settings().map_err(rejected)?;
         let dispatcher = Dispatcher::new(settings, seed)
             .map_err(|source| RecordError::Settings { instance, source })?;
         let load_report_fields = platform_settings.load_report_fields().to_vec();
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -27,7 +27,7 @@
     let mut payload = Vec::new();
     while let Some(header) = read_header(input)? {
         read_payload(input, header.payload_bytes, &mut payload)?;
-        let reply = host.batch(header.clock_ms, &payload)?;
+        let reply = host.handle_batch(header.clock_ms, &payload)?;
         output.write_all(&reply)?;
         output.flush()?;
     }
--- a/crates/testbed/src/scale/endpoint_set.rs
+++ b/crates/testbed/src/scale/endpoint_set.rs
@@ -201,8 +201,8 @@
             });
             for network in service.network_names() {
                 let network = network.parse().expect("a network of the layout");
-                let (endpoints, service) = (EndpointSelector::network(network), Arc::clone(name));
-                apply(DirectoryChange::Assign { endpoints, service });
+                let (selector, service) = (EndpointSelector::network(network), Arc::clone(name));
+                apply(DirectoryChange::Assign { selector, service });
             }
         }
         for route in 0..self.topology.routes as usize {
--- a/crates/testbed/src/scale/simulated_ingress/ingress.rs
+++ b/crates/testbed/src/scale/simulated_ingress/ingress.rs
@@ -59,7 +59,7 @@
         seed: u64,
     ) -> SimulatedIngress {
         let settings: Settings = settings_of_ingress(ingresses, number)
-            .settings()
+            .decision_settings()
             .expect("the testbed's settings are complete");
         let seed = seed
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
--- a/crates/testbed/src/scale/simulated_ingress/outputs.rs
+++ b/crates/testbed/src/scale/simulated_ingress/outputs.rs
@@ -30,7 +30,7 @@
             } => {
                 let result = AttemptResult {
                     value: (outcome == Outcome::Ok).then_some(()),
-                    ..AttemptResult::of(outcome)
+                    ..AttemptResult::from_outcome(outcome)
                 };
                 self.engine
                     .on_attempt_ended(request, attempt, result, self.now);
@@ -58,7 +58,7 @@
                 } => self.call_counter(key, amount, time_to_live, environment),
                 Output::CheckHealth { endpoint } => self.check_health(endpoint, environment),
                 Output::Cancel { request, attempt } => {
-                    let cancelled = AttemptResult::of(Outcome::Cancelled);
+                    let cancelled = AttemptResult::from_outcome(Outcome::Cancelled);
                     self.engine
                         .on_attempt_ended(request, attempt, cancelled, self.now);
                 }
