--- a/crates/decision/src/balancer/slow_start.rs
+++ b/crates/decision/src/balancer/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: an endpoint that is warming up gets no more than it can bear.
 
 use crate::endpoint::{Endpoint, Endpoints};
-use crate::latency::INITIAL_MEAN_DIVISOR;
-use crate::load_shedding::IDLE_IN_FLIGHT_PER_ENDPOINT;
+use crate::latency::INITIAL_MEAN_LATENCY_DIVISOR;
+use crate::load_shedding::MIN_CONCURRENCY_PER_ENDPOINT;
 use crate::settings::{EndpointLimits, Settings};
 use crate::util::{seconds, EPSILON};
 
@@ -57,8 +57,10 @@
             forwards += endpoint.recent_forwards.len() as f64;
         }
         let objective = seconds(input.settings.classes[input.class].latency_objective);
-        let latency = input.mean_latency.max(objective / INITIAL_MEAN_DIVISOR);
-        let idle_forwards = IDLE_IN_FLIGHT_PER_ENDPOINT
+        let latency = input
+            .mean_latency
+            .max(objective / INITIAL_MEAN_LATENCY_DIVISOR);
+        let idle_forwards = MIN_CONCURRENCY_PER_ENDPOINT
             * endpoint_count
             * input.listed_per_known
             * seconds(limits.overload_window)
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -67,7 +67,7 @@
 
     /// Number of services that have endpoints or requests.
     #[must_use]
-    pub fn services(&self) -> usize {
+    pub fn service_count(&self) -> usize {
         self.services.len()
     }
 
@@ -76,7 +76,7 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.advance(now);
         let is_first_event = !std::mem::replace(&mut self.started, true);
-        if is_first_event && self.settings.discovery == DiscoveryMode::Poll {
+        if is_first_event && self.settings.discovery == DiscoveryMode::Subscription {
             actions.push(Action::Subscribe);
         }
         self.dispatch(event, actions);
--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -4,7 +4,7 @@
 use crate::event::{EndpointEntry, LoadReport};
 use crate::health::circuit_breaker::CircuitBreaker;
 use crate::ids::{EndpointId, RequestId};
-use crate::latency::MEAN_RESPONSES;
+use crate::latency::MAX_AVERAGED_RESPONSES;
 use crate::settings::EndpointLimits;
 use crate::util::ewma::{Ewma, SampleWeight};
 use crate::util::held_random::HeldSample;
@@ -21,7 +21,8 @@
 };
 /// The first responses of an endpoint count as if this many average ones had come before.
 const LATENCY_RATIO_PRIOR_RESPONSES: f64 = 8.0;
-const LATENCY_RATIO_RESPONSES_MAX: f64 = 4.0 * MEAN_RESPONSES - LATENCY_RATIO_PRIOR_RESPONSES;
+const LATENCY_RATIO_RESPONSES_MAX: f64 =
+    4.0 * MAX_AVERAGED_RESPONSES - LATENCY_RATIO_PRIOR_RESPONSES;
 const LATENCY_RATIO_MIN: f64 = 0.5;
 const LATENCY_RATIO_MAX: f64 = 2.0;
 const FORWARD_WINDOW_MIN_SECONDS: f64 = 0.5;
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -140,7 +140,7 @@
     /// Time since it was forwarded.
     pub elapsed: Duration,
     /// The client has its final answer.
-    pub finished: bool,
+    pub is_request_finished: bool,
     /// Actual units, where the request's were an estimate.
     pub true_units: Option<f64>,
     /// The endpoint's load report.
--- a/crates/decision/src/latency.rs
+++ b/crates/decision/src/latency.rs
@@ -6,16 +6,16 @@
 use crate::util::{seconds, EPSILON};
 
 /// Means are taken over this many responses.
-pub(crate) const MEAN_RESPONSES: f64 = 30.0;
+pub(crate) const MAX_AVERAGED_RESPONSES: f64 = 30.0;
 /// Until responses come, a class's mean is taken as its latency objective divided by this.
-pub(crate) const INITIAL_MEAN_DIVISOR: f64 = 8.0;
+pub(crate) const INITIAL_MEAN_LATENCY_DIVISOR: f64 = 8.0;
 const MEAN_MIN_SECONDS: f64 = 1e-3;
 /// One slow response counts at most as this many times the mean.
 const RATIO_TO_MEAN_MAX: f64 = 4.0;
 /// The latency ratio is averaged over this many seconds where responses are few.
 const RATIO_TIME_CONSTANT_SECONDS: f64 = 3.0;
 const RATIO_WEIGHT: SampleWeight = SampleWeight {
-    min: 1.0 / MEAN_RESPONSES,
+    min: 1.0 / MAX_AVERAGED_RESPONSES,
     max: 0.25,
 };
 /// An old latency ratio starts to fade after this.
@@ -33,7 +33,7 @@
 impl LatencyStats {
     /// Statistics without a response, at the given ratio of latency to objective.
     pub(crate) fn new(settings: &Settings, initial_ratio: f64, now: f64) -> LatencyStats {
-        let initial_mean = |objective| seconds(objective) / INITIAL_MEAN_DIVISOR;
+        let initial_mean = |objective| seconds(objective) / INITIAL_MEAN_LATENCY_DIVISOR;
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         LatencyStats {
             mean_by_class: objectives.map(initial_mean).collect(),
@@ -97,7 +97,7 @@
         let mean = &mut self.mean_by_class[class];
         let response_count = &mut self.response_count_by_class[class];
         *response_count += 1.0;
-        *mean += (latency - *mean) / response_count.min(MEAN_RESPONSES);
+        *mean += (latency - *mean) / response_count.min(MAX_AVERAGED_RESPONSES);
         *mean = mean.max(MEAN_MIN_SECONDS);
         (latency / mean.max(EPSILON)).min(RATIO_TO_MEAN_MAX)
     }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -55,7 +55,7 @@
 //!     tick: ms(1),
 //!     classes: vec![RequestClass {
 //!         latency_objective: ms(500),
-//!         objective_per_work: 0.0,
+//!         objective_work_factor: 0.0,
 //!         deadline: ms(2000),
 //!         priority_weight: 1.0,
 //!         late_weight_ratio: 0.0,
--- a/crates/decision/src/load_shedding.rs
+++ b/crates/decision/src/load_shedding.rs
@@ -10,10 +10,10 @@
 
 /// The share of the latency objective that the mean latency may take before new requests are
 /// rejected: at one half, one in ten is late.
-pub(crate) const OBJECTIVE_RATIO_MAX: f64 = 0.3;
+pub(crate) const MAX_OBJECTIVE_RATIO: f64 = 0.3;
 /// Requests in flight for each endpoint, over all ingresses, that never overload it: its cores stay
 /// idle.
-pub(crate) const IDLE_IN_FLIGHT_PER_ENDPOINT: f64 = 2.0;
+pub(crate) const MIN_CONCURRENCY_PER_ENDPOINT: f64 = 2.0;
 /// An ingress may have so many requests in flight at services that have not responded yet, over all
 /// of them.
 const UNMEASURED_IN_FLIGHT_MIN: f64 = 4.0;
@@ -116,8 +116,9 @@
 
     /// This ingress's part of what idle endpoints bear.
     fn least_limit(&self, settings: &Settings, load: &ServiceLoad) -> f64 {
-        let idle = IDLE_IN_FLIGHT_PER_ENDPOINT * load.live_endpoints as f64 * load.listed_per_known
-            / f64::from(settings.ingress_count);
+        let idle =
+            MIN_CONCURRENCY_PER_ENDPOINT * load.live_endpoints as f64 * load.listed_per_known
+                / f64::from(settings.ingress_count);
         if self.peak_throughput > 0.0 {
             idle
         } else {
@@ -143,11 +144,11 @@
         latency_ratio: f64,
     ) -> PermittedLatency {
         let value = relative_value(settings, latency, class).max(LEAST_CLASS_RATIO);
-        let ranked_ratio = OBJECTIVE_RATIO_MAX * value;
+        let ranked_ratio = MAX_OBJECTIVE_RATIO * value;
         let is_quick = latency_ratio < QUICK_RATIO * ranked_ratio;
         // While responses are quick there is nothing for classes to compete for.
         let ratio = if is_quick {
-            OBJECTIVE_RATIO_MAX
+            MAX_OBJECTIVE_RATIO
         } else {
             ranked_ratio
         };
@@ -174,7 +175,7 @@
 
 /// An ingress's part of what this many idle endpoints bear in flight.
 fn idle_in_flight(endpoint_count: usize, ingress_count: u32) -> f64 {
-    IDLE_IN_FLIGHT_PER_ENDPOINT * endpoint_count as f64 / f64::from(ingress_count)
+    MIN_CONCURRENCY_PER_ENDPOINT * endpoint_count as f64 / f64::from(ingress_count)
 }
 
 /// Whether an ingress may have one more request in flight at a service that has not responded yet,
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -54,7 +54,7 @@
         let class = &self.settings.classes[incoming.class];
         let margin = DEADLINE_MARGIN_TICKS * seconds(self.settings.tick);
         let mut deadline = now + seconds(incoming.time_left) - margin;
-        if class.late_weight_ratio <= 0.0 && class.objective_per_work <= 0.0 {
+        if class.late_weight_ratio <= 0.0 && class.objective_work_factor <= 0.0 {
             deadline = deadline.min(now + seconds(class.latency_objective));
         }
         deadline.max(now)
--- a/crates/decision/src/service/attempts.rs
+++ b/crates/decision/src/service/attempts.rs
@@ -73,7 +73,7 @@
         if let Some(quota) = state.quotas.get_mut(incoming.customer) {
             quota.correct_estimate(more_units);
         }
-        if end.finished || end.outcome == Outcome::Ok {
+        if end.is_request_finished || end.outcome == Outcome::Ok {
             return self.close(end.request, state);
         }
         self.retry_or_finish(end.request, state);
--- a/crates/decision/src/service/closing.rs
+++ b/crates/decision/src/service/closing.rs
@@ -108,7 +108,7 @@
         idempotency,
         Idempotency::Idempotent
             | Idempotency::IdempotencyKey {
-                group: DeduplicationScope::All,
+                scope: DeduplicationScope::All,
                 ..
             }
     );
--- a/crates/decision/src/service/retry.rs
+++ b/crates/decision/src/service/retry.rs
@@ -82,7 +82,7 @@
         if !may_execute_again(request, settings, RETRY_TICKS, now) {
             return AllowedEndpoints::None;
         }
-        let Idempotency::IdempotencyKey { group, .. } =
+        let Idempotency::IdempotencyKey { scope, .. } =
             settings.classes[request.incoming.class].idempotency
         else {
             return AllowedEndpoints::All;
@@ -90,7 +90,7 @@
         let Some(first) = endpoints.get(&first.endpoint) else {
             return AllowedEndpoints::None;
         };
-        match group {
+        match scope {
             DeduplicationScope::All => AllowedEndpoints::All,
             DeduplicationScope::Zone => AllowedEndpoints::Zone(first.entry.zone),
             DeduplicationScope::Cell => AllowedEndpoints::Cell(first.entry.cell),
--- a/crates/decision/src/service/timers.rs
+++ b/crates/decision/src/service/timers.rs
@@ -2,7 +2,7 @@
 
 use crate::action::Action;
 use crate::ids::{EndpointId, RequestId};
-use crate::load_shedding::OBJECTIVE_RATIO_MAX;
+use crate::load_shedding::MAX_OBJECTIVE_RATIO;
 use crate::rejection::RejectReason;
 use crate::service::hedging::{self, HedgeDecision, HedgeInput};
 use crate::service::state::{EventContext, Service, Timer};
@@ -93,7 +93,7 @@
     }
 
     fn is_too_busy_to_hedge(&self, class: usize, now: f64) -> bool {
-        let ratio_max = hedging::HEDGE_LOAD_RATIO_MAX * OBJECTIVE_RATIO_MAX;
+        let ratio_max = hedging::HEDGE_LOAD_RATIO_MAX * MAX_OBJECTIVE_RATIO;
         self.upstream.latency.objective_ratio() > ratio_max
             || self.upstream.shed_load(class, 1.0, now).is_some()
     }
--- a/crates/decision/src/service/upstream.rs
+++ b/crates/decision/src/service/upstream.rs
@@ -9,7 +9,7 @@
 use crate::health::outlier;
 use crate::ids::EndpointId;
 use crate::latency::LatencyStats;
-use crate::load_shedding::{LoadShedder, OBJECTIVE_RATIO_MAX};
+use crate::load_shedding::{LoadShedder, MAX_OBJECTIVE_RATIO};
 use crate::rejection::ShedLoad;
 use crate::service::request::Request;
 use crate::service::retry::AllowedEndpoints;
@@ -34,7 +34,7 @@
         Upstream {
             settings: Arc::clone(settings),
             balancer: LoadBalancer::new(settings),
-            latency: LatencyStats::new(settings, OBJECTIVE_RATIO_MAX, now),
+            latency: LatencyStats::new(settings, MAX_OBJECTIVE_RATIO, now),
             load_shedder: LoadShedder::new(now),
             health_checks: HealthCheckBudget::default(),
         }
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -7,10 +7,10 @@
 pub enum Idempotency {
     /// Any number of times, anywhere.
     Idempotent,
-    /// Endpoints of `group` drop duplicates for `window` after the first attempt.
+    /// Endpoints of `scope` drop duplicates for `window` after the first attempt.
     IdempotencyKey {
         /// The endpoints that share their memory of keys.
-        group: DeduplicationScope,
+        scope: DeduplicationScope,
         /// How long they remember a key.
         window: Duration,
     },
@@ -35,7 +35,7 @@
     /// A response within this time earns the full priority weight.
     pub latency_objective: Duration,
     /// The objective grows by this multiple of the request's own work.
-    pub objective_per_work: f64,
+    pub objective_work_factor: f64,
     /// Total time that a client waits over all its attempts.
     pub deadline: Duration,
     /// Value of one served request.
@@ -118,7 +118,7 @@
     Push,
     /// Changes come only after [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchEndpointList`](crate::Action::FetchEndpointList).
-    Poll,
+    Subscription,
 }
 
 /// Settings that an ingress starts with.
--- a/crates/decision/tests/common/attempts.rs
+++ b/crates/decision/tests/common/attempts.rs
@@ -72,7 +72,7 @@
         if outcome == Outcome::Ok && record.answer.is_none() {
             record.answer = Some(Answer::Served);
         }
-        let finished = record.answer.is_some();
+        let is_request_finished = record.answer.is_some();
         let ended = &mut record.attempts[attempt];
         ended.outcome = Some(outcome);
         let end = AttemptEnd {
@@ -81,7 +81,7 @@
             endpoint: EndpointId(ended.endpoint),
             outcome,
             elapsed: self.now - ended.forwarded_at,
-            finished,
+            is_request_finished,
             true_units: units,
             load: None,
         };
--- a/crates/decision/tests/common/fixtures.rs
+++ b/crates/decision/tests/common/fixtures.rs
@@ -10,7 +10,7 @@
 pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: ms(500),
-        objective_per_work: 0.0,
+        objective_work_factor: 0.0,
         deadline: ms(2000),
         priority_weight: 1.0,
         late_weight_ratio: 0.2,
@@ -45,9 +45,9 @@
 /// Classes: 0 idempotent, 1 with an idempotency key in a cell, 2 not idempotent, 3 with an
 /// idempotency key everywhere. Plans: 0 with a rate, 1 with a ceiling, 2 with a concurrency limit.
 pub(crate) fn settings(ingress_count: u32) -> Settings {
-    let with_key = |group| {
+    let with_key = |scope| {
         class(Idempotency::IdempotencyKey {
-            group,
+            scope,
             window: ms(400),
         })
     };
--- a/crates/decision/tests/common/rules.rs
+++ b/crates/decision/tests/common/rules.rs
@@ -60,7 +60,7 @@
         let is_retry_safe = match self.settings.classes[record.class].idempotency {
             Idempotency::Idempotent
             | Idempotency::IdempotencyKey {
-                group: DeduplicationScope::All,
+                scope: DeduplicationScope::All,
                 ..
             } => true,
             _ => record.first_possible_execution().is_none(),
@@ -131,12 +131,12 @@
         match self.settings.classes[record.class].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NonIdempotent => panic!("rule 2: a non-idempotent request was retried"),
-            Idempotency::IdempotencyKey { group, window } => {
+            Idempotency::IdempotencyKey { scope, window } => {
                 let is_same_group =
-                    group == DeduplicationScope::All || first.endpoint % 2 == endpoint % 2;
+                    scope == DeduplicationScope::All || first.endpoint % 2 == endpoint % 2;
                 assert!(
                     is_same_group && self.now <= first.forwarded_at + window,
-                    "rule 2: a retry outside of its key's group or window"
+                    "rule 2: a retry outside its key's deduplication scope or window"
                 );
             }
         }
--- a/crates/decision/tests/common/service_simulation.rs
+++ b/crates/decision/tests/common/service_simulation.rs
@@ -188,7 +188,7 @@
             endpoint,
             outcome,
             elapsed,
-            finished: record.served || record.rejected,
+            is_request_finished: record.served || record.rejected,
             true_units: None,
             load: None,
         };
--- a/crates/decision/tests/counter.rs
+++ b/crates/decision/tests/counter.rs
@@ -226,7 +226,7 @@
         endpoint,
         outcome: Outcome::Ok,
         elapsed: ms(9),
-        finished: true,
+        is_request_finished: true,
         true_units: Some(4.0),
         load: None,
     };
--- a/crates/decision/tests/endpoints.rs
+++ b/crates/decision/tests/endpoints.rs
@@ -176,7 +176,7 @@
 #[test]
 fn discovery_is_subscribed_to_in_poll_mode_and_again_after_a_failure() {
     let mut settings = settings(1);
-    settings.discovery = DiscoveryMode::Poll;
+    settings.discovery = DiscoveryMode::Subscription;
     let mut sim = Simulation::new(settings, 1, 3);
     let subscriptions = |sim: &Simulation| {
         sim.actions
--- a/crates/decision/tests/large_services.rs
+++ b/crates/decision/tests/large_services.rs
@@ -146,8 +146,8 @@
     let mut sim = with_a_large_service(0..900);
     endpoints_used(&mut sim, 50);
     sim.change(large(0..899, EndpointState::Removed));
-    assert_eq!(sim.dispatcher.services(), 1);
+    assert_eq!(sim.dispatcher.service_count(), 1);
     sim.change(large(899..900, EndpointState::Removed));
     sim.advance(ms(5000));
-    assert_eq!(sim.dispatcher.services(), 0);
+    assert_eq!(sim.dispatcher.service_count(), 0);
 }
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -96,7 +96,7 @@
             endpoint: EndpointId(77),
             outcome: Outcome::Ok,
             elapsed: ms(1),
-            finished: true,
+            is_request_finished: true,
             true_units: Some(nan),
             load: Some(LoadReport {
                 in_flight: Some(nan),
--- a/crates/decision/tests/services.rs
+++ b/crates/decision/tests/services.rs
@@ -13,7 +13,7 @@
         // service.
         assert!(sim.serve(1 + round % 5), "round {round}");
     }
-    assert_eq!(sim.dispatcher.services(), 5);
+    assert_eq!(sim.dispatcher.service_count(), 5);
 }
 
 #[test]
@@ -139,7 +139,7 @@
     assert!(sim.serve(2));
     sim.advance(ms(500));
     assert_eq!(
-        sim.dispatcher.services(),
+        sim.dispatcher.service_count(),
         2,
         "a service without endpoints and requests holds no state"
     );
@@ -225,13 +225,13 @@
         // One that had a request stays until its next maintenance, 50 ms later: that is eleven of
         // them.
         assert!(
-            sim.dispatcher.services() <= 22,
+            sim.dispatcher.service_count() <= 22,
             "{} after {service}",
-            sim.dispatcher.services()
+            sim.dispatcher.service_count()
         );
     }
     sim.advance(ms(10_000));
-    assert_eq!(sim.dispatcher.services(), 10);
+    assert_eq!(sim.dispatcher.service_count(), 10);
 }
 
 #[test]
@@ -241,11 +241,15 @@
     sim.handle(Event::EndpointListChanged(EndpointListUpdate::Full(
         (1..=3).flat_map(ready).collect(),
     )));
-    assert_eq!(sim.dispatcher.services(), 4, "one has a request in flight");
+    assert_eq!(
+        sim.dispatcher.service_count(),
+        4,
+        "one has a request in flight"
+    );
     sim.end(out, Outcome::Ok, ms(5));
     assert!(sim.requests[&out].served);
     sim.advance(ms(5000));
-    assert_eq!(sim.dispatcher.services(), 3);
+    assert_eq!(sim.dispatcher.service_count(), 3);
 }
 
 #[test]
--- a/crates/platform-config/src/mapping.rs
+++ b/crates/platform-config/src/mapping.rs
@@ -47,7 +47,7 @@
 fn discovery_mode(name: &str) -> Result<DiscoveryMode, PlatformConfigError> {
     match name {
         PUSH_DISCOVERY => Ok(DiscoveryMode::Push),
-        POLL_DISCOVERY => Ok(DiscoveryMode::Poll),
+        POLL_DISCOVERY => Ok(DiscoveryMode::Subscription),
         other => Err(PlatformConfigError::UnknownDiscovery {
             value: other.to_owned(),
         }),
@@ -69,7 +69,7 @@
     let idempotency = idempotency(class)?;
     Ok(RequestClass {
         latency_objective: required_duration("Classes[].TargetMs", class.target_ms)?,
-        objective_per_work: class.aim_stretch,
+        objective_work_factor: class.aim_stretch,
         deadline: required_duration("Classes[].DeadlineMs", class.deadline_ms)?,
         priority_weight: class.worth,
         late_weight_ratio: class.late_worth,
@@ -82,7 +82,7 @@
     match class.effect.as_str() {
         "read_like" => Ok(Idempotency::Idempotent),
         "idempotency_key" => Ok(Idempotency::IdempotencyKey {
-            group: deduplication_scope(class.group.as_deref().unwrap_or_default())?,
+            scope: deduplication_scope(class.group.as_deref().unwrap_or_default())?,
             window: required_duration("Classes[].WindowMs", class.window_ms.unwrap_or_default())?,
         }),
         "non_idempotent" => Ok(Idempotency::NonIdempotent),
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -206,14 +206,14 @@
         let is_served = result.outcome == Outcome::Ok && !held.is_finished;
         let value = result.value.filter(|_| is_served);
         // A value that cannot be delivered any more ends the request like any other outcome.
-        let finished = held.is_finished || value.is_some();
+        let is_request_finished = held.is_finished || value.is_some();
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: RequestId(request.pack()),
             attempt,
             endpoint: ended.endpoint,
             outcome: result.outcome,
             elapsed: now.saturating_sub(ended.started_at),
-            finished,
+            is_request_finished,
             true_units,
             load: result.load,
         }));
--- a/crates/request-engine/tests/common/mod.rs
+++ b/crates/request-engine/tests/common/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: ms(1000),
-        objective_per_work: 0.0,
+        objective_work_factor: 0.0,
         deadline: ms(4000),
         priority_weight: 1.0,
         late_weight_ratio: 0.1,
@@ -26,7 +26,7 @@
 /// Classes: 0 idempotent, 1 with an idempotency key in a cell, 2 non-idempotent.
 pub(crate) fn settings() -> Settings {
     let keyed = Idempotency::IdempotencyKey {
-        group: DeduplicationScope::Cell,
+        scope: DeduplicationScope::Cell,
         window: WINDOW,
     };
     Settings {
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -45,7 +45,7 @@
         endpoint: EndpointId(record.endpoint),
         outcome: outcome(record.outcome_code)?,
         elapsed: duration_from_ms(record.elapsed_ms),
-        finished: record.is_finished,
+        is_request_finished: record.is_finished,
         true_units,
         load: load_report(field_names, &record.load_report),
     }))
