--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! What this ingress knows of one endpoint. Plain state: the rules of [`crate::health`] and
-//! [`crate::balancer`] read and write it. Times are in seconds.
+//! The state that this ingress keeps for one endpoint. [`crate::health`] and [`crate::balancer`]
+//! read and update it. Times are in seconds.
 
 use crate::event::{EndpointEntry, LoadReport};
 use crate::health::circuit_breaker::CircuitBreaker;
@@ -11,35 +11,40 @@
 use crate::util::seconds;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Load reports are averaged over this many seconds, and fade as fast.
+/// The time constant of the average over load reports, and of its decay once reports stop.
 pub(crate) const LOAD_REPORT_TIME_CONSTANT_SECONDS: f64 = 5.0;
-/// The least weight of a load report: single ones are stale, and ingresses that follow them move
-/// from endpoint to endpoint together.
+/// Bounds on the weight of one load report. A single report is out of date when it arrives, and
+/// ingresses that react to it strongly all move to the same endpoints at the same time.
 const LOAD_REPORT_WEIGHT: SampleWeight = SampleWeight {
     min: 0.03,
     max: 1.0,
 };
-/// The first responses of an endpoint count as if this many average ones had come before.
+/// The ratio of an endpoint's latency to the mean is averaged as if this many responses with a
+/// ratio of 1 had preceded its first response.
 const LATENCY_RATIO_PRIOR_RESPONSES: f64 = 8.0;
-const LATENCY_RATIO_RESPONSES_MAX: f64 =
+/// The cap on the number of responses that the ratio is averaged over, so that it continues to
+/// follow changes.
+const MAX_LATENCY_RATIO_RESPONSES: f64 =
     4.0 * MAX_AVERAGED_RESPONSES - LATENCY_RATIO_PRIOR_RESPONSES;
-const LATENCY_RATIO_MIN: f64 = 0.5;
-const LATENCY_RATIO_MAX: f64 = 2.0;
-const FORWARD_WINDOW_MIN_SECONDS: f64 = 0.5;
+const MIN_LATENCY_RATIO: f64 = 0.5;
+const MAX_LATENCY_RATIO: f64 = 2.0;
+const MIN_FORWARD_WINDOW_SECONDS: f64 = 0.5;
 
-/// All endpoints of a service that have a state, in order of their ids.
+/// The endpoints of a service that this ingress keeps state for.
 pub(crate) type Endpoints = BTreeMap<EndpointId, Endpoint>;
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptKey {
     pub request: RequestId,
+    /// The number of the attempt, from 0.
     pub attempt: u16,
 }
 
-/// An attempt that has not ended.
+/// An attempt whose outcome is not known yet.
 pub(crate) struct InFlightAttempt {
     pub forwarded_at: f64,
+    /// The index of the request's class.
     pub class: usize,
 }
 
@@ -47,60 +52,63 @@
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub entry: EndpointEntry,
-    /// Whether it takes new requests from this ingress.
+    /// Whether this ingress may forward new requests to it.
     pub ready: bool,
-    /// The part of it, 0 to 1, that lies in this ingress's subset.
+    /// The share of it, from 0 to 1, that belongs to this ingress's subset.
     pub subset_weight: f64,
     pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
-    /// When it last responded, or was first used after an idle time: waiting counts from here.
+    /// When it last responded, or when an attempt was first forwarded to it while none was in
+    /// flight. Time spent waiting for a response counts from here.
     pub last_response_at: f64,
-    /// Latency relative to the service's mean for the same class.
+    /// The mean of its latency divided by the service's mean latency for the same class.
     pub latency_ratio: f64,
+    /// The number of responses that `latency_ratio` is averaged over, up to a cap.
     pub latency_ratio_responses: f64,
-    /// Requests in flight by its own reports.
+    /// The number of requests in flight according to its load reports.
     pub reported_load: Ewma,
     pub circuit_breaker: CircuitBreaker,
-    /// Failures, decaying with time.
+    /// The number of failures, decaying exponentially, as of `last_failure_at`.
     pub recent_failures: f64,
     pub last_failure_at: f64,
-    /// It has not responded for long; ejected only where `ejection_allowed`.
+    /// Whether its attempts have waited too long for a response. It is ejected only while
+    /// [`ejection_allowed`](crate::health::outlier::ejection_allowed) holds.
     pub unresponsive: bool,
-    /// An ejected endpoint may get a trial request from this time on, where hedging is permitted.
+    /// From this time on it may get a trial request while it is ejected, if hedging is permitted.
     pub next_trial_at: f64,
     pub last_health_check_at: f64,
-    /// When attempts were forwarded to it within [`forward_window_seconds`], oldest first.
+    /// The times of the attempts forwarded to it within [`forward_window_seconds`], oldest first.
     pub recent_forwards: VecDeque<f64>,
-    /// Decides whether a fraction of one request is left of the slow-start budget.
+    /// Rounds the slow-start budget, which is fractional, to a whole number of requests.
     pub slow_start_sample: HeldSample,
 }
 
 impl Endpoint {
-    /// Whether it counts as working for the service's load: ready and not ejected.
+    /// Whether it is ready and not ejected. Only live endpoints count towards the service's load.
     pub(crate) fn is_live(&self, ejection_allowed: bool) -> bool {
         self.ready && !self.is_ejected(ejection_allowed)
     }
 
-    /// Whether it is unresponsive and may be ejected for it.
+    /// Whether it is ejected: unresponsive, while ejection is allowed.
     pub(crate) fn is_ejected(&self, ejection_allowed: bool) -> bool {
         self.unresponsive && ejection_allowed
     }
 
-    /// It has responded.
+    /// Records that the endpoint responded.
     pub(crate) fn record_response(&mut self, now: f64) {
         self.last_response_at = now;
         self.unresponsive = false;
     }
 
-    /// Takes in a latency relative to the service's mean.
+    /// Records a latency divided by the service's mean.
     pub(crate) fn record_latency_ratio(&mut self, ratio: f64) {
-        let responses = (self.latency_ratio_responses + 1.0).min(LATENCY_RATIO_RESPONSES_MAX);
+        let responses = (self.latency_ratio_responses + 1.0).min(MAX_LATENCY_RATIO_RESPONSES);
         self.latency_ratio_responses = responses;
         let change = (ratio - self.latency_ratio) / (LATENCY_RATIO_PRIOR_RESPONSES + responses);
         self.latency_ratio =
-            (self.latency_ratio + change).clamp(LATENCY_RATIO_MIN, LATENCY_RATIO_MAX);
+            (self.latency_ratio + change).clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO);
     }
 
-    /// Takes in a load report; one without a usable number counts as idle.
+    /// Records a load report. A report without a finite number of requests counts as 0 in flight.
     pub(crate) fn record_load_report(&mut self, report: &LoadReport, now: f64) {
         let usable = |value: Option<f64>| value.filter(|v| v.is_finite()).map(|v| v.max(0.0));
         let in_flight = usable(report.in_flight)
@@ -114,7 +122,7 @@
         );
     }
 
-    /// An attempt goes out to it.
+    /// Records that an attempt is forwarded to the endpoint.
     pub(crate) fn record_forward(&mut self, key: AttemptKey, class: usize, now: f64) {
         if self.in_flight.is_empty() {
             self.last_response_at = now;
@@ -127,7 +135,7 @@
         self.recent_forwards.push_back(now);
     }
 
-    /// Drops forwards that are older than the window.
+    /// Removes the times of forwards that are older than the window.
     pub(crate) fn expire_forwards(&mut self, window_seconds: f64, now: f64) {
         let start = now - window_seconds;
         while self
@@ -138,7 +146,7 @@
     }
 }
 
-/// How long each endpoint's forwards are remembered.
+/// Returns how long the time of each forward is kept.
 pub(crate) fn forward_window_seconds(limits: &EndpointLimits) -> f64 {
-    seconds(limits.overload_window).max(FORWARD_WINDOW_MIN_SECONDS)
+    seconds(limits.overload_window).max(MIN_FORWARD_WINDOW_SECONDS)
 }
--- a/crates/decision/src/ids.rs
+++ b/crates/decision/src/ids.rs
@@ -1,25 +1,25 @@
-//! Identifiers, assigned by the caller.
+//! Identifiers. The caller assigns them.
 
-/// An endpoint (server process) of the endpoint list.
+/// Identifies an endpoint (server process) of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// A service: the endpoints that answer one kind of request.
+/// Identifies a service: a group of endpoints that serve the same kind of request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u32);
 
-/// One client request, unique while the ingress runs.
+/// Identifies a client request. Unique for the lifetime of the ingress process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The customer whose quota a request uses.
+/// Identifies the customer whose quota a request uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
 
-/// Key of a number on the counter service.
+/// The key of a total on the counter service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CounterKey(pub u64);
 
-/// Tag of a timer.
+/// Identifies a timer that the caller was asked to set. The expiry event carries it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerTag(pub u32);
--- a/crates/decision/src/quota/ceiling.rs
+++ b/crates/decision/src/quota/ceiling.rs
@@ -1,41 +1,46 @@
-//! The hard ceiling of a customer's use, which must never be exceeded over all ingresses.
+//! The hard ceiling on a customer's use. All ingresses together must never exceed it.
 //!
-//! It is divided in two: each ingress spends an even part of the local allowance without a total
-//! from the counter; the shared allowance is spent only on a confirmed total, which holds what all
-//! the other ingresses added.
+//! The ceiling is split into two allowances. The local allowance is divided evenly among the
+//! ingresses, and each spends its part without asking the counter. The shared allowance is spent
+//! only on requests with a total from the counter, since the total includes what the other
+//! ingresses added.
 
 use crate::quota::sharing::Sharing;
 use crate::settings::Plan;
 
-/// The shared part of a ceiling. One half lets a single informed ingress of up to four admit a full
-/// quota under a ceiling of 1.6 quotas.
-const SHARED_RATIO: f64 = 0.5;
-/// The shared part where totals come rarely and most of the ceiling must do without them.
-const SHARED_RATIO_OF_MANY: f64 = 0.25;
-/// The part of the ceiling's slack that is used; the rest covers rounding on the counter.
+/// The shared part of a ceiling. With one half, a single ingress out of up to four that receives
+/// totals can admit a full quota under a ceiling of 1.6 times the quota.
+const SHARED_RATIO_FEW_INGRESSES: f64 = 0.5;
+/// The shared part if many ingresses share the quota. Each of them rarely receives totals, so most
+/// of the ceiling has to be available without one.
+const SHARED_RATIO_MANY_INGRESSES: f64 = 0.25;
+/// The part of the ceiling's slack that is used. The rest covers rounding on the counter.
 const SLACK_USED_RATIO: f64 = 0.8;
 
-/// What remains under the ceiling, in units. Both allowances start empty: before a restart this
-/// ingress may have spent them.
+/// The ceiling of one customer and what remains of it, in units. Both allowances start empty,
+/// because this ingress may have spent them before a restart.
 pub(crate) struct Ceiling {
+    /// Units per second.
     rate: f64,
+    /// The capacity that is split into the two allowances, in units.
     depth: f64,
     local_allowance: f64,
     shared_allowance: f64,
 }
 
-/// What the start of a new counter window does to the shared allowance.
+/// What determines the shared allowance at the start of a new counter window.
 pub(crate) struct WindowStart {
     pub sharing: Sharing,
-    /// Few requests come here, so that the allowance must not start empty.
+    /// Whether this ingress receives few of the customer's requests. If so, the allowance must not
+    /// start empty.
     pub has_few_requests: bool,
-    /// What the peers may have used that no total showed, in units.
+    /// Units that the peers may have used and that no total has shown.
     pub unobserved_peer_units: f64,
 }
 
 impl Ceiling {
-    /// The plan's ceiling, if it has one.
-    pub(crate) fn of(plan: &Plan) -> Option<Ceiling> {
+    /// Returns the ceiling of a customer on this plan, or `None` if the plan has no ceiling.
+    pub(crate) fn for_plan(plan: &Plan) -> Option<Ceiling> {
         (plan.ceiling_rate > 0.0).then_some(Ceiling {
             rate: plan.ceiling_rate,
             depth: plan.ceiling_burst + plan.ceiling_slack * SLACK_USED_RATIO,
@@ -44,7 +49,7 @@
         })
     }
 
-    /// Refills the local allowance and, where totals are current, the shared one.
+    /// Refills the local allowance, and the shared one if `refill_shared` is set.
     pub(crate) fn refill(&mut self, elapsed_seconds: f64, sharing: Sharing, refill_shared: bool) {
         let shared_ratio = shared_ratio(sharing);
         let ingress_count = sharing.ingress_count;
@@ -59,57 +64,62 @@
         }
     }
 
-    /// Limits the shared allowance at the start of a counter window to half of its depth: an edge
-    /// between two windows and all local allowances fill the rest. Few ingresses divide what is
-    /// granted at least, and keep what is left less the peers' unobserved use: otherwise each new
-    /// window would spend it once more.
+    /// Limits the shared allowance at the start of a counter window to half of its capacity. The
+    /// other half covers use around the boundary between two windows and all local allowances.
+    ///
+    /// If few ingresses share the quota, the minimum granted to an ingress with few requests is
+    /// divided among them, and an ingress keeps what is left of its allowance minus the peers'
+    /// unobserved use. Otherwise the same allowance could be spent again in each window.
     pub(crate) fn start_window(&mut self, start: &WindowStart) {
         let half = self.depth * shared_ratio(start.sharing) / 2.0;
         let remaining = self.shared_allowance - start.unobserved_peer_units;
-        let (divisor, kept) = if start.sharing.is_by_many() {
+        let (divisor, kept_units) = if start.sharing.has_many_ingresses() {
             (1.0, 0.0)
         } else {
             (start.sharing.ingress_count, remaining)
         };
-        let least = if start.has_few_requests {
+        let min_allowance = if start.has_few_requests {
             half / divisor
         } else {
             0.0
         };
-        self.shared_allowance = kept.clamp(least, half);
+        self.shared_allowance = kept_units.clamp(min_allowance, half);
     }
 
-    /// Subtracts units that a total of the counter shows.
+    /// Subtracts units that a total shows to be used, by this ingress or its peers.
     pub(crate) fn subtract_total(&mut self, units: f64) {
         self.shared_allowance -= units;
     }
 
-    /// Whether this many units stay under the ceiling. `is_confirmed`: a total has come for them.
+    /// Whether the ceiling admits this many units. `is_confirmed` says whether a total that
+    /// includes them has been received.
     pub(crate) fn admits(&self, units: f64, is_confirmed: bool) -> bool {
-        self.local_allowance >= units || self.is_shared_available(is_confirmed)
+        self.local_allowance >= units || self.is_shared_allowance_available(is_confirmed)
     }
 
-    /// Takes admitted units from an allowance.
-    pub(crate) fn take(&mut self, units: f64, is_confirmed: bool) {
-        if self.is_shared_available(is_confirmed) {
+    /// Subtracts admitted units from an allowance.
+    pub(crate) fn consume(&mut self, units: f64, is_confirmed: bool) {
+        if self.is_shared_allowance_available(is_confirmed) {
             return;
         }
         self.local_allowance -= units;
         if is_confirmed {
-            // The total has taken them from the shared allowance already.
+            // `subtract_total` has already subtracted them from the shared allowance.
             self.shared_allowance += units;
         }
     }
 
-    fn is_shared_available(&self, is_confirmed: bool) -> bool {
+    /// A confirmed request's units are already subtracted, so the balance only has to be
+    /// non-negative.
+    fn is_shared_allowance_available(&self, is_confirmed: bool) -> bool {
         is_confirmed && self.shared_allowance >= 0.0
     }
 }
 
 fn shared_ratio(sharing: Sharing) -> f64 {
-    if sharing.is_by_many() {
-        SHARED_RATIO_OF_MANY
+    if sharing.has_many_ingresses() {
+        SHARED_RATIO_MANY_INGRESSES
     } else {
-        SHARED_RATIO
+        SHARED_RATIO_FEW_INGRESSES
     }
 }
--- a/crates/decision/src/quota/customer_table.rs
+++ b/crates/decision/src/quota/customer_table.rs
@@ -1,14 +1,16 @@
-//! The quotas of all customers that are in use. An idle one is dropped: many customers come once.
+//! The quota states of all active customers. Idle customers are removed, since many send only one
+//! request.
 
 use crate::ids::CustomerId;
 use crate::quota::customer::{CustomerQuota, IDLE_TIMEOUT_SECONDS};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Customers and their quotas.
+/// The quota states by customer.
 #[derive(Default)]
 pub(crate) struct CustomerTable {
     quotas: BTreeMap<CustomerId, CustomerQuota>,
-    /// When each quota is checked for idleness, in seconds: in order, as all wait equally long.
+    /// When each customer is next checked for idleness, in seconds. The queue is ordered by time,
+    /// because every check is scheduled [`IDLE_TIMEOUT_SECONDS`] ahead.
     idle_checks: VecDeque<(f64, CustomerId)>,
 }
 
@@ -21,7 +23,8 @@
         self.quotas.get_mut(&customer)
     }
 
-    /// The customer's quota; a new one if there is none or it has been idle for too long.
+    /// Returns the customer's quota state. Creates it if there is none or if it has been idle for
+    /// too long. Also removes other idle customers.
     pub(crate) fn get_or_create(
         &mut self,
         customer: CustomerId,
--- a/crates/decision/src/quota/mod.rs
+++ b/crates/decision/src/quota/mod.rs
@@ -1,10 +1,9 @@
-//! Customers' quotas, over all ingresses and services: which requests are admitted, with the
-//! counter's totals and without.
+//! Admission by customer quota. A customer's quota applies to all services and ingresses together.
 //!
-//! A request's units go with one increment to its customer's key on the counter
-//! ([`CustomerQuotas::admit`]). The total that comes back is reconciled with the bucket
-//! ([`reconciliation`]) and decides. Without a total the bucket decides alone
-//! ([`CustomerQuotas::decide_locally`]).
+//! For each sampled request, the ingress increments its customer's key on the counter by the
+//! request's units ([`CustomerQuotas::admit`]). The returned total is reconciled with the local
+//! bucket ([`reconciliation`]), which then decides. Without a total, the ingress decides from its
+//! local state alone ([`CustomerQuotas::decide_locally`]).
 
 mod admission_odds;
 mod ceiling;
@@ -27,28 +26,29 @@
 use fastrand::Rng;
 use std::sync::Arc;
 
-/// An infrequent customer's increment counts also for its requests that did not call the counter:
-/// for those of a call ratio of this at least.
-const EXTRAPOLATED_CALL_RATIO_MIN: f64 = 0.25;
+/// The increment of an infrequent customer is divided by the call ratio to account for the requests
+/// that did not call the counter. The divisor is at least this ratio.
+const MIN_EXTRAPOLATED_CALL_RATIO: f64 = 0.25;
 
-/// What the quota answers to a new request.
+/// How the quota of a new request is decided.
 pub(crate) enum QuotaCheck {
-    /// The counter is called; its total is awaited for this long.
+    /// The counter has been called. The request waits up to `wait_seconds` for the total.
     AwaitCounter { wait_seconds: f64 },
-    /// To be decided without a total.
+    /// The caller decides without a total, with [`CustomerQuotas::decide_locally`].
     DecideLocally,
-    /// The customer has as many requests in flight as its plan allows.
+    /// The request is rejected: its customer has reached the plan's concurrency limit.
     ConcurrencyLimit,
 }
 
-/// A request whose counter call has ended before it was decided.
+/// The result of a counter call that ended before its request was decided.
 pub(crate) struct CounterDecision {
     pub request: RequestId,
-    /// Whether the request is within its quota by the total; none where no total came.
+    /// Whether the request is within its quota according to the total, or `None` if the call
+    /// returned no total.
     pub is_within_quota: Option<bool>,
 }
 
-/// All customers' quotas, and how the counter answers.
+/// The quotas of all customers, and the sampling of counter calls.
 pub(crate) struct CustomerQuotas {
     settings: Arc<Settings>,
     customers: CustomerTable,
@@ -66,6 +66,7 @@
         }
     }
 
+    /// Returns the customer's quota state, or `None` if the customer is not active here.
     pub(crate) fn get(&self, customer: CustomerId) -> Option<&CustomerQuota> {
         self.customers.get(customer)
     }
@@ -74,7 +75,8 @@
         self.customers.get_mut(customer)
     }
 
-    /// A request has arrived: calls the counter or leaves the decision to the bucket.
+    /// Checks the concurrency limit of a new request's customer, then calls the counter or leaves
+    /// the decision to the local state.
     pub(crate) fn admit(
         &mut self,
         request: &IncomingRequest,
@@ -116,8 +118,8 @@
         }
     }
 
-    /// Decides without a total whether the request is admitted. `is_unreported`: no call is out
-    /// for it.
+    /// Decides without a total whether the request is admitted. `is_unreported` says that no
+    /// counter call was made for the request.
     pub(crate) fn decide_locally(
         &mut self,
         request: &IncomingRequest,
@@ -128,17 +130,18 @@
             return false;
         };
         let units = request.units;
-        customer.assume_peer_usage(now);
+        customer.subtract_assumed_peer_use(now);
         let is_infrequent = customer.is_infrequent() && self.settings.counter.is_some();
         let over_quota_cost = self.settings.plans[customer.plan].over_quota_cost;
-        let is_likely_within = !customer.sharing.is_by_many()
+        let is_likely_within_quota = !customer.sharing.has_many_ingresses()
             || self
                 .odds
                 .favours_admission(customer.plan, request.is_retry, over_quota_cost);
-        // What costs nothing beyond the quota is limited by its ceiling and the load alone.
+        // Requests that cost nothing over the quota are limited only by the ceiling and by load
+        // shedding.
         let over_quota_is_free = over_quota_cost <= 0.0;
         let is_within_quota = customer.is_under_ceiling(units, false)
-            && (over_quota_is_free || is_likely_within && customer.admits(units, false));
+            && (over_quota_is_free || is_likely_within_quota && customer.admits(units, false));
         let mut pending = customer.pending_calls.iter_mut();
         if let Some(call) = pending.find(|call| call.request.request == request.request) {
             call.decision = Some(is_within_quota);
@@ -151,7 +154,8 @@
         is_within_quota
     }
 
-    /// A counter call has ended. Returns its request where that is still to be decided.
+    /// Handles the end of a counter call. Returns the request with its decision, or `None` if the
+    /// request has already been decided.
     pub(crate) fn on_counter_reply(
         &mut self,
         key: CounterKey,
@@ -167,18 +171,18 @@
                 let call_ratio = self.sampling.counter_call_ratio;
                 customer.reconcile(total, call.amount, now, call_ratio);
                 is_within_quota = is_within_quota.or(Some(customer.admits(units, true)));
-                let has_available = customer.bucket.admits(units);
+                let has_units = customer.bucket.admits(units);
                 self.odds
-                    .record(customer.plan, call.request.is_retry, has_available);
+                    .record(customer.plan, call.request.is_retry, has_units);
             }
             CounterResult::NotAdded => customer.report_later(call.amount),
-            // The amount may have been added: taken as added.
+            // The amount may have been added, and is assumed to be.
             CounterResult::Total(_) | CounterResult::Unknown => {}
         }
-        let may_be_added = call.includes_request && result != CounterResult::Unknown;
-        // A rejected request's units leave the total with the next increment, which for an
-        // infrequent customer comes too late.
-        if is_within_quota == Some(false) && may_be_added && !customer.is_infrequent() {
+        let is_refundable = call.includes_request && result != CounterResult::Unknown;
+        // The units of a rejected request are removed from the total with the next increment. For
+        // an infrequent customer that would be too late to be of use.
+        if is_within_quota == Some(false) && is_refundable && !customer.is_infrequent() {
             customer.refund(units);
         }
         let is_undecided = call.decision.is_none();
@@ -193,31 +197,33 @@
 }
 
 impl CustomerQuota {
-    /// Whether a total would change nothing for a request, so that an overloaded counter is not
-    /// called for it: the bucket rejects it anyway and nothing is to be reported to the peers, or
-    /// it is an infrequent customer's and costs nothing beyond the quota.
+    /// Whether a request can do without a counter call while the counter is overloaded, because a
+    /// total would not change the decision. Either the bucket rejects the request anyway and there
+    /// are fewer unreported units than the request takes, or the customer is infrequent, has no
+    /// ceiling and costs nothing over its quota.
     fn can_skip_counter(&self, units: f64, over_quota_is_free: bool) -> bool {
-        let is_hopeless = self.bucket.available_units + self.assumed_peer_units < 0.0
+        let is_certain_rejection = self.bucket.available_units + self.assumed_peer_units < 0.0
             && self.unreported_units < units;
         let needs_no_total = over_quota_is_free && self.ceiling.is_none() && self.is_infrequent();
-        is_hopeless || needs_no_total
+        is_certain_rejection || needs_no_total
     }
 
-    /// Starts a counter call for the request and returns the amount that it adds. The units of a
-    /// request that the bucket would reject are left out: they would stay in the total until this
-    /// ingress's next increment and take capacity from the customer's requests elsewhere.
+    /// Records a counter call for the request and returns the amount that it adds. The amount omits
+    /// the units of a request that the bucket would reject: they would stay in the total until this
+    /// ingress's next increment and use up quota that the customer's requests need at other
+    /// ingresses. An infrequent customer's request is always included.
     fn start_call(&mut self, request: &IncomingRequest, counter_call_ratio: f64) -> f64 {
         let is_infrequent = self.is_infrequent();
-        let includes_request = self.bucket.has_available(request.units) || is_infrequent;
+        let includes_request = self.bucket.has_units(request.units) || is_infrequent;
         let own_units = if includes_request { request.units } else { 0.0 };
-        let due = self.unreported_units + own_units;
+        let due_units = self.unreported_units + own_units;
         let requests_per_call = if is_infrequent {
-            1.0 / counter_call_ratio.max(EXTRAPOLATED_CALL_RATIO_MIN)
+            1.0 / counter_call_ratio.max(MIN_EXTRAPOLATED_CALL_RATIO)
         } else {
             1.0
         };
-        let amount = due.max(0.0) * requests_per_call;
-        self.unreported_units = due.min(0.0);
+        let amount = due_units.max(0.0) * requests_per_call;
+        self.unreported_units = due_units.min(0.0);
         self.pending_calls.push_back(CounterCall {
             request: *request,
             amount,
--- a/crates/decision/src/quota/sharing.rs
+++ b/crates/decision/src/quota/sharing.rs
@@ -1,7 +1,8 @@
-//! How many ingresses a customer's requests come through.
+//! The number of ingresses that receive a customer's requests.
 
-/// Up to this many ingresses, what each one sees is enough to extrapolate from.
-const FEW_INGRESSES_MAX: f64 = 6.0;
+/// Up to this many ingresses, each one receives enough of a customer's requests to extrapolate the
+/// total use from them.
+const MANY_INGRESSES_THRESHOLD: f64 = 6.0;
 
 /// The number of ingresses that share a customer's quota.
 #[derive(Clone, Copy, Default)]
@@ -10,8 +11,9 @@
 }
 
 impl Sharing {
-    /// Whether each ingress sees too few of the customer's requests to know its total use.
-    pub(crate) fn is_by_many(self) -> bool {
-        self.ingress_count > FEW_INGRESSES_MAX
+    /// Whether so many ingresses share the quota that each one receives too few requests to
+    /// estimate the customer's total use.
+    pub(crate) fn has_many_ingresses(self) -> bool {
+        self.ingress_count > MANY_INGRESSES_THRESHOLD
     }
 }
--- a/crates/decision/src/rejection.rs
+++ b/crates/decision/src/rejection.rs
@@ -1,35 +1,37 @@
-//! Why a request is rejected, for operators: the client is told no reason.
+//! Reasons for rejecting a request. They are meant for operators; clients do not receive them.
 
-/// Why a request was rejected.
+/// The reason for which a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RejectReason {
-    /// Its class or plan is not in the settings.
+    /// The settings do not define its class or plan.
     UnknownClassOrPlan,
-    /// Its customer's quota is used up.
+    /// Its customer's quota is exhausted.
     OverQuota,
-    /// Its customer has as many requests in flight as the plan permits.
+    /// Its customer has reached the plan's limit on concurrent requests.
     ConcurrencyLimit,
-    /// The load is shed: the service has its limit of requests in flight.
+    /// Load shedding: the service has reached its concurrency limit for the request's class.
     Overloaded(ShedLoad),
-    /// No endpoint may get it.
+    /// No endpoint is eligible for it.
     NoEndpoint,
-    /// Its deadline passed before an attempt.
+    /// Its deadline passed before the first attempt was forwarded.
     DeadlineExceeded,
-    /// Its attempts failed, and there is no further one.
+    /// Its attempts failed and no further attempt is possible.
     AttemptsFailed,
-    /// The ingress holds as many requests as it may. Not a decision: its caller gives this reason.
+    /// The ingress has reached its limit on open requests. The caller sets this reason; this crate
+    /// never does.
     AtCapacity,
-    /// The ingress is not ready, or shuts down. Not a decision either.
+    /// The ingress is not ready yet or is shutting down. Also set by the caller only.
     NotServing,
 }
 
-/// The load that a request was rejected for.
+/// The load of the service when a request was rejected because of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShedLoad {
-    /// Attempts of the service in flight.
+    /// The number of attempts in flight from this ingress to the service's endpoints, without
+    /// ejected ones.
     pub in_flight: u32,
-    /// How many the request's class was limited to.
+    /// The limit on attempts in flight that applied to the request's class.
     pub limit: f64,
-    /// Latency of the service's responses as a share of the latency objective.
+    /// The mean latency of the service's responses divided by the latency objective.
     pub latency_ratio: f64,
 }
--- a/crates/decision/src/util/ewma.rs
+++ b/crates/decision/src/util/ewma.rs
@@ -1,22 +1,23 @@
 //! An exponentially weighted moving average of samples at irregular times.
 
-/// The least and the greatest weight that one sample may have, from 0 to 1.
+/// The bounds on the weight of one sample, each from 0 to 1.
 #[derive(Clone, Copy)]
 pub(crate) struct SampleWeight {
     pub min: f64,
     pub max: f64,
 }
 
-/// The mean of the samples so far and the time of the last one, in seconds.
+/// The weighted mean of the samples added so far. Times are in seconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Ewma {
     pub value: f64,
+    /// When the last sample was added.
     pub updated_at: f64,
 }
 
 impl Ewma {
-    /// Adds a sample. Its weight grows with the time since the last one, measured against the time
-    /// constant, and is held within `weight`.
+    /// Adds a sample. Its weight is `1 - exp(-t / time_constant_seconds)`, where `t` is the time
+    /// since the last sample, clamped to the bounds in `weight`.
     pub(crate) fn add(
         &mut self,
         sample: f64,
--- a/crates/decision/src/util/held_random.rs
+++ b/crates/decision/src/util/held_random.rs
@@ -1,7 +1,7 @@
-//! A random number that is held for a while. If it were drawn for each use, the most favourable of
-//! many draws would decide.
+//! A random number that is kept for some time. It rounds a fractional limit to a whole number of
+//! requests; if it were drawn for each request, the most favourable of many draws would decide.
 
-/// A number from 0 to 1 and when it was drawn, in seconds.
+/// A random number from 0 to 1. Times are in seconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct HeldSample {
     pub value: f64,
@@ -9,7 +9,7 @@
 }
 
 impl HeldSample {
-    /// Draws a new number if the last one was drawn `hold_seconds` ago or earlier.
+    /// Draws a new number if the present one is at least `hold_seconds` old.
     pub(crate) fn renew_if_expired(
         &mut self,
         now: f64,
--- a/crates/decision/src/util/mod.rs
+++ b/crates/decision/src/util/mod.rs
@@ -1,5 +1,5 @@
-//! Arithmetic that several rules share. Rules calculate in seconds as `f64`; events and actions
-//! carry a [`Duration`].
+//! Numeric and time helpers used throughout the crate. Internal calculations use seconds as `f64`;
+//! events and actions carry a [`Duration`].
 
 pub(crate) mod ewma;
 pub(crate) mod held_random;
@@ -7,17 +7,19 @@
 
 use std::time::Duration;
 
-/// Tolerance of comparisons between sums of units, and the smallest divisor.
+/// The tolerance in comparisons of accumulated units, and the lower bound that keeps divisors
+/// positive.
 pub(crate) const EPSILON: f64 = 1e-6;
 
+/// The longest duration that [`duration`] returns.
 const MAX_SECONDS: f64 = 1e9;
 
-/// The duration in seconds.
+/// Converts a duration to seconds.
 pub(crate) fn seconds(time: Duration) -> f64 {
     time.as_secs_f64()
 }
 
-/// The duration of this many seconds, rounded to a microsecond; a negative one is zero.
+/// Converts seconds to a duration, rounded to a microsecond. Negative values become zero.
 pub(crate) fn duration(seconds: f64) -> Duration {
     Duration::from_micros((seconds.clamp(0.0, MAX_SECONDS) * 1e6).round() as u64)
 }
--- a/crates/decision/src/util/timer_queue.rs
+++ b/crates/decision/src/util/timer_queue.rs
@@ -1,11 +1,13 @@
-//! A queue of timers, ordered by due time and, within one time, by the order of setting.
+//! A queue of timers. Timers with the same due time expire in the order in which they were set.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Timers that are not yet due, each with a value of type `T`.
+/// The pending timers, each with a value of type `T`. Due times are durations since the caller's
+/// epoch.
 pub(crate) struct TimerQueue<T> {
     timers: BTreeMap<(Duration, u64), T>,
+    /// The number of timers set so far. It orders timers with the same due time.
     sequence: u64,
 }
 
@@ -19,18 +21,18 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Adds a timer.
+    /// Adds a timer that is due at `at`.
     pub(crate) fn set(&mut self, at: Duration, timer: T) {
         self.sequence += 1;
         self.timers.insert((at, self.sequence), timer);
     }
 
-    /// When the first timer is due.
+    /// Returns when the first timer is due, or `None` if no timer is set.
     pub(crate) fn first_due(&self) -> Option<Duration> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Removes and returns the first timer if it is due.
+    /// Removes and returns the first timer if it is due at `now`.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<T> {
         let first = self
             .timers
