--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -1,8 +1,8 @@
-//! New connections: accepted as far as admission and descriptors allow.
+//! Accepts connections as far as admission and the budget of file descriptors allow.
 
 use super::client::Client;
-use super::listener::{connection_id, reject, Accepted};
-use super::{carry_out, Frontend};
+use super::listener::{connection_id, reject, AcceptOutcome};
+use super::{apply_action, Frontend};
 use crate::routing::driver::Driver;
 use crate::routing::event_source::EventSource;
 use crate::routing::io::Io;
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 impl Frontend {
-    /// Connections wait at the listener: accepts as many as one round may.
+    /// Accepts waiting connections, up to the limit of one round. Called when the listener is
+    /// readable or its pause is over.
     pub fn accept(&mut self, driver: &mut Driver, io: &mut Io) {
         self.accept_up_to(self.limits.max_accepts_per_round, driver, io);
     }
@@ -20,35 +21,37 @@
     pub(super) fn accept_up_to(&mut self, max: usize, driver: &mut Driver, io: &mut Io) {
         for _ in 0..max {
             match self.listener.accept(io) {
-                Accepted::Connection(stream, peer) => self.on_accepted(stream, peer, driver, io),
-                Accepted::Nothing => return,
-                Accepted::Failed => {}
-                Accepted::DescriptorsExhausted => {
-                    if !driver.evict_idle(io) && !self.evict_client(io) {
-                        return self.listener.reject_one(io);
+                AcceptOutcome::Connection(stream, peer) => self.admit(stream, peer, driver, io),
+                AcceptOutcome::Nothing => return,
+                AcceptOutcome::Failed => {}
+                AcceptOutcome::DescriptorsExhausted => {
+                    if !driver.evict_idle(io) && !self.evict_idle_client(io) {
+                        return self.listener.reject_next(io);
                     }
                 }
             }
         }
     }
 
-    /// Holds a spare descriptor again after it was used.
+    /// Opens the spare descriptor again if it was released. Evicts an idle client if there is no
+    /// descriptor for it.
     pub fn restore_spare_descriptor(&mut self, io: &mut Io) {
         if io.spare_descriptor.is_none() {
             io.spare_descriptor = spare();
-            if io.spare_descriptor.is_none() && self.evict_client(io) {
+            if io.spare_descriptor.is_none() && self.evict_idle_client(io) {
                 io.spare_descriptor = spare();
             }
         }
     }
 
-    /// A connection was accepted: it stays if admission and the descriptors allow.
-    fn on_accepted(&mut self, stream: Stream, peer: IpAddr, driver: &mut Driver, io: &mut Io) {
+    /// Keeps an accepted connection if admission and the descriptor budget allow it, and rejects it
+    /// otherwise.
+    fn admit(&mut self, stream: Stream, peer: IpAddr, driver: &mut Driver, io: &mut Io) {
         let key = self.clients.insert_with(|_| Client::new(stream, io.now));
         if let Some(retry_after) = self.connection_rejection(key, peer, io) {
             return self.reject_client(key, retry_after);
         }
-        // Upstream may have borrowed the descriptor that admission counts on.
+        // The descriptor that admission counts on may be in use by an upstream connection.
         if !driver.take_descriptor(DescriptorUse::Clients, io) {
             let event = Event::Closed {
                 connection: connection_id(key),
@@ -62,10 +65,11 @@
         if client.is_some_and(|client| io.poller.add(client.stream.fd(), token).is_err()) {
             self.close(key, false, io);
         }
-        self.arm(key, io);
+        self.update_deadline(key, io);
     }
 
-    /// Consults admission on a connection: the time after which to retry, if it is rejected.
+    /// Reports a connection to admission. If admission rejects it, returns the time after which the
+    /// client may retry.
     fn connection_rejection(&mut self, key: Key, peer: IpAddr, io: &mut Io) -> Option<Duration> {
         let mut rejected = None;
         let event = Event::Connected {
@@ -77,20 +81,20 @@
         let buffered_bytes = &mut self.buffered_bytes;
         listener.handle(event, io, |action, io| match action {
             Action::RejectConnection { retry_after, .. } => rejected = Some(retry_after),
-            _ => carry_out(action, clients, buffered_bytes, io),
+            _ => apply_action(action, clients, buffered_bytes, io),
         });
         rejected
     }
 
-    /// Rejects a connection that holds no descriptor of the budget yet.
+    /// Rejects a connection for which no descriptor was taken from the budget yet.
     fn reject_client(&mut self, key: Key, retry_after: Duration) {
         if let Some(client) = self.clients.remove(key) {
             reject(client.stream, retry_after);
         }
     }
 
-    /// Closes the idle client that admission names; false if there is none.
-    fn evict_client(&mut self, io: &mut Io) -> bool {
+    /// Closes the idle client that admission evicts. Returns false if it evicts none.
+    fn evict_idle_client(&mut self, io: &mut Io) -> bool {
         let before = self.clients.len();
         self.notify_admission(Event::DescriptorsExhausted, io);
         self.clients.len() < before
--- a/crates/ingress/src/routing/frontend/commands.rs
+++ b/crates/ingress/src/routing/frontend/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the platform's protocol: what a request may name, and what a client's words mean.
+//! Parses client commands, and checks the arguments of requests against the platform's settings.
 
 use crate::protocol::command::{self, InvalidCommand, RequestCommand};
 use crate::routing::engine::{CommandId, Submission};
@@ -7,35 +7,37 @@
 use roseyard_request_engine::Directory;
 use std::time::Duration;
 
-/// A client's wait is taken as at most this, in seconds.
+/// Longest time that a client may wait for a response; longer ones are reduced to it.
 const MAX_WAIT_SECONDS: f64 = 3600.0;
 
-/// What a request may name, by the index that decisions know it by, and the range of its figures.
+/// The classes and plans that a request may name, and the ranges of its arguments. The decision
+/// crate identifies a class or plan by its index here.
 pub struct RequestSchema {
-    /// Classes.
+    /// Request classes, in the order of the settings.
     pub classes: Vec<ClassSchema>,
-    /// Names of plans.
+    /// Names of the plans, in the order of the settings.
     pub plans: Vec<String>,
-    /// Ingresses of the tier.
+    /// The number of ingresses in the tier, at least 1.
     pub ingresses: u32,
-    /// Most quota units of a request.
+    /// The most quota units that a request may have.
     pub max_units: f64,
-    /// Name of the field that carries a request's route; none: requests have no route.
+    /// Name of the field that carries the route; `None` if requests have no route.
     pub route_field: Option<String>,
 }
 
-/// What a class requires of its requests.
+/// Requirements of a class that its requests are checked against.
 pub struct ClassSchema {
-    /// Its name.
+    /// Name of the class, as requests give it.
     pub name: String,
-    /// It is idempotent, and comes with `API.READ`.
+    /// Whether the class is idempotent. Requests of idempotent classes use `API.READ`, others
+    /// `API.WRITE`.
     pub is_idempotent: bool,
-    /// It carries an idempotency key.
+    /// Whether its requests must carry an idempotency key, argument `k`.
     pub has_idempotency_key: bool,
 }
 
 impl RequestSchema {
-    /// The schema under these settings.
+    /// Builds the schema from the platform's settings.
     #[must_use]
     pub fn new(
         platform: &PlatformSettings,
@@ -43,7 +45,7 @@
         max_units: f64,
         route_field: Option<&str>,
     ) -> RequestSchema {
-        let class = |(name, class): (&str, &RequestClass)| ClassSchema {
+        let class_schema = |(name, class): (&str, &RequestClass)| ClassSchema {
             name: name.to_owned(),
             is_idempotent: class.idempotency == Idempotency::Idempotent,
             has_idempotency_key: matches!(class.idempotency, Idempotency::IdempotencyKey { .. }),
@@ -51,7 +53,10 @@
         let class_names = platform.class_names().into_iter();
         let plan_names = platform.plan_names().into_iter();
         RequestSchema {
-            classes: class_names.zip(&settings.classes).map(class).collect(),
+            classes: class_names
+                .zip(&settings.classes)
+                .map(class_schema)
+                .collect(),
             plans: plan_names.map(str::to_owned).collect(),
             ingresses: settings.ingress_count.max(1),
             max_units,
@@ -60,24 +65,25 @@
     }
 }
 
-/// A command, as a client may send it.
+/// A parsed client command.
 pub(super) enum Command {
-    /// A request.
+    /// A request for an endpoint, `API.READ` or `API.WRITE`.
     Request {
-        /// The request.
+        /// The request in the form that the driver takes.
         submission: Submission,
-        /// Its id, as the client gave it.
+        /// The request id that the client chose.
         id: u64,
     },
-    /// Answered at once with this text.
+    /// A command that is answered at once with this encoded reply.
     Reply(&'static str),
-    /// It cannot be executed, for this reason; what follows can still be parsed.
+    /// A well-formed command that cannot be executed, with the error text. The connection stays
+    /// open.
     Invalid(&'static str),
-    /// The client ends the connection.
+    /// `QUIT`: the connection is closed after its replies.
     Quit,
 }
 
-/// Parses the words of a command.
+/// Parses a command from its words, the first of which is its name.
 pub(super) fn parse(
     words: &[&[u8]],
     id: CommandId,
@@ -91,24 +97,24 @@
     if command::is_request(name) {
         return parse_request(words, id, schema, directory).unwrap_or_else(Command::Invalid);
     }
-    let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
-    if is("PING") {
+    let is_command = |expected_name: &str| name.eq_ignore_ascii_case(expected_name.as_bytes());
+    if is_command("PING") {
         Command::Reply(if is_ready {
             "+PONG\r\n"
         } else {
             "-LOADING waiting for discovery\r\n"
         })
-    } else if is("QUIT") {
+    } else if is_command("QUIT") {
         Command::Quit
-    } else if is("CLIENT") || is("SELECT") {
+    } else if is_command("CLIENT") || is_command("SELECT") {
         Command::Reply("+OK\r\n")
     } else {
         Command::Invalid("unknown command")
     }
 }
 
-/// Parses a request by the schema. Prevents figures that would falsify another customer's quota,
-/// and requests that no endpoint takes.
+/// Parses a request and checks it against the schema. The checks keep out arguments that would
+/// distort the quotas of other customers, and requests that no endpoint accepts.
 fn parse_request(
     words: &[&[u8]],
     owner: CommandId,
@@ -125,7 +131,7 @@
     let plan = plans
         .position(|plan| plan == request.plan)
         .ok_or("unknown plan")?;
-    check_figures(words, &request, &schema.classes[class], schema)?;
+    check_arguments(words, &request, &schema.classes[class], schema)?;
     let service = match request.route {
         Some(route) => directory.service_of_route(route).ok_or("unknown route")?,
         None => directory.default_service().ok_or("route is missing")?,
@@ -151,8 +157,8 @@
     })
 }
 
-/// Are the figures of a request within what its class and the settings allow?
-fn check_figures(
+/// Checks that the arguments of a request are within the ranges of its class and of the settings.
+fn check_arguments(
     words: &[&[u8]],
     request: &command::Request,
     class: &ClassSchema,
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -1,4 +1,4 @@
-//! What clients send: it is read, parsed into commands, and each of these executed.
+//! Reads the input of clients, parses it into commands and executes them.
 
 use super::client::{PendingReply, Phase};
 use super::commands::{self, Command};
@@ -13,21 +13,22 @@
 use roseyard_decision::RejectReason;
 use std::time::Duration;
 
-/// The next command in a client's input.
+/// Result of parsing the next command in a client's input.
 enum NextCommand {
-    /// A command, and its length in bytes.
+    /// A complete command and its encoded length in bytes.
     Parsed(Command, usize),
     Malformed(Malformed),
     Incomplete,
 }
 
 impl Frontend {
-    /// A client's connection is ready.
+    /// Called when the poller reports that a client's connection is readable, writable or closed by
+    /// the client.
     pub fn on_client_ready(&mut self, key: Key, ready: Ready, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        client.has_ended |= ready.ended;
+        client.is_peer_closed |= ready.ended;
         if ready.writable && client.stream.unwritten() > 0 {
             self.schedule_flush(key);
         }
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Reads on from those that had more input than one round may read.
+    /// Reads further from the clients that had more input than the limit of the last round.
     pub fn read_scheduled_clients(&mut self, driver: &mut Driver, io: &mut Io) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(client) = self.clients.get_mut(key) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Reads what has come from a client.
+    /// Reads the available input of a client and executes the commands in it.
     pub(super) fn read(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -54,23 +55,24 @@
         if client.phase != Phase::Open {
             return self.discard(key, driver, io);
         }
-        // A client may send without reading its replies, or without end.
+        // Bounds the memory for a client that does not read its replies or pipelines without limit.
         let has_unread_replies = client.stream.unwritten() > self.limits.max_unread_reply_bytes;
-        client.is_blocked =
-            has_unread_replies || client.pending.len() >= self.limits.max_pipelined_requests;
-        if client.is_blocked {
+        client.is_read_blocked = has_unread_replies
+            || client.pending_replies.len() >= self.limits.max_pipelined_requests;
+        if client.is_read_blocked {
             return self.read_ahead(key, has_unread_replies, driver, io);
         }
         client.last_active_at = io.now;
         let max_bytes = self.limits.protocol.max_message_bytes();
         let stream = &mut client.stream;
-        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, client.has_ended);
-        client.has_ended |= matches!(filled, Fill::Ended | Fill::Broken);
+        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
+        client.is_peer_closed |= matches!(filled, Fill::Ended | Fill::Broken);
         let has_more = self.execute_commands(key, driver, io);
         self.after_read(key, filled, has_more, driver, io);
     }
 
-    /// The commands that were read are executed; `has_more`: all but some, for a limit.
+    /// Updates the client's state after its commands were executed. `has_more` is true if a limit
+    /// left commands for the next round.
     fn after_read(
         &mut self,
         key: Key,
@@ -82,7 +84,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        // A command whose words are each short enough may still never end.
+        // Each word of a command may be within its limit and the command still be too long.
         let is_open = client.phase == Phase::Open;
         let is_full = client.stream.input().len() >= self.limits.protocol.max_message_bytes();
         if !has_more && is_open && is_full {
@@ -92,14 +94,14 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let has_part =
+        let has_incomplete_command =
             client.phase == Phase::Open && !has_more && !client.stream.input().is_empty();
-        let part_since = client.command_part_since.or(Some(io.now));
-        client.command_part_since = part_since.filter(|_| has_part);
-        if client.has_ended {
-            // A client that has only ended its sending still gets the error.
+        let incomplete_since = client.incomplete_command_since.or(Some(io.now));
+        client.incomplete_command_since = incomplete_since.filter(|_| has_incomplete_command);
+        if client.is_peer_closed {
+            // A client that shut down only its sending side still receives the error.
             let _ = client.stream.flush();
-            return self.disconnect(key, has_part, driver, io);
+            return self.disconnect(key, has_incomplete_command, driver, io);
         }
         if self.is_draining {
             self.schedule_flush(key);
@@ -107,13 +109,14 @@
         if has_more || filled == Fill::Limited {
             self.schedule_read(key);
         }
-        self.account(key, driver, io);
-        self.arm(key, io);
+        self.update_buffered_bytes(key, driver, io);
+        self.update_deadline(key, io);
     }
 
-    /// No commands are taken for now, but the client's end must be seen, so that its requests are
-    /// not forwarded for nobody. The end of one that reads its replies stands behind all that it
-    /// has sent; one that does not read them resets its connection.
+    /// Detects that the client has closed the connection while its commands are not read, so that
+    /// requests of a disconnected client are not forwarded. If the client reads its replies, the
+    /// close follows all input that it has sent, which is therefore buffered up to a limit. If it
+    /// does not, the connection is reset when it closes, which the poller reports without a read.
     fn read_ahead(&mut self, key: Key, has_unread_replies: bool, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -121,53 +124,56 @@
         if !has_unread_replies {
             let max_bytes = self.limits.max_read_ahead_bytes;
             let stream = &mut client.stream;
-            let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, client.has_ended);
-            client.has_ended |= matches!(filled, Fill::Ended | Fill::Broken);
+            let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
+            client.is_peer_closed |= matches!(filled, Fill::Ended | Fill::Broken);
         }
-        if client.has_ended {
+        if client.is_peer_closed {
             return self.disconnect(key, false, driver, io);
         }
-        self.account(key, driver, io);
+        self.update_buffered_bytes(key, driver, io);
     }
 
-    /// Input is neither parsed nor held any more, but the client's end must be seen.
+    /// Reads and drops the input of a connection that is being closed, until the client closes too
+    /// or the limit for discarded bytes is reached.
     fn discard(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        client.command_part_since = None;
+        client.incomplete_command_since = None;
         let max_bytes = self.limits.max_discard_bytes_per_round;
-        let (filled, discarded) = client.stream.discard(max_bytes, &mut self.scratch);
+        let (filled, discarded) = client.stream.discard(max_bytes, &mut self.discard_buffer);
         client.discarded_bytes += discarded;
-        let may_go_on = client.discarded_bytes < self.limits.max_discard_bytes;
+        let is_within_limit = client.discarded_bytes < self.limits.max_discard_bytes;
         match filled {
             Fill::Drained => {}
-            Fill::Limited if may_go_on => self.schedule_read(key),
+            Fill::Limited if is_within_limit => self.schedule_read(key),
             _ => {
                 let _ = client.stream.flush();
                 return self.disconnect(key, false, driver, io);
             }
         }
-        self.account(key, driver, io);
+        self.update_buffered_bytes(key, driver, io);
     }
 
-    /// Executes the complete commands in what was read. True if it stopped for a limit.
+    /// Executes the complete commands in the input. Returns true if a limit stopped it before the
+    /// end of the input.
     fn execute_commands(&mut self, key: Key, driver: &mut Driver, io: &mut Io) -> bool {
-        let mut position = 0;
+        let mut offset = 0;
         let mut executed = 0;
         let mut has_more = false;
         while let Some(client) = self.clients.get_mut(key) {
             if client.phase != Phase::Open {
                 break;
             }
-            client.is_blocked = client.pending.len() >= self.limits.max_pipelined_requests;
-            if client.is_blocked || executed >= self.limits.max_commands_per_round {
+            client.is_read_blocked =
+                client.pending_replies.len() >= self.limits.max_pipelined_requests;
+            if client.is_read_blocked || executed >= self.limits.max_commands_per_round {
                 has_more = true;
                 break;
             }
-            match self.next_command(key, position, driver) {
+            match self.next_command(key, offset, driver) {
                 NextCommand::Parsed(command, length) => {
-                    position += length;
+                    offset += length;
                     self.execute(key, command, driver, io);
                 }
                 NextCommand::Malformed(malformed) => {
@@ -180,19 +186,19 @@
         let Some(client) = self.clients.get_mut(key) else {
             return false;
         };
-        client.stream.take(position);
-        if client.stream.unwritten() > 0 || client.phase == Phase::Ending {
+        client.stream.take(offset);
+        if client.stream.unwritten() > 0 || client.phase == Phase::Closing {
             self.schedule_flush(key);
         }
         has_more
     }
 
-    /// Parses the command that begins at this position of a client's input.
-    fn next_command(&self, key: Key, position: usize, driver: &Driver) -> NextCommand {
+    /// Parses the command that begins at this offset in a client's input.
+    fn next_command(&self, key: Key, offset: usize, driver: &Driver) -> NextCommand {
         let Some(client) = self.clients.get(key) else {
             return NextCommand::Incomplete;
         };
-        let input = &client.stream.input()[position..];
+        let input = &client.stream.input()[offset..];
         match resp::command(input, &self.limits.protocol) {
             Ok(None) => NextCommand::Incomplete,
             Ok(Some((words, length))) => {
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Executes a command, or replies why not.
+    /// Executes a command, or replies with the error if it is invalid.
     fn execute(&mut self, key: Key, command: Command, driver: &mut Driver, io: &mut Io) {
         match command {
             Command::Request { submission, id } => {
@@ -226,13 +232,13 @@
             Command::Quit => {
                 self.reply(key, b"+OK\r\n");
                 if let Some(client) = self.clients.get_mut(key) {
-                    client.phase = Phase::Ending;
+                    client.phase = Phase::Closing;
                 }
             }
         }
     }
 
-    /// Submits a request to the driver, unless it is rejected.
+    /// Submits a request to the driver, or replies with the rejection.
     fn execute_request(
         &mut self,
         key: Key,
@@ -242,16 +248,16 @@
         io: &mut Io,
     ) {
         let client = self.clients.get(key);
-        if client.is_none_or(|client| client.has_ended) {
-            return; // Nobody waits for it.
+        if client.is_none_or(|client| client.is_peer_closed) {
+            return; // The client does not wait for a reply.
         }
-        // A request that comes while the process drains might wait for an endpoint past its end;
-        // one that comes before the endpoint list would be forwarded by that of the last run.
+        // During shutdown the process might exit before the endpoint replies. Before the ingress is
+        // ready, the request would be forwarded by the endpoint list of the previous run.
         if self.is_draining || !self.is_ready {
             driver.record_rejection(RejectReason::NotServing, io);
             return self.reply(key, &reply::busy(None));
         }
-        // Endpoints would drop one of two open requests with the same id.
+        // An endpoint drops one of two open requests that have the same id.
         if self.open_request_ids.contains(&id) {
             self.notify_admission(Event::ProtocolError(connection_id(key)), io);
             return self.reply(key, b"-ERR request id in use\r\n");
@@ -268,7 +274,8 @@
         }
     }
 
-    /// Consults admission on a request: the time after which to retry, if it is rejected.
+    /// Reports a request to admission. If admission rejects it, returns the time after which the
+    /// client may retry.
     fn request_rejection(&mut self, key: Key, customer: u64, io: &mut Io) -> Option<Duration> {
         let mut rejected = None;
         let event = Event::RequestReceived {
@@ -283,17 +290,18 @@
         rejected
     }
 
-    /// The client's next reply is the response to a request that the driver holds.
+    /// Queues the reply to a submitted request as awaited.
     fn await_response(&mut self, key: Key, request: Key, id: u64) {
         self.open_request_ids.insert(id);
         if let Some(client) = self.clients.get_mut(key) {
             client
-                .pending
+                .pending_replies
                 .push_back(PendingReply::Awaited { request, id });
         }
     }
 
-    /// Replies to what cannot be parsed; the connection ends.
+    /// Replies with a protocol error to input that cannot be parsed, and starts closing the
+    /// connection.
     fn on_malformed_command(&mut self, key: Key, error: &str, io: &mut Io) {
         self.notify_admission(Event::ProtocolError(connection_id(key)), io);
         if let Some(client) = self.clients.get_mut(key) {
--- a/crates/ingress/src/routing/frontend/limits.rs
+++ b/crates/ingress/src/routing/frontend/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on client connections.
+//! Limits on the connections, buffers and commands of clients.
 
 use crate::protocol::ProtocolLimits;
 use crate::routing::shutdown_limits::ShutdownLimits;
@@ -7,12 +7,12 @@
 
 const MAX_UNREAD_REPLY_BYTES: usize = 256 << 10;
 const MAX_READ_AHEAD_BYTES: usize = 512 << 10;
-const MEMORY_PER_CLIENT_BUFFERS: usize = 8;
+const CLIENT_BUFFER_MEMORY_DIVISOR: usize = 8;
 const MAX_COMMANDS_PER_ROUND: usize = 64;
 const MAX_ACCEPTS_PER_ROUND: usize = 64;
 const MAX_DISCARD_BYTES_PER_ROUND: usize = 1 << 20;
 const MAX_DISCARD_BYTES: usize = 128 << 20;
-/// An amount on the counter is at most 1e9.
+/// The shared counter accepts amounts of at most 1e9 units.
 const MAX_COUNTER_UNITS: f64 = 1e9;
 const MAX_PIPELINED_REQUESTS: usize = 1024;
 const RETRY_AFTER_AT_CAPACITY: Duration = Duration::from_millis(500);
@@ -23,51 +23,53 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(3000);
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(5000);
 
-/// Bounds on client connections.
+/// Limits on the connections, buffers and commands of clients. A round is one iteration of the
+/// event loop.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontendLimits {
-    /// Bounds on one command.
+    /// Limits on the size of one command.
     pub protocol: ProtocolLimits,
-    /// Times of a graceful shutdown.
+    /// Timeouts of a graceful shutdown.
     pub shutdown: ShutdownLimits,
-    /// Bytes of unread replies of one client, beyond which its commands are not read.
+    /// Bytes of unwritten replies of one client beyond which its commands are not read.
     pub max_unread_reply_bytes: usize,
-    /// Bytes read ahead from a client with the most commands pending, to see the end that stands
-    /// behind them.
+    /// Bytes of input that are buffered for a client with [`Self::max_pipelined_requests`] pending
+    /// replies. They are read only to detect that the client closes the connection.
     pub max_read_ahead_bytes: usize,
-    /// Bytes of incomplete commands and unread replies of all clients; beyond it the client that
-    /// holds most is closed.
+    /// Bytes of unparsed input and unwritten replies of all clients. Beyond it the client with the
+    /// most is disconnected.
     pub max_buffered_bytes: usize,
-    /// Commands of one client executed in a round; the rest wait for the next one.
+    /// Commands of one client that are executed in a round; the others wait for the next round.
     pub max_commands_per_round: usize,
-    /// Connections accepted in a round.
+    /// Connections that are accepted in a round.
     pub max_accepts_per_round: usize,
-    /// Bytes of one client discarded in a round.
+    /// Bytes of input of one closing connection that are discarded in a round.
     pub max_discard_bytes_per_round: usize,
-    /// Bytes of one client discarded in all; beyond it the connection is closed.
+    /// Bytes of input of one closing connection that are discarded in total. The connection is
+    /// closed when it has sent more.
     pub max_discard_bytes: usize,
-    /// Most quota units of a request.
+    /// The most quota units that a request may have.
     pub max_units: f64,
-    /// Commands of one client that wait for replies; beyond it no more are read.
+    /// Pending replies of one client at which no further commands are read.
     pub max_pipelined_requests: usize,
-    /// Retry time in the reply to a request for which there is no capacity.
+    /// Retry time in the reply to a request that the driver has no capacity for.
     pub retry_after_at_capacity: Duration,
-    /// Length of the listener's queue.
+    /// Length of the listener's queue of connections that are not accepted yet.
     pub listen_backlog: i32,
-    /// Accepting is tried again after this when it failed or descriptors ran out.
+    /// Pause of accepting after it failed or the descriptors were exhausted.
     pub accept_retry_interval: Duration,
-    /// A client that reads no byte of its replies for this long is closed.
+    /// A client that reads nothing of its replies for this long is disconnected.
     pub reply_stall_timeout: Duration,
-    /// A command must be complete this long after its first byte.
+    /// Longest time from the first byte of a command to its last.
     pub command_timeout: Duration,
-    /// A half-closed connection is closed after this at the latest.
+    /// Longest time from shutting down the connection for writing to closing it.
     pub linger_timeout: Duration,
-    /// Shortest time between two log lines that summarize admission.
+    /// Shortest time between two log lines that summarize rejections by admission.
     pub summary_interval: Duration,
 }
 
 impl FrontendLimits {
-    /// The bounds for a process with this much memory, in bytes, under the platform's settings.
+    /// Returns the limits for a process with `memory_bytes` of memory.
     #[must_use]
     pub fn new(
         memory_bytes: usize,
@@ -80,7 +82,7 @@
             shutdown,
             max_unread_reply_bytes: MAX_UNREAD_REPLY_BYTES,
             max_read_ahead_bytes: MAX_READ_AHEAD_BYTES,
-            max_buffered_bytes: memory_bytes / MEMORY_PER_CLIENT_BUFFERS,
+            max_buffered_bytes: memory_bytes / CLIENT_BUFFER_MEMORY_DIVISOR,
             max_commands_per_round: MAX_COMMANDS_PER_ROUND,
             max_accepts_per_round: MAX_ACCEPTS_PER_ROUND,
             max_discard_bytes_per_round: MAX_DISCARD_BYTES_PER_ROUND,
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -1,5 +1,5 @@
-//! The listener: accepts connections as admission allows, which is decided in
-//! [`roseyard_admission`].
+//! The listening socket with the admission controller of [`roseyard_admission`], which decides
+//! which connections are kept.
 
 use super::limits::FrontendLimits;
 use super::reply;
@@ -15,12 +15,12 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Bytes read from a rejected connection before it is closed.
+/// Most bytes of input that are discarded from a rejected connection before it is closed.
 const MAX_REJECTED_INPUT_BYTES: usize = 1 << 16;
-const REJECTED_SCRATCH_BYTES: usize = 512;
+const REJECTED_INPUT_BUFFER_BYTES: usize = 512;
 
-/// Uses whose number of descriptors is fixed: taken for the life of the process.
-const RESERVED_DESCRIPTORS: [DescriptorUse; 6] = [
+/// Uses whose guaranteed descriptors are taken from the budget at start, for the whole run.
+const RESERVED_DESCRIPTOR_USES: [DescriptorUse; 6] = [
     DescriptorUse::Fixed,
     DescriptorUse::Counter,
     DescriptorUse::Discovery,
@@ -29,36 +29,37 @@
     DescriptorUse::Peers,
 ];
 
-/// The id of a client's connection in admission.
+/// Returns the id by which admission knows a client's connection.
 pub(super) fn connection_id(key: Key) -> ConnectionId {
     ConnectionId(key.pack())
 }
 
-/// What came of an accept.
-pub(super) enum Accepted {
-    /// A connection, and its peer.
+/// Result of [`Listener::accept`].
+pub(super) enum AcceptOutcome {
+    /// A new connection and the address of its client.
     Connection(Stream, IpAddr),
-    /// Nothing waits, or nothing is to be accepted now.
+    /// No connection is waiting, or accepting is paused.
     Nothing,
-    /// No descriptor is left.
+    /// The system has no file descriptor or memory left for the connection.
     DescriptorsExhausted,
-    /// Only this one has failed.
+    /// This connection failed, or the call was interrupted; the next one may succeed.
     Failed,
 }
 
-/// The listener and admission.
+/// The listening socket, the admission controller and the log of rejections.
 pub(super) struct Listener {
-    /// None once it is closed.
+    /// `None` once the listener is closed.
     socket: Option<OwnedFd>,
     pub(super) controller: AdmissionController,
     limits: FrontendLimits,
-    /// The listener is not watched until this time.
+    /// When accepting resumes; `None` if it is not paused. While it is paused, the socket is not
+    /// registered with the poller.
     paused_until: Option<Duration>,
-    /// Kept from event to event, for its capacity.
+    /// Empty between events; reused for its capacity.
     actions: Vec<Action>,
-    /// What was last logged.
-    logged: RejectionCounts,
-    /// When it is logged again.
+    /// Totals at the time of the last summary.
+    last_counts: RejectionCounts,
+    /// When the next summary is logged; `None` if admission has taken no action since the last one.
     summary_due: Option<Duration>,
 }
 
@@ -72,9 +73,10 @@
     ) -> rustix::io::Result<Listener> {
         io.poller
             .add_level(&socket, EventSource::Listener.token())?;
-        for of in RESERVED_DESCRIPTORS {
-            while io.descriptor_budget.used(of) < io.descriptor_budget.limits(of).guaranteed
-                && io.descriptor_budget.take(of)
+        for descriptor_use in RESERVED_DESCRIPTOR_USES {
+            while io.descriptor_budget.used(descriptor_use)
+                < io.descriptor_budget.limits(descriptor_use).guaranteed
+                && io.descriptor_budget.take(descriptor_use)
             {}
         }
         Ok(Listener {
@@ -83,31 +85,32 @@
             limits,
             paused_until: None,
             actions: Vec::new(),
-            logged: RejectionCounts::default(),
+            last_counts: RejectionCounts::default(),
             summary_due: None,
         })
     }
 
-    /// Where it listens.
+    /// Returns the address of the socket; `None` once the listener is closed.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         listening_at(self.socket.as_ref()?)
     }
 
-    /// Hands an event to admission; `act` is called with each action.
+    /// Passes an event to the admission controller, and calls `on_action` with each resulting
+    /// action.
     pub(super) fn handle(
         &mut self,
         event: Event,
         io: &mut Io,
-        mut act: impl FnMut(Action, &mut Io),
+        mut on_action: impl FnMut(Action, &mut Io),
     ) {
         let mut actions = std::mem::take(&mut self.actions);
         self.controller.handle(io.now, event, &mut actions);
         self.schedule_summary(&actions, io);
-        actions.drain(..).for_each(|action| act(action, io));
+        actions.drain(..).for_each(|action| on_action(action, io));
         self.actions = actions;
     }
 
-    /// Another policy is in force from now on.
+    /// Replaces the admission policy, and returns the actions that follow from it.
     pub(super) fn set_policy(&mut self, policy: AdmissionPolicy, io: &mut Io) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.set_policy(policy, io.now, &mut actions);
@@ -117,40 +120,40 @@
 
     fn schedule_summary(&mut self, actions: &[Action], io: &mut Io) {
         if !actions.is_empty() && self.summary_due.is_none() {
-            let due = io.now + self.limits.summary_interval;
+            let deadline = io.now + self.limits.summary_interval;
             io.deadlines.set(
                 &mut self.summary_due,
-                Some(due),
+                Some(deadline),
                 EventSource::AdmissionSummary,
             );
         }
     }
 
-    /// Takes the next connection that waits, unless nothing is to be accepted just now.
-    pub(super) fn accept(&mut self, io: &mut Io) -> Accepted {
+    /// Accepts the next waiting connection, unless admission pauses accepting.
+    pub(super) fn accept(&mut self, io: &mut Io) -> AcceptOutcome {
         if let Some(until) = self.controller.accept_paused_until(io.now) {
             self.pause(until, io);
-            return Accepted::Nothing;
+            return AcceptOutcome::Nothing;
         }
         let Some(socket) = &self.socket else {
-            return Accepted::Nothing;
+            return AcceptOutcome::Nothing;
         };
         match accept(socket, READ_BUFFER_BYTES) {
-            Ok((stream, peer)) => Accepted::Connection(stream, peer),
-            Err(Errno::AGAIN) => Accepted::Nothing,
-            Err(Errno::INTR | Errno::CONNABORTED) => Accepted::Failed,
-            Err(error) if is_fd_shortage(error) => Accepted::DescriptorsExhausted,
+            Ok((stream, peer)) => AcceptOutcome::Connection(stream, peer),
+            Err(Errno::AGAIN) => AcceptOutcome::Nothing,
+            Err(Errno::INTR | Errno::CONNABORTED) => AcceptOutcome::Failed,
+            Err(error) if is_fd_shortage(error) => AcceptOutcome::DescriptorsExhausted,
             Err(error) => {
                 tracing::warn!(event = "clients.accept_failed", error = %error, "accept failed, retrying");
                 self.pause(io.now + self.limits.accept_retry_interval, io);
-                Accepted::Nothing
+                AcceptOutcome::Nothing
             }
         }
     }
 
-    /// Rejects one connection with the spare descriptor, and pauses. Prevents a loop that spins on
-    /// a listener when no descriptor is left.
-    pub(super) fn reject_one(&mut self, io: &mut Io) {
+    /// Uses the spare descriptor to accept and reject the next connection, then pauses accepting.
+    /// Without descriptors the listener stays readable, and the event loop would spin on it.
+    pub(super) fn reject_next(&mut self, io: &mut Io) {
         io.spare_descriptor = None;
         let socket = self.socket.as_ref();
         if let Some(Ok((stream, _))) = socket.map(|socket| accept(socket, READ_BUFFER_BYTES)) {
@@ -164,7 +167,7 @@
         self.pause(io.now + self.limits.accept_retry_interval, io);
     }
 
-    /// Accepts nothing until then.
+    /// Pauses accepting until this time, unless it is paused already.
     fn pause(&mut self, until: Duration, io: &mut Io) {
         if self.paused_until.is_some() {
             return;
@@ -176,7 +179,7 @@
         }
     }
 
-    /// The pause is over.
+    /// Ends the pause: registers the socket with the poller again.
     pub(super) fn resume(&mut self, io: &mut Io) {
         self.paused_until = None;
         if let Some(socket) = &self.socket {
@@ -184,8 +187,8 @@
         }
     }
 
-    /// Accepts nothing any more. Connections that the system has accepted would be reset with the
-    /// listener: each is rejected with a retry time.
+    /// Closes the listener. Connections that wait in its backlog would be reset by this, so each is
+    /// first rejected with a retry time.
     pub(super) fn close(&mut self, io: &mut Io) {
         io.deadlines
             .set(&mut self.paused_until, None, EventSource::Listener);
@@ -203,21 +206,22 @@
         io.spare_descriptor = spare();
     }
 
-    /// Logs what was rejected since the last summary, by reason.
+    /// Logs how many connections and requests were rejected since the last summary, by reason.
     pub(super) fn on_summary_due(&mut self) {
         self.summary_due = None;
-        let totals = self.controller.rejection_counts();
-        let logged = std::mem::replace(&mut self.logged, totals);
-        let since = |reason: RejectionReason| {
-            self.logged.connections[reason as usize] - logged.connections[reason as usize]
+        let current_counts = self.controller.rejection_counts();
+        let previous_counts = std::mem::replace(&mut self.last_counts, current_counts);
+        let count_since_last = |reason: RejectionReason| {
+            self.last_counts.connections[reason as usize]
+                - previous_counts.connections[reason as usize]
         };
         let mut rejected: Vec<String> = REJECTION_REASONS
             .iter()
-            .filter(|reason| since(**reason) > 0)
-            .map(|reason| format!("{} {}", reason.as_str(), since(*reason)))
+            .filter(|reason| count_since_last(**reason) > 0)
+            .map(|reason| format!("{} {}", reason.as_str(), count_since_last(*reason)))
             .collect();
-        if self.logged.requests > logged.requests {
-            let requests = self.logged.requests - logged.requests;
+        if self.last_counts.requests > previous_counts.requests {
+            let requests = self.last_counts.requests - previous_counts.requests;
             rejected.push(format!("refused {requests}"));
         }
         let clients = self.controller.open_connections();
@@ -226,13 +230,16 @@
     }
 }
 
-/// Rejects a connection with the time after which to retry, and closes it.
+/// Sends a rejection with the time after which the client may retry, and closes the connection.
 pub(super) fn reject(mut stream: Stream, retry_after: Duration) {
     stream
         .output()
         .extend_from_slice(&reply::busy(Some(retry_after)));
-    // Closing with input unread would send a reset, which destroys the reply on its way.
+    // Closing a socket with unread input sends a reset, which destroys the reply in transit.
     let _ = stream.flush();
     let _ = stream.end_sending();
-    let _ = stream.discard(MAX_REJECTED_INPUT_BYTES, &mut [0; REJECTED_SCRATCH_BYTES]);
+    let _ = stream.discard(
+        MAX_REJECTED_INPUT_BYTES,
+        &mut [0; REJECTED_INPUT_BUFFER_BYTES],
+    );
 }
--- a/crates/ingress/src/routing/frontend/mod.rs
+++ b/crates/ingress/src/routing/frontend/mod.rs
@@ -1,12 +1,12 @@
-//! The platform's frontend: clients' connections, their commands, and the replies in the order of
-//! the commands.
+//! The client side of the ingress: accepts client connections, reads and executes their commands,
+//! and writes the replies of each connection in the order of its commands.
 //!
-//! - `listener` and `accept`: which connections are accepted
-//! - `client`: the state of one connection
-//! - `input` and `commands`: what clients send
-//! - `output` and `reply`: what they are sent
-//! - `timeouts` and `shutdown`: deadlines, and the end of the process
-//! - `limits`: the bounds
+//! - `listener` and `accept`: accept connections, as admission allows
+//! - `client`: state of one connection
+//! - `input` and `commands`: read, parse and execute commands
+//! - `output` and `reply`: encode and write replies
+//! - `timeouts` and `shutdown`: deadlines of connections, and graceful shutdown
+//! - `limits`: limits on client connections
 
 mod accept;
 mod client;
@@ -33,41 +33,44 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// What the frontend holds for its clients.
+/// The number of open requests and the memory that the frontend holds for its clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FrontendUsage {
-    /// Requests without a reply, by their clients' ids.
+    /// The number of requests that have no reply yet.
     pub open_requests: usize,
-    /// Bytes of incomplete commands and unread replies.
+    /// Bytes of unparsed input and of replies that are not written yet.
     pub buffered_bytes: usize,
 }
 
-/// All clients.
+/// Serves all client connections. The event loop calls it when a connection is ready or a deadline
+/// has passed.
 pub struct Frontend {
     listener: Listener,
     clients: Slots<Client>,
     schema: RequestSchema,
     limits: FrontendLimits,
-    /// Ids of the open requests, as their clients gave them.
+    /// Request ids, chosen by the clients, of all open requests.
     open_request_ids: HashSet<u64>,
-    /// Bytes buffered for all clients.
+    /// The sum of `Client::buffered_bytes` over all clients.
     buffered_bytes: usize,
-    /// Clients that are flushed at the end of this round.
+    /// Clients whose output is flushed at the end of this round of the event loop.
     flush_queue: Vec<Key>,
-    /// Clients that are read on in the next round.
+    /// Clients whose input is read further in the next round.
     read_queue: Vec<Key>,
-    /// Connections end once they are idle.
+    /// The process is shutting down: each connection is closed once it is idle.
     is_draining: bool,
-    /// Buffer for what is discarded; never written to.
-    scratch: Vec<u8>,
+    /// Passed to the socket when input is discarded. Its length limits one call; the kernel drops
+    /// the input without copying it here.
+    discard_buffer: Vec<u8>,
     is_ready: bool,
 }
 
 impl Frontend {
-    /// Listens for clients; `secret` keeps others from choosing addresses that collide in tables.
+    /// Returns a frontend that accepts connections from `listener`. `secret` seeds the hashing of
+    /// addresses, so that attackers cannot choose addresses that collide in a table.
     ///
     /// # Errors
-    /// The system's error if the listener cannot be watched.
+    /// Returns the system's error if the listener cannot be registered with the poller.
     pub fn new(
         listener: OwnedFd,
         schema: RequestSchema,
@@ -86,53 +89,55 @@
             flush_queue: Vec::new(),
             read_queue: Vec::new(),
             is_draining: false,
-            scratch: vec![0; limits.max_discard_bytes_per_round],
+            discard_buffer: vec![0; limits.max_discard_bytes_per_round],
             is_ready: false,
         })
     }
 
-    /// Requests carry their route in this field from now on.
+    /// Sets the name of the request field that carries the route; `None` if requests have no route.
     pub fn set_route_field(&mut self, field: Option<&str>) {
         self.schema.route_field = field.map(str::to_owned);
     }
 
-    /// Another admission policy is in force from now on.
+    /// Replaces the admission policy. Idle connections beyond its limits are closed at once, busy
+    /// ones when they become idle.
     pub fn set_policy(&mut self, policy: AdmissionPolicy, io: &mut Io) {
         for action in self.listener.set_policy(policy, io) {
-            carry_out(action, &mut self.clients, &mut self.buffered_bytes, io);
+            apply_action(action, &mut self.clients, &mut self.buffered_bytes, io);
         }
     }
 
-    /// From now on `PING` is answered and requests are served.
+    /// Marks the ingress as ready: from now on it answers `PING` with `PONG` and serves requests.
     pub fn set_ready(&mut self) {
         self.is_ready = true;
     }
 
-    /// Is `PING` answered?
+    /// Whether [`Self::set_ready`] was called. Until then `PING` gets an error and requests are
+    /// rejected.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_ready
     }
 
-    /// Where it listens.
+    /// Returns the address of the listener; `None` once the listener is closed.
     #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.address()
     }
 
-    /// Clients connected.
+    /// Returns the number of connected clients.
     #[must_use]
     pub fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Is no client connected?
+    /// Whether no client is connected.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// What is held for clients.
+    /// Returns the number of open requests and of buffered bytes.
     #[must_use]
     pub fn usage(&self) -> FrontendUsage {
         FrontendUsage {
@@ -141,60 +146,61 @@
         }
     }
 
-    /// Are clients to be read on in the next round?
+    /// Whether a client has input that the next round has to read without waiting for an event.
     #[must_use]
     pub fn has_scheduled_reads(&self) -> bool {
         !self.read_queue.is_empty()
     }
 
-    /// Admission, with the reputation of clients.
+    /// Returns the admission controller, whose client reputations are stored in the snapshot.
     #[must_use]
     pub fn admission(&self) -> &AdmissionController {
         &self.listener.controller
     }
 
-    /// Admission, to restore the reputation of clients.
+    /// Returns the admission controller, to restore client reputations from the snapshot.
     pub fn admission_mut(&mut self) -> &mut AdmissionController {
         &mut self.listener.controller
     }
 
-    /// The summary of admission is due.
+    /// Called when the summary of rejected connections and requests is to be logged.
     pub fn on_summary_due(&mut self) {
         self.listener.on_summary_due();
     }
 
-    /// The listener's pause is over.
+    /// Called when the pause of the listener is over.
     pub fn on_listener_due(&mut self, io: &mut Io) {
         self.listener.resume(io);
     }
 
-    /// Hands an event to admission, and closes the connections that it names.
+    /// Passes an event to the admission controller, and closes the connections that it evicts.
     fn notify_admission(&mut self, event: Event, io: &mut Io) {
         let listener = &mut self.listener;
         let clients = &mut self.clients;
         let buffered_bytes = &mut self.buffered_bytes;
         listener.handle(event, io, |action, io| {
-            carry_out(action, clients, buffered_bytes, io);
+            apply_action(action, clients, buffered_bytes, io);
         });
     }
 
-    /// Closes a connection; `is_fault` if that counts against its address.
-    fn close(&mut self, key: Key, is_fault: bool, io: &mut Io) -> Option<Client> {
-        let client = remove(key, &mut self.clients, &mut self.buffered_bytes, io)?;
+    /// Closes a connection. `is_client_fault` says whether this counts against the client's
+    /// address.
+    fn close(&mut self, key: Key, is_client_fault: bool, io: &mut Io) -> Option<Client> {
+        let client = remove_client(key, &mut self.clients, &mut self.buffered_bytes, io)?;
         let event = Event::Closed {
             connection: connection_id(key),
-            client_fault: is_fault,
+            client_fault: is_client_fault,
         };
         self.notify_admission(event, io);
         Some(client)
     }
 
-    /// Closes a connection, and cancels the requests that the client waited for.
-    fn disconnect(&mut self, key: Key, is_fault: bool, driver: &mut Driver, io: &mut Io) {
-        let Some(client) = self.close(key, is_fault, io) else {
+    /// Closes a connection and cancels its open requests.
+    fn disconnect(&mut self, key: Key, is_client_fault: bool, driver: &mut Driver, io: &mut Io) {
+        let Some(client) = self.close(key, is_client_fault, io) else {
             return;
         };
-        for pending in client.pending {
+        for pending in client.pending_replies {
             if let PendingReply::Awaited { request, id } = pending {
                 self.open_request_ids.remove(&id);
                 driver.cancel_request(request);
@@ -202,12 +208,12 @@
         }
     }
 
-    /// Counts the bytes buffered for a client. Over the limit for all, those that hold most are
-    /// disconnected.
-    fn account(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
+    /// Updates the number of bytes buffered for a client. While the total of all clients exceeds
+    /// the limit, disconnects the client with the most buffered bytes.
+    fn update_buffered_bytes(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         if let Some(client) = self.clients.get_mut(key) {
             let stream = &client.stream;
-            let buffered = stream.input().len() + stream.unwritten() + client.pending_bytes;
+            let buffered = stream.input().len() + stream.unwritten() + client.pending_reply_bytes;
             self.buffered_bytes = self.buffered_bytes - client.buffered_bytes + buffered;
             client.buffered_bytes = buffered;
         }
@@ -223,7 +229,7 @@
         }
     }
 
-    /// The client is flushed at the end of this round.
+    /// Queues a client's output to be flushed at the end of this round.
     fn schedule_flush(&mut self, key: Key) {
         let client = self.clients.get_mut(key);
         if let Some(client) = client.filter(|client| !client.is_flush_scheduled) {
@@ -232,7 +238,7 @@
         }
     }
 
-    /// The client is read on in the next round.
+    /// Queues a client to be read further in the next round.
     fn schedule_read(&mut self, key: Key) {
         let client = self.clients.get_mut(key);
         if let Some(client) = client.filter(|client| !client.is_read_scheduled) {
@@ -242,8 +248,9 @@
     }
 }
 
-/// Takes a connection out of the tables; its socket closes with the client that is returned.
-fn remove(
+/// Removes a client, with its deadline, descriptor and buffered bytes, without informing admission.
+/// The socket is closed when the returned client is dropped.
+fn remove_client(
     key: Key,
     clients: &mut Slots<Client>,
     buffered_bytes: &mut usize,
@@ -251,15 +258,21 @@
 ) -> Option<Client> {
     let mut client = clients.remove(key)?;
     io.deadlines
-        .set(&mut client.due, None, EventSource::Client(key));
+        .set(&mut client.deadline, None, EventSource::Client(key));
     io.descriptor_budget.release(DescriptorUse::Clients);
     *buffered_bytes -= client.buffered_bytes;
     Some(client)
 }
 
-/// Closes a connection that admission has named. Rejections are handled where they were decided.
-fn carry_out(action: Action, clients: &mut Slots<Client>, buffered_bytes: &mut usize, io: &mut Io) {
+/// Closes the connection that admission evicts with [`Action::Close`]. The callers of admission
+/// handle rejections themselves.
+fn apply_action(
+    action: Action,
+    clients: &mut Slots<Client>,
+    buffered_bytes: &mut usize,
+    io: &mut Io,
+) {
     if let Action::Close { connection, .. } = action {
-        remove(Key::unpack(connection.0), clients, buffered_bytes, io);
+        remove_client(Key::unpack(connection.0), clients, buffered_bytes, io);
     }
 }
--- a/crates/ingress/src/routing/frontend/output.rs
+++ b/crates/ingress/src/routing/frontend/output.rs
@@ -1,5 +1,5 @@
-//! What clients are sent: replies in the order of their commands, and the end of a connection
-//! behind the last one.
+//! Writes replies to clients in the order of their commands, and shuts a connection down after the
+//! last one.
 
 use super::client::{Client, Phase, WriteStall};
 use super::listener::connection_id;
@@ -11,15 +11,15 @@
 use roseyard_admission::Event;
 
 impl Frontend {
-    /// Passes a response on to its client.
+    /// Queues the reply to a request for its client. Does nothing if the client has disconnected.
     pub fn respond(&mut self, response: CommandResponse, driver: &mut Driver, io: &mut Io) {
         let key = response.command.client;
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let served = matches!(response.response, Response::Served(_));
-        let reply = reply::of_response(response.response);
-        if let Some(id) = client.complete(response.command.number, reply) {
+        let reply = reply::from_response(response.response);
+        if let Some(id) = client.complete_reply(response.command.number, reply) {
             self.open_request_ids.remove(&id);
             let event = Event::Answered {
                 connection: connection_id(key),
@@ -28,23 +28,25 @@
             self.notify_admission(event, io);
         }
         self.schedule_flush(key);
-        self.account(key, driver, io);
+        self.update_buffered_bytes(key, driver, io);
     }
 
-    /// Writes all replies of this round.
+    /// Writes the replies that were queued in this round.
     pub fn flush(&mut self, driver: &mut Driver, io: &mut Io) {
         while let Some(key) = self.flush_queue.pop() {
             self.flush_client(key, driver, io);
         }
     }
 
-    /// Replies to a command at once, behind those that are pending.
+    /// Appends the reply to the client's latest command, after those that are still pending.
     pub(super) fn reply(&mut self, key: Key, reply: &[u8]) {
         if let Some(client) = self.clients.get_mut(key) {
             client.reply(reply);
         }
     }
 
+    /// Writes the client's replies as far as the socket accepts them, and advances the phase of the
+    /// connection.
     fn flush_client(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -54,20 +56,23 @@
             return self.disconnect(key, false, driver, io);
         };
         if unwritten > 0 {
-            let due = io.now + self.limits.reply_stall_timeout;
-            client.stall = client.stall.or(Some(WriteStall { due, unwritten }));
+            let deadline = io.now + self.limits.reply_stall_timeout;
+            client.stall = client.stall.or(Some(WriteStall {
+                deadline,
+                unwritten,
+            }));
         } else {
             client.stall = None;
-            if client.first_pending > 0 {
+            if client.first_pending_number > 0 {
                 client.last_active_at = io.now;
             }
             client.stream.trim(MAX_IDLE_BUFFER_BYTES);
         }
-        let was_blocked = std::mem::take(&mut client.is_blocked);
-        if self.is_draining && !was_blocked && client.is_drained(io.now, &self.limits) {
-            // What has come behind the last reply is replied to as well.
+        let was_read_blocked = std::mem::take(&mut client.is_read_blocked);
+        if self.is_draining && !was_read_blocked && client.is_drained(io.now, &self.limits) {
+            // Input that has arrived since the last read is answered before the connection closes.
             if client.stream.quiet() {
-                client.phase = Phase::Ending;
+                client.phase = Phase::Closing;
             } else {
                 self.schedule_read(key);
             }
@@ -75,19 +80,19 @@
         let Some(client) = self.clients.get(key) else {
             return;
         };
-        if unwritten == 0 && client.phase == Phase::Ending && client.pending.is_empty() {
-            self.end_sending(key, driver, io);
+        if unwritten == 0 && client.phase == Phase::Closing && client.pending_replies.is_empty() {
+            self.half_close(key, driver, io);
         } else {
-            self.after_flush(key, was_blocked, io);
+            self.after_flush(key, was_read_blocked, io);
         }
-        self.account(key, driver, io);
-        self.arm(key, io);
+        self.update_buffered_bytes(key, driver, io);
+        self.update_deadline(key, io);
     }
 
-    /// All is written and no command follows: ends the sending. Closing at once would send a reset
-    /// if more input has come, which destroys replies on their way; input is discarded until the
-    /// client ends too.
-    fn end_sending(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
+    /// Shuts down this side of the connection for writing, once all replies are written and no
+    /// further command is executed. Closing the socket while it has unread input would send a
+    /// reset, which destroys replies in transit; so input is discarded until the client closes too.
+    fn half_close(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -97,7 +102,7 @@
         } else {
             self.limits.linger_timeout
         };
-        client.linger_until = io.now + timeout;
+        client.linger_deadline = io.now + timeout;
         if client.stream.end_sending().is_err() {
             return self.disconnect(key, false, driver, io);
         }
@@ -105,13 +110,12 @@
         self.notify_admission(Event::HalfClosed(connection_id(key)), io);
     }
 
-    /// Commands that waited for replies to be written are read on; an idle connection is reported
-    /// to admission.
-    fn after_flush(&mut self, key: Key, was_blocked: bool, io: &mut Io) {
+    /// Resumes reading from a client that was blocked, and reports an idle connection to admission.
+    fn after_flush(&mut self, key: Key, was_read_blocked: bool, io: &mut Io) {
         let Some(is_idle) = self.clients.get(key).map(Client::is_idle) else {
             return;
         };
-        if was_blocked {
+        if was_read_blocked {
             self.schedule_read(key);
         }
         if is_idle {
--- a/crates/ingress/src/routing/frontend/reply.rs
+++ b/crates/ingress/src/routing/frontend/reply.rs
@@ -1,13 +1,14 @@
-//! Replies to clients, as bytes.
+//! Encodes replies to clients in RESP.
 
 use crate::protocol::resp;
 use crate::routing::engine::Response;
 use std::time::Duration;
 
-/// Bytes of a bulk string besides its text, at most.
-const BULK_FRAME_BYTES: usize = 16;
+/// Most bytes that the encoding of a bulk string adds to its value.
+const MAX_BULK_FRAMING_BYTES: usize = 16;
 
-/// The reply that rejects, with the time after which to retry.
+/// Encodes a rejection. The retry time is sent in milliseconds, at least 1; with `None` the reply
+/// has none.
 pub(super) fn busy(retry_after: Option<Duration>) -> Vec<u8> {
     match retry_after {
         Some(after) => format!("-BUSY {}\r\n", after.as_millis().max(1)).into_bytes(),
@@ -15,11 +16,11 @@
     }
 }
 
-/// The reply to a request with this response.
-pub(super) fn of_response(response: Response) -> Vec<u8> {
+/// Encodes the driver's response to a request.
+pub(super) fn from_response(response: Response) -> Vec<u8> {
     match response {
         Response::Served(value) => {
-            let mut reply = Vec::with_capacity(value.len() + BULK_FRAME_BYTES);
+            let mut reply = Vec::with_capacity(value.len() + MAX_BULK_FRAMING_BYTES);
             resp::put_bulk(&mut reply, &value);
             reply
         }
--- a/crates/ingress/src/routing/frontend/shutdown.rs
+++ b/crates/ingress/src/routing/frontend/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of all connections, when the process shuts down.
+//! Closes all client connections when the process shuts down.
 
 use super::client::Phase;
 use super::Frontend;
@@ -7,19 +7,19 @@
 use crate::transport::Key;
 
 impl Frontend {
-    /// Accepts what still waits at the listener, then ends the connections, each after its last
-    /// reply. Requests that come from now on are rejected: their replies might come later than the
-    /// end of the process.
+    /// Accepts the connections that still wait at the listener and closes the listener. From then
+    /// on each connection is closed after its last reply, and new requests are rejected, as the
+    /// process might exit before their replies.
     pub fn drain(&mut self, driver: &mut Driver, io: &mut Io) {
         let backlog = self.limits.listen_backlog.unsigned_abs() as usize;
         self.accept_up_to(backlog, driver, io);
         self.listener.close(io);
         let keys = self.keys();
-        let linger_until = io.now + self.limits.shutdown.linger_timeout;
+        let linger_deadline = io.now + self.limits.shutdown.linger_timeout;
         for key in &keys {
             if let Some(client) = self.clients.get_mut(*key) {
                 if client.phase == Phase::Lingering {
-                    client.linger_until = client.linger_until.min(linger_until);
+                    client.linger_deadline = client.linger_deadline.min(linger_deadline);
                 }
             }
             self.read(*key, driver, io);
@@ -27,16 +27,17 @@
         self.is_draining = true;
         for key in keys {
             self.schedule_flush(key);
-            self.arm(key, io);
+            self.update_deadline(key, io);
         }
     }
 
-    /// Every request has had its reply: no connection is waited for any longer.
+    /// Closes each connection once its replies are written, without a grace period for new clients.
+    /// Called after the driver has given every open request its final response.
     pub fn close_connections(&mut self) {
         for key in self.keys() {
             if let Some(client) = self.clients.get_mut(key) {
                 if client.phase == Phase::Open {
-                    client.phase = Phase::Ending;
+                    client.phase = Phase::Closing;
                 }
             }
             self.schedule_flush(key);
--- a/crates/ingress/src/routing/frontend/timeouts.rs
+++ b/crates/ingress/src/routing/frontend/timeouts.rs
@@ -1,4 +1,4 @@
-//! Deadlines of clients.
+//! Timeouts of client connections.
 
 use super::client::{Phase, WriteStall};
 use super::listener::connection_id;
@@ -11,44 +11,50 @@
 use std::time::Duration;
 
 impl Frontend {
-    /// Sets the client's next deadline, unless an earlier one is set; a later one is set when that
-    /// has come.
-    pub(super) fn arm(&mut self, key: Key, io: &mut Io) {
+    /// Sets the timer of a client to its next deadline, unless it is set to an earlier time: it is
+    /// then set again when that time has come.
+    pub(super) fn update_deadline(&mut self, key: Key, io: &mut Io) {
         let idle_timeout = self.idle_timeout(key);
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let Some(next_due) = client.next_due(idle_timeout, &self.limits) else {
+        let Some(next_deadline) = client.next_deadline(idle_timeout, &self.limits) else {
             return;
         };
-        if client.due.is_none_or(|due| next_due < due) {
-            io.deadlines
-                .set(&mut client.due, Some(next_due), EventSource::Client(key));
+        if client
+            .deadline
+            .is_none_or(|deadline| next_deadline < deadline)
+        {
+            io.deadlines.set(
+                &mut client.deadline,
+                Some(next_deadline),
+                EventSource::Client(key),
+            );
         }
     }
 
-    /// A client's deadline has come: it sends nothing, reads nothing, stops amid a command or does
-    /// not end.
+    /// Called when the timer of a client has expired: the client may be idle, be slow to read its
+    /// replies, have sent only part of a command, or not have closed a half-closed connection.
     pub fn on_client_due(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let idle_timeout = self.idle_timeout(key);
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        client.due = None;
+        client.deadline = None;
         if let Some(stall) = &mut client.stall {
             let unwritten = client.stream.unwritten();
-            if stall.due <= io.now && unwritten < stall.unwritten {
+            if stall.deadline <= io.now && unwritten < stall.unwritten {
                 *stall = WriteStall {
-                    due: io.now + self.limits.reply_stall_timeout,
+                    deadline: io.now + self.limits.reply_stall_timeout,
                     unwritten,
                 };
             }
         }
-        let next_due = client.next_due(idle_timeout, &self.limits);
-        if next_due.is_none_or(|due| due > io.now) {
-            return self.arm(key, io);
+        let next_deadline = client.next_deadline(idle_timeout, &self.limits);
+        if next_deadline.is_none_or(|deadline| deadline > io.now) {
+            return self.update_deadline(key, io);
         }
-        if client.stall.is_some_and(|stall| stall.due <= io.now) {
+        if client.stall.is_some_and(|stall| stall.deadline <= io.now) {
             return self.disconnect(key, true, driver, io);
         }
         if client.phase == Phase::Open {
@@ -57,17 +63,17 @@
         self.disconnect(key, false, driver, io);
     }
 
-    /// The time of an open client is over.
+    /// Handles the timeout of an open connection that is idle or has an incomplete command.
     fn on_idle_or_incomplete(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        if client.command_part_since.take().is_some() {
+        if client.incomplete_command_since.take().is_some() {
             client.protocol_error("command not finished in time");
             self.notify_admission(Event::ProtocolError(connection_id(key)), io);
             return self.schedule_flush(key);
         }
-        // What has just come is still read.
+        // Input that has arrived since the last event is still read.
         if !client.stream.quiet() {
             return self.read(key, driver, io);
         }
@@ -76,12 +82,12 @@
         }
         let admission = &self.listener.controller;
         let reputation = admission.reputation(connection_id(key), io.now);
-        let is_fault = reputation <= Some(Reputation::NoCommand);
-        self.disconnect(key, is_fault, driver, io);
+        let is_client_fault = reputation <= Some(Reputation::NoCommand);
+        self.disconnect(key, is_client_fault, driver, io);
     }
 
-    /// How long a connection may be idle; during shutdown only as long as a new client's first
-    /// request may take.
+    /// Returns how long a connection may be idle. During shutdown this is at most the grace period
+    /// for the first request of a new client.
     fn idle_timeout(&self, key: Key) -> Duration {
         let admission = &self.listener.controller;
         let idle_timeout = admission.idle_timeout_of(connection_id(key));
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -1,9 +1,9 @@
-//! The other ingresses, where the operator configures membership: the socket under the protocol's
-//! state machine. Nothing on a request's path waits for it.
+//! Tracks the other ingresses, if the operator configures membership: connects the state machine of
+//! [`roseyard_membership`] with a UDP socket. The handling of requests never waits for it.
 //!
-//! - `error`: why it cannot be started
-//! - `keys`: the keys that datagrams are sealed with
-//! - `status`: what is stored of the members
+//! - `error`: errors of the start
+//! - `keys`: keys that authenticate datagrams
+//! - `status`: the state of the members as the status file stores it
 
 mod error;
 mod keys;
@@ -27,37 +27,44 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Datagrams taken in a round; clients are served before the next ones.
+/// Datagrams that are received in one round of the event loop, so that clients are served in
+/// between.
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
-/// Names whose sequence numbers are remembered, against replays.
+/// Member names whose sequence numbers are remembered to detect replayed datagrams.
 const MAX_REMEMBERED_NAMES: usize = 4096;
-/// Longer than the longest datagram, so that one that is too long is seen to be.
+/// Longer than the longest valid datagram, so that a longer one is recognised instead of truncated
+/// to a valid length.
 const RECEIVE_BUFFER_BYTES: usize = 512;
-/// One part in this many of a second's datagrams may be sent at once.
+/// The burst is the number of datagrams allowed per second divided by this.
 const BURST_DIVISOR: f64 = 5.0;
-const MIN_BURST: f64 = 8.0;
+const MIN_BURST_DATAGRAMS: f64 = 8.0;
 
-/// The membership's socket and state machine.
+/// Runs the membership protocol: its socket, its state machine and the authentication of its
+/// datagrams.
 pub struct MembershipDriver {
     socket: Datagrams,
     swim: Swim,
     guard: Guard,
-    due: Option<Duration>,
-    /// Most datagrams that are sent.
-    rate: Rate,
-    limiter: Gcra,
+    /// The time for which a timer is set; `None` if none is set.
+    deadline: Option<Duration>,
+    /// Limit on outgoing datagrams.
+    max_send_rate: Rate,
+    send_limiter: Gcra,
+    /// Datagrams received, sent and not sent, by their keys in the status file.
     counts: BTreeMap<&'static str, u64>,
+    /// Datagrams that were received but not accepted, by reason.
     dropped: BTreeMap<Dropped, u64>,
-    /// Kept from event to event, for its capacity.
+    /// Empty between events; reused for its capacity.
     actions: Vec<Action>,
 }
 
 impl MembershipDriver {
-    /// Opens the socket, if the operator has configured one. `generation` is the Unix time of this
-    /// start in milliseconds.
+    /// Opens the socket and starts to join the cluster. Returns `None` if the operator's file
+    /// configures no address to listen on. `generation` is the Unix time of the process start in
+    /// milliseconds.
     ///
     /// # Errors
-    /// If name or keys cannot be used, or the socket cannot be opened.
+    /// Returns an error if the name or a key is invalid, or if the socket cannot be opened.
     pub fn start(
         operator: &MembershipSettings,
         name: &str,
@@ -88,9 +95,9 @@
             guard: Guard::new(&operator.cluster, keys, local_name, MAX_REMEMBERED_NAMES),
             swim: Swim::new(settings, local_name, address, generation, metadata, seed),
             socket,
-            due: None,
-            rate: send_rate(operator),
-            limiter: Gcra::default(),
+            deadline: None,
+            max_send_rate: send_rate(operator),
+            send_limiter: Gcra::default(),
             counts: BTreeMap::new(),
             dropped: BTreeMap::new(),
             actions: Vec::new(),
@@ -99,9 +106,10 @@
         Ok(Some(driver))
     }
 
-    /// The operator's file was read again: its keys are in force, and its bound on what is sent.
+    /// Applies the keys and the send rate of a reloaded operator's file. If a key cannot be read,
+    /// the previous keys stay in force.
     pub fn reload(&mut self, operator: &MembershipSettings) {
-        self.rate = send_rate(operator);
+        self.max_send_rate = send_rate(operator);
         match read_keys(operator) {
             Ok(keys) => {
                 let fingerprints = fingerprints(&keys);
@@ -123,7 +131,7 @@
         }
     }
 
-    /// This ingress serves requests now.
+    /// Announces that this ingress serves requests. Called once it is ready.
     pub fn on_serving(&mut self, io: &mut Io) {
         let metadata = Metadata {
             stage: Stage::Serving,
@@ -132,12 +140,12 @@
         self.handle(Event::Metadata(metadata), io);
     }
 
-    /// This ingress shuts down.
+    /// Announces that this ingress leaves the cluster. Called when its shutdown begins.
     pub fn leave(&mut self, io: &mut Io) {
         self.handle(Event::Leave, io);
     }
 
-    /// Datagrams wait.
+    /// Called when the socket is readable. Receives datagrams, up to the limit of one round.
     pub fn on_ready(&mut self, io: &mut Io) {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_ROUND {
@@ -152,20 +160,26 @@
         }
     }
 
-    /// The state machine's deadline has come.
+    /// Called when the deadline of the state machine has come.
     pub fn on_due(&mut self, io: &mut Io) {
-        self.due = None;
+        self.deadline = None;
         self.handle(Event::Due, io);
     }
 
-    /// What is known of the members; `written` is the Unix time in milliseconds.
+    /// Returns the state of the members for the status file. `written` is the current Unix time in
+    /// milliseconds.
     #[must_use]
     pub fn status(&self, written: u64, now: Duration) -> Status {
-        let own = self.counts.iter();
-        let own = own.map(|(name, count)| ((*name).to_owned(), *count));
+        let own_counts = self.counts.iter();
+        let own_counts = own_counts.map(|(name, count)| ((*name).to_owned(), *count));
         let dropped = self.dropped.iter();
         let dropped = dropped.map(|(reason, count)| (format!("dropped: {reason}"), *count));
-        Status::of(&self.swim, written, now, own.chain(dropped).collect())
+        Status::from_swim(
+            &self.swim,
+            written,
+            now,
+            own_counts.chain(dropped).collect(),
+        )
     }
 
     /// Authenticates and parses a datagram.
@@ -181,6 +195,7 @@
         })
     }
 
+    /// Passes an event to the state machine, carries out its actions and sets its next deadline.
     fn handle(&mut self, event: Event, io: &mut Io) {
         let mut actions = std::mem::take(&mut self.actions);
         self.swim.handle(io.now, event, &mut actions);
@@ -188,13 +203,14 @@
             self.carry_out(action, io);
         }
         self.actions = actions;
-        let due = self.swim.due();
-        if due != self.due {
+        let deadline = self.swim.due();
+        if deadline != self.deadline {
             io.deadlines
-                .set(&mut self.due, due, EventSource::Membership);
+                .set(&mut self.deadline, deadline, EventSource::Membership);
         }
     }
 
+    /// Carries out an action of the state machine: sends a datagram or logs a change.
     fn carry_out(&mut self, action: Action, io: &Io) {
         match action {
             Action::Send { to, body } => self.send(to, &body, io),
@@ -212,9 +228,9 @@
         }
     }
 
-    /// Sends a datagram, within the bound that the operator sets.
+    /// Sends a datagram, or drops it if the send rate of the operator's file is exceeded.
     fn send(&mut self, to: SocketAddr, body: &[u8], io: &Io) {
-        if self.limiter.take(io.now, self.rate).is_err() {
+        if self.send_limiter.take(io.now, self.max_send_rate).is_err() {
             return self.count("not sent: over the bound");
         }
         let sealed = self.guard.seal(self.swim.local().generation, body);
@@ -225,6 +241,7 @@
         }
     }
 
+    /// Logs a change of a member's state, as a warning if the member may have failed.
     fn log_change(&self, name: Name, from: MemberState, to: MemberState) {
         let is_failure = matches!(to, MemberState::Suspect | MemberState::Dead);
         let from = from.as_str();
@@ -245,7 +262,7 @@
         }
     }
 
-    /// Counts what became of a datagram; the names are stored in the status file.
+    /// Increments a count of datagrams. `name` is its key in the status file.
     fn count(&mut self, name: &'static str) {
         *self.counts.entry(name).or_default() += 1;
     }
@@ -258,7 +275,8 @@
     })
 }
 
-/// The protocol's settings by the operator's file.
+/// Returns the settings of the protocol from the operator's file. Overrides for names that the
+/// protocol cannot carry are left out.
 fn swim_settings(operator: &MembershipSettings) -> Settings {
     let address_override =
         |named: &NamedAddress| Some((Name::from(&named.name).ok()?, named.address));
@@ -278,12 +296,12 @@
     }
 }
 
-/// The bound on datagrams sent, by the operator's file.
+/// Returns the limit on outgoing datagrams from the operator's file.
 fn send_rate(operator: &MembershipSettings) -> Rate {
     let per_second = f64::from(operator.max_datagrams_per_second);
     Rate {
         per_second,
-        burst: (per_second / BURST_DIVISOR).max(MIN_BURST),
+        burst: (per_second / BURST_DIVISOR).max(MIN_BURST_DATAGRAMS),
     }
 }
 
--- a/crates/ingress/src/routing/membership/status.rs
+++ b/crates/ingress/src/routing/membership/status.rs
@@ -1,62 +1,64 @@
-//! What is known of the other ingresses, as the status file stores it.
+//! The state of the members of the cluster, as the status file stores it in JSON.
 
 use roseyard_membership::{Name, Swim, View};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is known of the other ingresses, for `roseyard-ingress status`.
+/// The state of the cluster as this ingress sees it. `roseyard-ingress status` prints it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// This ingress.
+    /// Name of this ingress.
     pub name: String,
-    /// Where it listens for the others.
+    /// Address on which this ingress receives membership datagrams.
     pub address: String,
-    /// When this was written, Unix time in milliseconds.
+    /// When the status was written, as Unix time in milliseconds.
     pub written: u64,
-    /// The incarnation of this process: its start, in Unix milliseconds.
+    /// When this process started, as Unix time in milliseconds.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Local health: 0 is healthy, 8 the worst.
+    /// Local health score, from 0 (healthy) to 8 (worst).
     pub health: u32,
-    /// Who holds its name, while it is rejected for that.
+    /// Address of the process that uses the same name, while this one cannot join because of it.
     pub held: Option<String>,
-    /// Members that answer, this one included.
+    /// The number of members that are alive, including this one; 0 during a name conflict.
     pub seen: usize,
-    /// Members that there should be.
+    /// The number of members that the operator's file expects.
     pub expected: usize,
-    /// Is that more than half?
+    /// Whether `seen` is more than half of `expected`.
     pub quorum: bool,
-    /// All members that are remembered.
+    /// All other members of which this ingress has a record.
     pub members: Vec<MemberStatus>,
-    /// Datagrams by what became of them, and the protocol's counts.
+    /// Counts of datagrams and of protocol events since the start, by name.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// One member.
+/// The state of another member as this ingress sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the member receives membership datagrams.
     pub address: String,
-    /// Its state, as seen from here.
+    /// The member's state: alive, suspected, gone, left or never seen.
     pub standing: String,
-    /// Age of the latest message of its own, in milliseconds.
+    /// Milliseconds since a message from the member itself was last received.
     pub age: u64,
-    /// Its incarnation, and how often it refuted a suspicion in it.
+    /// When the member's process started, as Unix time in milliseconds, and how often it has
+    /// refuted a suspicion since.
     #[serde(rename = "life")]
     pub incarnation: (u64, u32),
-    /// Its zone.
+    /// Zone that the member announces; empty if it has none.
     pub zone: String,
-    /// Its stage, as it says itself.
+    /// Stage that the member announces: starting, serving or leaving.
     pub stage: String,
 }
 
 impl Status {
-    /// The state of the protocol at this time; `written` is the Unix time in milliseconds, `counts`
-    /// those of the driver.
-    pub(super) fn of(
+    /// Returns the state of the protocol at `now`. `written` is the current Unix time in
+    /// milliseconds; `counts` are those of the driver, to which the counts of the protocol are
+    /// added.
+    pub(super) fn from_swim(
         swim: &Swim,
         written: u64,
         now: Duration,
@@ -64,13 +66,13 @@
     ) -> Status {
         let local = swim.local();
         let quorum = swim.quorum();
-        let protocol = swim.counts();
+        let protocol_counts = swim.counts();
         for (name, count) in [
-            ("probes", protocol.probes),
-            ("probes failed", protocol.failed_probes),
-            ("suspicions refuted", protocol.refutations),
-            ("stalls of its own", protocol.stalls),
-            ("records not remembered", protocol.rejected_records),
+            ("probes", protocol_counts.probes),
+            ("probes failed", protocol_counts.failed_probes),
+            ("suspicions refuted", protocol_counts.refutations),
+            ("stalls of its own", protocol_counts.stalls),
+            ("records not remembered", protocol_counts.rejected_records),
         ] {
             counts.insert(name.into(), count);
         }
@@ -84,14 +86,14 @@
             seen: quorum.seen,
             expected: quorum.expected,
             quorum: quorum.holds(),
-            members: swim.views(now).filter_map(member).collect(),
+            members: swim.views(now).filter_map(member_status).collect(),
             counts,
         }
     }
 }
 
-/// The status of one member; none if nothing but its name is known.
-fn member((name, view): (Name, View)) -> Option<MemberStatus> {
+/// Returns the status of a member; `None` if there is no record of it.
+fn member_status((name, view): (Name, View)) -> Option<MemberStatus> {
     let record = view.record?;
     Some(MemberStatus {
         name: name.to_string(),
