--- a/crates/ingress/src/routing/counter_client/connection.rs
+++ b/crates/ingress/src/routing/counter_client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter: calls that are pipelined on it, and their results in order.
+//! A connection to the counter, on which calls are pipelined and completed in order.
 
 use super::call::{CounterAddress, CounterCall};
 use super::limits::CounterLimits;
@@ -11,31 +11,38 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A connection to the counter, and its successors.
+/// A connection to the counter. It opens a new TCP stream when the previous one was closed.
 pub(super) struct CounterConnection {
+    /// Index of the connection in the client.
     pub(super) index: u16,
     pub(super) limits: CounterLimits,
     pub(super) call_timeout: Duration,
     pub(super) stream: Option<Stream>,
-    /// Epoch of the address that the stream leads to.
+    /// [`CounterAddress::epoch`] of the address that the stream is connected to.
     pub(super) epoch: u32,
-    /// Counts the streams: events of one that is closed must not reach its successor.
+    /// Serial number of the stream, so that events of a closed stream are not taken for those of
+    /// the next one.
     pub(super) serial: u32,
     pub(super) is_established: bool,
+    /// Whether a reply has been received on this stream.
     pub(super) has_replied: bool,
+    /// Calls whose reply has not been received, oldest first.
     pub(super) calls: VecDeque<CounterCall>,
-    /// Calls at the front that have timed out: completed as unknown, their replies still to come.
-    pub(super) timed_out: usize,
-    /// Bytes ever put on this stream.
-    pub(super) bytes_put: u64,
-    /// When bytes last came, or the first of the pending calls was put on the stream.
+    /// Number of calls at the front that have timed out: they are completed with an unknown result,
+    /// but their replies may still arrive.
+    pub(super) timed_out_calls: usize,
+    /// Number of bytes queued on this stream since it was opened.
+    pub(super) bytes_queued: u64,
+    /// When the stream was opened or established, the last reply was received, or the first of the
+    /// pending calls was queued, whichever was last.
     pub(super) last_active_at: Duration,
     /// No stream is opened before this time.
     pub(super) retry_at: Duration,
-    /// Since when a reply has been incomplete.
-    pub(super) reply_part_since: Option<Duration>,
-    /// The deadline that is set for it.
+    /// When the first part of an incomplete reply was received.
+    pub(super) reply_incomplete_since: Option<Duration>,
+    /// The deadline that is registered with [`Io::deadlines`].
     pub(super) due: Option<Duration>,
+    /// Whether calls have been queued since the last flush.
     pub(super) has_output: bool,
 }
 
@@ -55,35 +62,36 @@
             is_established: false,
             has_replied: false,
             calls: VecDeque::new(),
-            timed_out: 0,
-            bytes_put: 0,
+            timed_out_calls: 0,
+            bytes_queued: 0,
             last_active_at: Duration::ZERO,
             retry_at: Duration::ZERO,
-            reply_part_since: None,
+            reply_incomplete_since: None,
             due: None,
             has_output: false,
         }
     }
 
-    /// Makes a call. It is completed at once if the counter cannot be reached just now.
+    /// Makes a call. It is completed at once with [`CounterResult::NotAdded`] during the backoff
+    /// after a failure, if too many calls are pending, or if the amount is not finite.
     pub(super) fn call(
         &mut self,
         call: CounterCall,
-        to: &CounterAddress,
+        target: &CounterAddress,
         io: &mut Io,
         engine: &mut IngressEngine,
     ) {
-        // No call waits for a counter that was not there a moment ago.
+        // During the backoff, calls fail at once instead of waiting for the counter.
         let is_backing_off = self.stream.is_none() && io.now < self.retry_at;
         let is_full = self.calls.len() >= self.limits.max_calls_per_connection;
         if is_backing_off || is_full || !call.amount.is_finite() {
             return call.complete(CounterResult::NotAdded, io.now, engine);
         }
         self.calls.push_back(call);
-        self.open(to, io, engine);
+        self.open(target, io, engine);
     }
 
-    /// Writes all calls of this round.
+    /// Writes the calls that have been queued since the last flush.
     pub(super) fn flush(&mut self, io: &mut Io, engine: &mut IngressEngine) {
         if !std::mem::take(&mut self.has_output) {
             return;
@@ -91,70 +99,76 @@
         let stream = self.stream.as_mut();
         if stream.is_some_and(|stream| stream.flush().is_err()) {
             self.fail(self.limits.retry_interval, io.now, engine);
-            self.arm(io);
+            self.update_deadline(io);
         }
     }
 
-    /// The counter has another address now: nothing is backed off from any more.
+    /// Moves to a new address of the counter, and ends the backoff after a failure of the old one.
     pub(super) fn migrate_to(
         &mut self,
-        to: &CounterAddress,
+        target: &CounterAddress,
         io: &mut Io,
         engine: &mut IngressEngine,
     ) {
         self.retry_at = Duration::ZERO;
-        self.leave_old_address(to, io, engine);
+        self.reconnect_if_moved(target, io, engine);
     }
 
-    /// The connection is ready.
+    /// Called when the stream with this serial number is readable or writable.
     pub(super) fn on_ready(
         &mut self,
         serial: u32,
         ready: Ready,
-        to: &CounterAddress,
+        target: &CounterAddress,
         io: &mut Io,
         engine: &mut IngressEngine,
     ) {
         if self.serial != serial || self.stream.is_none() {
             return;
         }
-        if !self.is_established && !self.establish(ready, to, io.now) {
+        if !self.is_established && !self.establish(ready, target, io.now) {
             self.fail(self.limits.retry_interval, io.now, engine);
-            self.arm(io);
+            self.update_deadline(io);
             return;
         }
         if !self.is_established {
             return;
         }
-        match self.exchange(ready, io, engine) {
+        match self.write_and_read(ready, io, engine) {
             StreamStatus::Usable => {}
             status => self.on_unusable(status, io.now, engine),
         }
-        self.arm(io);
-        self.leave_old_address(to, io, engine);
+        self.update_deadline(io);
+        self.reconnect_if_moved(target, io, engine);
     }
 
-    /// The connection's deadline has come.
-    pub(super) fn on_due(&mut self, to: &CounterAddress, io: &mut Io, engine: &mut IngressEngine) {
+    /// Called when the deadline of the connection expires.
+    pub(super) fn on_due(
+        &mut self,
+        target: &CounterAddress,
+        io: &mut Io,
+        engine: &mut IngressEngine,
+    ) {
         self.due = None;
         self.time_out_calls(io.now, engine);
-        if self.is_stuck(io.now) {
+        if self.must_close(io.now) {
             self.fail(Duration::ZERO, io.now, engine);
         }
-        self.arm(io);
-        self.leave_old_address(to, io, engine);
+        self.update_deadline(io);
+        self.reconnect_if_moved(target, io, engine);
     }
 
-    /// Opens a stream for the calls that wait, and puts on it what may be put.
-    fn open(&mut self, to: &CounterAddress, io: &mut Io, engine: &mut IngressEngine) {
+    /// Opens a stream if calls wait for one, and queues the waiting calls on it once it is
+    /// established.
+    fn open(&mut self, target: &CounterAddress, io: &mut Io, engine: &mut IngressEngine) {
         if self.stream.is_none() && !self.calls.is_empty() {
             self.last_active_at = io.now;
             self.is_established = false;
             self.has_replied = false;
-            self.epoch = to.epoch;
+            self.epoch = target.epoch;
             self.serial = self.serial.wrapping_add(1);
             let token = EventSource::Counter(self.index, self.serial).token();
-            let opened = io.connect(&to.address).and_then(|stream| {
+            let opened = io.connect(&target.address).and_then(|stream| {
                 io.poller.add(stream.fd(), token)?;
                 Ok(stream)
             });
@@ -163,12 +177,13 @@
                 Err(_) => self.fail(self.limits.retry_interval, io.now, engine),
             }
         }
-        self.put_calls(to, io.now);
-        self.arm(io);
+        self.queue_calls(target, io.now);
+        self.update_deadline(io);
     }
 
-    /// Takes note of a stream that is established; false if it has failed.
-    fn establish(&mut self, ready: Ready, to: &CounterAddress, now: Duration) -> bool {
+    /// Marks the stream as established once it is writable, and queues the waiting calls. Returns
+    /// false if the connection attempt has failed.
+    fn establish(&mut self, ready: Ready, target: &CounterAddress, now: Duration) -> bool {
         let Some(stream) = self.stream.as_ref().filter(|_| ready.writable) else {
             return true;
         };
@@ -176,18 +191,19 @@
             return false;
         }
         self.is_established = true;
-        self.put_calls(to, now);
+        self.queue_calls(target, now);
         self.last_active_at = now;
         true
     }
 
-    /// The stream is of no more use.
+    /// Closes a stream that can no longer be used.
     ///
-    /// An idle stream that the counter closed, one that is out of step, or one that broke after it
-    /// had served says nothing about the counter: the next call opens another at once.
+    /// The next call opens a new stream at once if the counter is presumably reachable: the stream
+    /// was idle, had already brought replies, or was out of sync. Otherwise the connection waits
+    /// for [`CounterLimits::retry_interval`].
     fn on_unusable(&mut self, status: StreamStatus, now: Duration, engine: &mut IngressEngine) {
         let is_counter_reachable =
-            status == StreamStatus::OutOfStep || self.has_replied || self.calls.is_empty();
+            status == StreamStatus::OutOfSync || self.has_replied || self.calls.is_empty();
         let retry_after = if is_counter_reachable {
             Duration::ZERO
         } else {
@@ -196,55 +212,75 @@
         self.fail(retry_after, now, engine);
     }
 
-    /// Puts the calls that wait on the stream, if it is established and leads to the address.
-    fn put_calls(&mut self, to: &CounterAddress, now: Duration) {
-        let is_current = self.is_established && self.epoch == to.epoch;
-        let Some(stream) = self.stream.as_mut().filter(|_| is_current) else {
+    /// Queues the waiting calls on the stream if it is established and connected to the current
+    /// address.
+    fn queue_calls(&mut self, target: &CounterAddress, now: Duration) {
+        let can_queue = self.is_established && self.epoch == target.epoch;
+        let Some(stream) = self.stream.as_mut().filter(|_| can_queue) else {
             return;
         };
         let oldest = self.calls.front();
-        if oldest.is_none_or(|call| call.end.is_none()) {
+        if oldest.is_none_or(|call| call.end_offset.is_none()) {
             self.last_active_at = now;
         }
-        let last_put = self.calls.iter().rposition(|call| call.end.is_some());
-        let first_waiting = last_put.map_or(0, |position| position + 1);
+        let last_queued = self
+            .calls
+            .iter()
+            .rposition(|call| call.end_offset.is_some());
+        let first_waiting = last_queued.map_or(0, |position| position + 1);
         for call in self.calls.range_mut(first_waiting..) {
             let output = stream.output();
-            let before = output.len();
-            let keep_ms = call.time_to_live.as_millis().max(1) as u64;
-            http::put_increment(output, &to.host, call.key.0, call.amount, keep_ms);
-            self.bytes_put += (output.len() - before) as u64;
-            call.end = Some(self.bytes_put);
+            let previous_len = output.len();
+            let time_to_live_ms = call.time_to_live.as_millis().max(1) as u64;
+            http::put_increment(
+                output,
+                &target.host,
+                call.key.0,
+                call.amount,
+                time_to_live_ms,
+            );
+            self.bytes_queued += (output.len() - previous_len) as u64;
+            call.end_offset = Some(self.bytes_queued);
             self.has_output = true;
         }
     }
 
-    /// Closes a stream to an old address once no reply is awaited on it. Calls that were put on it
-    /// are awaited there; those that follow wait for them, as results for a key must come in the
-    /// order of its calls.
-    fn leave_old_address(&mut self, to: &CounterAddress, io: &mut Io, engine: &mut IngressEngine) {
-        if self.stream.is_none() || self.epoch == to.epoch || self.awaits_reply() {
+    /// Closes a stream to an old address once no call on it is pending, and opens one to the
+    /// current address. Until then, new calls wait, because the results for a key must be reported
+    /// in the order of its calls.
+    fn reconnect_if_moved(
+        &mut self,
+        target: &CounterAddress,
+        io: &mut Io,
+        engine: &mut IngressEngine,
+    ) {
+        if self.stream.is_none() || self.epoch == target.epoch || self.awaits_reply() {
             return;
         }
         self.stream = None;
-        self.calls.drain(..self.timed_out);
+        self.calls.drain(..self.timed_out_calls);
         self.reset_stream_state();
-        self.open(to, io, engine);
+        self.open(target, io, engine);
     }
 
-    /// Is a call on the stream that has not been completed?
+    /// Whether a call that is queued on the stream has not been completed.
     fn awaits_reply(&self) -> bool {
-        let oldest = self.calls.get(self.timed_out);
-        oldest.is_some_and(|call| call.end.is_some())
+        let oldest = self.calls.get(self.timed_out_calls);
+        oldest.is_some_and(|call| call.end_offset.is_some())
     }
 
-    /// Closes the stream: each call on it is completed, in order.
+    /// Closes the stream, and completes all calls in order: with [`CounterResult::Unknown`] if the
+    /// call was written completely, else with [`CounterResult::NotAdded`]. No stream is opened for
+    /// `retry_after`.
     fn fail(&mut self, retry_after: Duration, now: Duration, engine: &mut IngressEngine) {
         let stream = self.stream.take();
         let unwritten = stream.map_or(0, |stream| stream.unwritten() as u64);
-        let written = self.bytes_put - unwritten;
-        for call in self.calls.drain(..).skip(self.timed_out) {
-            let result = if call.end.is_some_and(|end| end <= written) {
+        let written = self.bytes_queued - unwritten;
+        for call in self.calls.drain(..).skip(self.timed_out_calls) {
+            let result = if call
+                .end_offset
+                .is_some_and(|end_offset| end_offset <= written)
+            {
                 CounterResult::Unknown
             } else {
                 CounterResult::NotAdded
@@ -256,20 +292,20 @@
     }
 
     fn reset_stream_state(&mut self) {
-        self.timed_out = 0;
-        self.bytes_put = 0;
+        self.timed_out_calls = 0;
+        self.bytes_queued = 0;
         self.is_established = false;
         self.has_output = false;
-        self.reply_part_since = None;
+        self.reply_incomplete_since = None;
     }
 }
 
-/// What came of using a stream.
+/// Whether a stream can still be used after reading and writing.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum StreamStatus {
     Usable,
-    /// It has ended or is broken.
+    /// The stream was closed by the peer, or failed.
     Closed,
-    /// Replies cannot be matched to calls any more.
-    OutOfStep,
+    /// Replies can no longer be matched to calls.
+    OutOfSync,
 }
--- a/crates/ingress/src/routing/counter_client/mod.rs
+++ b/crates/ingress/src/routing/counter_client/mod.rs
@@ -1,10 +1,11 @@
-//! Calls to the counter: pipelined on a few connections, each key always on the same one, so that
-//! its results come in the order of the calls.
+//! The client of the shared counter. Calls are pipelined on a few connections. All calls for a key
+//! use the same connection, so that their results are reported in the order of the calls.
 //!
-//! - `call`: one call
-//! - `connection`: one connection with its calls
-//! - `replies` and `timeouts`: what comes on it, and what does not
-//! - `limits`: the bounds
+//! - `call`: a call
+//! - `connection`: a connection with its calls
+//! - `replies`: reads replies and matches them to calls
+//! - `timeouts`: time-outs of calls and connections
+//! - `limits`: the limits
 
 mod call;
 mod connection;
@@ -23,18 +24,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Spreads keys evenly over the connections, whatever their bits (2^64 divided by the golden
-/// ratio).
-const KEY_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio), which distributes keys
+/// evenly over the connections even if they differ in a few bits only.
+const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The counter's connections.
+/// The client of the shared counter, with its connections.
 pub struct CounterClient {
     address: CounterAddress,
     connections: Vec<CounterConnection>,
 }
 
 impl CounterClient {
-    /// A client of the counter at this address; a call is given up after `call_timeout`.
+    /// Creates a client of the counter at this address. A call times out after `call_timeout`.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Adds an amount to a key. The engine gets the result, at once if the counter cannot be
-    /// reached just now.
+    /// Adds an amount to the counter of a key, and reports the result to the request engine. The
+    /// call fails at once during the backoff after a failure of the key's connection.
     pub fn increment(
         &mut self,
         key: CounterKey,
@@ -62,13 +63,13 @@
         io: &mut Io,
         engine: &mut IngressEngine,
     ) {
-        let hash = key.0.wrapping_mul(KEY_MULTIPLIER) >> 32;
+        let hash = key.0.wrapping_mul(KEY_HASH_MULTIPLIER) >> 32;
         let index = hash as usize % self.connections.len();
         let call = CounterCall::new(key, amount, time_to_live, io.now);
         self.connections[index].call(call, &self.address, io, engine);
     }
 
-    /// The counter is at another address from now on.
+    /// Uses another address of the counter for new calls.
     pub fn migrate_to(&mut self, address: SocketAddr, io: &mut Io, engine: &mut IngressEngine) {
         if address == self.address.address {
             return;
@@ -83,14 +84,15 @@
         }
     }
 
-    /// Writes all calls of this round.
+    /// Writes the calls that have been queued since the last flush.
     pub fn flush(&mut self, io: &mut Io, engine: &mut IngressEngine) {
         for connection in &mut self.connections {
             connection.flush(io, engine);
         }
     }
 
-    /// The connection with this index is ready, if its stream still has this serial number.
+    /// Called when the connection with this index is readable or writable. The event is ignored if
+    /// its stream has another serial number by now.
     pub fn on_ready(
         &mut self,
         index: u16,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// The deadline of the connection with this index has come.
+    /// Called when the deadline of the connection with this index expires.
     pub fn on_due(&mut self, index: u16, io: &mut Io, engine: &mut IngressEngine) {
         if let Some(connection) = self.connections.get_mut(usize::from(index)) {
             connection.on_due(&self.address, io, engine);
--- a/crates/ingress/src/routing/counter_client/replies.rs
+++ b/crates/ingress/src/routing/counter_client/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the counter: read, and matched to the calls of a connection, oldest first.
+//! Reads replies from the counter, and matches them to the calls of a connection, oldest first.
 
 use super::connection::{CounterConnection, StreamStatus};
 use crate::protocol::http;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 impl CounterConnection {
-    /// Writes what is to be written, and reads what has come.
-    pub(super) fn exchange(
+    /// Writes pending output, then reads replies if the stream is readable.
+    pub(super) fn write_and_read(
         &mut self,
         ready: Ready,
         io: &Io,
@@ -26,10 +26,10 @@
         if !ready.readable {
             return StreamStatus::Usable;
         }
-        let max_bytes = self.limits.max_reply_bytes;
+        let max_bytes = self.limits.max_read_bytes;
         let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
-        if !self.take_replies(filled == Fill::Ended, io.now, engine) {
-            return StreamStatus::OutOfStep;
+        if !self.complete_calls(filled == Fill::Ended, io.now, engine) {
+            return StreamStatus::OutOfSync;
         }
         match filled {
             Fill::Drained | Fill::Limited => StreamStatus::Usable,
@@ -37,9 +37,14 @@
         }
     }
 
-    /// Matches replies to calls, oldest first; `is_ended`: no more follows. False if the stream is
-    /// of no more use.
-    fn take_replies(&mut self, is_ended: bool, now: Duration, engine: &mut IngressEngine) -> bool {
+    /// Matches replies to calls, oldest first. `is_ended` says that the counter has closed the
+    /// stream. Returns false if the stream is out of sync or must be closed after a reply.
+    fn complete_calls(
+        &mut self,
+        is_ended: bool,
+        now: Duration,
+        engine: &mut IngressEngine,
+    ) -> bool {
         let Some(stream) = &mut self.stream else {
             return false;
         };
@@ -48,29 +53,29 @@
             let ((head, body), length) = match http::reply(input, is_ended, &self.limits.protocol) {
                 Ok(Some(found)) => found,
                 Ok(None) => {
-                    let since = self.reply_part_since.or(Some(now));
-                    self.reply_part_since = since.filter(|_| !input.is_empty());
+                    let since = self.reply_incomplete_since.or(Some(now));
+                    self.reply_incomplete_since = since.filter(|_| !input.is_empty());
                     return input.len() < self.limits.protocol.max_message_bytes();
                 }
                 Err(_) => return false,
             };
-            let result = result_of(head.status, body);
+            let result = parse_result(head.status, body);
             stream.take(length);
             self.last_active_at = now;
-            self.reply_part_since = None;
+            self.reply_incomplete_since = None;
             self.has_replied = true;
             let Some(result) = result else { continue };
             let Some(call) = self.calls.pop_front() else {
                 return false;
             };
-            // A call that has timed out was completed as unknown.
-            if self.timed_out > 0 {
-                self.timed_out -= 1;
+            // A call that has timed out was already completed with an unknown result.
+            if self.timed_out_calls > 0 {
+                self.timed_out_calls -= 1;
             } else {
                 call.complete(result, now, engine);
             }
-            // What follows a reply that cannot be understood may be out of step: the next call's
-            // total must not be read out of its rest.
+            // The bytes after an invalid reply may still be part of it, and must not be taken for
+            // the total of the next call.
             if head.closes || result == CounterResult::Unknown {
                 return false;
             }
@@ -78,8 +83,8 @@
     }
 }
 
-/// What a reply says about its call; none if it is not the final one.
-fn result_of(status: u16, body: &[u8]) -> Option<CounterResult> {
+/// Returns the result of a call from its reply, or `None` for an interim reply (status 1xx).
+fn parse_result(status: u16, body: &[u8]) -> Option<CounterResult> {
     let text = std::str::from_utf8(body).ok();
     let total = text.and_then(|text| text.trim().parse::<f64>().ok());
     match (status, total.filter(|total| total.is_finite())) {
--- a/crates/ingress/src/routing/discovery/call.rs
+++ b/crates/ingress/src/routing/discovery/call.rs
@@ -1,4 +1,5 @@
-//! One call of the watch: its connection, the framing of the reply, and the lines in it.
+//! A call of the watch: an HTTP request on its own connection, whose response stays open and
+//! carries one endpoint list per line.
 
 use super::backoff::CallFailure;
 use super::limits::DiscoveryLimits;
@@ -11,25 +12,25 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a call is of no more use.
+/// Why a call has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum CallError {
     #[error("cannot connect")]
     CannotConnect,
-    #[error("connection broke")]
-    ConnectionBroke,
-    #[error("connection ended")]
-    ConnectionEnded,
-    #[error("not a watch")]
-    NotAWatch,
-    #[error("watch ended")]
+    #[error("connection failed while sending the request")]
+    SendFailed,
+    #[error("connection closed or reset")]
+    ConnectionClosed,
+    #[error("response does not open a watch")]
+    WatchNotOpened,
+    #[error("watch ended by discovery")]
     WatchEnded,
-    #[error("line too long")]
-    LineTooLong,
+    #[error("endpoint list too long")]
+    ListTooLong,
     #[error("chunk too long")]
     ChunkTooLong,
-    #[error("unreadable line")]
-    UnreadableLine,
+    #[error("invalid endpoint list")]
+    InvalidList,
     #[error("{0}")]
     Malformed(&'static str),
 }
@@ -41,33 +42,37 @@
 }
 
 impl CallError {
-    /// How the backoff takes it.
-    pub(super) fn failure(self) -> CallFailure {
+    /// Returns the kind of failure that determines the backoff.
+    pub(super) fn backoff_failure(self) -> CallFailure {
         match self {
-            CallError::NotAWatch => CallFailure::Rejected,
+            CallError::WatchNotOpened => CallFailure::Rejected,
             _ => CallFailure::Closed,
         }
     }
 }
 
-/// One call: a reply that stays open.
+/// A call of the watch. It lasts as long as its response stays open.
 pub(super) struct WatchCall {
     stream: Stream,
     limits: DiscoveryLimits,
-    made_at: Duration,
-    /// Counts the calls: events of one that is closed must not reach its successor.
+    started_at: Duration,
+    /// Serial number of the call, so that events of a closed call are not taken for those of the
+    /// next one.
     pub(super) serial: u32,
     is_established: bool,
-    /// The framing of the reply, once its head has come.
+    /// The framing of the response body; `None` until the response head has been received.
     body: Option<Body>,
+    /// Whether at least one line has been received.
     received_line: bool,
-    lists: ListSplitter,
-    /// Since when a list has been incomplete.
-    list_part_since: Option<Duration>,
+    /// Splits the response body into endpoint lists.
+    splitter: ListSplitter,
+    /// When the first part of an incomplete endpoint list was received.
+    list_incomplete_since: Option<Duration>,
 }
 
 impl WatchCall {
-    /// A call on a new connection for what follows this revision of the endpoint list.
+    /// Creates a call on a new connection, which asks for the changes after this revision of the
+    /// endpoint list.
     pub(super) fn new(
         mut stream: Stream,
         serial: u32,
@@ -80,17 +85,18 @@
         WatchCall {
             stream,
             limits,
-            made_at: now,
+            started_at: now,
             serial,
             is_established: false,
             body: None,
             received_line: false,
-            lists: ListSplitter::default(),
-            list_part_since: None,
+            splitter: ListSplitter::default(),
+            list_incomplete_since: None,
         }
     }
 
-    /// Reads on; complete lines go to `lines`, also where an error follows them.
+    /// Called when the connection is readable or writable. Appends the complete lines that it reads
+    /// to `lines`, even if it returns an error.
     pub(super) fn read(
         &mut self,
         ready: Ready,
@@ -106,42 +112,45 @@
             self.is_established = true;
         }
         let flushed = self.stream.flush();
-        flushed.map_err(|_| CallError::ConnectionBroke)?;
+        flushed.map_err(|_| CallError::SendFailed)?;
         if !ready.readable {
             return Ok(());
         }
         let protocol = &self.limits.protocol;
         let max_bytes = protocol.max_list_bytes + protocol.max_line_bytes;
         let filled = self.stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
-        self.take_head()?;
-        self.take_body(lines)?;
+        self.parse_head()?;
+        self.parse_body(lines)?;
         self.stream.trim(MAX_IDLE_BUFFER_BYTES);
-        let since = self.list_part_since.filter(|_| lines.is_empty());
-        self.list_part_since = (self.incomplete_bytes() > 0).then_some(since.unwrap_or(now));
+        let since = self.list_incomplete_since.filter(|_| lines.is_empty());
+        self.list_incomplete_since = (self.incomplete_bytes() > 0).then_some(since.unwrap_or(now));
         match filled {
             Fill::Drained => Ok(()),
             Fill::Limited => Err(CallError::ChunkTooLong),
-            Fill::Ended | Fill::Broken => Err(CallError::ConnectionEnded),
+            Fill::Ended | Fill::Broken => Err(CallError::ConnectionClosed),
         }
     }
 
-    /// May its first line still come, beside the calls after it?
+    /// Whether to keep waiting for the first line of this call while a later call is open.
     pub(super) fn may_still_reply(&self, now: Duration) -> bool {
-        !self.received_line && now < self.made_at + self.limits.previous_call_timeout
+        !self.received_line && now < self.started_at + self.limits.previous_call_timeout
     }
 
-    /// Until when the rest of an incomplete list is waited for: a long list may take longer than a
-    /// line is waited for, but each part must follow the last one soon.
-    pub(super) fn list_due(&self, now: Duration) -> Option<Duration> {
-        let rate = self.limits.min_list_bytes_per_second;
-        let earned = Duration::from_secs_f64(self.incomplete_bytes() as f64 / rate);
+    /// Returns when the watch gives up waiting for the rest of an incomplete endpoint list, or
+    /// `None` if no list is incomplete. A list has [`DiscoveryLimits::first_line_timeout`] plus the
+    /// time for its bytes at the minimum rate, and each part must follow the previous one within
+    /// `first_line_timeout`.
+    pub(super) fn list_deadline(&self, now: Duration) -> Option<Duration> {
+        let bytes_per_second = self.limits.min_list_bytes_per_second;
+        let transfer_time =
+            Duration::from_secs_f64(self.incomplete_bytes() as f64 / bytes_per_second);
         let part_timeout = self.limits.first_line_timeout;
-        let list_due = self.list_part_since? + part_timeout + earned;
-        Some((now + part_timeout).min(list_due))
+        let list_deadline = self.list_incomplete_since? + part_timeout + transfer_time;
+        Some((now + part_timeout).min(list_deadline))
     }
 
-    /// Takes the head of the reply, past interim ones.
-    fn take_head(&mut self) -> Result<(), CallError> {
+    /// Parses the head of the response, and skips interim responses (status 1xx).
+    fn parse_head(&mut self) -> Result<(), CallError> {
         while self.body.is_none() {
             let head = http::reply_head(self.stream.input(), &self.limits.protocol)?;
             match head {
@@ -159,15 +168,15 @@
                     self.stream.take(length);
                     self.body = Some(body);
                 }
-                Some(_) => return Err(CallError::NotAWatch),
+                Some(_) => return Err(CallError::WatchNotOpened),
                 None => break,
             }
         }
         Ok(())
     }
 
-    /// Takes what has come of the body; complete lines go to `lines`.
-    fn take_body(&mut self, lines: &mut Vec<Vec<u8>>) -> Result<(), CallError> {
+    /// Parses the received part of the response body, and appends complete lines to `lines`.
+    fn parse_body(&mut self, lines: &mut Vec<Vec<u8>>) -> Result<(), CallError> {
         while let Some(body) = self.body.filter(|_| !self.stream.input().is_empty()) {
             let input = self.stream.input();
             let (part, length) = match body {
@@ -180,23 +189,23 @@
             if part.is_empty() {
                 return Err(CallError::WatchEnded);
             }
-            self.lists.take(part, lines);
+            self.splitter.take(part, lines);
             self.received_line |= !lines.is_empty();
-            if self.lists.held() > self.limits.protocol.max_list_bytes {
-                return Err(CallError::LineTooLong);
+            if self.splitter.held() > self.limits.protocol.max_list_bytes {
+                return Err(CallError::ListTooLong);
             }
             self.stream.take(length);
         }
         Ok(())
     }
 
-    /// Bytes of a list whose rest is still to come.
+    /// Returns the number of received bytes of an incomplete endpoint list.
     fn incomplete_bytes(&self) -> usize {
-        let unframed = if self.body.is_some() {
+        let unparsed_bytes = if self.body.is_some() {
             self.stream.input().len()
         } else {
             0
         };
-        self.lists.held() + unframed
+        self.splitter.held() + unparsed_bytes
     }
 }
--- a/crates/ingress/src/routing/discovery/limits.rs
+++ b/crates/ingress/src/routing/discovery/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on the watch on discovery.
+//! Limits on the watch on discovery.
 
 use crate::protocol::ProtocolLimits;
 use roseyard_platform_config::PlatformSettings;
@@ -7,41 +7,48 @@
 const MIN_LIST_BYTES_PER_SECOND: f64 = 8.0 * 1024.0;
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 const MAX_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Where nothing has changed, the first line may be the empty one, which is due after 2 s.
+/// Longer than 2 s, after which discovery sends an empty line if nothing has changed. That may be
+/// the first line of a call.
 const PREVIOUS_CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_millis(3000);
-/// The longest backoff grows by this for each ingress, so that discovery's load stays bounded.
+/// The longest backoff is proportional to the number of ingresses, which bounds the rate at which
+/// they call discovery together.
 const MAX_BACKOFF_PER_INGRESS: Duration = Duration::from_millis(30);
 
-/// Discovery takes a change as notified after this and the drain grace, received or not.
-const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// Part of that time kept for the call that brings the change and the requests that it stops.
-const NOTIFIED_MARGIN: Duration = Duration::from_millis(250);
+/// Discovery regards every ingress as notified of a change after this time plus the drain grace,
+/// even if an ingress has not received the change.
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
+/// Part of that time that is reserved for the call that delivers the change, and for requests to
+/// the affected endpoints that are still in flight.
+const NOTIFICATION_MARGIN: Duration = Duration::from_millis(250);
 
-/// Bounds on the watch on discovery.
+/// Limits on the watch on discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryLimits {
-    /// Bounds on one reply and its lists.
+    /// Limits on the size of a response head, a chunk and an endpoint list.
     pub protocol: ProtocolLimits,
-    /// A list that arrives more slowly than this, in bytes a second, is given up.
+    /// Minimum rate at which an endpoint list must arrive, in bytes per second. The call of a
+    /// slower list times out.
     pub min_list_bytes_per_second: f64,
-    /// A watch that brings no line for this long is given up: one is due every 2 s.
+    /// A call that has delivered a line times out if it delivers no other for this long. Discovery
+    /// sends one at least every 2 s.
     pub silence_timeout: Duration,
-    /// A new call that brings no line for this long is followed by another.
+    /// If a new call delivers no line within this time, another call is opened.
     pub first_line_timeout: Duration,
-    /// A call that has brought no line may still be answered for this long, beside those after it.
+    /// How long after its start a call may still deliver its first line while a later call is open.
     pub previous_call_timeout: Duration,
-    /// Discovery is called again after this; twice as long after each further failure.
+    /// Delay before the next call after the first failure. Each further failure doubles it. The
+    /// jitter subtracts up to half of the delay.
     pub min_backoff: Duration,
-    /// Longest backoff after a call that was rejected, less up to half of it at random.
+    /// Longest backoff before jitter after a call that was rejected.
     pub max_backoff_rejected: Duration,
-    /// Longest backoff after a call that broke, less up to half of it at random.
+    /// Longest backoff before jitter after a call whose connection failed.
     pub max_backoff_closed: Duration,
 }
 
 impl DiscoveryLimits {
-    /// The bounds under the platform's settings.
+    /// Returns the limits that follow from the platform's settings.
     #[must_use]
     pub fn new(settings: &PlatformSettings, protocol: ProtocolLimits) -> DiscoveryLimits {
         let first_line_timeout = first_line_timeout(settings);
@@ -63,7 +70,9 @@
     }
 }
 
-/// A pushed drain must be received within half of its grace once an agent is back.
+/// Returns the time-out of a call's first line. If discovery pushes changes to an agent next to the
+/// ingress, and the agent restarts, the ingress must receive a drain from it within half of the
+/// drain grace.
 fn first_line_timeout(settings: &PlatformSettings) -> Duration {
     let timeout = if settings.is_push_discovery() {
         settings.drain_grace() / 2
@@ -73,11 +82,14 @@
     timeout.clamp(MIN_BACKOFF, MAX_FIRST_LINE_TIMEOUT)
 }
 
-/// Prevents requests to endpoints that count as drained: a watch that dies silently, a new call
-/// that stays silent and the longest backoff together end before a change counts as notified.
+/// Returns the longest backoff after a rejected call. It is short enough that the time-out of a
+/// dead watch, the time-out of the next call and the backoff together end before discovery regards
+/// a change as notified. Otherwise the ingress could send requests to endpoints that discovery
+/// already regards as drained.
 fn max_backoff_rejected(settings: &PlatformSettings, first_line_timeout: Duration) -> Duration {
-    let notified = NOTIFIED_AFTER + settings.drain_grace();
-    let remaining = notified.saturating_sub(NOTIFIED_MARGIN + SILENCE_TIMEOUT + first_line_timeout);
-    let by_ingresses = MAX_BACKOFF_PER_INGRESS * settings.ingress_count();
-    by_ingresses.clamp(MIN_BACKOFF, remaining.min(MAX_BACKOFF))
+    let notification_deadline = NOTIFICATION_TIMEOUT + settings.drain_grace();
+    let available = notification_deadline
+        .saturating_sub(NOTIFICATION_MARGIN + SILENCE_TIMEOUT + first_line_timeout);
+    let proportional_backoff = MAX_BACKOFF_PER_INGRESS * settings.ingress_count();
+    proportional_backoff.clamp(MIN_BACKOFF, available.min(MAX_BACKOFF))
 }
--- a/crates/ingress/src/routing/discovery/mod.rs
+++ b/crates/ingress/src/routing/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! The watch on discovery: a call whose reply stays open, with a line for each change of the
-//! endpoint list and an empty one every 2 s.
+//! The watch on discovery: an HTTP call whose response stays open. Discovery sends a line for each
+//! change of the endpoint list, and an empty line every 2 s.
 //!
-//! - `call`: one call and its framing
-//! - `backoff`: the wait before the next call
-//! - `limits`: the bounds
+//! - `call`: a call, and the framing of its response
+//! - `backoff`: the delay before the next call
+//! - `limits`: the limits
 
 mod backoff;
 mod call;
@@ -20,27 +20,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The deadline of the watch, whichever call it is for.
-const DEADLINE: EventSource = EventSource::Discovery(0);
+/// The source of the watch's deadline. It has no serial number, as the watch has one deadline for
+/// whichever call is open.
+const DEADLINE_SOURCE: EventSource = EventSource::Discovery(0);
 
-/// The watch on discovery.
+/// The watch on discovery. It opens a new call when the current one ends or times out.
 pub struct DiscoveryWatch {
     address: SocketAddr,
     limits: DiscoveryLimits,
+    /// The current call; `None` during a backoff.
     call: Option<WatchCall>,
-    /// The call before, where it has brought no line yet. Prevents each call from being given up a
-    /// moment before its reply when discovery replies a little later than it is waited for.
+    /// An earlier call that has timed out without a line but may still deliver one. If discovery
+    /// always replied slightly after the time-out, no call would otherwise succeed.
     previous_call: Option<WatchCall>,
+    /// Serial number of the latest call.
     serial: u32,
     due: Option<Duration>,
     backoff: Backoff,
-    /// The last call ended for a line that could not be read; the next such line is passed over.
-    last_was_malformed: bool,
+    /// Whether the last call ended because of an invalid endpoint list. The next invalid list is
+    /// then skipped.
+    skip_next_invalid_list: bool,
     synced: bool,
 }
 
 impl DiscoveryWatch {
-    /// A watch on this address, not yet open; the seed decides the jitter of its backoff.
+    /// Creates a watch without a call. `seed` is the seed of the backoff's jitter.
     #[must_use]
     pub fn new(address: SocketAddr, limits: DiscoveryLimits, seed: u64) -> DiscoveryWatch {
         DiscoveryWatch {
@@ -51,32 +55,33 @@
             serial: 0,
             due: None,
             backoff: Backoff::new(&limits, seed),
-            last_was_malformed: false,
+            skip_next_invalid_list: false,
             synced: false,
         }
     }
 
-    /// Discovery's address.
+    /// Returns the address of discovery.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Has discovery sent a line that could be read?
+    /// Whether discovery has sent an empty line or a valid endpoint list since the start.
     #[must_use]
     pub fn is_synced(&self) -> bool {
         self.synced
     }
 
-    /// Discovery is at another address from now on; the next call goes there.
+    /// Uses another address of discovery, starting with the next call, which the caller opens.
     pub fn migrate_to(&mut self, address: SocketAddr) {
         self.address = address;
         self.backoff.reset();
-        self.last_was_malformed = false;
+        self.skip_next_invalid_list = false;
         self.previous_call = None;
     }
 
-    /// Makes a call for what follows this revision, on a connection that was begun to the address.
+    /// Opens a call for the changes after this revision. `connected` is the result of starting a
+    /// connection to [`DiscoveryWatch::address`].
     pub fn open(&mut self, connected: rustix::io::Result<Stream>, revision: u64, io: &mut Io) {
         self.serial = self.serial.wrapping_add(1);
         let registered = connected.and_then(|stream| {
@@ -94,15 +99,16 @@
                 io.now,
             )
         });
-        let wait = if self.call.is_some() {
+        let timeout = if self.call.is_some() {
             self.limits.first_line_timeout
         } else {
             self.backoff.next_delay(CallFailure::Closed)
         };
-        self.arm(io.now + wait, io);
+        self.set_deadline(io.now + timeout, io);
     }
 
-    /// The call with this serial number is ready; `apply` is called with each endpoint list.
+    /// Called when the connection of the call with this serial number is readable or writable.
+    /// Calls `apply` with each endpoint list that has arrived.
     pub fn on_ready(
         &mut self,
         serial: u32,
@@ -115,7 +121,7 @@
             return;
         };
         let applied = self.apply_lines(lines, io, apply);
-        // An unreadable line ends the call whatever else became of it.
+        // An invalid endpoint list takes precedence over an error of the connection.
         if let Err(error) = applied.and(read) {
             let reason = error.to_string();
             tracing::warn!(
@@ -124,12 +130,12 @@
                 "discovery watch closed, reconnecting"
             );
             self.call = None;
-            let delay = self.backoff.next_delay(error.failure());
-            self.arm(io.now + delay, io);
+            let delay = self.backoff.next_delay(error.backoff_failure());
+            self.set_deadline(io.now + delay, io);
         }
     }
 
-    /// Reads what has come on all calls, before the watch is migrated.
+    /// Reads from all calls and applies the endpoint lists. Called before the address changes.
     pub fn read_remaining(
         &mut self,
         io: &mut Io,
@@ -148,13 +154,14 @@
         }
     }
 
-    /// No line came for too long, or the backoff is over: a new call is to be opened.
+    /// Called when the deadline expires, either because no line arrived in time or because the
+    /// backoff has ended. The caller then opens a new call.
     pub fn on_due(&mut self, revision: u64, now: Duration) {
         self.due = None;
         let Some(call) = self.call.take() else {
             return;
         };
-        // A call that has brought lines and fallen silent is broken; another may be late.
+        // A call that has delivered lines before has failed; one that has not may just be late.
         let may_still_reply = |call: &WatchCall| call.may_still_reply(now);
         let previous = self.previous_call.take().filter(may_still_reply);
         self.previous_call = previous.or(Some(call).filter(may_still_reply));
@@ -165,8 +172,9 @@
         );
     }
 
-    /// Reads on the call with this serial number; a previous call that brings a line takes the
-    /// place of the present one. None if nothing more is to be done.
+    /// Reads from the call with this serial number. If the previous call delivers a line, it
+    /// replaces the current call. Returns `None` if there is nothing to apply and no error to
+    /// handle.
     fn read(
         &mut self,
         serial: u32,
@@ -174,29 +182,29 @@
         lines: &mut Vec<Vec<u8>>,
         io: &mut Io,
     ) -> Option<Result<(), CallError>> {
-        let is_serial = |call: &&mut WatchCall| call.serial == serial;
-        if let Some(previous) = self.previous_call.as_mut().filter(is_serial) {
+        let has_serial = |call: &&mut WatchCall| call.serial == serial;
+        if let Some(previous) = self.previous_call.as_mut().filter(has_serial) {
             let read = previous.read(ready, io.now, lines);
             if lines.is_empty() {
-                // Its end says nothing about the present call.
+                // The end of the previous call does not affect the current call.
                 self.previous_call = self.previous_call.take().filter(|_| read.is_ok());
                 return None;
             }
             self.call = self.previous_call.take();
             return Some(read);
         }
-        let call = self.call.as_mut().filter(is_serial)?;
+        let call = self.call.as_mut().filter(has_serial)?;
         let read = call.read(ready, io.now, lines);
         if !lines.is_empty() {
             self.previous_call = None;
-        } else if let Some(list_due) = call.list_due(io.now) {
-            let due = self.due.max(Some(list_due));
-            io.deadlines.set(&mut self.due, due, DEADLINE);
+        } else if let Some(list_deadline) = call.list_deadline(io.now) {
+            let due = self.due.max(Some(list_deadline));
+            io.deadlines.set(&mut self.due, due, DEADLINE_SOURCE);
         }
         Some(read)
     }
 
-    /// Applies the lines of a call, up to one that cannot be read.
+    /// Applies the lines of a call, up to an invalid endpoint list.
     fn apply_lines(
         &mut self,
         lines: Vec<Vec<u8>>,
@@ -204,7 +212,7 @@
         apply: &mut impl FnMut(&EndpointListMessage, &mut Io),
     ) -> Result<(), CallError> {
         for mut line in lines {
-            self.arm(io.now + self.limits.silence_timeout, io);
+            self.set_deadline(io.now + self.limits.silence_timeout, io);
             self.backoff.reset();
             if line.trim_ascii().is_empty() {
                 self.synced = true;
@@ -213,16 +221,16 @@
             match list::decode(&mut line) {
                 Ok(list) => {
                     self.synced = true;
-                    self.last_was_malformed = false;
+                    self.skip_next_invalid_list = false;
                     apply(&list, io);
                 }
-                // The list is called for again, so that a drain in it is not lost; only what cannot
-                // be read then either is passed over.
+                // The next call requests the list again, so that a drain in it is not lost. If the
+                // list is invalid again, it is skipped.
                 Err(error) => {
-                    tracing::warn!(event = "discovery.line_unreadable", error = %error, "endpoint list unreadable");
-                    self.last_was_malformed = !self.last_was_malformed;
-                    if self.last_was_malformed {
-                        return Err(CallError::UnreadableLine);
+                    tracing::warn!(event = "discovery.line_unreadable", error = %error, "invalid endpoint list");
+                    self.skip_next_invalid_list = !self.skip_next_invalid_list;
+                    if self.skip_next_invalid_list {
+                        return Err(CallError::InvalidList);
                     }
                 }
             }
@@ -230,7 +238,7 @@
         Ok(())
     }
 
-    fn arm(&mut self, due: Duration, io: &mut Io) {
-        io.deadlines.set(&mut self.due, Some(due), DEADLINE);
+    fn set_deadline(&mut self, due: Duration, io: &mut Io) {
+        io.deadlines.set(&mut self.due, Some(due), DEADLINE_SOURCE);
     }
 }
--- a/crates/ingress/src/routing/driver/mod.rs
+++ b/crates/ingress/src/routing/driver/mod.rs
@@ -1,5 +1,6 @@
-//! Joins the request engine with the components that carry out its outputs: attempts and health
-//! checks, calls to the counter, and the watch on discovery.
+//! Connects the request engine with the components that execute its outputs: the upstream sends
+//! attempts and health checks, the counter client increments counters, and the watch on discovery
+//! receives endpoint lists.
 
 mod events;
 mod rejections;
@@ -16,17 +17,17 @@
 use super::upstream::{AttemptId, Upstream};
 use crate::protocol::list::EndpointListMessage;
 use crate::transport::Key;
-use rejections::Rejections;
+use rejections::RejectionLog;
 use roseyard_admission::DescriptorUse;
 use roseyard_decision::{
     CounterKey, CounterResult, EndpointId, Notice, RejectReason, SettingsError,
 };
 use roseyard_request_engine::{Directory, Output, RequestEngine};
-use start::start_counter;
+use start::create_counter_client;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The request engine with the components that carry out its outputs.
+/// The request engine with the components that execute its outputs.
 pub struct Driver {
     engine: IngressEngine,
     upstream: Upstream,
@@ -34,23 +35,24 @@
     watch: DiscoveryWatch,
     list_applier: EndpointListApplier,
     responses: Vec<CommandResponse>,
-    rejections: Rejections,
+    rejections: RejectionLog,
     engine_due: Option<Duration>,
 }
 
 impl Driver {
-    /// Starts with the endpoint list that this ingress last held, and opens the watch.
+    /// Creates a driver, applies the endpoint list from the configuration file, and opens the watch
+    /// on discovery.
     ///
     /// # Errors
-    /// The settings' error if they do not fit together.
+    /// Returns an error if the settings are inconsistent.
     pub fn new(
         config: DriverConfig,
-        known: &EndpointListMessage,
+        initial_list: &EndpointListMessage,
         io: &mut Io,
     ) -> Result<Driver, SettingsError> {
         let limits = config.limits;
         let mut settings = config.settings;
-        let counter = start_counter(config.counter, &mut settings, limits.counter);
+        let counter = create_counter_client(config.counter, &mut settings, limits.counter);
         let mut driver = Driver {
             engine: RequestEngine::new(settings, config.seed, limits.engine)?,
             upstream: Upstream::new(limits.upstream),
@@ -61,23 +63,25 @@
                 clock: config.clock,
             },
             responses: Vec::new(),
-            rejections: Rejections::default(),
+            rejections: RejectionLog::default(),
             engine_due: None,
         };
-        // Before the list: each endpoint is put into its service at once.
+        // The directory comes before the list, so that the list assigns each endpoint to its
+        // service.
         driver.set_directory(&config.directory);
         driver
             .list_applier
-            .apply(known, &mut driver.engine, &mut driver.upstream, io);
+            .apply(initial_list, &mut driver.engine, &mut driver.upstream, io);
         driver.open_watch(io);
         driver.run(io);
         Ok(driver)
     }
 
-    /// Discovery and the counter are at these addresses from now on. What is open stays open.
+    /// Uses these addresses of discovery and the counter for new calls. Open calls are not
+    /// interrupted.
     pub fn migrate_to(&mut self, discovery: SocketAddr, counter: Option<SocketAddr>, io: &mut Io) {
         if self.watch.address() != discovery {
-            // Lists that the old address has sent and that were not read yet are not lost.
+            // Applies lists that the old address has sent and that have not been read yet.
             let Driver {
                 watch,
                 list_applier,
@@ -96,25 +100,26 @@
             (None, None) => {}
             _ => tracing::warn!(
                 event = "reload.counter",
-                "counter cannot be added or removed before the next start"
+                "adding or removing the counter requires a restart"
             ),
         }
     }
 
-    /// Services with their routes and endpoints.
+    /// Returns the directory in force: services with their routes and endpoints.
     #[must_use]
     pub fn directory(&self) -> &Directory {
         self.engine.directory()
     }
 
-    /// Another directory is in force from now on. Requests that are in flight keep their service
-    /// and endpoint.
+    /// Replaces the directory. Requests that are in flight keep their service and endpoint. Does
+    /// nothing if the new directory is equal to the old one.
     pub fn set_directory(&mut self, directory: &Directory) {
         let changes = match self.engine.set_directory(directory) {
             Ok(0) => return,
             Ok(changes) => changes,
             Err(error) => {
-                // A directory that has passed the file's checks fits; changes before it hold.
+                // Not expected: the directory was validated when the operator's file was read. The
+                // changes made before the failing one stay in force.
                 tracing::warn!(event = "services.change_failed", error = %error, "directory change failed");
                 return;
             }
@@ -131,36 +136,37 @@
         );
     }
 
-    /// Every request gets its final response now, and none is accepted any more.
+    /// Gives every open request its final response, and accepts no more requests.
     pub fn stop(&mut self) {
         self.engine.stop();
     }
 
-    /// Has discovery sent a line on this watch?
+    /// Whether discovery has sent a line that could be read since the start.
     #[must_use]
     pub fn is_synced(&self) -> bool {
         self.watch.is_synced()
     }
 
-    /// Revision of the endpoint list held.
+    /// Returns the revision of the endpoint list in force.
     #[must_use]
     pub fn list_revision(&self) -> u64 {
         self.engine.endpoint_registry().revision()
     }
 
-    /// Requests without a final response or with an attempt in flight.
+    /// Returns the number of requests without a final response or with an attempt in flight.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.engine.open_request_count()
     }
 
-    /// Connections to endpoints.
+    /// Returns the number of connections to endpoints, including idle ones.
     #[must_use]
     pub fn upstream_connections(&self) -> usize {
         self.upstream.connection_count()
     }
 
-    /// Takes a request; none if no more can be held, and it is to be rejected.
+    /// Submits a request to the engine. Returns `None` if the engine is at capacity or stopped; the
+    /// caller then rejects the request.
     pub fn submit(&mut self, submission: Submission, io: &mut Io) -> Option<Key> {
         let submitted = self.engine.submit(submission).ok();
         if submitted.is_none() {
@@ -169,47 +175,50 @@
         submitted
     }
 
-    /// A request is rejected for this reason. Of those that were submitted the driver knows itself.
+    /// Counts a rejected request for the log. Called by the frontend for requests that it rejects
+    /// without submitting them; the driver counts the others itself.
     pub fn record_rejection(&mut self, reason: RejectReason, io: &mut Io) {
         self.rejections.record(reason, io);
     }
 
-    /// Logs what was rejected since this was last called.
+    /// Logs the summary of rejected requests. Called when its deadline expires.
     pub fn log_rejections(&mut self) {
         self.rejections.log();
     }
 
-    /// The client of a request has disconnected.
+    /// Cancels a request whose client has disconnected.
     pub fn cancel_request(&mut self, request: Key) {
         self.engine.cancel_request(request);
     }
 
-    /// Moves the responses given since the last call to `into`.
+    /// Moves the responses that were added since the previous call to `into`.
     pub fn take_responses(&mut self, into: &mut Vec<CommandResponse>) {
         into.append(&mut self.responses);
     }
 
-    /// Are there events that the engine has not processed?
+    /// Whether the engine has events that it has not processed yet.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         self.engine.has_pending()
     }
 
-    /// Takes a descriptor for this use; an idle connection to an endpoint is closed if there is
-    /// none.
-    pub fn take_descriptor(&mut self, of: DescriptorUse, io: &mut Io) -> bool {
-        self.upstream.take_descriptor(of, io)
+    /// Takes a descriptor for this use from the budget, if necessary by closing an idle connection
+    /// to an endpoint. Returns false if none is available.
+    pub fn take_descriptor(&mut self, descriptor_use: DescriptorUse, io: &mut Io) -> bool {
+        self.upstream.take_descriptor(descriptor_use, io)
     }
 
-    /// Closes the idle connection to an endpoint that was used longest ago; false if none is idle.
+    /// Closes the least recently used idle connection to an endpoint. Returns false if none is
+    /// idle.
     pub fn evict_idle(&mut self, io: &mut Io) -> bool {
         self.upstream.evict_idle(io)
     }
 
-    /// Carries out all outputs of the engine, until there is no more.
+    /// Executes the outputs of the engine until there are no more, sets the engine's timer, and
+    /// writes the calls to the counter.
     pub fn run(&mut self, io: &mut Io) {
         while let Some(output) = self.engine.poll(io.now) {
-            self.carry_out(output, io);
+            self.execute(output, io);
         }
         let due = self.engine.due();
         if due != self.engine_due {
@@ -221,7 +230,7 @@
         }
     }
 
-    fn carry_out(&mut self, output: Output<CommandId, Vec<u8>>, io: &mut Io) {
+    fn execute(&mut self, output: Output<CommandId, Vec<u8>>, io: &mut Io) {
         match output {
             Output::Forward {
                 request,
@@ -255,7 +264,7 @@
                 self.upstream
                     .send_health_check(endpoint, &mut self.engine, io);
             }
-            // The watch is always open or being opened.
+            // The watch is always open, or scheduled to be opened.
             Output::FetchEndpointList => {}
             Output::Log(notice) => log_notice(notice),
         }
@@ -276,7 +285,7 @@
         }
     }
 
-    /// Opens a call of the watch after the revision held.
+    /// Opens a watch call for the changes after the revision in force.
     fn open_watch(&mut self, io: &mut Io) {
         let connected = self.upstream.connect(&self.watch.address(), io);
         let revision = self.list_revision();
--- a/crates/ingress/src/routing/driver/rejections.rs
+++ b/crates/ingress/src/routing/driver/rejections.rs
@@ -1,14 +1,14 @@
-//! Counts of rejected requests by reason, and the log line that summarizes them.
+//! Counts rejected requests by reason and logs a summary of them.
 
 use crate::routing::event_source::EventSource;
 use crate::routing::io::Io;
 use roseyard_decision::{RejectReason, ShedLoad};
 use std::time::Duration;
 
-/// Shortest time between two log lines.
-const SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
+/// Time from the first rejected request until the summary is logged.
+const SUMMARY_DELAY: Duration = Duration::from_secs(5);
 
-/// Rejected requests by reason, since the last log line.
+/// Numbers of rejected requests by reason since the last summary.
 #[derive(Clone, Copy, Debug, Default)]
 struct RejectionCounts {
     over_quota: u64,
@@ -38,24 +38,24 @@
     }
 }
 
-/// Rejected requests that are still to be logged.
+/// Rejected requests that have not been logged yet.
 #[derive(Default)]
-pub(super) struct Rejections {
+pub(super) struct RejectionLog {
     counts: RejectionCounts,
-    /// The load that the last request was shed for.
-    last_shed: Option<ShedLoad>,
+    /// The load that caused the most recent shedding of a request since the last summary.
+    last_shed_load: Option<ShedLoad>,
     summary_due: Option<Duration>,
 }
 
-impl Rejections {
-    /// A request has been rejected.
+impl RejectionLog {
+    /// Counts a rejected request, and schedules a summary if none is scheduled.
     pub(super) fn record(&mut self, reason: RejectReason, io: &mut Io) {
         *self.counts.count_mut(reason) += 1;
         if let RejectReason::Overloaded(load) = reason {
-            self.last_shed = Some(load);
+            self.last_shed_load = Some(load);
         }
         if self.summary_due.is_none() {
-            let due = io.now + SUMMARY_INTERVAL;
+            let due = io.now + SUMMARY_DELAY;
             io.deadlines.set(
                 &mut self.summary_due,
                 Some(due),
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Logs what was rejected since the last line, if anything was.
+    /// Logs the summary if one is scheduled, and resets the counts.
     pub(super) fn log(&mut self) {
         if self.summary_due.take().is_none() {
             return;
         }
         let counts = std::mem::take(&mut self.counts);
-        let shed = self.last_shed.take();
+        let shed_load = self.last_shed_load.take();
         tracing::info!(
             event = "requests.rejected",
             over_quota = counts.over_quota,
@@ -82,9 +82,9 @@
             at_capacity = counts.at_capacity,
             not_serving = counts.not_serving,
             unknown_class_or_plan = counts.unknown_class_or_plan,
-            shed_in_flight = shed.map(|load| load.in_flight),
-            shed_limit = shed.map(|load| load.limit),
-            shed_latency_ratio = shed.map(|load| load.latency_ratio),
+            shed_in_flight = shed_load.map(|load| load.in_flight),
+            shed_limit = shed_load.map(|load| load.limit),
+            shed_latency_ratio = shed_load.map(|load| load.latency_ratio),
             "requests rejected"
         );
     }
--- a/crates/ingress/src/routing/driver/start.rs
+++ b/crates/ingress/src/routing/driver/start.rs
@@ -1,4 +1,4 @@
-//! What the driver is started with.
+//! The configuration of the driver, and the creation of the counter client.
 
 use crate::clock::Clock;
 use crate::routing::counter_client::{CounterClient, CounterLimits};
@@ -8,45 +8,47 @@
 use roseyard_request_engine::{Directory, EngineLimits};
 use std::net::SocketAddr;
 
-/// Limits of the driver's components.
+/// Limits of the request engine and of the driver's components.
 #[derive(Clone, Copy, Debug)]
 pub struct DriverLimits {
-    /// Of the requests held.
+    /// Limits on open requests.
     pub engine: EngineLimits,
-    /// Of connections to endpoints.
+    /// Limits on connections to endpoints.
     pub upstream: UpstreamLimits,
-    /// Of connections to the counter.
+    /// Limits on connections to the counter.
     pub counter: CounterLimits,
-    /// Of the watch on discovery.
+    /// Limits on the watch on discovery.
     pub discovery: DiscoveryLimits,
 }
 
-/// What the driver is started with.
+/// Configuration with which the driver is created.
 pub struct DriverConfig {
-    /// The decisions' settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Seed of their random numbers.
+    /// Seed of the decision module's random numbers and of the backoff's jitter.
     pub seed: u64,
-    /// Names of the zones.
+    /// Names of the zones. Zones are identified by their index in this list.
     pub zones: Vec<String>,
-    /// Services with their routes and endpoints.
+    /// Services with their routes and endpoints, from the operator's file.
     pub directory: Directory,
-    /// The clock.
+    /// Converts Unix times in endpoint lists to the time of the event loop.
     pub clock: Clock,
-    /// Discovery's address.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The counter's address.
+    /// Address of the counter; `None` if there is no counter.
     pub counter: Option<SocketAddr>,
-    /// Limits of the components.
+    /// Limits of the request engine and of the components.
     pub limits: DriverLimits,
 }
 
-/// The client of the counter, if there is one; the settings follow.
+/// Creates the counter client, and adapts the counter's settings. Returns `None`, and removes the
+/// counter from the settings, if it has no address or no settings.
 ///
-/// The settings' time-out is the simulator's, where a call that is late is never answered. On
-/// sockets a late total still shows what the others use, so a call waits longer here; how long a
-/// request waits for it is a decision.
-pub(super) fn start_counter(
+/// The time-out in the settings suits the simulator, which never answers a late call. On a socket
+/// the late reply still shows how much the other ingresses use, so calls have at least
+/// [`CounterLimits::min_call_timeout`] here. How long a request waits for the call is up to the
+/// decision module.
+pub(super) fn create_counter_client(
     address: Option<SocketAddr>,
     settings: &mut Settings,
     limits: CounterLimits,
--- a/crates/ingress/src/routing/endpoint_list.rs
+++ b/crates/ingress/src/routing/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Applies endpoint lists: the engine holds the endpoints, the upstream their connections.
+//! Applies endpoint lists: updates the endpoints in the request engine, and closes idle connections
+//! that the change makes unusable.
 
 use super::engine::IngressEngine;
 use super::io::Io;
@@ -6,15 +7,17 @@
 use crate::clock::Clock;
 use crate::protocol::list::EndpointListMessage;
 
-/// What an endpoint list is read by.
+/// Applies endpoint lists to the request engine and to the connections to endpoints.
 pub(super) struct EndpointListApplier {
-    /// Names of the zones, by index.
+    /// Names of the zones. An endpoint's zone is stored as an index into this list.
     pub(super) zones: Vec<String>,
+    /// Converts the boot times of endpoints, which are Unix times.
     pub(super) clock: Clock,
 }
 
 impl EndpointListApplier {
-    /// Applies a list; idle connections to endpoints that take no more requests are closed.
+    /// Applies an endpoint list. Closes idle connections to endpoints that are draining or gone,
+    /// have restarted or have another address, and removes the state of endpoints that are gone.
     pub(super) fn apply(
         &self,
         list: &EndpointListMessage,
@@ -36,7 +39,7 @@
                 event = "discovery.entries_unreadable",
                 count = applied.unreadable_count,
                 revision,
-                "endpoint list entries unreadable"
+                "endpoint list contains unreadable entries"
             );
         }
         let ready = engine.endpoint_registry().ready_endpoint_count();
--- a/crates/ingress/src/routing/engine.rs
+++ b/crates/ingress/src/routing/engine.rs
@@ -1,30 +1,30 @@
-//! The request engine with this program's types.
+//! The request engine, instantiated with the types of the ingress.
 
 use crate::protocol::command::RequestCommand;
 use crate::transport::Key;
 use roseyard_request_engine::RequestEngine;
 
-/// A client's command: the connection, and the command's number on it.
+/// Identifies a client's command by its connection and its sequence number on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommandId {
     /// The client's connection.
     pub client: Key,
-    /// Number of the command on the connection, from 0.
+    /// Sequence number of the command on the connection, from 0.
     pub number: u64,
 }
 
-/// The engine as the ingress uses it.
+/// The request engine: requests are owned by client commands, and values are bytes.
 pub type IngressEngine = RequestEngine<CommandId, RequestCommand, Vec<u8>>;
-/// A request as the frontend submits it.
+/// A request that the frontend submits to the engine.
 pub type Submission = roseyard_request_engine::Submission<CommandId, RequestCommand>;
-/// A final response.
+/// The final response to a request.
 pub type Response = roseyard_request_engine::Response<Vec<u8>>;
 
-/// The final response to a command.
+/// The final response to a command, as the driver returns it to the frontend.
 #[derive(Clone, Debug)]
 pub struct CommandResponse {
-    /// The command.
+    /// The command that the response answers.
     pub command: CommandId,
-    /// Its response.
+    /// The final response.
     pub response: Response,
 }
--- a/crates/ingress/src/routing/event_source.rs
+++ b/crates/ingress/src/routing/event_source.rs
@@ -1,67 +1,69 @@
-//! What a readiness event or a deadline is for, and the tokens by which sockets are registered.
+//! The sources of readiness events and deadlines, and the poller tokens that encode them.
 
 use crate::transport::Key;
 
-/// What a readiness event or a deadline is for.
+/// The source of a readiness event or a deadline.
 ///
-/// Deadlines that are due at the same time are handled in the order of the variants.
+/// Deadlines that expire at the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventSource {
-    /// The listener.
+    /// The socket that accepts clients, or the end of a pause in accepting.
     Listener,
-    /// The summary of admission is logged.
+    /// The time to log the admission summary.
     AdmissionSummary,
-    /// The summary of rejected requests is logged.
+    /// The time to log the summary of rejected requests.
     RejectionSummary,
-    /// The reputation of clients is stored.
+    /// The time to write the snapshot of client reputations.
     Snapshot,
-    /// The membership's socket or state machine.
+    /// The socket of the membership protocol, or the next timer of its state machine.
     Membership,
-    /// The status file is written.
+    /// The time to write the status file.
     Status,
-    /// A signal has come.
+    /// The pipe that reports signals.
     Signal,
-    /// The request engine's timer.
+    /// The timer of the request engine.
     Engine,
-    /// The watch on discovery: the serial number of its connection (0 for the deadline).
+    /// The watch on discovery, with the serial number of the call (0 for the deadline).
     Discovery(u32),
-    /// A connection to the counter: its index, and the serial number of its stream (0 for the
+    /// A connection to the counter, with its index and the serial number of its stream (0 for the
     /// deadline).
     Counter(u16, u32),
     /// A connection to an endpoint.
     Upstream(Key),
-    /// A client's connection.
+    /// A connection from a client.
     Client(Key),
-    /// The time-out of the first reply of discovery: `PING` is answered.
+    /// The time-out of the first reply from discovery, after which the ingress reports ready
+    /// without it.
     ReadyTimeout,
-    /// The next step of the shutdown.
+    /// The end of the current shutdown phase.
     Shutdown,
 }
 
-const CLIENT: u64 = 1;
-const UPSTREAM: u64 = 2;
-const COUNTER: u64 = 3;
-const DISCOVERY: u64 = 4;
-const LISTENER: u64 = 5;
-const SIGNAL: u64 = 6;
-const MEMBERSHIP: u64 = 7;
+const CLIENT_KIND: u64 = 1;
+const UPSTREAM_KIND: u64 = 2;
+const COUNTER_KIND: u64 = 3;
+const DISCOVERY_KIND: u64 = 4;
+const LISTENER_KIND: u64 = 5;
+const SIGNAL_KIND: u64 = 6;
+const MEMBERSHIP_KIND: u64 = 7;
 
-/// Bits of a token below the kind of its source.
+/// Bit position of the source's kind in a token; the bits below it hold the identifier.
 const KIND_SHIFT: u32 = 56;
 
 impl EventSource {
-    /// The number that a socket of this source is registered with.
+    /// Returns the token under which the poller reports events of this source. All sources that
+    /// have only a deadline share the token of [`EventSource::Signal`].
     #[must_use]
     pub fn token(self) -> u64 {
         let (kind, id) = match self {
-            EventSource::Client(key) => (CLIENT, key.pack()),
-            EventSource::Upstream(key) => (UPSTREAM, key.pack()),
+            EventSource::Client(key) => (CLIENT_KIND, key.pack()),
+            EventSource::Upstream(key) => (UPSTREAM_KIND, key.pack()),
             EventSource::Counter(index, serial) => {
-                (COUNTER, u64::from(serial) << 16 | u64::from(index))
+                (COUNTER_KIND, u64::from(serial) << 16 | u64::from(index))
             }
-            EventSource::Discovery(serial) => (DISCOVERY, u64::from(serial)),
-            EventSource::Listener => (LISTENER, 0),
-            EventSource::Membership => (MEMBERSHIP, 0),
+            EventSource::Discovery(serial) => (DISCOVERY_KIND, u64::from(serial)),
+            EventSource::Listener => (LISTENER_KIND, 0),
+            EventSource::Membership => (MEMBERSHIP_KIND, 0),
             EventSource::Signal
             | EventSource::Engine
             | EventSource::ReadyTimeout
@@ -69,22 +71,22 @@
             | EventSource::AdmissionSummary
             | EventSource::RejectionSummary
             | EventSource::Snapshot
-            | EventSource::Status => (SIGNAL, 0),
+            | EventSource::Status => (SIGNAL_KIND, 0),
         };
         kind << KIND_SHIFT | id
     }
 
-    /// The source of a token.
+    /// Returns the source that a token of the poller stands for.
     #[must_use]
     pub fn from_token(token: u64) -> EventSource {
         let id = token & ((1 << KIND_SHIFT) - 1);
         match token >> KIND_SHIFT {
-            CLIENT => EventSource::Client(Key::unpack(id)),
-            UPSTREAM => EventSource::Upstream(Key::unpack(id)),
-            COUNTER => EventSource::Counter(id as u16, (id >> 16) as u32),
-            DISCOVERY => EventSource::Discovery(id as u32),
-            LISTENER => EventSource::Listener,
-            MEMBERSHIP => EventSource::Membership,
+            CLIENT_KIND => EventSource::Client(Key::unpack(id)),
+            UPSTREAM_KIND => EventSource::Upstream(Key::unpack(id)),
+            COUNTER_KIND => EventSource::Counter(id as u16, (id >> 16) as u32),
+            DISCOVERY_KIND => EventSource::Discovery(id as u32),
+            LISTENER_KIND => EventSource::Listener,
+            MEMBERSHIP_KIND => EventSource::Membership,
             _ => EventSource::Signal,
         }
     }
--- a/crates/ingress/src/routing/mod.rs
+++ b/crates/ingress/src/routing/mod.rs
@@ -1,17 +1,17 @@
-//! Routes requests: from clients through the request engine to endpoints, and the responses back.
+//! Routes requests from clients through the request engine to endpoints, and responses back.
 //!
-//! Each component owns its connections and knows no other:
+//! Each component owns its connections and does not depend on the others:
 //!
-//! - [`frontend`]: the listener, clients, their commands and replies
+//! - [`frontend`]: the listener, and clients with their commands and replies
 //! - [`upstream`]: connections to endpoints, attempts and health checks
 //! - [`counter_client`]: calls to the shared counter
-//! - [`discovery`]: the watch on the endpoint list
-//! - [`membership`]: the other ingresses
+//! - [`discovery`]: the watch that receives endpoint lists
+//! - [`membership`]: the membership protocol with the other ingresses
 //!
-//! [`driver`] joins the request engine with upstream, counter and discovery; the event loop joins
-//! it with frontend and membership. Neither the driver nor what it joins knows the platform's words
-//! for customers, classes and plans: the frontend hands it a [`Submission`] and gets the
-//! [`Response`].
+//! [`driver`] connects the request engine with the upstream, the counter client and discovery; the
+//! event loop connects the driver with the frontend and membership. The driver and its components
+//! do not use the platform's terms for customers, classes and plans: the frontend translates a
+//! command into a [`Submission`] for the driver, and the [`Response`] into a reply.
 
 pub mod counter_client;
 pub mod discovery;
--- a/crates/ingress/src/routing/shutdown_limits.rs
+++ b/crates/ingress/src/routing/shutdown_limits.rs
@@ -1,4 +1,4 @@
-//! Times of a graceful shutdown.
+//! Durations of the phases of a graceful shutdown.
 
 use roseyard_platform_config::PlatformSettings;
 use std::time::Duration;
@@ -8,23 +8,24 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DRAIN_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Times of a graceful shutdown.
+/// Durations of the phases of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownLimits {
-    /// New connections are accepted for this long after SIGTERM.
+    /// How long new connections are still accepted after SIGTERM or SIGINT.
     pub accept_period: Duration,
-    /// A client without a request yet is waited for this long once the drain has begun.
+    /// How long a client that has not sent a request yet may still send one once draining has
+    /// started.
     pub new_client_grace: Duration,
-    /// How long replies are still written once every request has its final reply. A half-closed
-    /// connection is closed after this at the latest.
+    /// How long replies are still written once every request has its final response. A half-closed
+    /// connection is also closed after this time.
     pub linger_timeout: Duration,
-    /// Every request has its final reply this long after accepting has ended. A SIGKILL 0.1 s later
-    /// loses only replies that their clients are slow to read.
+    /// The longest time from the end of accepting until every request has its final response. A
+    /// SIGKILL 0.1 s after that loses only replies to clients that read slowly.
     pub drain_timeout: Duration,
 }
 
 impl ShutdownLimits {
-    /// The times under the platform's settings.
+    /// Returns the durations that follow from the platform's settings.
     #[must_use]
     pub fn new(settings: &PlatformSettings) -> ShutdownLimits {
         ShutdownLimits {
--- a/crates/ingress/src/routing/upstream/attempts.rs
+++ b/crates/ingress/src/routing/upstream/attempts.rs
@@ -1,4 +1,5 @@
-//! Requests to endpoints: begun on idle or new connections, written, and ended.
+//! The course of a request to an endpoint: it is sent on an idle or a new connection, and its
+//! outcome is reported to the request engine.
 
 use super::connection::{ConnectionState, RequestKind, UpstreamConnection, UpstreamRequest};
 use super::Upstream;
@@ -14,7 +15,7 @@
 const HEALTH_CHECK_COMMAND: &[u8] = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
 
 impl Upstream {
-    /// Writes a request on an idle connection, or begins a new one for it.
+    /// Sends a request on an idle connection, or starts a new connection for it.
     pub(super) fn send(
         &mut self,
         request: UpstreamRequest,
@@ -22,7 +23,7 @@
         io: &mut Io,
     ) {
         if !may_write(&request, engine, io.now) {
-            return end(request, Outcome::NotStarted, engine, io.now);
+            return report_outcome(request, Outcome::NotStarted, engine, io.now);
         }
         let is_idempotent = match request.kind {
             RequestKind::Attempt(attempt) => engine.is_idempotent(attempt.request),
@@ -32,12 +33,12 @@
             return self.write(key, request, engine, io);
         }
         match self.open(request, engine, io) {
-            Ok(key) => assign(request, key, engine),
-            Err(outcome) => end(request, outcome, engine, io.now),
+            Ok(key) => record_connection(request, key, engine),
+            Err(outcome) => report_outcome(request, outcome, engine, io.now),
         }
     }
 
-    /// Begins a connection for a request; an error is the request's outcome.
+    /// Starts a connection for a request. An error is the outcome of the request.
     fn open(
         &mut self,
         request: UpstreamRequest,
@@ -78,8 +79,8 @@
         Ok(key)
     }
 
-    /// A connection is established, or could not be.
-    pub(super) fn on_connected(
+    /// Called when a connection is established or could not be established; sends its request.
+    pub(super) fn on_connect_finished(
         &mut self,
         key: Key,
         request: UpstreamRequest,
@@ -89,23 +90,23 @@
         let Some(connection) = self.pool.connections.get(key) else {
             return;
         };
-        // Bytes or an end before the first request, read behind it as readiness is reported once,
-        // would be taken for its reply.
+        // Readiness is edge-triggered: if the endpoint had sent bytes or closed the connection
+        // before the first request, this would be read after the request and taken for its reply.
         if connection.stream.connected().is_err() || !connection.stream.quiet() {
             return self.fail(key, Outcome::ConnectFailed, engine, io);
         }
-        // The endpoint may have moved since the connection was begun.
+        // The endpoint's address may have changed since the connection was started.
         let has_moved = engine
             .address(request.endpoint)
             .is_some_and(|address| address != connection.address);
         if has_moved || !may_write(&request, engine, io.now) {
             self.release(key, engine, io);
-            return end(request, Outcome::NotStarted, engine, io.now);
+            return report_outcome(request, Outcome::NotStarted, engine, io.now);
         }
         self.write(key, request, engine, io);
     }
 
-    /// Writes a request on an established connection that has none.
+    /// Writes a request on an established connection that has no other request.
     fn write(
         &mut self,
         key: Key,
@@ -130,19 +131,20 @@
                 let Some(command) = engine.command(attempt.request) else {
                     return;
                 };
-                let wait_ms = (request.deadline - io.now).as_secs_f64() * 1000.0;
-                command.put(wait_ms.round().max(1.0) as u64, output);
+                let remaining_ms = (request.deadline - io.now).as_secs_f64() * 1000.0;
+                command.put(remaining_ms.round().max(1.0) as u64, output);
             }
             RequestKind::HealthCheck => output.extend_from_slice(HEALTH_CHECK_COMMAND),
         }
         let is_closed = connection.stream.flush().is_err();
-        assign(request, key, engine);
+        record_connection(request, key, engine);
         if is_closed {
             self.on_closed(key, engine, io);
         }
     }
 
-    /// A connection has broken or ended: its request may have been executed if it was written.
+    /// Called when a connection has failed or was closed by the endpoint. If its request was
+    /// written completely, it may have been executed.
     pub(super) fn on_closed(&mut self, key: Key, engine: &mut IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get(key) else {
             return;
@@ -157,7 +159,7 @@
         self.fail(key, outcome, engine, io);
     }
 
-    /// Closes a connection, and ends its request with this outcome.
+    /// Closes a connection, and reports this outcome for its request.
     pub(super) fn fail(
         &mut self,
         key: Key,
@@ -171,12 +173,12 @@
         let request = connection.request();
         self.pool.close(key, io);
         if let Some(request) = request {
-            end(request, outcome, engine, io.now);
+            report_outcome(request, outcome, engine, io.now);
         }
     }
 
-    /// Puts an established connection without a request into its endpoint's pool, or closes it
-    /// where the endpoint takes no more requests there.
+    /// Returns an established connection without a request to its endpoint's pool. Closes it
+    /// instead if the endpoint takes no more requests, or has another address now.
     pub(super) fn release(&mut self, key: Key, engine: &IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get(key) else {
             return;
@@ -192,7 +194,7 @@
     }
 }
 
-/// May this request's first byte be written now?
+/// Whether the first byte of this request may be written now.
 fn may_write(request: &UpstreamRequest, engine: &IngressEngine, now: Duration) -> bool {
     match request.kind {
         RequestKind::Attempt(id) => engine.may_write(id.request, id.attempt, request.deadline, now),
@@ -200,20 +202,25 @@
     }
 }
 
-/// An attempt is on this connection from now on.
-fn assign(request: UpstreamRequest, connection: Key, engine: &mut IngressEngine) {
+/// Records the connection that carries an attempt, so that the attempt can be cancelled.
+fn record_connection(request: UpstreamRequest, connection: Key, engine: &mut IngressEngine) {
     if let RequestKind::Attempt(attempt) = request.kind {
         engine.set_attempt_connection(attempt.request, Some(connection));
     }
 }
 
-/// A request has ended without a reply.
-fn end(request: UpstreamRequest, outcome: Outcome, engine: &mut IngressEngine, now: Duration) {
-    end_with(request, AttemptResult::from_outcome(outcome), engine, now);
+/// Reports the outcome of a request that ended without a reply.
+fn report_outcome(
+    request: UpstreamRequest,
+    outcome: Outcome,
+    engine: &mut IngressEngine,
+    now: Duration,
+) {
+    report_result(request, AttemptResult::from_outcome(outcome), engine, now);
 }
 
-/// A request has ended.
-pub(super) fn end_with(
+/// Reports the result of a request to the request engine.
+pub(super) fn report_result(
     request: UpstreamRequest,
     result: AttemptResult<Vec<u8>>,
     engine: &mut IngressEngine,
--- a/crates/ingress/src/routing/upstream/connection.rs
+++ b/crates/ingress/src/routing/upstream/connection.rs
@@ -1,42 +1,44 @@
-//! One connection to an endpoint, and the request that is on it.
+//! A connection to an endpoint, with its state and its request.
 
 use crate::transport::{Key, Stream};
 use roseyard_decision::EndpointId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request, as the engine holds it.
+    /// The engine's key of the request.
     pub request: Key,
     /// Number of the attempt, from 0.
     pub attempt: u16,
 }
 
-/// What is sent to an endpoint.
+/// The kind of a request to an endpoint.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum RequestKind {
     Attempt(AttemptId),
     HealthCheck,
 }
 
-/// A request to an endpoint, one at a time on each connection.
+/// A request to an endpoint. A connection carries one at a time.
 #[derive(Clone, Copy)]
 pub(super) struct UpstreamRequest {
     pub(super) kind: RequestKind,
     pub(super) endpoint: EndpointId,
     pub(super) started_at: Duration,
+    /// When the request times out.
     pub(super) deadline: Duration,
 }
 
-/// How far a connection is.
+/// The state of a connection.
 #[derive(Clone, Copy)]
 pub(super) enum ConnectionState {
-    /// Not established; the request is written once it is.
+    /// Being established; the request is written after that.
     Connecting(UpstreamRequest),
+    /// Established, without a request.
     Idle,
-    /// The request is being written, or its reply is awaited.
+    /// The request is being written, or waits for its reply.
     Busy(UpstreamRequest),
 }
 
@@ -44,18 +46,19 @@
 pub(super) struct UpstreamConnection {
     pub(super) stream: Stream,
     pub(super) endpoint: EndpointId,
-    /// Where it leads: the endpoint may have moved since.
+    /// The address of the connection. That of the endpoint may have changed since.
     pub(super) address: SocketAddr,
     pub(super) state: ConnectionState,
+    /// When the connection was started, its last request was written, or it became idle.
     pub(super) last_used_at: Duration,
-    /// How long it was idle when the request on it was written; none on a new connection.
+    /// How long the connection was idle before its current request; `None` if it was new.
     pub(super) idle_time: Option<Duration>,
-    /// The deadline that is set for it.
+    /// The deadline that is registered with [`Io::deadlines`](crate::routing::io::Io::deadlines).
     pub(super) due: Option<Duration>,
 }
 
 impl UpstreamConnection {
-    /// The request that waits for this connection or is on it.
+    /// Returns the request that waits for this connection or that it carries.
     pub(super) fn request(&self) -> Option<UpstreamRequest> {
         match self.state {
             ConnectionState::Connecting(request) | ConnectionState::Busy(request) => Some(request),
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Is its request written to the last byte? An endpoint executes a request only then.
+    /// Whether the last byte of the request has been written. An endpoint does not execute a
+    /// request before it has received the last byte.
     pub(super) fn is_request_written(&self) -> bool {
         matches!(self.state, ConnectionState::Busy(_)) && self.stream.unwritten() == 0
     }
--- a/crates/ingress/src/routing/upstream/decoded_reply.rs
+++ b/crates/ingress/src/routing/upstream/decoded_reply.rs
@@ -1,24 +1,26 @@
-//! What an endpoint's reply says about an attempt or a health check.
+//! Decodes endpoints' replies to attempts and health checks.
 
 use super::limits::UpstreamLimits;
 use crate::protocol::report::{report, true_units};
 use crate::protocol::resp::Value;
 use roseyard_decision::{LoadReport, Outcome};
 
-/// A reply, decoded.
+/// A decoded reply.
 pub(super) struct DecodedReply {
     pub(super) outcome: Outcome,
-    /// The value, where the request was served.
+    /// The value, if the request was served.
     pub(super) value: Option<Vec<u8>>,
-    /// The request's true units, where they are only estimated before.
+    /// The true units of the request, if the units it was charged are an estimate and the reply has
+    /// valid usage figures.
     pub(super) true_units: Option<f64>,
     pub(super) load: Option<LoadReport>,
-    /// No endpoint sends this: the connection is out of step.
+    /// Whether the reply is not one that endpoints send. Later replies on the connection can then
+    /// no longer be matched to requests.
     pub(super) is_unexpected: bool,
 }
 
 impl DecodedReply {
-    fn of(outcome: Outcome) -> DecodedReply {
+    fn from_outcome(outcome: Outcome) -> DecodedReply {
         DecodedReply {
             outcome,
             value: None,
@@ -28,26 +30,27 @@
         }
     }
 
-    /// The request may have been executed, and the reply cannot be forwarded.
+    /// A reply that endpoints do not send. It cannot be forwarded, and the request may have been
+    /// executed.
     fn unexpected() -> DecodedReply {
         DecodedReply {
             is_unexpected: true,
-            ..DecodedReply::of(Outcome::Error)
+            ..DecodedReply::from_outcome(Outcome::Error)
         }
     }
 
     /// Decodes the reply to an attempt.
     ///
-    /// A served request's reply is an array of the value, the usage figures and the load report,
-    /// and nothing else. Prevents noise that happens to be a bulk string from being forwarded as a
-    /// value. Figures and reports that cannot be parsed are ignored.
-    pub(super) fn of_attempt(value: &Value, limits: &UpstreamLimits) -> DecodedReply {
+    /// The reply to a served request is an array of exactly the value, the usage figures and the
+    /// load report. Anything else is unexpected, so that corrupt data that happens to parse as a
+    /// bulk string is not forwarded as a value. Invalid usage figures and load reports are ignored.
+    pub(super) fn from_attempt_reply(value: &Value, limits: &UpstreamLimits) -> DecodedReply {
         let items = match value {
             Value::Array(Some(items)) => items,
-            Value::Error(text) => return DecodedReply::of_error(text),
+            Value::Error(text) => return DecodedReply::from_error_reply(text),
             _ => return DecodedReply::unexpected(),
         };
-        let [Value::Bulk(Some(served)), usage, load] = items.as_slice() else {
+        let [Value::Bulk(Some(bytes)), usage, load] = items.as_slice() else {
             return DecodedReply::unexpected();
         };
         let load = match load {
@@ -61,28 +64,29 @@
             _ => None,
         };
         DecodedReply {
-            value: Some(served.to_vec()),
+            value: Some(bytes.to_vec()),
             true_units,
             load,
-            ..DecodedReply::of(Outcome::Ok)
+            ..DecodedReply::from_outcome(Outcome::Ok)
         }
     }
 
     /// Decodes the reply to a health check.
-    pub(super) fn of_health_check(value: &Value) -> DecodedReply {
+    pub(super) fn from_health_check_reply(value: &Value) -> DecodedReply {
         match value {
             Value::Bulk(Some(text)) => DecodedReply {
                 load: report(text),
-                ..DecodedReply::of(Outcome::Ok)
+                ..DecodedReply::from_outcome(Outcome::Ok)
             },
-            Value::Simple(_) => DecodedReply::of(Outcome::Ok),
-            Value::Error(text) => DecodedReply::of_error(text),
+            Value::Simple(_) => DecodedReply::from_outcome(Outcome::Ok),
+            Value::Error(text) => DecodedReply::from_error_reply(text),
             _ => DecodedReply::unexpected(),
         }
     }
 
-    /// An error line is printable and of one of the two kinds that endpoints send.
-    fn of_error(text: &[u8]) -> DecodedReply {
+    /// Decodes an error reply. It is expected if its text is printable and its kind is `BUSY` or
+    /// `ERR`, the two that endpoints send.
+    fn from_error_reply(text: &[u8]) -> DecodedReply {
         let is_kind = |kind: &[u8]| text == kind || text.starts_with(&[kind, b" "].concat());
         let is_printable = text.iter().all(|byte| (b' '..=b'~').contains(byte));
         let outcome = if !is_printable {
@@ -92,12 +96,12 @@
         } else if is_kind(b"ERR") {
             Outcome::Error
         } else {
-            // `-SYNTAX` and the like: about what we wrote, and the endpoint closes.
+            // Protocol errors such as `-SYNTAX`, after which the endpoint closes the connection.
             return DecodedReply::unexpected();
         };
         DecodedReply {
             load: text.rsplit(|byte| *byte == b' ').next().and_then(report),
-            ..DecodedReply::of(outcome)
+            ..DecodedReply::from_outcome(outcome)
         }
     }
 }
--- a/crates/ingress/src/routing/upstream/mod.rs
+++ b/crates/ingress/src/routing/upstream/mod.rs
@@ -1,14 +1,15 @@
 //! Attempts and health checks on connections to endpoints.
 //!
-//! A connection carries one request at a time: endpoints reply in order, and cancelling an attempt
-//! costs its connection. The end of each attempt and health check goes to the request engine.
+//! A connection carries one request at a time, because endpoints reply in order and an attempt can
+//! only be cancelled by closing its connection. The result of each attempt and health check is
+//! reported to the request engine.
 //!
-//! - `attempts`: how a request is begun, written and ended
-//! - `replies`: how its reply is read
-//! - `connection`: one connection and its request
-//! - `pool`: all connections, and which are idle
-//! - `decoded_reply`: what a reply says
-//! - `limits`: the bounds
+//! - `attempts`: sends requests and reports their outcomes
+//! - `replies`: reads replies
+//! - `connection`: a connection with its state and its request
+//! - `pool`: all connections, including the idle ones
+//! - `decoded_reply`: decodes replies
+//! - `limits`: the limits
 
 mod attempts;
 mod connection;
@@ -30,14 +31,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Attempts and health checks on connections to endpoints.
+/// Sends attempts and health checks to endpoints, and owns the connections to them.
 pub struct Upstream {
     pool: ConnectionPool,
     limits: UpstreamLimits,
 }
 
 impl Upstream {
-    /// No connection yet.
+    /// Creates an upstream without connections.
     #[must_use]
     pub fn new(limits: UpstreamLimits) -> Upstream {
         Upstream {
@@ -46,27 +47,28 @@
         }
     }
 
-    /// Connections to endpoints.
+    /// Returns the number of connections to endpoints, including idle ones.
     #[must_use]
     pub fn connection_count(&self) -> usize {
         self.pool.connections.len()
     }
 
-    /// Begins a connection to anywhere; an idle connection to an endpoint is closed where the
-    /// system has no descriptor left.
+    /// Starts a connection to any address. If the system has no descriptor left, closes the least
+    /// recently used idle connection and tries again.
     ///
     /// # Errors
-    /// The system's error if the connection cannot be begun.
-    pub fn connect(&mut self, to: &SocketAddr, io: &mut Io) -> rustix::io::Result<Stream> {
-        self.pool.connect(to, io)
+    /// Returns the system's error if the connection cannot be started.
+    pub fn connect(&mut self, address: &SocketAddr, io: &mut Io) -> rustix::io::Result<Stream> {
+        self.pool.connect(address, io)
     }
 
-    /// Takes a descriptor for this use; an idle connection is closed if there is none.
-    pub fn take_descriptor(&mut self, of: DescriptorUse, io: &mut Io) -> bool {
-        self.pool.take_descriptor(of, io)
+    /// Takes a descriptor for this use from the budget, if necessary by closing an idle connection.
+    /// Returns false if none is available.
+    pub fn take_descriptor(&mut self, descriptor_use: DescriptorUse, io: &mut Io) -> bool {
+        self.pool.take_descriptor(descriptor_use, io)
     }
 
-    /// Closes the idle connection that was used longest ago; false if none is idle.
+    /// Closes the least recently used idle connection. Returns false if none is idle.
     pub fn evict_idle(&mut self, io: &mut Io) -> bool {
         self.pool.evict_idle(io)
     }
@@ -76,12 +78,12 @@
         self.pool.close_idle(endpoint, io);
     }
 
-    /// Forgets an endpoint that is no longer listed.
+    /// Removes the state of an endpoint that is no longer in the endpoint list.
     pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
         self.pool.remove_endpoint(endpoint);
     }
 
-    /// Begins an attempt, to be given up at the deadline.
+    /// Starts an attempt, which times out at the deadline.
     pub fn send_attempt(
         &mut self,
         attempt: AttemptId,
@@ -99,7 +101,7 @@
         self.send(request, engine, io);
     }
 
-    /// Begins a health check.
+    /// Starts a health check, which times out after [`UpstreamLimits::health_check_timeout`].
     pub fn send_health_check(
         &mut self,
         endpoint: EndpointId,
@@ -115,7 +117,7 @@
         self.send(request, engine, io);
     }
 
-    /// Cancels an attempt: its connection is closed.
+    /// Cancels an attempt by closing its connection. Does nothing if the attempt has ended.
     pub fn cancel(&mut self, attempt: AttemptId, engine: &mut IngressEngine, io: &mut Io) {
         let Some(key) = engine.attempt_connection(attempt.request) else {
             return;
@@ -134,14 +136,14 @@
         }
     }
 
-    /// A connection is ready.
+    /// Called when a connection is readable or writable.
     pub fn on_ready(&mut self, key: Key, ready: Ready, engine: &mut IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get_mut(key) else {
             return;
         };
         if let ConnectionState::Connecting(request) = connection.state {
             if ready.writable {
-                self.on_connected(key, request, engine, io);
+                self.on_connect_finished(key, request, engine, io);
             }
             return;
         }
@@ -154,7 +156,8 @@
         }
     }
 
-    /// A connection's deadline has come: not established, no reply, or idle for long.
+    /// Called when the deadline of a connection expires: it was not established in time, its reply
+    /// is late, or it was idle for too long.
     pub fn on_due(&mut self, key: Key, engine: &mut IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get_mut(key) else {
             return;
@@ -163,7 +166,7 @@
         match connection.state {
             ConnectionState::Idle => self.pool.close(key, io),
             ConnectionState::Connecting(_) => self.fail(key, Outcome::ConnectFailed, engine, io),
-            // It is never executed without its last byte.
+            // The request cannot have been executed, as its last byte was not written.
             ConnectionState::Busy(_) if connection.stream.unwritten() > 0 => {
                 self.fail(key, Outcome::ConnectFailed, engine, io);
             }
@@ -172,7 +175,7 @@
                 tracing::warn!(
                     event = "endpoint.malformed_reply",
                     endpoint,
-                    error = "reply incomplete",
+                    error = "reply incomplete: timed out waiting for the rest",
                     "malformed reply from endpoint"
                 );
                 self.fail(key, Outcome::Error, engine, io);
--- a/crates/ingress/src/routing/upstream/pool.rs
+++ b/crates/ingress/src/routing/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to endpoints, and which of them are idle.
+//! The connection pool: all connections to endpoints, including the idle ones that can be reused.
 
 use super::connection::{ConnectionState, UpstreamConnection};
 use super::limits::UpstreamLimits;
@@ -12,22 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is held of one endpoint.
+/// The idle connections to one endpoint.
 #[derive(Default)]
-struct EndpointPool {
-    /// Idle connections, the latest used last.
+struct EndpointConnections {
+    /// Idle connections; the most recently used one is last.
     idle: Vec<Key>,
-    /// When bytes last arrived on any connection.
+    /// When bytes last arrived on any connection to the endpoint.
     last_received_at: Duration,
 }
 
-/// The connections to endpoints.
+/// All connections to endpoints.
 pub(super) struct ConnectionPool {
     pub(super) connections: Slots<UpstreamConnection>,
-    endpoints: HashMap<EndpointId, EndpointPool>,
-    /// Idle connections by the time of their last use: the oldest is found without a scan.
-    idle_by_age: BTreeSet<(Duration, Key)>,
-    /// How likely an idle connection is to be dead.
+    endpoints: HashMap<EndpointId, EndpointConnections>,
+    /// Idle connections in the order of their last use, so that the least recently used one is
+    /// found without a scan.
+    idle_by_last_use: BTreeSet<(Duration, Key)>,
+    /// Estimates how likely it is that an endpoint has closed an idle connection.
     pub(super) idle_risk: IdleConnectionRisk,
     limits: UpstreamLimits,
 }
@@ -37,43 +38,52 @@
         ConnectionPool {
             connections: Slots::default(),
             endpoints: HashMap::new(),
-            idle_by_age: BTreeSet::new(),
+            idle_by_last_use: BTreeSet::new(),
             idle_risk: IdleConnectionRisk::default(),
             limits,
         }
     }
 
-    /// Begins a connection. Where the system has no descriptor left, an idle connection is closed,
-    /// or the spare descriptor released.
-    pub(super) fn connect(&mut self, to: &SocketAddr, io: &mut Io) -> rustix::io::Result<Stream> {
-        match connect(to, READ_BUFFER_BYTES) {
+    /// Starts a connection. If the system has no descriptor left, closes an idle connection and, if
+    /// that does not suffice, the spare descriptor, and tries again.
+    pub(super) fn connect(
+        &mut self,
+        address: &SocketAddr,
+        io: &mut Io,
+    ) -> rustix::io::Result<Stream> {
+        match connect(address, READ_BUFFER_BYTES) {
             Err(error) if is_fd_shortage(error) => {
                 self.evict_idle(io);
-                io.connect(to)
+                io.connect(address)
             }
-            opened => opened,
+            result => result,
         }
     }
 
-    /// Takes a descriptor for this use; an idle connection is closed if there is none.
-    pub(super) fn take_descriptor(&mut self, of: DescriptorUse, io: &mut Io) -> bool {
-        io.descriptor_budget.take(of) || self.evict_idle(io) && io.descriptor_budget.take(of)
+    /// Takes a descriptor for this use from the budget, if necessary by closing an idle connection.
+    /// Returns false if none is available.
+    pub(super) fn take_descriptor(&mut self, descriptor_use: DescriptorUse, io: &mut Io) -> bool {
+        io.descriptor_budget.take(descriptor_use)
+            || self.evict_idle(io) && io.descriptor_budget.take(descriptor_use)
     }
 
-    /// Closes the idle connection that was used longest ago; false if none is idle.
+    /// Closes the least recently used idle connection. Returns false if none is idle.
     pub(super) fn evict_idle(&mut self, io: &mut Io) -> bool {
-        let Some((_, key)) = self.idle_by_age.first().copied() else {
+        let Some((_, key)) = self.idle_by_last_use.first().copied() else {
             return false;
         };
         self.close(key, io);
         true
     }
 
-    /// Takes an idle connection out of the pool: the latest used that was idle for long enough,
-    /// unless it is likely to be dead.
+    /// Takes an idle connection out of the pool: the most recently used one that has been idle for
+    /// at least [`UpstreamLimits::min_idle_before_reuse`]. Connections that have received bytes or
+    /// an end of stream, or are likely to be closed, are closed instead. Returns `None` if no
+    /// connection can be used.
     ///
-    /// Bytes or an end may follow a reply. Read as the next reply they would be another request's
-    /// value, and a request written before an end was seen may have been executed.
+    /// Bytes that follow a reply would otherwise be read as the reply to the next request. If an
+    /// end of stream follows a reply and is seen only after the next request was written, that
+    /// request may have been executed.
     pub(super) fn take_idle(
         &mut self,
         endpoint: EndpointId,
@@ -82,12 +92,12 @@
     ) -> Option<Key> {
         loop {
             let idle = &self.endpoints.get(&endpoint)?.idle;
-            let is_settled = |key: &Key| {
+            let is_idle_long_enough = |key: &Key| {
                 self.connections
                     .get(*key)
-                    .is_some_and(|c| c.last_used_at + self.limits.min_idle_time <= io.now)
+                    .is_some_and(|c| c.last_used_at + self.limits.min_idle_before_reuse <= io.now)
             };
-            let position = idle.iter().rposition(is_settled)?;
+            let position = idle.iter().rposition(is_idle_long_enough)?;
             let key = idle[position];
             let connection = self.connections.get(key)?;
             let idle_time = io.now.saturating_sub(connection.last_used_at);
@@ -107,7 +117,7 @@
         }
     }
 
-    /// Puts an established connection without a request into its endpoint's pool.
+    /// Adds an established connection without a request to the idle connections of its endpoint.
     pub(super) fn put_idle(&mut self, key: Key, io: &mut Io) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -120,33 +130,36 @@
             .set(&mut connection.due, Some(due), EventSource::Upstream(key));
         let pool = self.endpoints.entry(connection.endpoint).or_default();
         pool.idle.push(key);
-        self.idle_by_age.insert((io.now, key));
+        self.idle_by_last_use.insert((io.now, key));
     }
 
-    /// A connection has a request again; how long it was idle, or none on a new connection.
+    /// Records that a connection is used for a request. Returns how long it was idle, or `None` if
+    /// it is new.
     pub(super) fn mark_used(&mut self, key: Key, now: Duration) -> Option<Duration> {
         let connection = self.connections.get_mut(key)?;
-        self.idle_by_age.remove(&(connection.last_used_at, key));
+        self.idle_by_last_use
+            .remove(&(connection.last_used_at, key));
         let was_idle = matches!(connection.state, ConnectionState::Idle);
         let idle_time = was_idle.then(|| now.saturating_sub(connection.last_used_at));
         connection.last_used_at = now;
         idle_time
     }
 
-    /// Bytes of this endpoint have arrived.
+    /// Records that bytes have arrived from an endpoint.
     pub(super) fn record_received(&mut self, endpoint: EndpointId, now: Duration) {
         if let Some(pool) = self.endpoints.get_mut(&endpoint) {
             pool.last_received_at = now;
         }
     }
 
-    /// Closes a connection.
+    /// Closes a connection, and gives its descriptor back to the budget.
     pub(super) fn close(&mut self, key: Key, io: &mut Io) {
         let Some(mut connection) = self.connections.remove(key) else {
             return;
         };
         io.descriptor_budget.release(DescriptorUse::Upstream);
-        self.idle_by_age.remove(&(connection.last_used_at, key));
+        self.idle_by_last_use
+            .remove(&(connection.last_used_at, key));
         io.deadlines
             .set(&mut connection.due, None, EventSource::Upstream(key));
         if let Some(pool) = self.endpoints.get_mut(&connection.endpoint) {
@@ -163,10 +176,12 @@
         }
     }
 
-    /// Closes all idle connections to an endpoint of which no byte has arrived since then.
+    /// Closes all idle connections to an endpoint if no byte has arrived from it since then. Called
+    /// after a request has timed out.
     ///
-    /// Those of a machine that vanished stay open without a sign, and a request written there may
-    /// have been executed, while a new connection fails before anything is written.
+    /// Connections to a machine that has lost power or network appear to be open. A request that is
+    /// written on such a connection counts as possibly executed and must not always be retried,
+    /// whereas a new connection fails before anything is written.
     pub(super) fn close_idle_if_silent(
         &mut self,
         endpoint: EndpointId,
@@ -179,7 +194,7 @@
         }
     }
 
-    /// Forgets an endpoint that is no longer listed.
+    /// Removes the state of an endpoint that is no longer in the endpoint list.
     pub(super) fn remove_endpoint(&mut self, endpoint: EndpointId) {
         self.endpoints.remove(&endpoint);
     }
--- a/crates/ingress/src/routing/upstream/replies.rs
+++ b/crates/ingress/src/routing/upstream/replies.rs
@@ -1,6 +1,6 @@
-//! What endpoints send: it is read, parsed into replies, and each ends the request it answers.
+//! Reads and parses replies from endpoints, and completes the requests that they answer.
 
-use super::attempts::end_with;
+use super::attempts::report_result;
 use super::connection::{ConnectionState, RequestKind, UpstreamRequest};
 use super::decoded_reply::DecodedReply;
 use super::limits::UpstreamLimits;
@@ -13,11 +13,11 @@
 use roseyard_decision::{EndpointId, Outcome};
 use roseyard_request_engine::AttemptResult;
 
-/// Longest part of an endpoint's error text that is logged, in bytes.
+/// Longer error texts of endpoints are truncated in the log.
 const MAX_LOGGED_ERROR_BYTES: usize = 80;
 
 impl Upstream {
-    /// Reads what has come on an established connection.
+    /// Reads from an established connection.
     pub(super) fn read(&mut self, key: Key, ready: Ready, engine: &mut IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get_mut(key) else {
             return;
@@ -35,17 +35,18 @@
         }
     }
 
-    /// Takes a reply from what was read.
+    /// Parses a reply from the bytes that have been read.
     fn on_input(&mut self, key: Key, engine: &mut IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get_mut(key) else {
             return;
         };
         let ConnectionState::Busy(request) = connection.state else {
-            // A reply without a request: what follows cannot be matched.
+            // There is no request to reply to, so later replies could not be matched to requests.
             return self.pool.close(key, io);
         };
         if connection.stream.unwritten() > 0 {
-            // No reply to this request: an endpoint executes one when its last byte has come.
+            // This cannot be the reply to the request: an endpoint replies only after it has
+            // received the last byte of a request.
             return self.fail(key, Outcome::ConnectFailed, engine, io);
         }
         let parsed = resp::value(connection.stream.input(), &self.limits.protocol);
@@ -55,8 +56,8 @@
                 self.on_reply(key, request, reply, length, engine, io);
             }
             Ok(None) => {
-                // A reply may be shorter than it says, or have no end.
-                let due = (io.now + self.limits.reply_part_timeout).min(request.deadline);
+                // A reply may be shorter than its length prefix says, or never be completed.
+                let due = (io.now + self.limits.reply_continuation_timeout).min(request.deadline);
                 io.deadlines
                     .set(&mut connection.due, Some(due), EventSource::Upstream(key));
             }
@@ -74,7 +75,8 @@
         }
     }
 
-    /// A complete reply of this length has come.
+    /// Called when a complete reply of this length has arrived. Reuses or closes the connection,
+    /// and reports the result of the request.
     fn on_reply(
         &mut self,
         key: Key,
@@ -91,8 +93,8 @@
         let is_reusable = !reply.is_unexpected && connection.stream.input().is_empty();
         let idle_time = connection.idle_time;
         self.pool.idle_risk.record_outcome(idle_time, false, io.now);
-        // Prevents a request from being executed twice when a rejection with more bytes behind it
-        // is another request's.
+        // If more bytes follow a rejection, it may belong to another request, and this one may have
+        // been executed. An error prevents the request from being executed twice.
         let outcome = if reply.outcome == Outcome::Overloaded && !is_reusable {
             Outcome::Error
         } else {
@@ -109,15 +111,15 @@
             true_units: reply.true_units,
             load: reply.load,
         };
-        end_with(request, result, engine, io.now);
+        report_result(request, result, engine, io.now);
     }
 }
 
-/// Decodes a reply, and logs one that endpoints do not send.
+/// Decodes a reply, and logs it if endpoints do not usually send it.
 fn decode(value: &Value, request: &UpstreamRequest, limits: &UpstreamLimits) -> DecodedReply {
     let reply = match request.kind {
-        RequestKind::Attempt(_) => DecodedReply::of_attempt(value, limits),
-        RequestKind::HealthCheck => DecodedReply::of_health_check(value),
+        RequestKind::Attempt(_) => DecodedReply::from_attempt_reply(value, limits),
+        RequestKind::HealthCheck => DecodedReply::from_health_check_reply(value),
     };
     match value {
         Value::Error(text) if request.kind != RequestKind::HealthCheck => {
@@ -143,5 +145,5 @@
     }
     let endpoint = endpoint.0;
     let error = text[..text.len().min(MAX_LOGGED_ERROR_BYTES)].escape_ascii();
-    tracing::warn!(event = "endpoint.error_reply", endpoint, error = %error, "unknown error reply from endpoint");
+    tracing::warn!(event = "endpoint.error_reply", endpoint, error = %error, "unexpected error reply from endpoint");
 }
