--- a/crates/platform-config/src/duration.rs
+++ b/crates/platform-config/src/duration.rs
@@ -1,12 +1,12 @@
-//! Times of the platform.
+//! Conversion of the platform's durations.
 
 use std::time::Duration;
 
-/// Longest time that is read, some 31 years; longer ones are cut to it.
+/// The maximum duration, about 31 years. Longer durations are reduced to it.
 const MAX_MICROSECONDS: f64 = 1e15;
 
-/// Milliseconds as a duration, rounded to microseconds. What is not finite or not above 0 gives
-/// zero.
+/// Converts milliseconds to a duration, rounded to microseconds. Values that are not finite or not
+/// above 0 give zero.
 #[must_use]
 pub fn duration_from_ms(milliseconds: f64) -> Duration {
     if !milliseconds.is_finite() || milliseconds <= 0.0 {
--- a/crates/platform-config/src/error.rs
+++ b/crates/platform-config/src/error.rs
@@ -1,37 +1,37 @@
-//! Why the platform's settings are rejected.
+//! The reasons for rejecting the platform's settings.
 
-/// Why the platform's settings cannot be decoded or used. The text names the field as the platform
-/// writes it, such as `Classes[0].TargetMs`.
+/// The reason why the platform's settings cannot be decoded or converted. The message contains the
+/// path of the field with the platform's names, such as `Classes[0].TargetMs`.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformConfigError {
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     #[error(transparent)]
     Json(#[from] simd_json::Error),
-    /// A field is missing, or is of another type.
+    /// A field is missing or has the wrong type.
     #[error(transparent)]
     Field(#[from] serde_path_to_error::Error<simd_json::Error>),
-    /// A time in milliseconds is not finite, or not above 0.
-    #[error("{field}: {value} is not a time")]
+    /// A duration is not a finite number of milliseconds above 0.
+    #[error("{field}: invalid duration {value}, expected a number of milliseconds above 0")]
     InvalidDuration {
-        /// The field.
+        /// The path of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: f64,
     },
-    /// A field has none of its expected values.
+    /// The value of a field is not among the expected ones.
     #[error("{field}: unknown value '{value}', expected {expected}")]
     UnknownValue {
-        /// The field.
+        /// The path of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
-        /// The expected values.
+        /// The expected values, as a list for the message.
         expected: &'static str,
     },
-    /// The discovery mode is unknown.
-    #[error("Discovery: unknown value '{value}'")]
+    /// The value of `Discovery` is unknown.
+    #[error("Discovery: unknown value '{value}', expected 'automatic' or 'subscribe'")]
     UnknownDiscovery {
-        /// The value.
+        /// The value of the field.
         value: String,
     },
 }
--- a/crates/platform-config/src/mapping.rs
+++ b/crates/platform-config/src/mapping.rs
@@ -1,5 +1,5 @@
-//! The platform's settings mapped to those of the decision module. This is the one place that knows
-//! both.
+//! Converts the platform's settings to those of the decision module. No other module knows the
+//! names of both.
 
 use crate::duration::duration_from_ms;
 use crate::error::PlatformConfigError;
@@ -10,13 +10,14 @@
 };
 use std::time::Duration;
 
-/// The platform's name of discovery that pushes changes to an agent next to the ingress.
+/// The value of `Discovery` if discovery pushes changes to an agent next to the ingress.
 pub(crate) const PUSH_DISCOVERY: &str = "automatic";
-/// The platform's name of discovery that is polled.
+/// The value of `Discovery` if the ingress polls discovery.
 const POLL_DISCOVERY: &str = "subscribe";
-/// The platform's name of load reports that come with health checks.
+/// The value of `Report.Via` if load reports are part of the replies to health checks.
 const REPORT_ON_HEALTH_CHECK: &str = "on_probe";
-/// Values of a load report that say how many requests an endpoint holds.
+/// The fields of a load report that state how many requests an endpoint is processing or has
+/// queued.
 const REQUEST_COUNT_FIELDS: [&str; 2] = ["busy_reqs", "pending"];
 
 pub(crate) fn decision_settings(
@@ -121,8 +122,9 @@
     }
 }
 
-/// Reports that come with health checks are of use only if they say how many requests an endpoint
-/// holds: the utilisation of its cores does not.
+/// Whether load reports are received with health checks and are useful to the decision module. They
+/// are only useful if they state the number of requests of the endpoint; CPU utilisation is not
+/// sufficient.
 fn load_reports_on_health_check(report: &Report) -> bool {
     let has_request_count = report
         .fields
@@ -152,7 +154,8 @@
     }
 }
 
-/// A time that has to be finite and above 0.
+/// Converts milliseconds to a duration, or returns an error if the value is not finite or not above
+/// 0.
 fn required_duration(
     field: &'static str,
     milliseconds: f64,
--- a/crates/platform-config/src/wire.rs
+++ b/crates/platform-config/src/wire.rs
@@ -1,19 +1,19 @@
-//! The platform's JSON as it comes: each field has the platform's own name and unit.
+//! The structure of the platform's JSON settings. Fields have the platform's names and units.
 //!
-//! The names of the types are part of the decoder's error texts.
+//! The type names are part of the decoder's error messages.
 
 use crate::error::PlatformConfigError;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 
-/// Decodes JSON in place, which leaves the text unusable. Unknown keys are ignored. An error names
-/// the field, such as `Classes[0].TargetMs`.
+/// Decodes JSON in place, which overwrites `text`. Unknown keys are ignored. An error contains the
+/// path of the field, such as `Classes[0].TargetMs`.
 pub fn decode<T: DeserializeOwned>(text: &mut [u8]) -> Result<T, PlatformConfigError> {
     let mut deserializer = simd_json::Deserializer::from_slice(text)?;
     Ok(serde_path_to_error::deserialize(&mut deserializer)?)
 }
 
-/// The platform's settings of an ingress, decoded but not checked.
+/// The platform's settings for an ingress. They are decoded, but their values are not validated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PlatformSettings {
@@ -56,7 +56,7 @@
     pub(crate) aim_stretch: f64,
     pub(crate) deadline_ms: f64,
     pub(crate) effect: String,
-    /// Only of classes with an idempotency key.
+    /// Present only if `effect` is `idempotency_key`.
     #[serde(default)]
     pub(crate) group: Option<String>,
     pub(crate) late_worth: f64,
@@ -64,7 +64,7 @@
     pub(crate) name: String,
     pub(crate) stream: bool,
     pub(crate) target_ms: f64,
-    /// Only of classes with an idempotency key.
+    /// Present only if `effect` is `idempotency_key`.
     #[serde(default)]
     pub(crate) window_ms: Option<f64>,
     pub(crate) worth: f64,
--- a/crates/platform-config/tests/fields.rs
+++ b/crates/platform-config/tests/fields.rs
@@ -1,10 +1,10 @@
-//! Every field of the settings absent, new, or of another type: a start-up error that names it, or
-//! a safe default; never a panic.
+//! Tests that a field of the settings which is absent, unknown or of the wrong type causes either a
+//! start-up error that names the field or a safe default, and never a panic.
 
 use roseyard_platform_config::PlatformSettings;
 use serde_json::{json, Value};
 
-/// Settings with every field that some platform has.
+/// Returns settings with all fields that a platform may provide.
 fn complete_settings() -> Value {
     json!({
         "Az": 0, "Balancers": 3, "Me": 1, "GranularityMs": 4.0, "Discovery": "automatic",
@@ -22,7 +22,7 @@
     })
 }
 
-/// Paths to every value in it.
+/// Appends the JSON pointers of all values in `at` to `into`.
 fn paths(at: &Value, path: String, into: &mut Vec<String>) {
     let inner: Vec<(String, &Value)> = match at {
         Value::Object(fields) => fields.iter().map(|(name, v)| (name.clone(), v)).collect(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The decision module's settings, checked as at a start.
+/// Decodes, converts and validates the settings in the same way as an ingress does at start-up.
 fn start(settings: &Value) -> Result<roseyard_decision::Settings, String> {
     let platform_settings = PlatformSettings::parse(settings.to_string().as_bytes())
         .map_err(|error| error.to_string())?;
@@ -90,14 +90,17 @@
             ];
             let is_named =
                 error.contains(name) || without_field_name.iter().any(|part| error.contains(part));
-            assert!(is_named, "{path} = {value}: '{error}' names nothing");
+            assert!(
+                is_named,
+                "{path} = {value}: '{error}' does not name the field"
+            );
         }
     }
     assert!(rejected > 100, "{rejected} rejected");
 }
 
 #[test]
-fn an_absent_field_is_named_or_has_a_default_and_unknown_ones_are_ignored() {
+fn an_absent_field_is_named_or_has_a_default_and_unknown_fields_are_ignored() {
     let mut all = Vec::new();
     paths(&complete_settings(), String::new(), &mut all);
     for path in all
--- a/crates/request-engine/src/attempt.rs
+++ b/crates/request-engine/src/attempt.rs
@@ -1,24 +1,24 @@
-//! One attempt of a request.
+//! The attempts of a request and their results.
 
 use roseyard_decision::{EndpointId, LoadReport, Outcome};
 use std::time::Duration;
 
-/// How an attempt ended.
+/// The result of an attempt that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult<V> {
-    /// Its outcome.
+    /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
-    /// The value, if it was served.
+    /// The value that the endpoint returned; `None` if the attempt failed.
     pub value: Option<V>,
-    /// The request's true units, if the submitted ones were an estimate and the reply has the true
-    /// ones.
+    /// The units that the request actually used; `None` if the reply does not state them. They
+    /// replace the submitted units where those were an estimate.
     pub true_units: Option<f64>,
-    /// The load report in the reply.
+    /// The load report in the reply; `None` if the reply has none.
     pub load: Option<LoadReport>,
 }
 
 impl<V> AttemptResult<V> {
-    /// A result that has nothing but its outcome.
+    /// Returns a result with this outcome and without a value, units or a load report.
     pub fn from_outcome(outcome: Outcome) -> AttemptResult<V> {
         AttemptResult {
             outcome,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The attempt that is in flight.
+/// The attempt of a request that is in flight.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptInFlight {
     pub(crate) number: u16,
@@ -37,7 +37,7 @@
     pub(crate) started_at: Duration,
 }
 
-/// Whether a request with this outcome may have been executed.
+/// Whether an endpoint may have executed the request, given the outcome of an attempt.
 pub(crate) fn may_have_executed(outcome: Outcome) -> bool {
     !matches!(
         outcome,
@@ -45,7 +45,8 @@
     )
 }
 
-/// Whether a request with this outcome may have reached its endpoint.
+/// Whether the request may have reached an endpoint, given the outcome of an attempt. An overloaded
+/// endpoint has received the request, although it has not executed it.
 pub(crate) fn may_have_arrived(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::ConnectFailed | Outcome::NotStarted)
 }
--- a/crates/request-engine/src/directory/apply.rs
+++ b/crates/request-engine/src/directory/apply.rs
@@ -1,4 +1,4 @@
-//! Applying one change to a directory, at the cost of the change.
+//! Applies a change to a directory. The cost does not depend on the size of the directory.
 
 use super::{
     Directory, DirectoryBounds, DirectoryChange, DirectoryEffect, DirectoryError, EndpointSelector,
@@ -9,7 +9,8 @@
 use std::sync::Arc;
 
 impl Directory {
-    /// Applies a change. An error leaves the directory unchanged.
+    /// Applies a change and returns which endpoints it may have moved to another service. An error
+    /// leaves the directory unchanged.
     pub fn apply(&mut self, change: DirectoryChange) -> Result<DirectoryEffect, DirectoryError> {
         match change {
             DirectoryChange::AddService { name } => self.add_service(name),
@@ -36,7 +37,7 @@
         let next = self
             .last_id
             .checked_add(1)
-            .ok_or(DirectoryError::NoIdLeft)?;
+            .ok_or(DirectoryError::IdsExhausted)?;
         self.last_id = next;
         let id = ServiceId(next);
         self.ids_by_name.insert(Arc::clone(&name), id);
@@ -52,7 +53,7 @@
     }
 
     fn remove_service(&mut self, name: Arc<str>) -> Result<DirectoryEffect, DirectoryError> {
-        let id = self.id_of(&name)?;
+        let id = self.require_id(&name)?;
         let is_default = self.default == Some(id);
         if let Some(service) = self.services.get(&id) {
             if service.route_count > 0 || service.selector_count > 0 || is_default {
@@ -76,14 +77,14 @@
         route: Arc<str>,
         service: Arc<str>,
     ) -> Result<DirectoryEffect, DirectoryError> {
-        let id = self.id_of(&service)?;
+        let id = self.require_id(&service)?;
         if !self.routes.contains_key(&route) && self.routes.len() >= self.bounds.routes {
             return Err(DirectoryError::TooManyRoutes {
                 max: self.bounds.routes,
             });
         }
         let previous = self.routes.insert(route, id);
-        self.count_routes(previous, Some(id));
+        self.update_route_counts(previous, Some(id));
         Ok(DirectoryEffect::Unchanged)
     }
 
@@ -92,7 +93,7 @@
             return Err(DirectoryError::UnknownRoute { route });
         };
         shrink(&mut self.routes);
-        self.count_routes(Some(previous), None);
+        self.update_route_counts(Some(previous), None);
         Ok(DirectoryEffect::Unchanged)
     }
 
@@ -101,12 +102,12 @@
         selector: EndpointSelector,
         service: Arc<str>,
     ) -> Result<DirectoryEffect, DirectoryError> {
-        let id = self.id_of(&service)?;
+        let id = self.require_id(&service)?;
         let previous = match &selector {
             EndpointSelector::Network(network) => self.networks.insert(*network, id),
             EndpointSelector::Uid(uid) => self.uids.insert(Arc::clone(uid), id),
         };
-        self.count_selectors(previous, Some(id));
+        self.update_selector_counts(previous, Some(id));
         if previous == Some(id) {
             return Ok(DirectoryEffect::Unchanged);
         }
@@ -125,7 +126,7 @@
         if previous.is_none() {
             return Err(DirectoryError::UnknownSelector { selector });
         }
-        self.count_selectors(previous, None);
+        self.update_selector_counts(previous, None);
         Ok(DirectoryEffect::Reassigned(selector))
     }
 
@@ -133,7 +134,7 @@
         &mut self,
         service: Option<Arc<str>>,
     ) -> Result<DirectoryEffect, DirectoryError> {
-        let id = service.map(|name| self.id_of(&name)).transpose()?;
+        let id = service.map(|name| self.require_id(&name)).transpose()?;
         let previous = std::mem::replace(&mut self.default, id);
         if previous == id {
             return Ok(DirectoryEffect::Unchanged);
@@ -162,15 +163,16 @@
         Ok(DirectoryEffect::Unchanged)
     }
 
-    /// The id of a service that has to exist.
-    fn id_of(&self, name: &Arc<str>) -> Result<ServiceId, DirectoryError> {
+    /// Returns the id of the service with this name, or an error if there is none.
+    fn require_id(&self, name: &Arc<str>) -> Result<ServiceId, DirectoryError> {
         self.id(name).ok_or_else(|| DirectoryError::UnknownService {
             name: Arc::clone(name),
         })
     }
 
-    /// Counts that a route no longer refers to the one service and now refers to the other.
-    fn count_routes(&mut self, previous: Option<ServiceId>, current: Option<ServiceId>) {
+    /// Updates the route counts of two services after a route has moved from `previous` to
+    /// `current`.
+    fn update_route_counts(&mut self, previous: Option<ServiceId>, current: Option<ServiceId>) {
         if let Some(service) = previous.and_then(|id| self.services.get_mut(&id)) {
             service.route_count -= 1;
         }
@@ -179,8 +181,9 @@
         }
     }
 
-    /// Counts that a selector no longer refers to the one service and now refers to the other.
-    fn count_selectors(&mut self, previous: Option<ServiceId>, current: Option<ServiceId>) {
+    /// Updates the selector counts of two services after a selector has moved from `previous` to
+    /// `current`.
+    fn update_selector_counts(&mut self, previous: Option<ServiceId>, current: Option<ServiceId>) {
         if let Some(service) = previous.and_then(|id| self.services.get_mut(&id)) {
             service.selector_count -= 1;
         }
--- a/crates/request-engine/src/directory/bounds.rs
+++ b/crates/request-engine/src/directory/bounds.rs
@@ -1,10 +1,10 @@
-//! How much a directory may hold.
+//! The limits of a directory.
 
-/// Most entries that a directory may hold.
+/// The limits on the number of entries of a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DirectoryBounds {
-    /// Most services.
+    /// The maximum number of named services.
     pub services: usize,
-    /// Most routes.
+    /// The maximum number of routes.
     pub routes: usize,
 }
--- a/crates/request-engine/src/directory/change.rs
+++ b/crates/request-engine/src/directory/change.rs
@@ -1,72 +1,73 @@
-//! Changes of a directory, and what they mean for the endpoints.
+//! The changes of a directory and their effects on endpoints.
 
 use super::bounds::DirectoryBounds;
 use super::selector::EndpointSelector;
 use roseyard_decision::ServiceId;
 use std::sync::Arc;
 
-/// One change of a directory. Services are named, since one that is added has no id yet.
+/// A change of a directory. Changes refer to services by name, since a service that is yet to be
+/// added has no id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
     /// Adds a service.
     AddService {
-        /// Its name.
+        /// The name of the service.
         name: Arc<str>,
     },
-    /// Removes a service that no route, selector or default refers to.
+    /// Removes a service that has no routes or selectors and is not the default.
     RemoveService {
-        /// Its name.
+        /// The name of the service.
         name: Arc<str>,
     },
     /// Adds a route, or moves it to another service.
     SetRoute {
-        /// The route.
+        /// The name of the route.
         route: Arc<str>,
-        /// Name of its service.
+        /// The name of the route's service.
         service: Arc<str>,
     },
     /// Removes a route.
     RemoveRoute {
-        /// The route.
+        /// The name of the route.
         route: Arc<str>,
     },
-    /// Assigns endpoints to a service, or moves them to another one.
+    /// Adds an endpoint selector to a service, or moves it from another service.
     Assign {
-        /// The endpoints.
+        /// The selector of the endpoints.
         selector: EndpointSelector,
-        /// Name of their service.
+        /// The name of the endpoints' service.
         service: Arc<str>,
     },
-    /// Removes a selector.
+    /// Removes an endpoint selector.
     Unassign {
-        /// The endpoints.
+        /// The selector of the endpoints.
         selector: EndpointSelector,
     },
-    /// Sets the service of requests without a route and of endpoints that no selector names.
+    /// Sets the service of requests without a route and of endpoints that no selector matches.
     SetDefault {
-        /// Its name; none: there is no default.
+        /// The name of the service; `None` removes the default.
         service: Option<Arc<str>>,
     },
-    /// Sets how much the directory may hold.
+    /// Sets the limits on the number of services and routes.
     SetBounds(DirectoryBounds),
-    /// While set, everything belongs to [`SINGLE_SERVICE`](super::SINGLE_SERVICE), whatever else
-    /// the directory holds.
+    /// If true, all routes and endpoints belong to [`SINGLE_SERVICE`](super::SINGLE_SERVICE),
+    /// regardless of the other entries of the directory.
     SetSingleService(bool),
 }
 
-/// Which endpoints a change may have moved to another service.
+/// The endpoints that a change may have moved to another service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryEffect {
-    /// None.
+    /// The change has moved no endpoint.
     Unchanged,
-    /// None; a service was added.
+    /// A service was added, which has moved no endpoint.
     Added(ServiceId),
-    /// None; a service was removed. Its id is never used again.
+    /// A service was removed, which has moved no endpoint. Its id is not reused.
     Removed(ServiceId),
-    /// These endpoints.
+    /// The change may have moved the endpoints that this selector matches.
     Reassigned(EndpointSelector),
-    /// The endpoints that no selector names.
+    /// The change may have moved the endpoints that no selector matches.
     DefaultReassigned,
-    /// All endpoints.
+    /// The change may have moved any endpoint.
     AllReassigned,
 }
--- a/crates/request-engine/src/directory/difference.rs
+++ b/crates/request-engine/src/directory/difference.rs
@@ -1,24 +1,25 @@
-//! The changes that lead from one directory to another.
+//! Computes the changes that turn one directory into another.
 
 use super::{Directory, DirectoryBounds, DirectoryChange, EndpointSelector};
 use std::sync::Arc;
 
 impl Directory {
-    /// The changes that lead from this directory to `new`. Services are matched by name. Additions
-    /// go before removals: no endpoint or route that stays is without a service in between.
+    /// Returns the changes that turn this directory into `new`, in the order in which they have to
+    /// be applied. Services are matched by name. Additions precede removals, so that each endpoint
+    /// and route that both directories have belongs to a service at any time.
     #[must_use]
     pub fn difference(&self, new: &Directory) -> Vec<DirectoryChange> {
         let mut changes = Vec::new();
-        let bounds_for_both = self.bounds_for_both(new);
-        if bounds_for_both != self.bounds {
-            changes.push(DirectoryChange::SetBounds(bounds_for_both));
+        let transition_bounds = self.transition_bounds(new);
+        if transition_bounds != self.bounds {
+            changes.push(DirectoryChange::SetBounds(transition_bounds));
         }
         if new.is_single_service && !self.is_single_service {
             changes.push(DirectoryChange::SetSingleService(true));
         }
         changes.extend(self.added_services(new));
-        changes.extend(self.set_routes(new));
-        changes.extend(self.assigned(new));
+        changes.extend(self.changed_routes(new));
+        changes.extend(self.assigned_selectors(new));
         if self.default_name() != new.default_name() {
             changes.push(DirectoryChange::SetDefault {
                 service: new.default_name().cloned(),
@@ -27,17 +28,17 @@
         if self.is_single_service && !new.is_single_service {
             changes.push(DirectoryChange::SetSingleService(false));
         }
-        changes.extend(self.unassigned(new));
+        changes.extend(self.unassigned_selectors(new));
         changes.extend(self.removed_routes(new));
         changes.extend(self.removed_services(new));
-        if new.bounds != bounds_for_both {
+        if new.bounds != transition_bounds {
             changes.push(DirectoryChange::SetBounds(new.bounds));
         }
         changes
     }
 
-    /// Bounds that suffice while the additions are made and the removals are not.
-    fn bounds_for_both(&self, new: &Directory) -> DirectoryBounds {
+    /// Returns bounds that suffice after all additions and before any removal.
+    fn transition_bounds(&self, new: &Directory) -> DirectoryBounds {
         let added_services = new
             .ids_by_name
             .keys()
@@ -87,21 +88,21 @@
             .collect()
     }
 
-    fn set_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
+    fn changed_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
         let routes = new
             .routes
             .iter()
             .filter_map(|(route, id)| Some((route, new.shared_name(*id)?)));
         let current_service = |route| self.routes.get(route).and_then(|id| self.shared_name(*id));
-        let mut set: Vec<_> = routes
+        let mut changed: Vec<_> = routes
             .filter(|(route, service)| current_service(*route) != Some(service))
             .collect();
-        set.sort_unstable();
+        changed.sort_unstable();
         let change = |(route, service): (&Arc<str>, &Arc<str>)| DirectoryChange::SetRoute {
             route: Arc::clone(route),
             service: Arc::clone(service),
         };
-        set.into_iter().map(change).collect()
+        changed.into_iter().map(change).collect()
     }
 
     fn removed_routes(&self, new: &Directory) -> Vec<DirectoryChange> {
@@ -119,7 +120,7 @@
             .collect()
     }
 
-    fn assigned(&self, new: &Directory) -> Vec<DirectoryChange> {
+    fn assigned_selectors(&self, new: &Directory) -> Vec<DirectoryChange> {
         let differs = |(selector, service): &(EndpointSelector, &Arc<str>)| {
             self.service_of_selector(selector) != Some(service)
         };
@@ -132,7 +133,7 @@
         assigned.into_iter().map(change).collect()
     }
 
-    fn unassigned(&self, new: &Directory) -> Vec<DirectoryChange> {
+    fn unassigned_selectors(&self, new: &Directory) -> Vec<DirectoryChange> {
         let current = self.selectors().map(|(selector, _)| selector);
         let mut removed: Vec<_> = current
             .filter(|selector| new.service_of_selector(selector).is_none())
--- a/crates/request-engine/src/directory/error.rs
+++ b/crates/request-engine/src/directory/error.rs
@@ -1,60 +1,60 @@
-//! Why a change of a directory is rejected.
+//! The reasons for rejecting a change of a directory.
 
 use super::selector::EndpointSelector;
 use std::sync::Arc;
 
-/// Why a change was rejected. The directory is unchanged.
+/// The reason why a change was rejected. The directory is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DirectoryError {
-    /// No service has this name.
+    /// The directory has no service with this name.
     #[error("there is no service '{name}'")]
     UnknownService {
-        /// The name.
+        /// The name of the service.
         name: Arc<str>,
     },
-    /// A service has this name already.
-    #[error("there is a service '{name}' already")]
+    /// The directory already has a service with this name.
+    #[error("service '{name}' already exists")]
     ServiceExists {
-        /// The name.
+        /// The name of the service.
         name: Arc<str>,
     },
-    /// The service is still referred to.
-    #[error("service '{name}' is in use: by {routes} routes, by {selectors} networks, addresses or uids of servers{}", if *.default { ", as the default" } else { "" })]
+    /// The service cannot be removed, since it has routes or selectors or is the default.
+    #[error("service '{name}' is in use: it has {routes} routes and {selectors} endpoint selectors{}", if *.default { " and is the default" } else { "" })]
     ServiceInUse {
-        /// Its name.
+        /// The name of the service.
         name: Arc<str>,
-        /// Number of routes that name it.
+        /// The number of the service's routes.
         routes: usize,
-        /// Number of endpoint selectors that name it.
+        /// The number of the service's endpoint selectors.
         selectors: usize,
-        /// Whether it is the default.
+        /// Whether the service is the default.
         default: bool,
     },
     /// The directory does not have this route.
     #[error("there is no route '{route}'")]
     UnknownRoute {
-        /// The route.
+        /// The name of the route.
         route: Arc<str>,
     },
-    /// No service has this endpoint selector.
-    #[error("no service has a line for the servers '{selector}'")]
+    /// The directory does not have this endpoint selector.
+    #[error("there is no endpoint selector '{selector}'")]
     UnknownSelector {
         /// The selector.
         selector: EndpointSelector,
     },
-    /// There would be more services than the bound.
-    #[error("more than {max} services")]
+    /// The change would exceed the limit on services.
+    #[error("too many services: at most {max} are allowed")]
     TooManyServices {
-        /// The bound.
+        /// The limit.
         max: usize,
     },
-    /// There would be more routes than the bound.
-    #[error("more than {max} routes")]
+    /// The change would exceed the limit on routes.
+    #[error("too many routes: at most {max} are allowed")]
     TooManyRoutes {
-        /// The bound.
+        /// The limit.
         max: usize,
     },
-    /// All service ids are used up.
-    #[error("no id is left for another service")]
-    NoIdLeft,
+    /// All service ids have been assigned. Ids of removed services are not reused.
+    #[error("no service id is left: all 32-bit ids have been assigned")]
+    IdsExhausted,
 }
--- a/crates/request-engine/src/directory/mod.rs
+++ b/crates/request-engine/src/directory/mod.rs
@@ -1,16 +1,18 @@
-//! The directory of services: which service a route names, and which one an endpoint belongs to.
+//! The directory of services, which assigns routes and endpoints to services.
 //!
-//! A [`Directory`] changes by one [`DirectoryChange`] at a time, each at its own cost whatever the
-//! size of the directory, so that routes and endpoints move between services while requests are in
-//! flight. [`Directory::difference`] gives the changes that lead to a directory that was read anew.
-//! A route costs one hash lookup; an endpoint costs one for its uid and one for each prefix length
-//! in use.
+//! A [`Directory`] is modified by one [`DirectoryChange`] at a time. The cost of a change does not
+//! depend on the size of the directory, so that routes and endpoints can move between services
+//! while requests are in flight. [`Directory::difference`] returns the changes that turn one
+//! directory into another, such as one that was reloaded from the operator's file. Looking up the
+//! service of a route costs one hash lookup. Looking up that of an endpoint costs one for its uid
+//! and one for each prefix length in use.
 //!
-//! - `selector`: which endpoints a service has;
-//! - `bounds`: how much a directory may hold;
-//! - `change`, `apply`: the changes, and applying one;
-//! - `difference`: the changes that lead from one directory to another;
-//! - `error`: why a change is rejected.
+//! - `selector`: selects the endpoints of a service;
+//! - `bounds`: limits the number of entries;
+//! - `change`: defines the changes and their effects on endpoints;
+//! - `apply`: applies a change;
+//! - `difference`: computes the changes between two directories;
+//! - `error`: the reasons for rejecting a change.
 
 mod apply;
 mod bounds;
@@ -30,14 +32,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest name of a service, a route or an endpoint, in bytes. The operator's file holds none that
-/// is longer, and a request with a longer route is not looked up.
+/// The maximum length of the name of a service, route or endpoint, in bytes. Longer names are
+/// rejected in the operator's file, and a longer route in a request is not looked up.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The service of a [`Directory::single_service`]; a named service never has this id.
+/// The id of the only service of a [`Directory::single_service`]. Named services have other ids.
 pub const SINGLE_SERVICE: ServiceId = ServiceId(0);
 
-/// A service and the number of references to it.
+/// A named service and the number of routes and selectors that refer to it.
 #[derive(Clone, Debug)]
 struct Service {
     name: Arc<str>,
@@ -45,7 +47,7 @@
     selector_count: usize,
 }
 
-/// Services with their routes and endpoints.
+/// The services with their routes and endpoint selectors.
 #[derive(Clone, Debug)]
 pub struct Directory {
     is_single_service: bool,
@@ -56,12 +58,13 @@
     networks: NetworkTable<ServiceId>,
     uids: HashMap<Arc<str>, ServiceId>,
     default: Option<ServiceId>,
-    /// The id assigned last; ids are not reused.
+    /// The most recently assigned id. Ids are not reused.
     last_id: u32,
 }
 
 impl Directory {
-    /// One service that holds everything: the directory of a platform without services.
+    /// Returns a directory in which all routes and endpoints belong to one service. It is used when
+    /// no services are configured.
     pub fn single_service() -> Directory {
         Directory {
             is_single_service: true,
@@ -72,7 +75,7 @@
         }
     }
 
-    /// A directory without services.
+    /// Returns a directory without services.
     pub fn new(bounds: DirectoryBounds) -> Directory {
         Directory {
             is_single_service: false,
@@ -87,33 +90,33 @@
         }
     }
 
-    /// Whether one service holds everything.
+    /// Whether all routes and endpoints belong to [`SINGLE_SERVICE`].
     pub fn is_single_service(&self) -> bool {
         self.is_single_service
     }
 
-    /// How much it may hold.
+    /// Returns the limits on the number of services and routes.
     pub fn bounds(&self) -> DirectoryBounds {
         self.bounds
     }
 
-    /// Number of named services.
+    /// Returns the number of named services.
     pub fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
 
-    /// Number of endpoint selectors.
+    /// Returns the number of endpoint selectors.
     pub fn selector_count(&self) -> usize {
         self.networks.len() + self.uids.len()
     }
 
-    /// Entries of all kinds that the tables have allocated space for, which determines the
-    /// directory's memory.
+    /// Returns the number of entries of all kinds that the tables have allocated space for, which
+    /// determines the memory use of the directory.
     pub fn capacity(&self) -> usize {
         self.services.capacity()
             + self.ids_by_name.capacity()
@@ -122,7 +125,7 @@
             + self.uids.capacity()
     }
 
-    /// The service of a route; none if the route is unknown.
+    /// Returns the service of a route; `None` if the route is unknown.
     pub fn service_of_route(&self, route: &str) -> Option<ServiceId> {
         if self.is_single_service {
             return Some(SINGLE_SERVICE);
@@ -130,7 +133,8 @@
         self.routes.get(route).copied()
     }
 
-    /// The service of requests without a route and of endpoints that no selector names.
+    /// Returns the service of requests without a route and of endpoints that no selector matches;
+    /// `None` if there is no default.
     pub fn default_service(&self) -> Option<ServiceId> {
         if self.is_single_service {
             return Some(SINGLE_SERVICE);
@@ -138,8 +142,9 @@
         self.default
     }
 
-    /// The service of an endpoint: by its uid, else by the longest network that holds its address,
-    /// else the default; none if there is no default.
+    /// Returns the service of an endpoint. A selector for its uid takes precedence over the network
+    /// with the longest prefix that contains its address, which takes precedence over the default.
+    /// `None` if neither a selector nor a default applies.
     pub fn service_of_endpoint(&self, uid: &str, address: SocketAddr) -> Option<ServiceId> {
         if self.is_single_service {
             return Some(SINGLE_SERVICE);
@@ -150,17 +155,17 @@
             .or(self.default)
     }
 
-    /// The name of a service; none for [`SINGLE_SERVICE`] and for one that was removed.
+    /// Returns the name of a service; `None` for [`SINGLE_SERVICE`] and for a removed service.
     pub fn name(&self, service: ServiceId) -> Option<&str> {
         self.services.get(&service).map(|service| &*service.name)
     }
 
-    /// The id of the service of this name.
+    /// Returns the id of the service with this name.
     pub fn id(&self, name: &str) -> Option<ServiceId> {
         self.ids_by_name.get(name).copied()
     }
 
-    /// All named services, in no order.
+    /// Returns all named services, in arbitrary order.
     pub fn services(&self) -> impl Iterator<Item = (ServiceId, &str)> {
         self.services
             .iter()
@@ -175,7 +180,7 @@
         self.default.and_then(|id| self.shared_name(id))
     }
 
-    /// The selectors with the names of their services.
+    /// Returns all selectors with the names of their services, in arbitrary order.
     fn selectors(&self) -> impl Iterator<Item = (EndpointSelector, &Arc<str>)> {
         let networks = self
             .networks
@@ -190,7 +195,7 @@
             .filter_map(|(selector, id)| Some((selector, self.shared_name(id)?)))
     }
 
-    /// Name of the service that has exactly this selector.
+    /// Returns the name of the service that has exactly this selector.
     fn service_of_selector(&self, selector: &EndpointSelector) -> Option<&Arc<str>> {
         let id = match selector {
             EndpointSelector::Network(network) => self.networks.get(*network),
--- a/crates/request-engine/src/directory/selector.rs
+++ b/crates/request-engine/src/directory/selector.rs
@@ -1,26 +1,26 @@
-//! Which endpoints a service has.
+//! Selectors of endpoints, which assign endpoints to services.
 
 use ipnet::IpNet;
 use std::fmt;
 use std::sync::Arc;
 
-/// Endpoints that are assigned to a service together.
+/// Selects the endpoints that are assigned to a service together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointSelector {
-    /// Those whose address lies in this network, unless a longer network or their uid assigns them
-    /// elsewhere.
+    /// Selects the endpoints whose address is in this network, unless a selector with a longer
+    /// prefix or with their uid assigns them to another service.
     Network(IpNet),
-    /// The one of this uid, whatever its address.
+    /// Selects the endpoint with this uid, regardless of its address.
     Uid(Arc<str>),
 }
 
 impl EndpointSelector {
-    /// A selector for a network; bits beyond its prefix are dropped.
+    /// Returns a selector for a network. Address bits beyond the prefix are cleared.
     pub fn network(network: IpNet) -> EndpointSelector {
         EndpointSelector::Network(network.trunc())
     }
 
-    /// A selector for an endpoint's uid.
+    /// Returns a selector for the endpoint with this uid.
     pub fn uid(uid: &str) -> EndpointSelector {
         EndpointSelector::Uid(uid.into())
     }
--- a/crates/request-engine/src/endpoint_list_message.rs
+++ b/crates/request-engine/src/endpoint_list_message.rs
@@ -1,4 +1,4 @@
-//! The platform's endpoint list, decoded. The platform's field names are mapped here, once.
+//! Decoding of the platform's endpoint list. Only this module knows the platform's field names.
 
 use serde::de::IgnoredAny;
 use serde::Deserialize;
@@ -7,51 +7,52 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Wire")]
 pub struct EndpointListMessage {
-    /// Revision of the list; 0 where the message names none.
+    /// The revision of the list; 0 if the message has none.
     pub revision: u64,
-    /// Whether the list is full: an endpoint that it does not name is gone.
+    /// Whether the list is complete, so that endpoints which are not in it have been removed.
     pub is_full: bool,
-    /// The readable entries, in the message's order.
+    /// The valid entries, in the order of the message.
     pub endpoints: Vec<EndpointRecord>,
-    /// Number of entries that could not be read.
+    /// The number of entries that could not be decoded.
     pub unreadable_count: usize,
 }
 
-/// One endpoint as the platform describes it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointRecord {
-    /// The endpoint's name, the same at every ingress.
+    /// The unique name of the endpoint, which is the same on every ingress.
     pub uid: String,
-    /// Where it listens: an IP address and a port, not parsed yet.
+    /// The IP address and port that the endpoint listens on, not parsed yet.
     #[serde(rename = "endpoint")]
     pub address: String,
-    /// Name of its zone; empty where the platform names none.
+    /// The name of the endpoint's zone; empty if the platform gives none.
     #[serde(rename = "az", default)]
     pub zone: String,
-    /// Number of its cell, within which repeats of a request with an idempotency key are dropped.
+    /// The number of the endpoint's cell. Endpoints of a cell share their idempotency keys, so that
+    /// a repeated request is executed only once within the cell.
     #[serde(rename = "pod_group", default)]
     pub cell: u16,
-    /// Its state.
+    /// Whether the endpoint accepts requests, is draining or has been removed.
     pub state: EndpointRecordState,
-    /// Its capacity relative to the other endpoints; 1 where the platform says nothing.
+    /// The capacity relative to the other endpoints; 1 if the platform gives none.
     #[serde(rename = "capacity_hint", default = "default_weight")]
     pub weight: f64,
-    /// Unix time of its start in milliseconds; 0 if unknown.
+    /// The Unix time at which the endpoint started, in milliseconds; 0 if unknown.
     #[serde(rename = "boot_ms", default)]
     pub started_at_unix_ms: f64,
 }
 
-/// State of an endpoint in the platform's list.
+/// The state of an endpoint in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum EndpointRecordState {
-    /// `SERVING`: it accepts requests.
+    /// `SERVING`: the endpoint accepts requests.
     Serving,
-    /// `DRAINING`: it finishes what it has and accepts nothing more.
+    /// `DRAINING`: the endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// `DELETED`: it is gone.
+    /// `DELETED`: the endpoint no longer exists.
     Deleted,
-    /// Any other text. Such an entry counts as unreadable.
+    /// Any other value. The registry counts such an entry as unreadable.
     Unknown,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// The message as it comes.
+/// The message with the platform's field names.
 #[derive(Deserialize)]
 struct Wire {
     #[serde(rename = "rev", default)]
@@ -77,13 +78,13 @@
     entries: Vec<WireEntry>,
 }
 
-/// An entry is read by itself: one malformed field costs neither the other entries nor the notice
-/// that its endpoint drains.
+/// An entry of the message. Each entry is decoded separately, so that a malformed field neither
+/// invalidates the other entries nor hides that its own endpoint is draining or removed.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum WireEntry {
     Complete(EndpointRecord),
-    /// An endpoint that leaves needs no readable field but its name.
+    /// An endpoint that is draining or removed, whose other fields may be malformed.
     Leaving {
         uid: String,
         state: LeavingState,
@@ -129,7 +130,8 @@
 }
 
 impl EndpointRecord {
-    /// An endpoint that leaves, of which only the name and state are known.
+    /// Returns the record of a draining or removed endpoint of which only the name and the state
+    /// are known.
     fn leaving(uid: String, state: LeavingState) -> EndpointRecord {
         EndpointRecord {
             uid,
--- a/crates/request-engine/src/endpoint_registry/address_index.rs
+++ b/crates/request-engine/src/endpoint_registry/address_index.rs
@@ -1,11 +1,12 @@
-//! Endpoints in the order of their addresses.
+//! An index of endpoints by address.
 
 use ipnet::IpNet;
 use roseyard_decision::EndpointId;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// Endpoints by address. An address may have several, of which one is ready.
+/// Endpoints ordered by address. Several endpoints may have the same address, of which at most one
+/// accepts requests.
 #[derive(Default)]
 pub(super) struct AddressIndex {
     by_address: BTreeSet<(SocketAddr, EndpointId)>,
@@ -20,19 +21,19 @@
         self.by_address.remove(&(address, endpoint));
     }
 
-    /// The endpoints at this address, in the order of their ids.
-    pub(super) fn at(&self, address: SocketAddr) -> impl Iterator<Item = EndpointId> + '_ {
-        self.between(address, address)
+    /// Returns the endpoints at this address, ordered by id.
+    pub(super) fn at_address(&self, address: SocketAddr) -> impl Iterator<Item = EndpointId> + '_ {
+        self.address_range(address, address)
     }
 
-    /// The endpoints whose address lies in this network, in the order of addresses.
+    /// Returns the endpoints whose address is in this network, ordered by address.
     pub(super) fn in_network(&self, network: IpNet) -> impl Iterator<Item = EndpointId> + '_ {
         let first = SocketAddr::new(network.network(), 0);
         let last = SocketAddr::new(last_address(network), u16::MAX);
-        self.between(first, last)
+        self.address_range(first, last)
     }
 
-    fn between(
+    fn address_range(
         &self,
         first: SocketAddr,
         last: SocketAddr,
@@ -43,7 +44,7 @@
     }
 }
 
-/// The last address of a network.
+/// Returns the last address of a network.
 fn last_address(network: IpNet) -> IpAddr {
     match network {
         IpNet::V4(network) => network.broadcast().into(),
--- a/crates/request-engine/src/endpoint_registry/endpoint.rs
+++ b/crates/request-engine/src/endpoint_registry/endpoint.rs
@@ -1,47 +1,49 @@
-//! An endpoint of the registry.
+//! The endpoints of the registry.
 
 use roseyard_decision::{EndpointEntry, EndpointState, ServiceId};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An endpoint of the list.
+/// An endpoint of the platform's list.
 pub struct Endpoint {
     pub(super) uid: String,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Latest revision of the list that named it.
+    /// The latest revision of the list that contained the endpoint.
     pub(super) revision: u64,
-    /// What the decision module knows of it, except for its service.
+    /// The entry for the decision module. Its `service` field is unused; see
+    /// [`Endpoint::entry_in`].
     pub(super) entry: EndpointEntry,
-    /// The service that it belongs to, if any.
+    /// The service that the endpoint belongs to; `None` if the directory assigns it to none.
     pub(super) service: Option<ServiceId>,
 }
 
 impl Endpoint {
-    /// The service that it belongs to; none: no service gets its capacity.
+    /// Returns the service that the endpoint belongs to; `None` if it serves no requests because
+    /// the directory assigns it to no service.
     #[must_use]
     pub fn service(&self) -> Option<ServiceId> {
         self.service
     }
 
-    /// Its state in the latest list.
+    /// Returns the state of the endpoint in the latest list.
     #[must_use]
     pub fn state(&self) -> EndpointState {
         self.entry.state
     }
 
-    /// Whether it accepts new requests.
+    /// Whether the endpoint accepts new requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state() == EndpointState::Ready
     }
 
-    /// When it started; none: long ago.
+    /// Returns the time at which the endpoint started; `None` if unknown or too long ago.
     pub(super) fn started_at(&self) -> Option<Duration> {
         self.entry.started_at
     }
 
-    /// Its entry for the decision module in this service, with this state.
+    /// Returns the entry for the decision module with this service and state.
     pub(super) fn entry_in(&self, service: ServiceId, state: EndpointState) -> EndpointEntry {
         EndpointEntry {
             service,
@@ -50,13 +52,14 @@
         }
     }
 
-    /// Its entry for the decision module, unless it belongs to no service.
+    /// Returns the entry for the decision module; `None` if the endpoint belongs to no service.
     pub(super) fn current_entry(&self) -> Option<EndpointEntry> {
         let service = self.service?;
         Some(self.entry_in(service, self.state()))
     }
 
-    /// The entry that removes it from its service, unless it belongs to none.
+    /// Returns the entry that removes the endpoint from its service; `None` if it belongs to no
+    /// service.
     pub(super) fn removal_entry(&self) -> Option<EndpointEntry> {
         let service = self.service?;
         Some(self.entry_in(service, EndpointState::Removed))
--- a/crates/request-engine/src/endpoint_registry/mod.rs
+++ b/crates/request-engine/src/endpoint_registry/mod.rs
@@ -1,11 +1,12 @@
-//! The endpoints of the platform's list, and what each new list changes.
+//! The registry of the endpoints in the platform's list. It computes the changes that each new list
+//! makes.
 //!
-//! - `endpoint`: one endpoint;
-//! - `resolver`: the names and times in a record;
-//! - `update`: what a list changes;
-//! - `address_index`: endpoints by address;
-//! - `tombstones`: endpoints that are gone;
-//! - `reassignment`: endpoints that change their service.
+//! - `endpoint`: an endpoint of the registry;
+//! - `resolver`: converts the names and times in a record;
+//! - `update`: the changes that a list makes;
+//! - `address_index`: finds endpoints by address;
+//! - `tombstones`: remembers removed endpoints;
+//! - `reassignment`: moves endpoints to another service after a change of the directory.
 
 mod address_index;
 mod endpoint;
@@ -28,9 +29,9 @@
 use tombstones::{Tombstone, Tombstones};
 use update::PendingUpdate;
 
-/// Endpoints by the id that the decision module knows them by. A uid that comes back after it was
-/// removed gets a new id. A list of changes costs its own length; a full list costs the length of
-/// the registry.
+/// Stores the endpoints by id. A uid that is added again after its removal gets a new id. The cost
+/// of applying an incremental list is proportional to the length of the list; that of a full list,
+/// to the size of the registry.
 #[derive(Default)]
 pub struct EndpointRegistry {
     endpoints: BTreeMap<EndpointId, Endpoint>,
@@ -43,25 +44,26 @@
 }
 
 impl EndpointRegistry {
-    /// An endpoint; none: no list has named it, or it is gone.
+    /// Returns an endpoint; `None` if no list has contained it or it was removed.
     #[must_use]
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// Number of endpoints that accept requests.
+    /// Returns the number of endpoints that accept requests.
     #[must_use]
     pub fn ready_endpoint_count(&self) -> usize {
         self.ready_count
     }
 
-    /// Revision of the list that was applied last; 0 before the first.
+    /// Returns the revision of the most recently applied list; 0 before the first list.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Applies a list. An entry that cannot be read is counted and changes nothing.
+    /// Applies a list and returns the changes. Unreadable entries are counted and otherwise
+    /// ignored.
     pub fn apply<F>(
         &mut self,
         list: &EndpointListMessage,
@@ -71,20 +73,20 @@
         F: Fn(f64) -> Option<Duration>,
     {
         let mut pending = PendingUpdate::default();
-        let mut named = HashSet::new();
+        let mut listed = HashSet::new();
         let mut unreadable_count = list.unreadable_count;
         for record in &list.endpoints {
             if self.is_outdated(record, list.revision, resolver.started_at(record)) {
                 continue;
             }
             match self.apply_record(record, list.revision, resolver, &mut pending) {
-                Some(id) if list.is_full => _ = named.insert(id),
+                Some(id) if list.is_full => _ = listed.insert(id),
                 Some(_) => {}
                 None => unreadable_count += 1,
             }
         }
         if list.is_full {
-            self.remove_unnamed(&named, list.revision, &mut pending);
+            self.remove_unlisted(&listed, list.revision, &mut pending);
         }
         for id in std::mem::take(&mut pending.removed) {
             self.remove(id, list.revision);
@@ -93,9 +95,10 @@
         pending.finish(list.is_full, unreadable_count)
     }
 
-    /// Whether a record that names an endpoint as serving is older than what is known of it. Such a
-    /// record, of an agent that is behind, neither brings back an endpoint that has left since nor
-    /// its start before the last. One that has started since is not outdated.
+    /// Whether a record of a serving endpoint is older than the last known state of the endpoint.
+    /// Such records come from a discovery agent that lags behind. They must neither restore an
+    /// endpoint that has since been removed nor revert one that has since restarted. A record with
+    /// a later start time than the known one is not outdated.
     fn is_outdated(
         &self,
         record: &EndpointRecord,
@@ -115,7 +118,7 @@
                 .is_some_and(|tombstone| is_older_than(tombstone.revision, tombstone.started_at))
     }
 
-    /// Applies one record; none if it cannot be read.
+    /// Applies a record and returns the id of its endpoint; `None` if the record is unreadable.
     fn apply_record<F>(
         &mut self,
         record: &EndpointRecord,
@@ -129,7 +132,7 @@
         let state = endpoint_state(record.state)?;
         let address = self.address_of(record, state)?;
         let started_at = resolver.started_at(record);
-        let id = self.id_of(&record.uid);
+        let id = self.get_or_assign_id(&record.uid);
         let previous = self.endpoints.get(&id);
         let endpoint = Endpoint {
             uid: record.uid.clone(),
@@ -160,12 +163,12 @@
             self.supersede(id, address, pending);
         }
         pending.entries.extend(endpoint.current_entry());
-        self.put(id, endpoint);
+        self.insert_endpoint(id, endpoint);
         Some(id)
     }
 
-    /// The address in a record. For an endpoint that leaves, the known address stands in for one
-    /// that cannot be read: its leaving counts whatever else is unreadable.
+    /// Returns the address in a record. If it is malformed, an endpoint that is draining or removed
+    /// keeps its known address, so that the malformed address does not hide the change of state.
     fn address_of(&self, record: &EndpointRecord, state: EndpointState) -> Option<SocketAddr> {
         if let Ok(address) = record.address.parse() {
             return Some(address);
@@ -181,8 +184,8 @@
         self.endpoints.get(id)
     }
 
-    /// The id of a uid, a new one if it has none.
-    fn id_of(&mut self, uid: &str) -> EndpointId {
+    /// Returns the id for a uid, and assigns one if the uid is new.
+    fn get_or_assign_id(&mut self, uid: &str) -> EndpointId {
         if let Some(id) = self.ids_by_uid.get(uid) {
             return *id;
         }
@@ -192,7 +195,7 @@
         id
     }
 
-    fn put(&mut self, id: EndpointId, endpoint: Endpoint) {
+    fn insert_endpoint(&mut self, id: EndpointId, endpoint: Endpoint) {
         let address = endpoint.address;
         self.ready_count += usize::from(endpoint.is_ready());
         self.by_address.insert(address, id);
@@ -204,10 +207,11 @@
         }
     }
 
-    /// Removes the other endpoints at this address. They are gone though no list said so: their
-    /// connections, load and health are not those of the endpoint that has taken the address.
+    /// Marks the other endpoints at this address for removal. They no longer exist, even if no list
+    /// has removed them, since the endpoint `by` now uses their address. Their connections, load
+    /// and health must not be attributed to it.
     fn supersede(&self, by: EndpointId, address: SocketAddr, pending: &mut PendingUpdate) {
-        for id in self.by_address.at(address).filter(|id| *id != by) {
+        for id in self.by_address.at_address(address).filter(|id| *id != by) {
             let Some(superseded) = self.endpoints.get(&id) else {
                 continue;
             };
@@ -217,17 +221,17 @@
         }
     }
 
-    /// Removes the endpoints that a full list does not name. Those that were named by a later
-    /// revision are kept, since the list is of an agent that is behind, and are passed on to the
-    /// decision module with the others.
-    fn remove_unnamed(
+    /// Marks the endpoints that a full list does not contain for removal. An endpoint that a later
+    /// revision has contained is kept, since the list then comes from a discovery agent that lags
+    /// behind. Its entry is added to the update for the decision module.
+    fn remove_unlisted(
         &mut self,
-        named: &HashSet<EndpointId>,
+        listed: &HashSet<EndpointId>,
         revision: u64,
         pending: &mut PendingUpdate,
     ) {
         for (id, endpoint) in &self.endpoints {
-            if named.contains(id) || pending.removed.contains(id) {
+            if listed.contains(id) || pending.removed.contains(id) {
                 continue;
             }
             if endpoint.revision <= revision {
@@ -239,7 +243,8 @@
         }
     }
 
-    /// Removes an endpoint and keeps a tombstone, since an agent that is behind may still name it.
+    /// Removes an endpoint and keeps a tombstone, since a discovery agent that lags behind may
+    /// still list the endpoint.
     fn remove(&mut self, id: EndpointId, revision: u64) {
         let Some(endpoint) = self.endpoints.remove(&id) else {
             return;
--- a/crates/request-engine/src/endpoint_registry/reassignment.rs
+++ b/crates/request-engine/src/endpoint_registry/reassignment.rs
@@ -1,13 +1,13 @@
-//! Endpoints that a change of the directory moves to another service.
+//! Moves endpoints to another service after a change of the directory.
 
 use super::EndpointRegistry;
 use crate::directory::{Directory, DirectoryEffect, EndpointSelector};
 use roseyard_decision::{EndpointEntry, EndpointId, EndpointState};
 
 impl EndpointRegistry {
-    /// Moves endpoints to the services that the changed directory assigns them to. Returns what the
-    /// decision module has to know: each moved endpoint is removed from its old service and added
-    /// to the new one.
+    /// Moves endpoints to the services that the changed directory assigns them to. Returns the
+    /// entries for the decision module, which remove each moved endpoint from its previous service
+    /// and add it to the new one.
     #[must_use]
     pub fn reassign(
         &mut self,
@@ -15,7 +15,7 @@
         directory: &Directory,
     ) -> Vec<EndpointEntry> {
         let mut entries = Vec::new();
-        for id in self.affected(effect) {
+        for id in self.affected_endpoints(effect) {
             let Some(endpoint) = self.endpoints.get_mut(&id) else {
                 continue;
             };
@@ -31,8 +31,8 @@
         entries
     }
 
-    /// The endpoints that a change of the directory may have moved.
-    fn affected(&self, effect: &DirectoryEffect) -> Vec<EndpointId> {
+    /// Returns the endpoints that a change of the directory may have moved to another service.
+    fn affected_endpoints(&self, effect: &DirectoryEffect) -> Vec<EndpointId> {
         match effect {
             DirectoryEffect::Unchanged
             | DirectoryEffect::Added(_)
--- a/crates/request-engine/src/endpoint_registry/resolver.rs
+++ b/crates/request-engine/src/endpoint_registry/resolver.rs
@@ -1,4 +1,4 @@
-//! What the records of an endpoint list mean to this ingress.
+//! Converts the records of an endpoint list for the decision module of this ingress.
 
 use crate::directory::Directory;
 use crate::endpoint_list_message::{EndpointRecord, EndpointRecordState};
@@ -6,13 +6,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Resolves the names and times in the records of an endpoint list.
+/// Resolves the names of zones, the services and the start times of the records of an endpoint
+/// list.
 pub struct RecordResolver<'a, F> {
-    /// Names of the zones, by number.
+    /// The names of the zones, indexed by zone number.
     pub zones: &'a [String],
-    /// Which service an endpoint belongs to.
+    /// The directory that assigns endpoints to services.
     pub directory: &'a Directory,
-    /// Turns a Unix time in milliseconds into a time of the engine's clock; none: long ago.
+    /// Converts a Unix time in milliseconds to a time of the engine's clock. Returns `None` if the
+    /// time is unknown or too long ago.
     pub to_engine_time: F,
 }
 
@@ -20,17 +22,18 @@
 where
     F: Fn(f64) -> Option<Duration>,
 {
-    /// When the endpoint started; none: long ago.
+    /// Returns the time at which the endpoint started; `None` if unknown or too long ago.
     pub(super) fn started_at(&self, record: &EndpointRecord) -> Option<Duration> {
         (self.to_engine_time)(record.started_at_unix_ms)
     }
 
-    /// The service that the endpoint belongs to, if any.
+    /// Returns the service that the endpoint belongs to, if any.
     pub(super) fn service(&self, uid: &str, address: SocketAddr) -> Option<ServiceId> {
         self.directory.service_of_endpoint(uid, address)
     }
 
-    /// The record for the decision module. Its service is set by whoever passes it on.
+    /// Returns the entry for the decision module. The `service` field is left at its default and is
+    /// set when the entry is reported.
     pub(super) fn entry(
         &self,
         record: &EndpointRecord,
@@ -50,13 +53,13 @@
         }
     }
 
-    /// Number of a zone; 0 for a name that the settings do not have.
+    /// Returns the number of a zone; 0 if the settings do not contain its name.
     fn zone(&self, name: &str) -> u16 {
         self.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16
     }
 }
 
-/// The decision module's state for a record's; none: the entry is unreadable.
+/// Converts the state in a record; `None` if it is unknown, which makes the entry unreadable.
 pub(super) fn endpoint_state(state: EndpointRecordState) -> Option<EndpointState> {
     match state {
         EndpointRecordState::Serving => Some(EndpointState::Ready),
@@ -66,8 +69,8 @@
     }
 }
 
-/// FNV-1a hash of the uid: every ingress ranks the endpoints alike, whatever order the list names
-/// them in.
+/// Returns the FNV-1a hash of the uid. It ranks the endpoints in the same order on every ingress,
+/// regardless of their order in the list.
 fn rank(uid: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/request-engine/src/endpoint_registry/tombstones.rs
+++ b/crates/request-engine/src/endpoint_registry/tombstones.rs
@@ -1,25 +1,26 @@
-//! Endpoints that are gone, for lists that are older than their removal.
+//! Tombstones of removed endpoints, which allow outdated lists to be recognised.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Most tombstones; beyond it the oldest is dropped. More than a zone loses while an agent of
-/// discovery is behind.
+/// The maximum number of tombstones; if it is exceeded, the oldest one is dropped. A zone loses
+/// fewer endpoints than this while a discovery agent lags behind.
 const MAX_TOMBSTONES: usize = 8192;
 
-/// What is kept of an endpoint that is gone.
+/// The information that is kept about a removed endpoint.
 pub(super) struct Tombstone {
-    /// Revision of the list that removed it, or of the last one that named it if that is later.
+    /// The revision of the list that removed the endpoint, or that of the last list that contained
+    /// it, whichever is later.
     pub(super) revision: u64,
-    /// When it had started; none: long ago.
+    /// The time at which the endpoint had started; `None` if unknown or too long ago.
     pub(super) started_at: Option<Duration>,
 }
 
-/// The latest endpoints that are gone, by uid.
+/// The most recently removed endpoints, by uid.
 #[derive(Default)]
 pub(super) struct Tombstones {
     by_uid: HashMap<String, Tombstone>,
-    /// Uids, the oldest tombstone first.
+    /// The uids, ordered by the age of their tombstones, oldest first.
     tombstone_order: VecDeque<String>,
 }
 
@@ -28,7 +29,8 @@
         self.by_uid.get(uid)
     }
 
-    /// Adds a tombstone, or replaces the one of this uid, which keeps its age.
+    /// Adds a tombstone. If the uid already has one, the new tombstone replaces it and keeps its
+    /// age.
     pub(super) fn insert(&mut self, uid: String, tombstone: Tombstone) {
         if self.by_uid.insert(uid.clone(), tombstone).is_none() {
             self.tombstone_order.push_back(uid);
--- a/crates/request-engine/src/endpoint_registry/update.rs
+++ b/crates/request-engine/src/endpoint_registry/update.rs
@@ -1,39 +1,40 @@
-//! What an endpoint list changes.
+//! The changes that an endpoint list makes.
 
 use roseyard_decision::{EndpointEntry, EndpointId, EndpointListUpdate};
 use std::collections::BTreeSet;
 
-/// What an endpoint list has changed.
+/// The changes that an endpoint list has made to the registry.
 pub struct RegistryUpdate {
-    /// The changes for the decision module, in its order.
+    /// The update for the decision module.
     pub update: EndpointListUpdate,
-    /// Endpoints that drain, are gone, have restarted or have another address: idle connections to
-    /// them are of no more use.
+    /// The endpoints that are draining, were removed, have restarted or have changed their address.
+    /// Idle connections to them must no longer be used.
     pub stale_endpoints: Vec<EndpointId>,
-    /// Number of entries that could not be read, those of the message included.
+    /// The number of unreadable entries, including those that could not be decoded.
     pub unreadable_count: usize,
 }
 
-/// What the driver has to know of an endpoint list that was applied.
+/// The information for the driver about an endpoint list that was applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AppliedEndpointList {
-    /// Endpoints whose idle connections are of no more use.
+    /// The endpoints whose idle connections must no longer be used.
     pub stale_endpoints: Vec<EndpointId>,
-    /// Number of entries that could not be read.
+    /// The number of unreadable entries, which were ignored.
     pub unreadable_count: usize,
 }
 
-/// The changes that the entries of a list have made so far.
+/// The changes of the entries of a list that have been processed so far.
 #[derive(Default)]
 pub(super) struct PendingUpdate {
     pub(super) entries: Vec<EndpointEntry>,
     pub(super) stale_endpoints: Vec<EndpointId>,
-    /// Endpoints that the list removes, and has not named as serving since.
+    /// The endpoints to remove after all entries have been processed. A later entry of the list
+    /// that restores an endpoint takes it out of this set.
     pub(super) removed: BTreeSet<EndpointId>,
 }
 
 impl PendingUpdate {
-    /// The update for the decision module and the driver.
+    /// Returns the update for the decision module and the driver.
     pub(super) fn finish(self, is_full: bool, unreadable_count: usize) -> RegistryUpdate {
         let update = if is_full {
             EndpointListUpdate::Full(self.entries)
--- a/crates/request-engine/src/engine/decisions.rs
+++ b/crates/request-engine/src/engine/decisions.rs
@@ -1,4 +1,4 @@
-//! Events to the decision module, and its actions as outputs.
+//! Passes events to the decision module and converts its actions to outputs.
 
 use super::RequestEngine;
 use crate::output::{Output, Response};
@@ -7,35 +7,36 @@
 use std::time::Duration;
 
 impl<O, C, V> RequestEngine<O, C, V> {
-    /// The next output. None once every event has been decided.
+    /// Returns the next output; `None` once all events have been handled and no output is left.
     pub fn poll(&mut self, now: Duration) -> Option<Output<O, V>> {
         loop {
             if let Some(output) = self.outputs.pop_front() {
                 return Some(output);
             }
             let event = self.events.pop_front()?;
-            self.decide(event, now);
+            self.handle_event(event, now);
         }
     }
 
-    /// Whether [`RequestEngine::poll`] has an output or an event to decide.
+    /// Whether [`RequestEngine::poll`] has outputs to return or events to handle.
     pub fn has_pending(&self) -> bool {
         !self.events.is_empty() || !self.outputs.is_empty()
     }
 
-    /// When [`RequestEngine::on_due`] has to be called next.
+    /// Returns the time at which [`RequestEngine::on_due`] has to be called; `None` if no timer is
+    /// set.
     pub fn due(&self) -> Option<Duration> {
         self.due
     }
 
-    /// The time of [`RequestEngine::due`] has come.
+    /// Called when the time returned by [`RequestEngine::due`] has been reached.
     pub fn on_due(&mut self) {
         if self.due.take().is_some() {
             self.events.push_back(Event::TimerExpired(TimerTag(0)));
         }
     }
 
-    fn decide(&mut self, event: Event, now: Duration) {
+    fn handle_event(&mut self, event: Event, now: Duration) {
         let ended_request = ended_request(&event);
         let mut actions = std::mem::take(&mut self.actions);
         self.dispatcher.handle(now, event, &mut actions);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Starts an attempt, unless the request is gone or has one in flight.
+    /// Starts an attempt, unless the request no longer exists or already has an attempt in flight.
     fn forward(&mut self, request: Key, endpoint: EndpointId, deadline: Duration, now: Duration) {
         let attempt = self
             .requests
@@ -107,14 +108,14 @@
         }
     }
 
-    /// Keeps the earliest timer. The decision module never takes a timer back, and sets a new one
-    /// when the earliest expires.
+    /// Sets a timer. Only the earliest one is kept: the decision module never cancels a timer, and
+    /// sets a new one when the earliest expires.
     fn set_timer(&mut self, at: Duration) {
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
 }
 
-/// The request that an event may end.
+/// Returns the request that an event may end.
 fn ended_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected(request) => Some(*request),
--- a/crates/request-engine/src/engine/endpoints.rs
+++ b/crates/request-engine/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and the directory of services.
+//! Updates of the endpoint list and of the directory of services.
 
 use super::RequestEngine;
 use crate::directory::{Directory, DirectoryChange, DirectoryError};
@@ -9,21 +9,22 @@
 use std::time::Duration;
 
 impl<O, C, V> RequestEngine<O, C, V> {
-    /// The endpoints of the latest list.
+    /// Returns the registry of endpoints, which reflects the lists applied so far.
     pub fn endpoint_registry(&self) -> &EndpointRegistry {
         &self.endpoint_registry
     }
 
-    /// Where an endpoint listens; none: no list has named it, or it is gone.
+    /// Returns the address that an endpoint listens on; `None` if no list has contained the
+    /// endpoint or it was removed.
     pub fn address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoint_registry
             .get(endpoint)
             .map(|endpoint| endpoint.address)
     }
 
-    /// Applies an endpoint list or its changes. `zones` are the names of the zones by number;
-    /// `to_engine_time` turns a Unix time in milliseconds into a time of the engine's clock, none
-    /// for long ago.
+    /// Applies a full or incremental endpoint list. `zones` are the names of the zones, indexed by
+    /// zone number. `to_engine_time` converts a Unix time in milliseconds to a time of the engine's
+    /// clock and returns `None` if the time is unknown or too long ago.
     pub fn apply_endpoint_list(
         &mut self,
         list: &EndpointListMessage,
@@ -44,15 +45,15 @@
         }
     }
 
-    /// Services with their routes and endpoints. Until one is set, one service holds everything.
+    /// Returns the directory of services. Until [`RequestEngine::set_directory`] is called, all
+    /// routes and endpoints belong to one service.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Changes the directory to another one, which is in force from now on. Services are matched by
-    /// name and keep their ids and their state; the decision module learns only of endpoints that
-    /// move to another service. Returns the number of changes. An error leaves the changes before
-    /// it in force.
+    /// Replaces the directory and returns the number of changes. Services are matched by name and
+    /// keep their ids and their state. The decision module is informed only about endpoints that
+    /// move to another service. If a change fails, the changes before it remain in effect.
     pub fn set_directory(&mut self, directory: &Directory) -> Result<usize, DirectoryError> {
         let changes = self.directory.difference(directory);
         let count = changes.len();
@@ -62,8 +63,9 @@
         Ok(count)
     }
 
-    /// Changes the directory, at the cost of the change. Requests in flight stay with the service
-    /// and the endpoint that they have. An error leaves everything unchanged.
+    /// Applies a change to the directory. The cost depends on the number of endpoints that the
+    /// change may move, not on the size of the directory. Requests in flight keep their service and
+    /// endpoint. An error leaves the directory unchanged.
     pub fn change_directory(&mut self, change: DirectoryChange) -> Result<(), DirectoryError> {
         let effect = self.directory.apply(change)?;
         let entries = self.endpoint_registry.reassign(&effect, &self.directory);
--- a/crates/request-engine/src/engine/mod.rs
+++ b/crates/request-engine/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! The request engine: events go in, outputs come out.
+//! The request engine, which receives events from its driver and returns outputs to it.
 //!
-//! - this module: requests, from submission to their end;
-//! - `decisions`: events to the decision module and its actions back;
+//! - this module: the requests from their submission to their end;
+//! - `decisions`: exchanges events and actions with the decision module;
 //! - `endpoints`: the endpoint list and the directory of services.
 
 mod decisions;
@@ -21,45 +21,47 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How much an engine may hold. A submission beyond it is answered with [`AtCapacity`].
+/// The limits on the requests that an engine holds. A submission that would exceed a limit is
+/// rejected with [`AtCapacity`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLimits {
-    /// Most requests.
+    /// The maximum number of open requests.
     pub requests: usize,
-    /// Most bytes of all requests together.
+    /// The maximum sum of the sizes of all open requests, in bytes.
     pub bytes: usize,
 }
 
-/// Holds requests, attempts and endpoints for the decision module. `O` names whom a response is
-/// for, `C` is what goes to an endpoint, `V` is what an endpoint returns.
+/// Manages the requests, their attempts and the endpoints for the decision module. `O` identifies
+/// the recipient of a response, `C` is a command that is sent to an endpoint, and `V` is a value
+/// that an endpoint returns.
 pub struct RequestEngine<O, C, V> {
     dispatcher: Dispatcher,
     idempotency_by_class: Vec<Idempotency>,
-    /// Events that the decision module has not handled yet.
+    /// The events that the decision module has not handled yet.
     events: VecDeque<Event>,
     outputs: VecDeque<Output<O, V>>,
-    /// Empty between calls; kept for its allocation.
+    /// A buffer that is empty between calls; its allocation is reused.
     actions: Vec<Action>,
     requests: Slots<Request<O, C>>,
-    /// Bytes of all requests.
+    /// The sum of the sizes of all open requests, in bytes.
     held_bytes: usize,
     limits: EngineLimits,
     endpoint_registry: EndpointRegistry,
     directory: Directory,
-    /// When the decision module's earliest timer is due.
+    /// The expiry of the earliest timer that the decision module has set.
     due: Option<Duration>,
     is_stopped: bool,
 }
 
 impl<O, C, V> RequestEngine<O, C, V> {
-    /// An engine without requests and endpoints, whose directory has one service. The seed is that
-    /// of the decision module's random choices.
+    /// Returns an engine without requests and endpoints, whose directory has a single service.
+    /// `seed` initialises the random choices of the decision module.
     pub fn new(
         mut settings: Settings,
         seed: u64,
         limits: EngineLimits,
     ) -> Result<RequestEngine<O, C, V>, SettingsError> {
-        // Hedging is disabled here: the engine tracks one attempt a request.
+        // Hedging is disabled because the engine tracks only one attempt of each request.
         settings.permissions.hedging = false;
         let idempotency_by_class = settings
             .classes
@@ -82,24 +84,26 @@
         })
     }
 
-    /// Number of requests without a final response or with an attempt in flight.
+    /// Returns the number of requests that have no final response yet or whose last attempt is
+    /// still in flight.
     pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// What goes to an endpoint for a request; none if the request is gone.
+    /// Returns the command of a request; `None` if the request no longer exists.
     pub fn command(&self, request: Key) -> Option<&C> {
         self.requests.get(request).map(|request| &request.command)
     }
 
-    /// Whether a request may be executed twice, by its class; false if the request is gone.
+    /// Whether the class of a request is idempotent; false if the request no longer exists.
     pub fn is_idempotent(&self, request: Key) -> bool {
         self.requests
             .get(request)
             .is_some_and(|request| request.idempotency == Idempotency::Idempotent)
     }
 
-    /// Accepts a request. Its final response comes as an [`Output::Respond`].
+    /// Accepts a request and returns its key. The final response is returned by
+    /// [`RequestEngine::poll`] as an [`Output::Respond`].
     pub fn submit(&mut self, submission: Submission<O, C>) -> Result<Key, AtCapacity> {
         let is_full = self.requests.len() >= self.limits.requests
             || self.held_bytes + submission.bytes > self.limits.bytes;
@@ -126,8 +130,8 @@
         Ok(key)
     }
 
-    /// The owner of a request has disconnected. It gets no response, and an attempt in flight is
-    /// cancelled.
+    /// Called when the owner of a request has disconnected. The request gets no response, and an
+    /// attempt in flight is cancelled.
     pub fn cancel_request(&mut self, request: Key) {
         let Some(cancelled) = self.requests.get_mut(request) else {
             return;
@@ -141,14 +145,13 @@
             .push_back(Event::ClientDisconnected(RequestId(request.pack())));
     }
 
-    /// Whether the first byte of an attempt may be written to its endpoint now. To be checked again
-    /// after each wait, such as for a connection. False if
+    /// Whether the first byte of an attempt may be written to its endpoint now. The driver checks
+    /// this again after each wait, such as that for a connection. False if
     ///
-    /// - the request is finished, or another attempt is in flight,
-    /// - the endpoint drains or is gone,
+    /// - the request is finished or the attempt is not in flight,
+    /// - the endpoint is draining or was removed,
     /// - the deadline has passed, or
-    /// - an earlier attempt may have been executed and the endpoints would no longer recognise this
-    ///   one as its repeat.
+    /// - an earlier attempt may have been executed, and the endpoints might execute this one again.
     pub fn may_write(&self, request: Key, attempt: u16, deadline: Duration, now: Duration) -> bool {
         let Some(request) = self.requests.get(request) else {
             return false;
@@ -159,7 +162,7 @@
         !request.is_finished
             && in_flight.number == attempt
             && self.is_serving(in_flight.endpoint)
-            && request.is_before_end(deadline, now)
+            && request.is_before_deadlines(deadline, now)
     }
 
     /// Whether an endpoint accepts new requests.
@@ -169,20 +172,21 @@
             .is_some_and(Endpoint::is_ready)
     }
 
-    /// Sets the driver's own key of what carries a request's attempt in flight.
+    /// Sets the driver's key of the connection that carries the attempt in flight.
     pub fn set_attempt_connection(&mut self, request: Key, connection: Option<Key>) {
         if let Some(request) = self.requests.get_mut(request) {
             request.connection = connection;
         }
     }
 
-    /// The driver's own key of what carries a request's attempt in flight.
+    /// Returns the driver's key of the connection that carries the attempt in flight; `None` if the
+    /// driver has set none or no attempt is in flight.
     pub fn attempt_connection(&self, request: Key) -> Option<Key> {
         self.requests.get(request)?.connection
     }
 
-    /// An attempt has ended. An end that was reported before, or that of an attempt that is not in
-    /// flight, is ignored: no attempt counts twice, and no reply goes to another request.
+    /// Called when an attempt has ended. The call is ignored if the attempt is not in flight, so
+    /// that no attempt is counted twice and no reply is delivered to another request.
     pub fn on_attempt_ended(
         &mut self,
         request: Key,
@@ -196,16 +200,17 @@
         let Some(ended) = held.end_attempt(attempt, result.outcome) else {
             return;
         };
-        // What has never reached an endpoint has used nothing. Prevents that a client which has
-        // disconnected and comes again is charged twice.
-        let true_units = if held.finished_unsent() {
+        // A request that never reached an endpoint has used no units. Otherwise a client that
+        // disconnects and sends the request again would be charged twice.
+        let true_units = if held.is_finished_unsent() {
             Some(0.0)
         } else {
             result.true_units
         };
         let is_served = result.outcome == Outcome::Ok && !held.is_finished;
         let value = result.value.filter(|_| is_served);
-        // A value that cannot be delivered any more ends the request like any other outcome.
+        // If the request is already finished, its value is dropped and only the end of the attempt
+        // is reported.
         let is_request_finished = held.is_finished || value.is_some();
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: RequestId(request.pack()),
@@ -222,7 +227,8 @@
         }
     }
 
-    /// A health check has ended. Ignored if the endpoint is gone or belongs to no service.
+    /// Called when a health check has ended. The call is ignored if the endpoint was removed or
+    /// belongs to no service.
     pub fn on_health_check_ended(
         &mut self,
         endpoint: EndpointId,
@@ -243,7 +249,7 @@
         }
     }
 
-    /// A call to the counter has ended.
+    /// Called when a call to the counter has ended.
     pub fn on_counter_reply(&mut self, key: CounterKey, result: CounterResult, elapsed: Duration) {
         self.events.push_back(Event::CounterReply {
             key,
@@ -252,18 +258,18 @@
         });
     }
 
-    /// Accepts nothing more, and responds now to every request: [`Response::Failed`] if it may have
-    /// been executed, else [`Response::Rejected`].
+    /// Rejects all further submissions and responds to every open request: with
+    /// [`Response::Failed`] if it may have been executed, else with [`Response::Rejected`].
     pub fn stop(&mut self) {
         self.is_stopped = true;
         let unfinished: Vec<(Key, bool)> = self
             .requests
             .iter()
             .filter(|(_, request)| !request.is_finished)
-            .map(|(key, request)| (key, request.may_execute()))
+            .map(|(key, request)| (key, request.may_be_executed()))
             .collect();
-        for (key, may_execute) in unfinished {
-            let response = if may_execute {
+        for (key, may_be_executed) in unfinished {
+            let response = if may_be_executed {
                 Response::Failed
             } else {
                 Response::Rejected {
@@ -277,7 +283,7 @@
         }
     }
 
-    /// Gives a request its final response, once.
+    /// Outputs the final response of a request. The call is ignored if the request is finished.
     fn respond(&mut self, request: Key, response: Response<V>) {
         let Some(held) = self.requests.get_mut(request) else {
             return;
--- a/crates/request-engine/src/idle_connection_risk.rs
+++ b/crates/request-engine/src/idle_connection_risk.rs
@@ -1,60 +1,62 @@
-//! How likely an idle connection is to be dead when the next request is written to it.
+//! Estimates the risk that an idle connection is reset when the next request is written to it.
 //!
-//! An endpoint may close an idle connection long before the time in the settings, and its close may
-//! arrive only after the next request was written: that request has then failed, and may have
-//! executed. Nothing announces such a close, so the risk is learned from the outcomes of requests:
-//! the resets on connections that were idle for this long, compared with the resets on new
-//! connections. Resets that affect both alike do not count against idle connections.
+//! An endpoint may close an idle connection long before the idle timeout in the settings, and the
+//! close may arrive after the next request was written. That request then fails, although it may
+//! have been executed. Endpoints do not announce such a close, so the risk is estimated from the
+//! outcomes of requests: the rate of resets on connections with a similar idle time is compared
+//! with the rate on new connections. Resets that occur equally often on both do not count against
+//! idle connections.
 
 use std::time::Duration;
 
-/// Idle times are divided into intervals, each twice as long as the one before; the first ends at
-/// twice this.
-const FIRST_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of intervals; the last has no end.
-const INTERVALS: usize = 12;
-/// Time constant by which observations decay. Connections that were held to be dead are used again
-/// after a few of these, which detects endpoints that no longer close them.
-const DECAY_SECONDS: f64 = 10.0;
-/// The estimate of the next shorter interval weighs as this many requests: prevents a decision on
-/// one reset when few requests were observed.
+/// Idle times are divided into intervals, each of which is twice as long as the one before. The
+/// first interval consists of all idle times below twice this time.
+const INTERVAL_BASE: Duration = Duration::from_millis(20);
+/// The number of intervals. The last one has no upper bound.
+const INTERVAL_COUNT: usize = 12;
+/// The time constant of the decay of observations. After a few time constants, connections that
+/// were considered too risky are used again, which detects that endpoints no longer close them.
+const DECAY_TIME_CONSTANT_SECONDS: f64 = 10.0;
+/// The weight of the prior, in requests. The prior of an interval is the estimate of the next
+/// shorter one. It prevents a single reset among few observed requests from deciding.
 const PRIOR_REQUESTS: f64 = 8.0;
-/// An idle connection is not used for a request that must not be sent twice if its reset
-/// probability exceeds that of a new connection by more than this.
+/// The largest difference between the reset probabilities of an idle and of a new connection at
+/// which the idle connection is used for a request that must not be sent twice.
 const MAX_EXCESS_RISK_NON_IDEMPOTENT: f64 = 0.05;
-/// The same for idempotent requests, which lose only the time of one more attempt.
+/// The same limit for idempotent requests, for which a reset costs only the time of another
+/// attempt.
 const MAX_EXCESS_RISK_IDEMPOTENT: f64 = 0.15;
 
-/// What to do with an idle connection.
+/// The decision on an idle connection that is available for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleConnectionUse {
-    /// Write the request to it.
+    /// Write the request to this connection.
     Reuse,
-    /// Keep it for idempotent requests, and use a new connection for this one.
+    /// Keep this connection for idempotent requests, and open a new one for this request.
     LeaveForIdempotent,
-    /// Close it, and each that has been idle for longer.
+    /// Close this connection and all that have been idle for longer.
     Close,
 }
 
-/// Probabilities that the connection is reset after a request was written to it.
+/// The probabilities, from 0 to 1, that a connection is reset after a request was written to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResetRisk {
-    /// On a new connection.
+    /// The probability on a new connection.
     pub new_connection: f64,
-    /// On the idle connection.
+    /// The probability on the idle connection.
     pub idle_connection: f64,
 }
 
-/// Estimates the risk of reusing idle connections. Its memory is fixed, whatever the number of
-/// endpoints and connections.
+/// Estimates the risk of reusing idle connections. Its size does not depend on the number of
+/// endpoints or connections.
 #[derive(Clone, Debug, Default)]
 pub struct IdleConnectionRisk {
-    /// Outcomes on new connections, then by idle interval.
-    outcomes: [DecayingOutcomes; INTERVALS + 1],
+    /// Outcomes on new connections at index 0, followed by those of each idle interval.
+    outcomes: [DecayingOutcomes; INTERVAL_COUNT + 1],
     updated_at: Duration,
 }
 
-/// Decaying counts of requests.
+/// Exponentially decaying counts of requests and of the resets among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingOutcomes {
     requests: f64,
@@ -63,7 +65,7 @@
 
 impl IdleConnectionRisk {
     /// Records whether the connection of a request was reset after the request was written. `idle`
-    /// is how long the connection had been idle; none: it was new.
+    /// is the time for which the connection had been idle, or `None` for a new connection.
     pub fn record_outcome(&mut self, idle: Option<Duration>, was_reset: bool, now: Duration) {
         let decay = self.decay(now);
         self.updated_at = self.updated_at.max(now);
@@ -76,7 +78,8 @@
         outcomes.resets += f64::from(u8::from(was_reset));
     }
 
-    /// The reset probability on a new connection and on one that has been idle for this long.
+    /// Returns the reset probability of a new connection and that of one which has been idle for
+    /// `idle`.
     #[must_use]
     pub fn risks(&self, idle: Duration, now: Duration) -> ResetRisk {
         let decay = self.decay(now);
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Decides whether a request is written to a connection that has been idle for this long.
+    /// Decides whether to write a request to a connection that has been idle for `idle`.
     #[must_use]
     pub fn choose(&self, idle: Duration, is_idempotent: bool, now: Duration) -> IdleConnectionUse {
         let risk = self.risks(idle, now);
@@ -114,16 +117,18 @@
         IdleConnectionUse::Close
     }
 
-    /// The part of the observations that is left since the last update.
+    /// Returns the factor, from 0 to 1, by which the observations have decayed since the last
+    /// update.
     fn decay(&self, now: Duration) -> f64 {
-        (-now.saturating_sub(self.updated_at).as_secs_f64() / DECAY_SECONDS).exp()
+        (-now.saturating_sub(self.updated_at).as_secs_f64() / DECAY_TIME_CONSTANT_SECONDS).exp()
     }
 }
 
-/// Index of an idle time's interval; 0 stands for new connections.
+/// Returns the index of the interval that an idle time falls in, from 1; index 0 is that of new
+/// connections.
 fn interval_index(idle: Duration) -> usize {
-    let doublings = (idle.as_secs_f64() / FIRST_INTERVAL.as_secs_f64())
+    let doublings = (idle.as_secs_f64() / INTERVAL_BASE.as_secs_f64())
         .max(1.0)
         .log2();
-    1 + (doublings as usize).min(INTERVALS - 1)
+    1 + (doublings as usize).min(INTERVAL_COUNT - 1)
 }
--- a/crates/request-engine/src/lib.rs
+++ b/crates/request-engine/src/lib.rs
@@ -1,17 +1,17 @@
-//! One request from its submission to its final response, with the decision module: no I/O and no
-//! clock.
+//! Manages each request from its submission to its final response. The engine performs no I/O and
+//! reads no clock.
 //!
-//! [`RequestEngine`] wraps the [`roseyard_decision::Dispatcher`] and keeps the state that every
-//! frontend needs as well: the requests, the attempt in flight of each, and the endpoints with
-//! their states. Its driver reports what has happened and does what [`RequestEngine::poll`]
-//! returns. The engine enforces these rules for every driver:
+//! [`RequestEngine`] wraps [`roseyard_decision::Dispatcher`] and holds the state that every driver
+//! needs: the open requests, the attempt in flight of each request, and the endpoints with their
+//! states. The driver reports events to the engine and carries out the outputs that
+//! [`RequestEngine::poll`] returns. The engine enforces these rules for every driver:
 //!
-//! - a request has at most one attempt in flight, and the end of an attempt counts once;
-//! - nothing is written to an endpoint that drains or is gone, for a request that is finished, or
-//!   after the deadline ([`RequestEngine::may_write`]); whether a connection still leads to
-//!   [`RequestEngine::address`] is checked by its owner;
-//! - a request has exactly one final response, also when the engine is stopped; it has none if its
-//!   owner disconnects.
+//! - A request has at most one attempt in flight, and the end of an attempt is counted once.
+//! - No attempt is written to an endpoint that is draining or removed, for a finished request, or
+//!   after the deadline ([`RequestEngine::may_write`]). The driver checks that a pooled connection
+//!   still leads to the endpoint's current address ([`RequestEngine::address`]).
+//! - A request gets exactly one final response, even if the engine is stopped, or none if its owner
+//!   disconnects.
 
 mod attempt;
 mod directory;
--- a/crates/request-engine/src/network_table.rs
+++ b/crates/request-engine/src/network_table.rs
@@ -1,4 +1,4 @@
-//! A table of networks with longest-prefix matching.
+//! A lookup table of IP networks with longest-prefix matching.
 
 use crate::hash_table::shrink;
 use ipnet::IpNet;
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
 
-/// Values by network. A lookup costs one hash lookup for each prefix length in use, whatever the
-/// number of networks.
+/// A map from networks to values. [`NetworkTable::longest_match`] costs one hash lookup for each
+/// prefix length in use, independent of the number of networks.
 #[derive(Clone, Debug)]
 pub(crate) struct NetworkTable<V> {
     ipv4: TablesByPrefixLength<V>,
@@ -15,8 +15,8 @@
     network_count: usize,
 }
 
-/// Networks of one address family by prefix length, the longest first. A length without networks
-/// has no table.
+/// The networks of one address family by prefix length, longest first. Prefix lengths without
+/// networks have no table.
 type TablesByPrefixLength<V> = BTreeMap<Reverse<u8>, HashMap<IpNet, V>>;
 
 impl<V> Default for NetworkTable<V> {
@@ -30,12 +30,12 @@
 }
 
 impl<V: Copy> NetworkTable<V> {
-    /// Number of networks.
+    /// Returns the number of networks.
     pub(crate) fn len(&self) -> usize {
         self.network_count
     }
 
-    /// Networks that the tables have space for.
+    /// Returns the number of networks that the tables have allocated space for.
     pub(crate) fn capacity(&self) -> usize {
         self.ipv4
             .values()
@@ -44,7 +44,7 @@
             .sum()
     }
 
-    /// The value of exactly this network.
+    /// Returns the value of exactly this network; other networks that contain it do not count.
     pub(crate) fn get(&self, network: IpNet) -> Option<V> {
         let network = network.trunc();
         let tables = match network {
@@ -57,7 +57,8 @@
             .copied()
     }
 
-    /// The value of the longest network that holds an address.
+    /// Returns the value of the network with the longest prefix that contains the address. An
+    /// IPv4-mapped IPv6 address is looked up as an IPv4 address.
     pub(crate) fn longest_match(&self, address: IpAddr) -> Option<V> {
         let address = address.to_canonical();
         let tables = match address {
@@ -72,7 +73,7 @@
             })
     }
 
-    /// Sets a network's value and returns the previous one.
+    /// Sets the value of a network and returns its previous value.
     pub(crate) fn insert(&mut self, network: IpNet, value: V) -> Option<V> {
         let network = network.trunc();
         let networks = self
@@ -84,7 +85,7 @@
         previous
     }
 
-    /// Removes a network and returns its value.
+    /// Removes a network and returns its value; `None` if the table does not have the network.
     pub(crate) fn remove(&mut self, network: IpNet) -> Option<V> {
         let network = network.trunc();
         let prefix_length = Reverse(network.prefix_len());
@@ -99,7 +100,7 @@
         Some(previous)
     }
 
-    /// All networks with their values, in no order.
+    /// Returns all networks with their values, in arbitrary order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (IpNet, V)> + '_ {
         let tables = self.ipv4.values().chain(self.ipv6.values());
         tables.flatten().map(|(network, value)| (*network, *value))
--- a/crates/request-engine/src/output.rs
+++ b/crates/request-engine/src/output.rs
@@ -1,60 +1,61 @@
-//! What the engine wants done.
+//! The outputs of the engine, which its driver carries out.
 
 use crate::slots::Key;
 use roseyard_decision::{CounterKey, EndpointId, Notice, RejectReason};
 use std::time::Duration;
 
-/// What the driver has to do, in the order in which [`RequestEngine::poll`] returns it.
+/// An operation for the driver, which carries out all outputs in the order in which
+/// [`RequestEngine::poll`] returns them.
 ///
 /// [`RequestEngine::poll`]: crate::RequestEngine::poll
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<O, V> {
-    /// Start an attempt. Its end, however it ends, is reported with
+    /// Start an attempt. The driver reports its end, whatever the outcome, with
     /// [`RequestEngine::on_attempt_ended`](crate::RequestEngine::on_attempt_ended).
     Forward {
-        /// The request.
+        /// The key of the request.
         request: Key,
-        /// Number of the attempt, from 0.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u16,
-        /// The endpoint.
+        /// The endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// When the attempt times out.
+        /// The time at which the attempt times out.
         deadline: Duration,
     },
-    /// Cancel an attempt. Its end is reported too.
+    /// Cancel an attempt. The driver reports its end as that of any other attempt.
     Cancel {
-        /// The request.
+        /// The key of the request.
         request: Key,
-        /// Number of the attempt.
+        /// The number of the attempt.
         attempt: u16,
     },
     /// Deliver the final response.
     Respond {
-        /// Whom it is for.
+        /// The owner of the request, as submitted.
         owner: O,
-        /// The response.
+        /// The final response.
         response: Response<V>,
     },
-    /// Increment a counter. The reply is reported with
-    /// [`RequestEngine::on_counter_reply`](crate::RequestEngine::on_counter_reply), for one key in
-    /// the order of the calls.
+    /// Increment a counter. The driver reports the reply with
+    /// [`RequestEngine::on_counter_reply`](crate::RequestEngine::on_counter_reply). Replies for the
+    /// same key have to be reported in the order of the calls.
     IncrementCounter {
-        /// The counter's key.
+        /// The key of the counter.
         key: CounterKey,
-        /// By how much, in units.
+        /// The increment, in units.
         amount: f64,
-        /// Time to live of a counter that this call creates.
+        /// The time to live of the counter if this call creates it.
         time_to_live: Duration,
     },
-    /// Start a health check. Its end is reported with
+    /// Start a health check. The driver reports its end with
     /// [`RequestEngine::on_health_check_ended`](crate::RequestEngine::on_health_check_ended).
     CheckHealth {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Fetch the endpoint list, or its changes from now on.
+    /// Fetch the endpoint list, or subscribe to its changes.
     FetchEndpointList,
-    /// Write a line to the operators' log.
+    /// Write an entry to the log.
     Log(Notice),
 }
 
@@ -63,13 +64,13 @@
 pub enum Response<V> {
     /// The value that an endpoint returned.
     Served(V),
-    /// Rejected, and never executed.
+    /// The request was rejected and has not been executed.
     Rejected {
-        /// The client may retry after this time.
+        /// The time after which the client may retry; `None` if the response gives no time.
         retry_after: Option<Duration>,
-        /// Why, for operators.
+        /// The reason, for the log.
         reason: RejectReason,
     },
-    /// Failed. Whether it was executed is unknown.
+    /// The request failed. It may have been executed.
     Failed,
 }
--- a/crates/request-engine/src/request.rs
+++ b/crates/request-engine/src/request.rs
@@ -1,31 +1,34 @@
-//! A request that the engine holds.
+//! The state of an open request.
 
 use crate::attempt::{may_have_arrived, may_have_executed, AttemptInFlight};
 use crate::slots::Key;
 use roseyard_decision::{EndpointId, Idempotency, Outcome};
 use std::time::Duration;
 
-/// A request without a final response, or with an attempt in flight.
+/// A request that has no final response yet, or whose last attempt is still in flight.
 pub(crate) struct Request<O, C> {
-    /// Whom the response is for; none once it was given, or the owner has disconnected.
+    /// The recipient of the response; `None` after the response was delivered or the owner has
+    /// disconnected.
     pub(crate) owner: Option<O>,
     pub(crate) command: C,
-    /// Bytes that holding it costs.
+    /// The size of the request, counted towards
+    /// [`EngineLimits::bytes`](crate::EngineLimits::bytes).
     pub(crate) bytes: usize,
-    /// Whether it may be executed twice, by its class.
+    /// Whether the request may be executed more than once, which depends on its class.
     pub(crate) idempotency: Idempotency,
     pub(crate) in_flight: Option<AttemptInFlight>,
-    /// The driver's own key of what carries the attempt in flight.
+    /// The driver's key of the connection that carries the attempt in flight, if the driver has set
+    /// one.
     pub(crate) connection: Option<Key>,
-    /// Number of attempts started.
+    /// The number of attempts that have been started.
     attempts: u16,
-    /// Whether some attempt may have reached an endpoint.
+    /// Whether an attempt that has ended may have reached an endpoint.
     may_have_arrived: bool,
     may_have_executed: bool,
-    /// When retries end: a later one might be executed a second time. None: retries are not
-    /// limited, since nothing was executed or the request is idempotent.
-    retry_until: Option<Duration>,
-    /// Whether it has its final response, or its owner has disconnected.
+    /// The time after which a retry could execute the request a second time. `None` if there is no
+    /// such time, because no attempt was executed or the request is idempotent.
+    retry_deadline: Option<Duration>,
+    /// Whether the request has its final response or its owner has disconnected.
     pub(crate) is_finished: bool,
 }
 
@@ -41,12 +44,12 @@
             attempts: 0,
             may_have_arrived: false,
             may_have_executed: false,
-            retry_until: None,
+            retry_deadline: None,
             is_finished: false,
         }
     }
 
-    /// Starts the next attempt and returns its number; none if one is in flight already.
+    /// Starts the next attempt and returns its number; `None` if an attempt is already in flight.
     pub(crate) fn start_attempt(&mut self, endpoint: EndpointId, now: Duration) -> Option<u16> {
         if self.in_flight.is_some() {
             return None;
@@ -61,20 +64,21 @@
         Some(number)
     }
 
-    /// Ends the attempt in flight and returns it; none if another attempt is in flight, or none.
+    /// Ends the attempt with this number and returns it; `None` if it is not in flight.
     pub(crate) fn end_attempt(&mut self, number: u16, outcome: Outcome) -> Option<AttemptInFlight> {
         let attempt = self.in_flight.take_if(|attempt| attempt.number == number)?;
         self.connection = None;
         if may_have_executed(outcome) {
             self.may_have_executed = true;
-            self.retry_until = self.retry_until.or(self.retry_end(&attempt));
+            self.retry_deadline = self.retry_deadline.or(self.retry_deadline_after(&attempt));
         }
         self.may_have_arrived |= may_have_arrived(outcome);
         Some(attempt)
     }
 
-    /// When retries end if this attempt was executed.
-    fn retry_end(&self, attempt: &AttemptInFlight) -> Option<Duration> {
+    /// Returns the time until which retries are allowed after this attempt may have been executed;
+    /// `None` if there is no limit.
+    fn retry_deadline_after(&self, attempt: &AttemptInFlight) -> Option<Duration> {
         match self.idempotency {
             Idempotency::Idempotent => None,
             Idempotency::IdempotencyKey { window, .. } => Some(attempt.started_at + window),
@@ -82,21 +86,22 @@
         }
     }
 
-    /// Whether the attempt in flight may be written now, before this deadline.
-    pub(crate) fn is_before_end(&self, deadline: Duration, now: Duration) -> bool {
+    /// Whether neither the deadline nor the retry deadline has passed.
+    pub(crate) fn is_before_deadlines(&self, deadline: Duration, now: Duration) -> bool {
         let end = self
-            .retry_until
-            .map_or(deadline, |retry_until| retry_until.min(deadline));
+            .retry_deadline
+            .map_or(deadline, |retry_deadline| retry_deadline.min(deadline));
         now < end
     }
 
-    /// Whether it is finished and no attempt ever reached an endpoint.
-    pub(crate) fn finished_unsent(&self) -> bool {
+    /// Whether the request is finished and certainly never reached an endpoint.
+    pub(crate) fn is_finished_unsent(&self) -> bool {
         self.is_finished && !self.may_have_arrived
     }
 
-    /// Whether it may have been executed, or may still be by the attempt in flight.
-    pub(crate) fn may_execute(&self) -> bool {
+    /// Whether the request may have been executed, or may still be executed by the attempt in
+    /// flight.
+    pub(crate) fn may_be_executed(&self) -> bool {
         self.may_have_executed || self.in_flight.is_some()
     }
 }
--- a/crates/request-engine/src/slots.rs
+++ b/crates/request-engine/src/slots.rs
@@ -1,25 +1,25 @@
-//! A slot table: entries under keys that are never valid for a later entry.
+//! A slot table whose keys identify an entry even after its slot was reused.
 
-/// Names one entry of a [`Slots`] table: its slot, and the generation of the slot when the entry
-/// was inserted.
+/// Identifies an entry of a [`Slots`] table by its slot and the generation of the slot at the time
+/// of the insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     index: u32,
     generation: u32,
 }
 
-/// Bits of a key's generation. A packed key takes 56 bits, which leaves 8 of a poll token for the
-/// table.
+/// The number of bits of a generation. A packed key takes 56 bits, so that the remaining 8 bits of
+/// a poll token can identify the table.
 const GENERATION_BITS: u32 = 24;
 const GENERATION_MASK: u32 = (1 << GENERATION_BITS) - 1;
 
 impl Key {
-    /// The key as one number below 2^56.
+    /// Returns the key as a number below 2^56.
     pub fn pack(self) -> u64 {
         u64::from(self.generation) << 32 | u64::from(self.index)
     }
 
-    /// The key that `pack` made this number from.
+    /// Returns the key that [`Key::pack`] encoded as this number.
     pub fn unpack(packed: u64) -> Key {
         Key {
             index: packed as u32,
@@ -28,8 +28,9 @@
     }
 }
 
-/// A table whose entries keep their key while they are in it. A slot is reused with another
-/// generation: an event for a removed entry never reaches the entry that took its slot.
+/// A table that assigns a key to each entry. A slot is reused with the next generation, so that an
+/// event for a removed entry does not affect the entry that now occupies the slot. Generations
+/// repeat after 2^24 uses of a slot.
 pub struct Slots<T> {
     entries: Vec<Slot<T>>,
     free: Vec<u32>,
@@ -50,17 +51,18 @@
 }
 
 impl<T> Slots<T> {
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len() - self.free.len()
     }
 
-    /// Whether the table is empty.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Inserts the entry that `make` builds from its own key.
+    /// Inserts the entry that `make` creates, which receives the key of the new entry. Returns the
+    /// key.
     pub fn insert_with(&mut self, make: impl FnOnce(Key) -> T) -> Key {
         let index = self.free.pop().unwrap_or_else(|| {
             self.entries.push(Slot {
@@ -78,7 +80,7 @@
         key
     }
 
-    /// The entry; none if it was removed.
+    /// Returns an entry; `None` if it was removed.
     #[must_use]
     pub fn get(&self, key: Key) -> Option<&T> {
         let slot = self.entries.get(key.index as usize)?;
@@ -88,7 +90,7 @@
         slot.entry.as_ref()
     }
 
-    /// The entry, mutable; none if it was removed.
+    /// Returns a mutable reference to an entry; `None` if it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let slot = self.entries.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -97,7 +99,7 @@
         slot.entry.as_mut()
     }
 
-    /// Removes the entry and returns it; none if it was removed before.
+    /// Removes an entry and returns it; `None` if it was removed before.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         let slot = self.entries.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
@@ -109,7 +111,7 @@
         Some(entry)
     }
 
-    /// All entries with their keys, in the order of slots.
+    /// Returns all entries with their keys, in the order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
         self.entries.iter().enumerate().filter_map(|(index, slot)| {
             let key = Key {
--- a/crates/request-engine/src/submission.rs
+++ b/crates/request-engine/src/submission.rs
@@ -1,41 +1,42 @@
-//! What a frontend submits.
+//! The requests that a driver submits to the engine.
 
 use roseyard_decision::{CustomerId, IncomingRequest, RequestId, ServiceId};
 use std::time::Duration;
 
-/// A request as a frontend submits it. `O` names whom the response is for, `C` is what goes to an
-/// endpoint.
+/// A request as the driver submits it. `O` identifies the recipient of the response and `C` is the
+/// command that is sent to an endpoint.
 ///
-/// It has the facts of [`IncomingRequest`] and those that the decision module never sees: the
-/// owner, the command and its size. It has no id, since the engine assigns one.
+/// A submission has the fields of [`IncomingRequest`] except for the id, which the engine assigns.
+/// It also has fields that the decision module does not use: the owner, the command and its size.
 #[derive(Clone, Debug)]
 pub struct Submission<O, C> {
-    /// Whom the response is for.
+    /// The recipient of the response.
     pub owner: O,
-    /// The service whose endpoints may serve it.
+    /// The service whose endpoints may serve the request.
     pub service: ServiceId,
-    /// Index of its request class.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// Index of its customer's plan.
+    /// The index of the customer's plan in the settings.
     pub plan: usize,
-    /// Its customer.
+    /// The customer whose quota the request uses.
     pub customer: CustomerId,
-    /// Units that it takes from the customer's quota.
+    /// The units that the request takes from the customer's quota, possibly an estimate.
     pub units: f64,
-    /// Number of ingresses that the customer's requests may come through.
+    /// The number of ingresses that receive requests of this customer.
     pub ingress_count: u32,
-    /// Time until the client gives up.
+    /// The time until the client stops waiting for the response.
     pub time_left: Duration,
-    /// Whether the client marks it as a retry of its own.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// What goes to an endpoint.
+    /// The command that is sent to an endpoint.
     pub command: C,
-    /// Bytes that holding it costs.
+    /// The size of the request, counted towards
+    /// [`EngineLimits::bytes`](crate::EngineLimits::bytes).
     pub bytes: usize,
 }
 
 impl<O, C> Submission<O, C> {
-    /// The facts for the decision module, under the id that the engine assigned.
+    /// Returns the request for the decision module, with the id that the engine assigned.
     pub(crate) fn incoming_request(&self, request: RequestId) -> IncomingRequest {
         IncomingRequest {
             request,
@@ -51,7 +52,7 @@
     }
 }
 
-/// The request was not accepted: the engine is at one of its limits, or is stopped.
+/// The request was not accepted because the engine has reached one of its limits or is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the engine is at its limits or stopped")]
+#[error("the engine has reached one of its limits or is stopped")]
 pub struct AtCapacity;
--- a/crates/request-engine/tests/common/mod.rs
+++ b/crates/request-engine/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use roseyard_decision::*;
 use std::time::Duration;
 
-/// How long endpoints recognise repeats by their idempotency key.
-pub(crate) const WINDOW: Duration = Duration::from_secs(8);
+/// The time for which endpoints recognise a repeated request by its idempotency key.
+pub(crate) const IDEMPOTENCY_WINDOW: Duration = Duration::from_secs(8);
 
 pub(crate) fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -23,11 +23,12 @@
     }
 }
 
-/// Classes: 0 idempotent, 1 with an idempotency key in a cell, 2 non-idempotent.
+/// Returns settings with three classes: 0 is idempotent, 1 has an idempotency key with the scope of
+/// a cell, and 2 is non-idempotent.
 pub(crate) fn settings() -> Settings {
     let keyed = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
-        window: WINDOW,
+        window: IDEMPOTENCY_WINDOW,
     };
     Settings {
         ingress_count: 2,
@@ -53,7 +54,7 @@
         counter: Some(CounterSettings { timeout: ms(50) }),
         load_reports_on_health_check: true,
         discovery: DiscoveryMode::Push,
-        // The engine has one attempt in flight, also where the platform allows hedging.
+        // The engine keeps to one attempt in flight even if the platform allows hedging.
         permissions: Permissions {
             max_attempts: 4,
             cancel: true,
--- a/crates/request-engine/tests/directory.rs
+++ b/crates/request-engine/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of services against a simple model.
+//! Tests the directory of services against a reference model.
 
 #[path = "directory/changes.rs"]
 mod changes;
@@ -13,7 +13,7 @@
 use roseyard_request_engine::*;
 use std::net::SocketAddr;
 
-/// Seed of the random changes; the runner prints it with every failure.
+/// The seed of the random changes, which proptest prints with each failure.
 const SEED: u64 = 20_261_202;
 const BOUNDS: DirectoryBounds = DirectoryBounds {
     services: 4,
@@ -43,8 +43,8 @@
     "[::ffff:10.1.2.3]:80",
 ];
 
-/// Checks that every answer of the directory is that of the model.
-fn compare(directory: &Directory, model: &Model) -> Result<(), TestCaseError> {
+/// Checks that all lookups in the directory give the same results as in the model.
+fn check_against_model(directory: &Directory, model: &Model) -> Result<(), TestCaseError> {
     let mut names: Vec<&str> = directory.services().map(|(_, name)| name).collect();
     let mut expected: Vec<&str> = model.services.iter().map(String::as_str).collect();
     names.sort_unstable();
@@ -53,7 +53,7 @@
     prop_assert_eq!(directory.service_count(), model.services.len());
     prop_assert_eq!(directory.route_count(), model.routes.len());
     prop_assert_eq!(directory.selector_count(), model.selectors.len());
-    prop_assert_eq!(directory.is_single_service(), model.single);
+    prop_assert_eq!(directory.is_single_service(), model.is_single);
     for name in NAMES {
         let id = directory.id(name);
         prop_assert_eq!(id.is_some(), model.has(name));
@@ -61,10 +61,10 @@
         prop_assert_ne!(
             id,
             Some(SINGLE_SERVICE),
-            "a named service is never the single one"
+            "named services do not have the id of the single service"
         );
     }
-    let expected = |name: Option<&String>| match model.single {
+    let expected = |name: Option<&String>| match model.is_single {
         true => Some(SINGLE_SERVICE),
         false => name.map(|name| directory.id(name).unwrap()),
     };
@@ -86,7 +86,7 @@
             let found = directory.service_of_endpoint(uid, address);
             prop_assert_eq!(
                 found,
-                expected(model.endpoint(uid, address)),
+                expected(model.endpoint_service(uid, address)),
                 "{} at {}",
                 uid,
                 address
@@ -96,8 +96,7 @@
     Ok(())
 }
 
-/// Whether the effect names an endpoint as possibly moved. It covers each whose service has
-/// changed.
+/// Whether an effect states that the endpoint may have moved to another service.
 fn covers(effect: &DirectoryEffect, uid: &str, address: SocketAddr) -> bool {
     match effect {
         DirectoryEffect::Unchanged | DirectoryEffect::Added(_) | DirectoryEffect::Removed(_) => {
@@ -160,7 +159,7 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn after_any_changes_the_directory_answers_as_the_model_does(changes in prop::collection::vec(change(), 1..60)) {
+    fn after_any_changes_the_directory_agrees_with_the_model(changes in prop::collection::vec(change(), 1..60)) {
         let (mut directory, mut model) = (Directory::new(BOUNDS), Model::new());
         let mut assigned: Vec<ServiceId> = Vec::new();
         for change in changes {
@@ -168,23 +167,23 @@
             let is_valid = model.apply(&change);
             match directory.apply(change.clone()) {
                 Ok(effect) => {
-                    prop_assert!(is_valid, "{:?} was is_valid", change);
+                    prop_assert!(is_valid, "accepted although it is invalid: {:?}", change);
                     for ((uid, address, old), (_, _, new)) in before.into_iter().zip(services_of_endpoints(&directory)) {
                         prop_assert!(old == new || covers(&effect, uid, address), "{:?}: {} {}", effect, uid, address);
                     }
                     if let DirectoryEffect::Added(id) = effect {
-                        prop_assert!(!assigned.contains(&id), "an id is never reused");
+                        prop_assert!(!assigned.contains(&id), "ids are not reused");
                         assigned.push(id);
                     }
                 }
                 Err(error) => prop_assert!(!is_valid, "{:?}: {}", change, error),
             }
-            compare(&directory, &model)?;
+            check_against_model(&directory, &model)?;
         }
     }
 
     #[test]
-    fn the_difference_of_two_directories_leads_from_one_to_the_other(
+    fn the_difference_of_two_directories_turns_one_into_the_other(
         from in prop::collection::vec(change(), 0..60),
         to in prop::collection::vec(change(), 0..60),
     ) {
@@ -192,7 +191,7 @@
             let (mut directory, mut model) = (Directory::new(BOUNDS), Model::new());
             for change in changes {
                 model.apply(&change);
-                // A change that the model rejects is rejected here too, which the test above shows.
+                // The previous test shows that the directory rejects the same changes as the model.
                 let _ = directory.apply(change);
             }
             (directory, model)
@@ -203,17 +202,17 @@
             let applied = directory.apply(change.clone());
             prop_assert!(applied.is_ok(), "{:?}: {:?}", change, applied);
         }
-        compare(&directory, &model)?;
+        check_against_model(&directory, &model)?;
         prop_assert_eq!(directory.bounds(), new.bounds());
-        prop_assert!(directory.difference(&new).is_empty(), "nothing is left to change");
+        prop_assert!(directory.difference(&new).is_empty(), "no changes remain");
         for (id, name) in kept.iter().filter(|(_, name)| new.id(name).is_some()) {
-            prop_assert_eq!(directory.id(name), Some(*id), "a service that stays keeps its id");
+            prop_assert_eq!(directory.id(name), Some(*id), "a service in both directories keeps its id");
         }
     }
 }
 
 #[test]
-fn without_a_section_one_service_holds_everything() {
+fn without_configured_services_everything_belongs_to_one_service() {
     let directory = Directory::single_service();
     let address = "10.0.0.1:80".parse().unwrap();
     assert_eq!(directory.service_of_route("any"), Some(ServiceId(0)));
@@ -225,12 +224,12 @@
     assert_eq!(
         (directory.service_count(), directory.capacity()),
         (0, 0),
-        "nothing is held for it"
+        "no memory is allocated"
     );
 }
 
 #[test]
-fn each_rejected_change_names_its_reason_and_changes_nothing() {
+fn a_rejected_change_gives_the_reason_and_leaves_the_directory_unchanged() {
     let mut directory = Directory::new(DirectoryBounds {
         services: 2,
         routes: 1,
@@ -246,18 +245,39 @@
     }
     let unknown = EndpointSelector::uid("s-1");
     for (change, reason) in [
-        (add("third"), "more than 2 services"),
-        (add("mail"), "there is a service 'mail' already"),
+        (add("third"), "too many services: at most 2 are allowed"),
+        (add("mail"), "service 'mail' already exists"),
         (remove("odd"), "there is no service 'odd'"),
-        (remove("forms"), "service 'forms' is in use: by 1 routes, by 1 networks, addresses or uids of servers"),
-        (remove("mail"), "service 'mail' is in use: by 0 routes, by 0 networks, addresses or uids of servers, as the default"),
+        (
+            remove("forms"),
+            "service 'forms' is in use: it has 1 routes and 1 endpoint selectors",
+        ),
+        (
+            remove("mail"),
+            "service 'mail' is in use: it has 0 routes and 0 endpoint selectors and is the default",
+        ),
         (set_route("a", "odd"), "there is no service 'odd'"),
-        (set_route("b", "mail"), "more than 1 routes"),
-        (DirectoryChange::RemoveRoute { route: "b".into() }, "there is no route 'b'"),
+        (
+            set_route("b", "mail"),
+            "too many routes: at most 1 are allowed",
+        ),
+        (
+            DirectoryChange::RemoveRoute { route: "b".into() },
+            "there is no route 'b'",
+        ),
         (assign(unknown.clone(), "odd"), "there is no service 'odd'"),
-        (DirectoryChange::Unassign { selector: unknown }, "no service has a line for the servers 's-1'"),
+        (
+            DirectoryChange::Unassign { selector: unknown },
+            "there is no endpoint selector 's-1'",
+        ),
         (set_default(Some("odd")), "there is no service 'odd'"),
-        (DirectoryChange::SetBounds(DirectoryBounds { services: 1, routes: 9 }), "more than 1 services"),
+        (
+            DirectoryChange::SetBounds(DirectoryBounds {
+                services: 1,
+                routes: 9,
+            }),
+            "too many services: at most 1 are allowed",
+        ),
     ] {
         let before = directory.clone();
         assert_eq!(directory.apply(change).unwrap_err().to_string(), reason);
@@ -267,7 +287,7 @@
 }
 
 #[test]
-fn routes_and_endpoints_that_stay_always_have_a_service_while_a_full_directory_is_replaced() {
+fn retained_routes_and_endpoints_always_have_a_service_while_a_full_directory_is_replaced() {
     let build = |service: &str| {
         let mut directory = Directory::new(DirectoryBounds {
             services: 1,
--- a/crates/request-engine/tests/directory/changes.rs
+++ b/crates/request-engine/tests/directory/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of a directory in short.
+//! Constructors of directory changes for tests.
 #![allow(dead_code)]
 
 use roseyard_request_engine::{DirectoryChange, EndpointSelector};
--- a/crates/request-engine/tests/directory/model.rs
+++ b/crates/request-engine/tests/directory/model.rs
@@ -1,14 +1,14 @@
-//! A simple model of the directory.
+//! A reference model of the directory.
 
 use super::BOUNDS;
 use roseyard_request_engine::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The same directory without indexes: every lookup walks everything, and services are their names.
+/// A directory without indexes. Lookups are linear searches, and services are identified by name.
 #[derive(Clone, Default)]
 pub(crate) struct Model {
-    pub(crate) single: bool,
+    pub(crate) is_single: bool,
     pub(crate) bounds: Option<DirectoryBounds>,
     pub(crate) services: Vec<String>,
     pub(crate) routes: BTreeMap<String, String>,
@@ -28,7 +28,7 @@
         self.services.iter().any(|held| held == name)
     }
 
-    /// Applies the change and returns true, unless it is invalid.
+    /// Applies a change and returns true, or returns false if the change is invalid.
     pub(crate) fn apply(&mut self, change: &DirectoryChange) -> bool {
         let bounds = self.bounds.unwrap();
         match change {
@@ -41,10 +41,10 @@
             }
             DirectoryChange::RemoveService { name } => {
                 let named = |held: &String| **held == **name;
-                let used = self.routes.values().any(named)
+                let is_used = self.routes.values().any(named)
                     || self.selectors.values().any(named)
                     || self.default.iter().any(named);
-                let is_valid = self.has(name) && !used;
+                let is_valid = self.has(name) && !is_used;
                 self.services.retain(|held| !is_valid || **held != **name);
                 is_valid
             }
@@ -81,17 +81,17 @@
                 }
                 is_valid
             }
-            DirectoryChange::SetSingleService(single) => {
-                self.single = *single;
+            DirectoryChange::SetSingleService(enabled) => {
+                self.is_single = *enabled;
                 true
             }
         }
     }
 
-    pub(crate) fn endpoint(&self, uid: &str, address: SocketAddr) -> Option<&String> {
+    pub(crate) fn endpoint_service(&self, uid: &str, address: SocketAddr) -> Option<&String> {
         let ip = address.ip().to_canonical();
         let by_uid = self.selectors.get(&EndpointSelector::uid(uid));
-        let holds = |candidate: &EndpointSelector| match candidate {
+        let matching_prefix_length = |candidate: &EndpointSelector| match candidate {
             EndpointSelector::Network(network) if network.contains(&ip) => {
                 Some(network.prefix_len())
             }
@@ -100,7 +100,7 @@
         let networks = self
             .selectors
             .iter()
-            .filter_map(|(s, name)| Some((holds(s)?, name)));
+            .filter_map(|(s, name)| Some((matching_prefix_length(s)?, name)));
         let by_network = networks
             .max_by_key(|(length, _)| *length)
             .map(|(_, name)| name);
--- a/crates/request-engine/tests/directory_cost.rs
+++ b/crates/request-engine/tests/directory_cost.rs
@@ -1,4 +1,5 @@
-//! Memory and time of the directory of services, at two sizes and after a churn of services.
+//! Tests that the memory use of the directory follows the number of live services, and that the
+//! cost of lookups and changes does not depend on the size of the directory.
 
 #[path = "directory/changes.rs"]
 mod changes;
@@ -23,7 +24,7 @@
 }
 
 /// Adds a service with a route and two selectors.
-fn add_all(directory: &mut Directory, n: u32) {
+fn add_service(directory: &mut Directory, n: u32) {
     let name = format!("service-{n}");
     directory.apply(add(&name)).unwrap();
     directory.apply(set_route(&name, &name)).unwrap();
@@ -33,7 +34,7 @@
 }
 
 /// Removes a service with its route and selectors.
-fn remove_all(directory: &mut Directory, n: u32) {
+fn remove_service(directory: &mut Directory, n: u32) {
     let name = format!("service-{n}");
     directory
         .apply(DirectoryChange::RemoveRoute {
@@ -49,26 +50,27 @@
 }
 
 #[test]
-fn after_a_churn_of_services_the_memory_is_that_of_the_live_ones() {
+fn memory_use_follows_the_number_of_live_services() {
     const ROUNDS: u32 = 100_000;
     const LIVE: u32 = 100;
     let mut directory = Directory::new(DirectoryBounds {
         services: 60_000,
         routes: 60_000,
     });
-    // One after the other, and then half of them at once.
+    // The first half of the services is added and removed one by one; all services of the second
+    // half exist at the same time.
     for n in 0..ROUNDS / 2 {
-        add_all(&mut directory, n);
+        add_service(&mut directory, n);
         if n >= LIVE {
-            remove_all(&mut directory, n - LIVE);
+            remove_service(&mut directory, n - LIVE);
         }
     }
     for n in ROUNDS / 2..ROUNDS {
-        add_all(&mut directory, n);
+        add_service(&mut directory, n);
     }
     let largest = directory.capacity();
     for n in ROUNDS / 2 - LIVE..ROUNDS - LIVE {
-        remove_all(&mut directory, n);
+        remove_service(&mut directory, n);
     }
     let counts = (
         directory.service_count(),
@@ -76,21 +78,21 @@
         directory.selector_count(),
     );
     assert_eq!(counts, (LIVE as usize, LIVE as usize, 2 * LIVE as usize));
-    // Five tables, each with space for at most eight times its entries.
+    // The five tables each have space for at most eight times their entries.
     let capacity = directory.capacity();
     assert!(
         capacity <= 5 * 8 * LIVE as usize,
-        "space for {capacity} entries, {largest} at most"
+        "capacity for {capacity} entries, {largest} before the removals"
     );
     assert_eq!(
         directory.id("service-99999"),
         Some(ServiceId(ROUNDS)),
-        "no id was used twice"
+        "ids are not reused"
     );
     assert_eq!(directory.service_of_endpoint("s-1", address(1)), None);
 }
 
-/// Median time of one call among many rounds.
+/// Returns the median time of a round of `CALLS` calls.
 fn median(mut call: impl FnMut(usize)) -> Duration {
     const ROUNDS: usize = 201;
     const CALLS: usize = 50;
@@ -106,9 +108,9 @@
 }
 
 #[test]
-fn a_lookup_and_a_delta_cost_the_same_at_a_thousand_times_the_size() {
-    /// A walk would cost a thousand times as much; cache misses and a busy machine cost a few times
-    /// as much.
+fn lookups_and_changes_cost_the_same_at_a_thousand_times_the_size() {
+    /// A linear search would increase the cost a thousandfold. The limit allows for cache misses
+    /// and for other load on the machine.
     const MAX_COST_RATIO: u32 = 20;
     let measure = |size: usize| {
         let mut directory = Directory::new(DirectoryBounds {
@@ -133,32 +135,32 @@
             assert!(directory.service_of_route(&names[index]).is_some());
             std::hint::black_box(directory.service_of_endpoint("none", address));
         });
-        let delta = median(|n| {
+        let change = median(|n| {
             let (route, service) = (&names[n * 7919 % size], &names[n * 6007 % size]);
             directory.apply(set_route(route, service)).unwrap();
             directory
                 .apply(assign(uid_selector(n * 7919 % size), service))
                 .unwrap();
-            directory.apply(add("one more")).unwrap();
-            directory.apply(remove("one more")).unwrap();
+            directory.apply(add("additional")).unwrap();
+            directory.apply(remove("additional")).unwrap();
         });
-        (lookup, delta)
+        (lookup, change)
     };
     let (small, large) = (measure(100), measure(100_000));
     assert!(
         large.0 < small.0 * MAX_COST_RATIO,
-        "a lookup: {:?} at 100, {:?} at 100,000",
+        "time of 50 lookups: {:?} with 100 services, {:?} with 100,000",
         small.0,
         large.0
     );
     assert!(
         large.1 < small.1 * MAX_COST_RATIO,
-        "a delta: {:?} at 100, {:?} at 100,000",
+        "time of 50 changes: {:?} with 100 services, {:?} with 100,000",
         small.1,
         large.1
     );
     println!(
-        "a lookup: {:?} -> {:?}, a delta: {:?} -> {:?}, each of 50",
+        "time of 50 lookups: {:?} -> {:?}, of 50 changes: {:?} -> {:?}",
         small.0, large.0, small.1, large.1
     );
 }
--- a/crates/request-engine/tests/endpoint_registry.rs
+++ b/crates/request-engine/tests/endpoint_registry.rs
@@ -1,4 +1,5 @@
-//! The endpoint registry: which endpoints are ready or gone, and which connections become stale.
+//! Tests the endpoint registry: ids and states of endpoints, stale connections, and unreadable
+//! entries.
 
 use roseyard_decision::{EndpointId, EndpointListUpdate, EndpointState};
 use roseyard_request_engine::{
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn an_endpoint_keeps_its_id_until_it_is_gone_and_a_full_list_removes_those_it_does_not_name() {
+fn an_endpoint_keeps_its_id_until_its_removal_and_a_full_list_removes_unlisted_endpoints() {
     let mut registry = EndpointRegistry::default();
     let zones = ["a".to_owned(), "b".to_owned()];
     let mut update = |l: &EndpointListMessage| apply(&mut registry, l, &zones).update;
@@ -72,7 +73,7 @@
     else {
         panic!()
     };
-    assert!(!ids.contains(&entries[0].endpoint), "an id is never reused");
+    assert!(!ids.contains(&entries[0].endpoint), "ids are not reused");
     assert_eq!(
         (registry.ready_endpoint_count(), registry.revision()),
         (2, 4)
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn idle_connections_are_stale_when_their_endpoint_drains_moves_restarts_or_is_gone() {
+fn idle_connections_are_stale_if_their_endpoint_drains_moves_restarts_or_is_removed() {
     let restarted_at = 4_000_000_000_000.0;
     for (state, port, started_at_unix_ms) in [
         ("DRAINING", 7001, 0.0),
@@ -140,7 +141,7 @@
     assert_eq!(
         change.stale_endpoints,
         [EndpointId(1)],
-        "its connections are stale"
+        "connections to the replaced endpoint are stale"
     );
     assert!(registry.get(EndpointId(1)).is_none() && registry.get(EndpointId(2)).is_some());
 }
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn an_endpoint_drains_whatever_else_of_its_entry_is_unreadable() {
+fn an_endpoint_drains_even_if_the_address_in_its_entry_is_malformed() {
     let mut registry = EndpointRegistry::default();
     apply(
         &mut registry,
@@ -189,6 +190,6 @@
     assert_eq!(
         (change.unreadable_count, registry.ready_endpoint_count()),
         (1, 1),
-        "one that was never named serving is unreadable"
+        "the entry of an unknown endpoint without a valid address is unreadable"
     );
 }
--- a/crates/request-engine/tests/idle_connection_risk.rs
+++ b/crates/request-engine/tests/idle_connection_risk.rs
@@ -1,13 +1,13 @@
-//! Idle connections are reused after short idle times and avoided where they tend to be dead.
+//! Tests that idle connections are avoided if they are likely to be reset, and reused otherwise.
 
 use roseyard_request_engine::*;
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// A hundred requests a second, half on new connections and half on idle ones, for so many seconds.
-/// Returns the time of the last one.
-fn play(
+/// Records the outcomes of 100 requests per second for `seconds`, half of them on new connections
+/// and half on idle ones. Returns the time of the last request.
+fn record_requests(
     risk: &mut IdleConnectionRisk,
     from: Duration,
     seconds: u64,
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn idle_times_with_many_resets_are_avoided_and_shorter_ones_used() {
+fn idle_times_with_many_resets_are_avoided_and_shorter_ones_are_used() {
     let mut risk = IdleConnectionRisk::default();
-    let now = play(&mut risk, MS(0), 20, |idle, n| {
+    let now = record_requests(&mut risk, MS(0), 20, |idle, n| {
         idle.is_some_and(|idle| idle >= MS(160)) && n % 5 < 2
     });
     assert_eq!(risk.choose(MS(30), false, now), IdleConnectionUse::Reuse);
@@ -35,14 +35,14 @@
     assert_eq!(
         risk.choose(MS(20_000), true, now),
         IdleConnectionUse::Close,
-        "longer idle times are no better"
+        "longer idle times have at least the same risk"
     );
 }
 
 #[test]
-fn resets_of_new_and_idle_connections_alike_change_nothing() {
+fn resets_that_are_equally_frequent_on_new_connections_do_not_prevent_reuse() {
     let mut risk = IdleConnectionRisk::default();
-    let now = play(&mut risk, MS(0), 20, |_, n| n / 2 % 8 == 0);
+    let now = record_requests(&mut risk, MS(0), 20, |_, n| n / 2 % 8 == 0);
     for idle_ms in [30, 100, 300, 600] {
         assert_eq!(
             risk.choose(MS(idle_ms), true, now),
@@ -55,7 +55,7 @@
 #[test]
 fn idempotent_requests_accept_a_higher_risk() {
     let mut risk = IdleConnectionRisk::default();
-    let now = play(&mut risk, MS(0), 60, |idle, n| idle.is_some() && n % 20 < 2);
+    let now = record_requests(&mut risk, MS(0), 60, |idle, n| idle.is_some() && n % 20 < 2);
     assert_eq!(
         risk.choose(MS(300), false, now),
         IdleConnectionUse::LeaveForIdempotent
@@ -64,17 +64,17 @@
 }
 
 #[test]
-fn one_reset_decides_nothing_and_observations_decay() {
+fn a_single_reset_does_not_prevent_reuse_and_observations_decay() {
     let mut risk = IdleConnectionRisk::default();
     risk.record_outcome(Some(MS(100)), true, MS(1));
     assert_eq!(risk.choose(MS(100), true, MS(1)), IdleConnectionUse::Reuse);
-    let now = play(&mut risk, MS(1), 20, |idle, _| {
+    let now = record_requests(&mut risk, MS(1), 20, |idle, _| {
         idle.is_some_and(|idle| idle >= MS(160))
     });
     assert_eq!(risk.choose(MS(300), true, now), IdleConnectionUse::Close);
     assert_eq!(
         risk.choose(MS(300), false, now + MS(60_000)),
         IdleConnectionUse::Reuse,
-        "tried again"
+        "idle connections are tried again"
     );
 }
--- a/crates/request-engine/tests/model.rs
+++ b/crates/request-engine/tests/model.rs
@@ -1,6 +1,6 @@
-//! The engine under random sequences and all short sequences of events. Its outputs are checked
-//! against a reference that records for each request what was forwarded where, what may have been
-//! executed, and what was answered.
+//! Tests the engine with random event sequences and with all event sequences of a fixed length. The
+//! outputs are checked against a reference model that records for each request the attempts,
+//! whether one may have been executed, and the responses.
 
 mod common;
 #[path = "model/harness.rs"]
@@ -13,7 +13,7 @@
 use roseyard_decision::*;
 use roseyard_request_engine::*;
 
-/// Seed of the random sequences; the runner prints it with every failure.
+/// The seed of the random sequences, which proptest prints with each failure.
 const SEED: u64 = 20_261_201;
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -68,24 +68,28 @@
                     self.end_attempt(*id, OUTCOMES[usize::from(outcome) % 7]);
                 }
             }
-            Step::CounterReply(kind) => self.reply_from_counter(kind),
-            Step::HealthCheck(good) => {
+            Step::CounterReply(kind) => self.reply_to_increment(kind),
+            Step::HealthCheck(is_healthy) => {
                 if let Some(endpoint) = self.health_checks.pop() {
                     let load = LoadReport {
                         utilisation: Some(0.3),
                         ..LoadReport::default()
                     };
-                    let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
+                    let outcome = if is_healthy {
+                        Outcome::Ok
+                    } else {
+                        Outcome::Timeout
+                    };
                     self.engine.on_health_check_ended(
                         endpoint,
                         outcome,
-                        Some(load).filter(|_| good),
+                        Some(load).filter(|_| is_healthy),
                     );
                     self.carry_out_outputs();
                 }
             }
             Step::ChangeEndpoint(n, state) => {
-                // No endpoint is removed: a uid that comes back would get another id.
+                // No endpoint is removed, since a uid that is added again would get another id.
                 let endpoint_state = self.states.get_mut(&n).unwrap();
                 *endpoint_state = [
                     EndpointRecordState::Serving,
@@ -114,9 +118,10 @@
     }
 }
 
-/// Every sequence of five events for one request of each class, with four endpoints in two cells.
+/// Runs all sequences of five events with one request of each class and four endpoints in two
+/// cells.
 #[test]
-fn every_short_sequence_keeps_the_rules() {
+fn every_sequence_of_five_events_obeys_the_rules() {
     let choices = [
         Step::EndAttempt(0, 0),
         Step::EndAttempt(0, 2),
--- a/crates/request-engine/tests/model/harness.rs
+++ b/crates/request-engine/tests/model/harness.rs
@@ -1,7 +1,7 @@
-//! The engine with a driver that carries out its outputs and checks each of them against a
-//! reference.
+//! A harness that drives the engine, carries out its outputs and checks each of them against a
+//! reference model.
 
-use super::common::{ms, settings, WINDOW};
+use super::common::{ms, settings, IDEMPOTENCY_WINDOW};
 use roseyard_decision::*;
 use roseyard_request_engine::*;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 pub(crate) const WITH_IDEMPOTENCY_KEY: usize = 1;
 pub(crate) const NON_IDEMPOTENT: usize = 2;
 
-/// What the reference records of a request.
+/// The reference model's state of a request.
 #[derive(Default)]
 pub(crate) struct ReferenceRequest {
     pub(crate) class: usize,
@@ -20,13 +20,13 @@
     pub(crate) responses: usize,
     pub(crate) attempts: u16,
     pub(crate) in_flight: Option<(u16, EndpointId)>,
-    /// Cell of the first attempt that may have been executed, and when that was forwarded.
+    /// The cell and the forwarding time of the first attempt that may have been executed.
     pub(crate) executed: Option<(u16, Duration)>,
     pub(crate) forwarded_at: Duration,
 }
 
 impl ReferenceRequest {
-    /// Checks that this attempt may be forwarded to this endpoint.
+    /// Asserts that the attempt may be forwarded to the endpoint.
     fn check_attempt(&self, attempt: u16, endpoint: EndpointId, now: Duration) {
         assert!(
             self.in_flight.is_none(),
@@ -43,7 +43,7 @@
         match self.class {
             IDEMPOTENT => {}
             WITH_IDEMPOTENCY_KEY => assert!(
-                cell(endpoint) == executed_cell && now - executed_at <= WINDOW,
+                cell(endpoint) == executed_cell && now - executed_at <= IDEMPOTENCY_WINDOW,
                 "a retry outside of the idempotency key's cell or window"
             ),
             _ => panic!("a non-idempotent request that may have been executed was retried"),
@@ -51,7 +51,8 @@
     }
 }
 
-/// Cell of an endpoint: ids follow the order of the list, from 1; a cell has two endpoints.
+/// Returns the cell of an endpoint. Ids are assigned in the order of the list, from 1, and each
+/// cell has two endpoints.
 fn cell(endpoint: EndpointId) -> u16 {
     (endpoint.0 as u16 - 1) / 2
 }
@@ -61,7 +62,7 @@
     pub(crate) now: Duration,
     pub(crate) references: BTreeMap<u64, ReferenceRequest>,
     pub(crate) keys: BTreeMap<u64, Key>,
-    pub(crate) calls: Vec<(CounterKey, f64)>,
+    pub(crate) increments: Vec<(CounterKey, f64)>,
     pub(crate) health_checks: Vec<EndpointId>,
     pub(crate) totals: BTreeMap<u64, f64>,
     pub(crate) revision: u64,
@@ -84,7 +85,7 @@
             now: START,
             references: BTreeMap::new(),
             keys: BTreeMap::new(),
-            calls: Vec::new(),
+            increments: Vec::new(),
             health_checks: Vec::new(),
             totals: BTreeMap::new(),
             revision: 0,
@@ -132,7 +133,7 @@
             command: id,
             bytes: 20,
         };
-        let open = self.engine.open_request_count();
+        let open_requests = self.engine.open_request_count();
         match self.engine.submit(submission) {
             Ok(key) => {
                 self.keys.insert(id, key);
@@ -144,7 +145,10 @@
                     },
                 );
             }
-            Err(AtCapacity) => assert!(open >= 40, "rejected at {open}"),
+            Err(AtCapacity) => assert!(
+                open_requests >= 40,
+                "rejected at {open_requests} open requests"
+            ),
         }
         self.carry_out_outputs();
     }
@@ -181,7 +185,7 @@
             },
             self.now,
         );
-        // The same end again, and that of another attempt, are ignored.
+        // The engine ignores a second report of the same end and the end of an unknown attempt.
         self.engine.on_attempt_ended(
             key,
             attempt,
@@ -202,11 +206,11 @@
         self.carry_out_outputs();
     }
 
-    pub(crate) fn reply_from_counter(&mut self, kind: u8) {
-        if self.calls.is_empty() {
+    pub(crate) fn reply_to_increment(&mut self, kind: u8) {
+        if self.increments.is_empty() {
             return;
         }
-        let (key, amount) = self.calls.remove(0);
+        let (key, amount) = self.increments.remove(0);
         let result = match kind {
             0 => CounterResult::NotAdded,
             1 => CounterResult::Unknown,
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Carries out all outputs, and checks them against the reference.
+    /// Carries out all outputs and checks them against the reference model.
     pub(crate) fn carry_out_outputs(&mut self) {
         while let Some(output) = self.engine.poll(self.now) {
             match output {
@@ -240,14 +244,14 @@
                 } => self.forward(request, attempt, endpoint, deadline),
                 Output::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
                 Output::Respond { owner, response } => self.check_response(owner, &response),
-                Output::IncrementCounter { key, amount, .. } => self.calls.push((key, amount)),
+                Output::IncrementCounter { key, amount, .. } => self.increments.push((key, amount)),
                 Output::CheckHealth { endpoint } => self.health_checks.push(endpoint),
                 Output::FetchEndpointList | Output::Log(_) => {}
             }
         }
     }
 
-    /// Starts an attempt, if it may be written.
+    /// Starts an attempt if it may be written, or else reports that it was not started.
     fn forward(&mut self, request: Key, attempt: u16, endpoint: EndpointId, deadline: Duration) {
         let id = *self.engine.command(request).unwrap();
         let reference = self.references.get_mut(&id).unwrap();
@@ -272,7 +276,7 @@
         reference.forwarded_at = self.now;
     }
 
-    /// Ends an attempt that the engine cancels, unless it has ended.
+    /// Ends an attempt that the engine cancels, unless it has already ended.
     fn cancel_attempt(&mut self, request: Key, attempt: u16) {
         let Some(id) = self.engine.command(request).copied() else {
             return;
@@ -293,26 +297,27 @@
         );
     }
 
-    /// Checks a final response.
+    /// Checks a final response against the reference model.
     fn check_response(&mut self, owner: u64, response: &Response<u64>) {
         let reference = self.references.get_mut(&owner).unwrap();
         reference.responses += 1;
         assert!(
             reference.responses == 1 && !reference.is_cancelled,
-            "more than one final response"
+            "a second final response, or a response to a cancelled request"
         );
         match response {
-            Response::Served(value) => assert_eq!(*value, owner, "another's value"),
+            Response::Served(value) => assert_eq!(*value, owner, "the value of another request"),
             Response::Rejected { .. } => assert!(
                 reference.class == IDEMPOTENT
                     || reference.executed.is_none() && reference.in_flight.is_none(),
-                "rejected though it may have been executed"
+                "rejected although it may have been executed"
             ),
             Response::Failed => {}
         }
     }
 
-    /// Stops, ends the attempts in flight, and counts the responses.
+    /// Stops the engine, ends the attempts in flight, and checks the number of responses to each
+    /// request.
     pub(crate) fn stop(mut self) {
         self.engine.stop();
         self.carry_out_outputs();
@@ -359,7 +364,7 @@
         assert_eq!(
             self.engine.submit(submission),
             Err(AtCapacity),
-            "rejected after the stop"
+            "submissions are rejected after the stop"
         );
     }
 }
--- a/crates/request-engine/tests/services.rs
+++ b/crates/request-engine/tests/services.rs
@@ -1,5 +1,5 @@
-//! Services in the engine: routes and endpoints that move while requests are in flight, each at its
-//! own cost.
+//! Tests of services in the engine: routes and endpoints move to other services while requests are
+//! in flight, and the cost does not depend on the size of the directory.
 
 mod common;
 #[path = "services/harness.rs"]
@@ -12,7 +12,8 @@
 use std::time::{Duration, Instant};
 use EndpointRecordState::{Draining, Serving};
 
-fn one_each() -> Vec<EndpointRecord> {
+/// Returns an endpoint for each of the two services.
+fn one_endpoint_each() -> Vec<EndpointRecord> {
     vec![
         record("l", "10.1.0.1:80", Serving),
         record("r", "10.2.0.1:80", Serving),
@@ -20,20 +21,20 @@
 }
 
 #[test]
-fn a_route_leads_to_the_endpoints_of_its_service() {
-    let mut harness = Harness::new(&two_services(), one_each());
+fn requests_are_forwarded_to_the_endpoints_of_the_service_of_their_route() {
+    let mut harness = Harness::new(&two_services(), one_endpoint_each());
     for _ in 0..20 {
         for (route, address) in [("left", "10.1.0.1:80"), ("right", "10.2.0.1:80")] {
             let forwarded = harness.submit(route);
             assert_eq!(harness.address_of(forwarded).as_deref(), Some(address));
-            assert!(harness.served(forwarded.unwrap()));
+            assert!(harness.complete_attempt(forwarded.unwrap()));
         }
     }
 }
 
 #[test]
-fn a_route_that_moves_leaves_requests_in_flight_where_they_are() {
-    let mut harness = Harness::new(&two_services(), one_each());
+fn moving_a_route_does_not_affect_requests_in_flight() {
+    let mut harness = Harness::new(&two_services(), one_endpoint_each());
     let in_flight = harness.submit("left").unwrap();
     let moved = DirectoryChange::SetRoute {
         route: "left".into(),
@@ -44,16 +45,19 @@
         harness
             .engine
             .may_write(in_flight.0, in_flight.1, harness.now + ms(100), harness.now),
-        "it continues"
+        "the attempt in flight may still be written"
     );
     let next = harness.submit("left");
     assert_eq!(harness.address_of(next).as_deref(), Some("10.2.0.1:80"));
-    assert!(harness.served(in_flight), "one response, and no retry");
+    assert!(
+        harness.complete_attempt(in_flight),
+        "the request is answered without a retry"
+    );
 }
 
 #[test]
-fn an_endpoint_that_moves_serves_its_new_service_and_finishes_what_it_has() {
-    let mut harness = Harness::new(&two_services(), one_each());
+fn an_endpoint_that_moves_serves_its_new_service_and_finishes_requests_in_flight() {
+    let mut harness = Harness::new(&two_services(), one_endpoint_each());
     let in_flight = harness.submit("left").unwrap();
     let selector = EndpointSelector::uid("l");
     harness
@@ -73,7 +77,7 @@
         .filter_map(|_| {
             let forwarded = harness.submit("right");
             let address = harness.address_of(forwarded);
-            forwarded.map(|forwarded| harness.served(forwarded));
+            forwarded.map(|forwarded| harness.complete_attempt(forwarded));
             address
         })
         .collect();
@@ -81,8 +85,8 @@
         addresses.iter().any(|a| a == "10.1.0.1:80"),
         "it serves the other service"
     );
-    assert!(harness.served(in_flight));
-    // And back, by a full directory that is read anew.
+    assert!(harness.complete_attempt(in_flight));
+    // The endpoint moves back when the original directory is set.
     let changes = harness.engine.set_directory(&two_services()).unwrap();
     assert_eq!(changes, 1, "one selector differs");
     let back = harness.submit("left");
@@ -91,9 +95,9 @@
 
 #[test]
 fn an_endpoint_whose_address_changes_belongs_to_the_service_of_the_new_address() {
-    let mut harness = Harness::new(&two_services(), one_each());
+    let mut harness = Harness::new(&two_services(), one_endpoint_each());
     let stale = harness.apply_list(&list(2, false, vec![record("l", "10.2.0.9:80", Serving)]));
-    assert_eq!(stale.len(), 1, "its connections lead to the old address");
+    assert_eq!(stale.len(), 1, "connections to the old address are stale");
     assert_eq!(harness.submit("left"), None);
     harness.apply_list(&list(3, false, vec![record("r", "10.2.0.1:80", Draining)]));
     let forwarded = harness.submit("right");
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn an_endpoint_without_a_service_gets_nothing_until_a_selector_names_it() {
+fn an_endpoint_without_a_service_gets_no_requests_until_a_selector_matches_it() {
     let mut harness = Harness::new(&two_services(), vec![record("x", "10.9.0.1:80", Serving)]);
     assert_eq!(harness.submit("left"), None);
     let selector = EndpointSelector::network("10.9.0.0/24".parse().unwrap());
@@ -123,8 +127,8 @@
 }
 
 #[test]
-fn a_rejected_change_leaves_everything_as_it_was() {
-    let mut harness = Harness::new(&two_services(), one_each());
+fn a_rejected_change_has_no_effect() {
+    let mut harness = Harness::new(&two_services(), one_endpoint_each());
     let invalid = DirectoryChange::SetRoute {
         route: "left".into(),
         service: "nowhere".into(),
@@ -143,8 +147,8 @@
     );
 }
 
-/// A platform of so many services with ten endpoints each.
-fn platform(services: u32) -> Harness {
+/// Returns a harness with this many services, each of which has ten endpoints.
+fn harness_with_services(services: u32) -> Harness {
     let mut directory = Directory::new(BOUNDS);
     let mut records = Vec::new();
     for n in 0..services {
@@ -176,8 +180,8 @@
     Harness::new(&directory, records)
 }
 
-/// The least time of a few runs: other load of the machine only adds to it.
-fn least(mut run: impl FnMut()) -> Duration {
+/// Returns the shortest time of several runs, since other load on the machine only increases it.
+fn min_time(mut run: impl FnMut()) -> Duration {
     let once = |run: &mut dyn FnMut()| {
         let started_at = Instant::now();
         run();
@@ -187,17 +191,17 @@
 }
 
 #[test]
-fn a_request_and_a_change_cost_the_same_at_thirty_times_the_endpoints() {
+fn requests_and_changes_cost_the_same_with_thirty_times_the_endpoints() {
     let costs = [100, 3000].map(|services| {
-        let mut harness = platform(services);
+        let mut harness = harness_with_services(services);
         let mut revision = 1;
-        let requests = least(|| {
+        let requests = min_time(|| {
             for n in 0..100 {
                 let forwarded = harness.submit(&format!("service-{n}")).expect("sent");
-                assert!(harness.served(forwarded));
+                assert!(harness.complete_attempt(forwarded));
             }
         });
-        let changes = least(|| {
+        let changes = min_time(|| {
             for n in 0..100 {
                 revision += 1;
                 let state = if revision % 2 == 0 { Draining } else { Serving };
@@ -215,7 +219,7 @@
         (requests, changes)
     });
     let [(request_small, change_small), (request_large, change_large)] = costs;
-    // A walk over all endpoints would cost thirty times as much; the bound allows for cache misses.
+    // A linear search would increase the cost thirtyfold. The limit allows for cache misses.
     assert!(
         request_large < request_small * 6,
         "requests: {request_small:?}, {request_large:?}"
--- a/crates/request-engine/tests/services/harness.rs
+++ b/crates/request-engine/tests/services/harness.rs
@@ -1,4 +1,4 @@
-//! An engine with a directory of services and a driver that carries out its outputs.
+//! A harness that drives an engine with a directory of services.
 
 use super::common::{self, class, ms};
 use roseyard_decision::*;
@@ -14,7 +14,7 @@
     routes: 100_000,
 };
 
-/// One non-idempotent class, one plan without a quota, and no counter.
+/// Returns settings with a non-idempotent class, a plan without a quota, and no counter.
 pub(crate) fn settings() -> Settings {
     let base = common::settings();
     let plan = Plan {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Two services, a network and a route for each.
+/// Returns a directory with two services, each of which has a network and a route.
 pub(crate) fn two_services() -> Directory {
     let mut directory = Directory::new(BOUNDS);
     for (service, network) in [("left", "10.1.0.0/16"), ("right", "10.2.0.0/16")] {
@@ -123,7 +123,7 @@
         applied.stale_endpoints
     }
 
-    /// Carries out all outputs; the last attempt that is forwarded, with its endpoint.
+    /// Takes all outputs and returns the last attempt that was forwarded, with its endpoint.
     pub(crate) fn run(&mut self) -> Option<(Key, u16, EndpointId)> {
         let mut forwarded = None;
         while let Some(output) = self.engine.poll(self.now) {
@@ -140,6 +140,7 @@
         forwarded
     }
 
+    /// Submits a request for this route and returns its attempt; `None` if none was forwarded.
     pub(crate) fn submit(&mut self, route: &str) -> Option<(Key, u16, EndpointId)> {
         self.next += 1;
         let service = self
@@ -171,7 +172,11 @@
             .map(|address| address.to_string())
     }
 
-    pub(crate) fn served(&mut self, (request, attempt, _): (Key, u16, EndpointId)) -> bool {
+    /// Ends the attempt successfully and returns whether the request was served.
+    pub(crate) fn complete_attempt(
+        &mut self,
+        (request, attempt, _): (Key, u16, EndpointId),
+    ) -> bool {
         let result = AttemptResult {
             outcome: Outcome::Ok,
             value: Some(1),
--- a/crates/simulator-adapter/src/codec/cursor.rs
+++ b/crates/simulator-adapter/src/codec/cursor.rs
@@ -1,14 +1,14 @@
-//! Reading numbers from a batch's payload.
+//! Reads numbers and byte strings from the payload of a batch.
 
 use super::error::CodecError;
 
-/// A position in a payload, which moves over what is read.
+/// A position in a payload, which advances with each read.
 pub(super) struct Cursor<'a> {
     payload: &'a [u8],
     position: usize,
-    /// Position of the current record in its batch, from 0; for errors.
+    /// The index of the current record in its batch, for error messages.
     pub(super) record: usize,
-    /// Code of the current record; for errors.
+    /// The code of the current record, for error messages.
     pub(super) code: u8,
 }
 
--- a/crates/simulator-adapter/src/codec/decode.rs
+++ b/crates/simulator-adapter/src/codec/decode.rs
@@ -1,4 +1,4 @@
-//! A batch's payload to records. The fields are read in the order of the wire.
+//! Decodes the payload of a batch. The fields are read in the order of the wire format.
 
 use super::cursor::Cursor;
 use super::error::CodecError;
@@ -7,7 +7,7 @@
     RequestRecord,
 };
 
-/// Decodes the payload of one batch. An error names the first record that cannot be decoded.
+/// Decodes the payload of a batch. An error names the first record that cannot be decoded.
 pub fn decode(payload: &[u8]) -> Result<Vec<Record>, CodecError> {
     let mut cursor = Cursor::new(payload);
     let mut records = Vec::new();
@@ -19,7 +19,7 @@
     Ok(records)
 }
 
-/// The fields of a record whose code was read.
+/// Decodes the fields of a record whose code has already been read.
 fn record(cursor: &mut Cursor) -> Result<Record, CodecError> {
     match cursor.code {
         1 => endpoint_list_changed(cursor),
@@ -148,7 +148,8 @@
     (0..count).map(|_| cursor.f32()).collect()
 }
 
-/// The entries of a list. The table grows with what is read, not with the count.
+/// Decodes the entries of an endpoint list. The vector grows as entries are decoded, so that an
+/// incorrect count does not cause a large allocation.
 fn endpoints(cursor: &mut Cursor) -> Result<Vec<EndpointRecord>, CodecError> {
     let count = cursor.u32()?;
     let mut endpoints = Vec::new();
--- a/crates/simulator-adapter/src/codec/error.rs
+++ b/crates/simulator-adapter/src/codec/error.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a batch's bytes.
+//! The reasons why a batch cannot be decoded.
 
-/// A batch's payload that cannot be decoded.
+/// The reason why the payload of a batch cannot be decoded.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CodecError {
-    /// The record ends before its fields do.
+    /// The payload ends within a record.
     #[error("record {record} (code {code}): truncated at byte {at}")]
     Truncated {
-        /// Position of the record in its batch, from 0.
+        /// The index of the record in its batch.
         record: usize,
-        /// Code of the record.
+        /// The code of the record.
         code: u8,
-        /// Offset in the batch's payload, in bytes.
+        /// The offset in the payload at which the missing field starts, in bytes.
         at: usize,
     },
-    /// The wire has no event with this code.
+    /// The code of a record is unknown.
     #[error("record {record}: unknown event code {code}")]
     UnknownCode {
-        /// Position of the record in its batch, from 0.
+        /// The index of the record in its batch.
         record: usize,
-        /// Code of the record.
+        /// The code of the record.
         code: u8,
     },
 }
--- a/crates/simulator-adapter/src/codec/mod.rs
+++ b/crates/simulator-adapter/src/codec/mod.rs
@@ -1,11 +1,11 @@
-//! The simulator's wire: bytes to records in the field's terms, and actions to bytes. The wire's
-//! own names stand only here, in doc comments.
+//! The simulator's wire format. It decodes batches of records and encodes replies. The names that
+//! the wire format uses for records are given in the doc comments of this module.
 //!
 //! - `record`: the records of a batch;
-//! - `decode`, `cursor`: bytes to records;
-//! - `reply`: a reply's actions to bytes;
-//! - `values`: the wire's codes and names to the decision module's types;
-//! - `error`: what is wrong with a batch's bytes.
+//! - `decode`, `cursor`: decode a batch;
+//! - `reply`: encodes the actions of a reply;
+//! - `values`: converts codes and names on the wire to types of the decision module;
+//! - `error`: the reasons why a batch cannot be decoded.
 //!
 //! All numbers are little-endian, without padding.
 
--- a/crates/simulator-adapter/src/codec/record.rs
+++ b/crates/simulator-adapter/src/codec/record.rs
@@ -1,182 +1,183 @@
 //! The records of a batch.
 
-/// An event for an instance, or a numbered endpoint list that later events refer to. Each names the
-/// instance that it is for. Outcomes are the wire's codes; times are in milliseconds.
+/// A record of a batch: an event for an instance, or a numbered endpoint list that later records
+/// refer to. Outcomes are codes of the wire format; times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// `Membership`: discovery has sent a list.
+    /// `Membership`: discovery has sent an endpoint list.
     EndpointListChanged {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// The wire's code for changes, a full list or a failure.
+        /// The code of the form of the list: changes, a full list or a failure.
         form: u8,
-        /// The list's revision.
+        /// The revision of the list.
         revision: u64,
-        /// Number of the [`Record::EndpointList`] with the entries.
+        /// The number of the [`Record::EndpointList`] that contains the entries.
         list: u32,
     },
     /// `ClosedAttempt`: an attempt has ended.
     AttemptEnded(AttemptEndedRecord),
-    /// `Flowing`: an attempt's reply has begun to stream.
+    /// `Flowing`: the endpoint has started to stream the reply to an attempt.
     StreamStarted {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// The request.
+        /// The id of the request.
         request: u64,
-        /// Time since the attempt was forwarded.
+        /// The time since the attempt was forwarded.
         elapsed_ms: f64,
-        /// Number of the attempt.
+        /// The number of the attempt.
         attempt: u16,
-        /// The endpoint.
+        /// The number of the endpoint.
         endpoint: u32,
     },
     /// `Wakeup`: a timer has expired.
     TimerExpired {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
         /// The tag that the timer was set with.
         tag: u32,
     },
-    /// `WorkItem`: a request has come.
+    /// `WorkItem`: a request was received.
     RequestReceived(RequestRecord),
-    /// `Census`: a numbered list for all instances, which replaces the one with its number.
+    /// `Census`: an endpoint list for all instances. It replaces an earlier list with the same
+    /// number.
     EndpointList {
-        /// Its number.
+        /// The number of the list.
         list: u32,
-        /// Its entries.
+        /// The entries of the list.
         endpoints: Vec<EndpointRecord>,
     },
     /// `HealthResult`: a health check has ended.
     HealthCheckEnded(HealthCheckEndedRecord),
-    /// `Aborted`: a request's client has disconnected.
+    /// `Aborted`: the client of a request has disconnected.
     ClientDisconnected {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// The request.
+        /// The id of the request.
         request: u64,
     },
-    /// `Create`: an instance starts.
+    /// `Create`: an instance is started.
     InstanceStarted {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// Seed of its random choices.
+        /// The seed of the random choices of the instance.
         seed: u64,
         /// The platform's settings as JSON.
         settings: Vec<u8>,
     },
-    /// `Whisper`: a message of a peer.
+    /// `Whisper`: a message from another instance was received.
     PeerMessage {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// The peer.
+        /// The number of the sending instance.
         sender: u16,
-        /// The message.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
-    /// `Shutdown`: an instance stops.
+    /// `Shutdown`: an instance is stopped.
     InstanceStopped {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
     },
     /// `Added`: a call to the counter has ended.
     CounterReply(CounterReplyRecord),
 }
 
-/// An attempt that has ended: `ClosedAttempt`.
+/// `ClosedAttempt`: an attempt that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEndedRecord {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u16,
-    /// The request.
+    /// The id of the request.
     pub request: u64,
-    /// 1 more than the customer's use of its rate through all instances, in percent; 0 if unknown.
+    /// The customer's usage of its rate through all instances, in percent plus 1; 0 if unknown.
     pub metered_usage: u16,
-    /// Number of the attempt.
+    /// The number of the attempt.
     pub attempt: u16,
-    /// Time since it was forwarded.
+    /// The time since the attempt was forwarded.
     pub elapsed_ms: f64,
-    /// Whether the request is finished.
+    /// Whether the request has its final response.
     pub is_finished: bool,
-    /// The endpoint.
+    /// The number of the endpoint.
     pub endpoint: u32,
-    /// The request's true units; 0 if unknown.
+    /// The actual units of the request; 0 if unknown.
     pub true_units: u16,
-    /// The wire's code of its outcome.
+    /// The code of the outcome.
     pub outcome_code: u16,
-    /// Values of the load report, in the order of the settings.
+    /// The values of the load report, in the order of the names in the settings.
     pub load_report: Vec<f32>,
 }
 
-/// A request that has come: `WorkItem`.
+/// `WorkItem`: a request that was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRecord {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u16,
-    /// The request's id.
+    /// The id of the request.
     pub request: u64,
-    /// Units that it takes from the quota, perhaps an estimate.
+    /// The units that the request takes from the quota, possibly an estimate.
     pub units: f32,
-    /// Index of its class.
+    /// The index of the request's class.
     pub class: u16,
-    /// Number of the first ingress that the customer's requests may come through.
+    /// The number of the first ingress that receives requests of the customer.
     pub first_ingress: f32,
-    /// Time until the client gives up.
+    /// The time until the client stops waiting for the response.
     pub time_left_ms: f64,
-    /// Its customer.
+    /// The id of the customer.
     pub customer: u64,
-    /// Number of ingresses that the customer's requests may come through.
+    /// The number of ingresses that receive requests of the customer.
     pub ingress_count: f32,
-    /// Index of its customer's plan.
+    /// The index of the customer's plan.
     pub plan: u16,
-    /// Bits: 2 a retry of the client, 4 a write.
+    /// Bits: 2 for a retry of the client, 4 for a write.
     pub flags: u16,
 }
 
-/// A health check that has ended: `HealthResult`.
+/// `HealthResult`: a health check that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckEndedRecord {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u16,
-    /// The endpoint.
+    /// The number of the endpoint.
     pub endpoint: u32,
-    /// The wire's code of its outcome.
+    /// The code of the outcome.
     pub outcome_code: u16,
-    /// Time since it was started.
+    /// The time since the health check was started.
     pub elapsed_ms: f64,
-    /// Values of the load report, in the order of the settings.
+    /// The values of the load report, in the order of the names in the settings.
     pub load_report: Vec<f32>,
 }
 
-/// A call to the counter that has ended: `Added`.
+/// `Added`: a call to the counter that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterReplyRecord {
-    /// The instance.
+    /// The number of the instance.
     pub instance: u16,
-    /// The counter's total after the call.
+    /// The total of the counter after the call.
     pub total: f32,
-    /// The counter's key.
+    /// The key of the counter.
     pub key: u64,
-    /// The wire's code of its outcome.
+    /// The code of the outcome.
     pub outcome_code: u16,
-    /// Time since the call.
+    /// The time since the call was made.
     pub elapsed_ms: f64,
 }
 
 /// An entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// The endpoint.
+    /// The number of the endpoint.
     pub endpoint: u32,
-    /// Number of its zone.
+    /// The number of the endpoint's zone.
     pub zone: u8,
-    /// Kind of its machine.
+    /// The code of the type of the endpoint's machine.
     pub machine_kind: u8,
-    /// Number of its cell.
+    /// The number of the endpoint's cell.
     pub cell: u16,
-    /// The wire's code of its state.
+    /// The code of the endpoint's state.
     pub state_code: u8,
-    /// Its capacity relative to the other endpoints.
+    /// The capacity relative to the other endpoints.
     pub weight: f32,
-    /// When it started; 0 for long ago.
+    /// The time at which the endpoint started; 0 for a long time ago.
     pub started_at_ms: f64,
 }
--- a/crates/simulator-adapter/src/codec/values.rs
+++ b/crates/simulator-adapter/src/codec/values.rs
@@ -1,13 +1,14 @@
-//! The wire's codes and names to the decision module's types.
+//! Converts codes and names on the wire to types of the decision module.
 
 use crate::error::RecordError;
 use roseyard_decision::{CounterResult, EndpointState, LoadReport, Outcome};
 use roseyard_platform_config::duration_from_ms;
 
-/// Bit of [`RequestRecord::flags`](super::RequestRecord::flags): the request is the client's retry.
+/// The bit of [`RequestRecord::flags`](super::RequestRecord::flags) that marks a retry of the
+/// client.
 pub(crate) const CLIENT_RETRY_FLAG: u16 = 2;
 
-/// How a record words an endpoint list.
+/// The form of an endpoint list in a record.
 #[derive(Clone, Copy)]
 pub(crate) enum ListForm {
     Changes,
@@ -18,7 +19,7 @@
 pub(crate) fn list_form(code: u8) -> Result<ListForm, RecordError> {
     match code {
         0 => Ok(ListForm::Changes),
-        // A list that is read anew, or the one that the instance had last.
+        // A list that was fetched again, or the last list that the instance had received.
         1 | 2 => Ok(ListForm::Full),
         3 => Ok(ListForm::Unavailable),
         form => Err(RecordError::UnknownListForm { form }),
@@ -57,8 +58,8 @@
     }
 }
 
-/// A load report's values by the names in the settings; none if there are no values. Values that
-/// the decision module does not use are ignored.
+/// Converts the values of a load report, whose names are given by the settings; `None` if there are
+/// no values. Values that the decision module does not use are ignored.
 pub(crate) fn load_report(field_names: &[String], values: &[f32]) -> Option<LoadReport> {
     if values.is_empty() {
         return None;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,30 +1,30 @@
-//! Why a batch cannot be handled. The texts name the record as it comes on the wire.
+//! The reasons why a batch cannot be handled. Messages use the record names of the wire format.
 
 use crate::codec::CodecError;
 use roseyard_decision::SettingsError;
 use roseyard_platform_config::PlatformConfigError;
 use std::io;
 
-/// Why serving has ended before the input did.
+/// The reason why [`serve`](crate::serve) stopped before the end of the input.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The input ends within a batch's header.
+    /// The input ended within the header of a batch.
     #[error("batch header: truncated after {received} of {expected} bytes")]
     TruncatedHeader {
-        /// Bytes received.
+        /// The number of bytes received.
         received: usize,
-        /// Bytes of a header.
+        /// The size of a header in bytes.
         expected: usize,
     },
-    /// The input ends within a batch's payload.
+    /// The input ended within the payload of a batch.
     #[error("batch: truncated after {received} of {expected} bytes")]
     TruncatedBatch {
-        /// Bytes received.
+        /// The number of bytes received.
         received: u64,
-        /// Bytes that the header gives.
+        /// The length of the payload in the header, in bytes.
         expected: u64,
     },
     /// A batch cannot be handled.
@@ -32,11 +32,11 @@
     Batch(#[from] BatchError),
 }
 
-/// Why a batch cannot be handled.
+/// The reason why a batch cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// The clock is not finite, or negative.
-    #[error("batch header: the clock {clock_ms} is not a time")]
+    /// The clock is negative or not finite.
+    #[error("batch header: invalid clock {clock_ms} ms, expected a finite number not below 0")]
     InvalidClock {
         /// The clock in milliseconds.
         clock_ms: f64,
@@ -47,60 +47,60 @@
     /// A record cannot be handled.
     #[error("record {record}: {source}")]
     Record {
-        /// Position of the record in its batch, from 0.
+        /// The index of the record in its batch.
         record: usize,
-        /// Why.
+        /// The cause.
         source: RecordError,
     },
 }
 
-/// Why a record cannot be handled.
+/// The reason why a record cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The settings of an instance cannot be decoded or mapped.
+    /// The settings of an instance cannot be decoded or converted.
     #[error("Create for instance {instance}: {source}")]
     PlatformConfig {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// Why.
+        /// The cause.
         source: PlatformConfigError,
     },
-    /// The settings of an instance are out of range.
+    /// The settings of an instance contain a value out of range.
     #[error("Create for instance {instance}: settings: {source}")]
     Settings {
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// Why.
+        /// The cause.
         source: SettingsError,
     },
-    /// No endpoint list has this number.
+    /// No endpoint list with this number was received.
     #[error("Membership: no list numbered {list}")]
     UnknownList {
-        /// The number.
+        /// The number of the list.
         list: u32,
     },
-    /// The wire has no such form of an endpoint list.
+    /// The form of an endpoint list is unknown.
     #[error("Membership: unknown form {form}")]
     UnknownListForm {
-        /// The code.
+        /// The code on the wire.
         form: u8,
     },
-    /// The wire has no such state of an endpoint.
-    #[error("unknown server state {code}")]
+    /// The state of an endpoint is unknown.
+    #[error("unknown endpoint state {code}")]
     UnknownEndpointState {
-        /// The code.
+        /// The code on the wire.
         code: u8,
     },
-    /// The wire has no such outcome.
+    /// The outcome of an attempt or a health check is unknown.
     #[error("unknown outcome {code}")]
     UnknownOutcome {
-        /// The code.
+        /// The code on the wire.
         code: u16,
     },
-    /// The wire has no such outcome of a call to the counter.
+    /// The outcome of a call to the counter is unknown.
     #[error("Added: unknown outcome {code}")]
     UnknownCounterOutcome {
-        /// The code.
+        /// The code on the wire.
         code: u16,
     },
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! The instances of one process, none of which knows of another.
+//! Runs the instances of the decision module that the simulator has started in this process. They
+//! do not share state.
 
 use crate::codec::{decode, EndpointRecord, Record, Reply};
 use crate::error::{BatchError, RecordError};
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All instances of one process, and the numbered endpoint lists that their events refer to.
+/// The instances of the process and the numbered endpoint lists that records refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
@@ -20,13 +21,13 @@
 
 struct Instance {
     dispatcher: Dispatcher,
-    /// Names of the values in a load report, in their order.
+    /// The names of the values in a load report, in the order of the values.
     load_report_fields: Vec<String>,
 }
 
 impl Host {
-    /// Handles one batch and returns its reply as a frame. An error names the record, and ends the
-    /// batch there.
+    /// Handles a batch and returns its encoded reply. At the first error, the remaining records of
+    /// the batch are skipped; the error names the record.
     pub fn handle_batch(&mut self, clock_ms: f64, payload: &[u8]) -> Result<Vec<u8>, BatchError> {
         if !clock_ms.is_finite() || clock_ms < 0.0 {
             return Err(BatchError::InvalidClock { clock_ms });
@@ -61,7 +62,7 @@
             Record::InstanceStopped { instance } => {
                 self.instances.remove(&instance);
             }
-            // The instances exchange nothing with their peers.
+            // The decision module does not exchange messages with its peers.
             Record::PeerMessage { .. } => {}
             Record::EndpointListChanged {
                 instance,
@@ -107,16 +108,18 @@
         Ok(())
     }
 
-    /// Starts an instance, in place of the one with its number.
+    /// Starts an instance. It replaces a running instance with the same number.
     fn start_instance(
         &mut self,
         instance: u16,
         seed: u64,
         settings: &[u8],
     ) -> Result<(), RecordError> {
-        let rejected = |source| RecordError::PlatformConfig { instance, source };
-        let platform_settings = PlatformSettings::parse(settings).map_err(rejected)?;
-        let settings = platform_settings.decision_settings().map_err(rejected)?;
+        let config_error = |source| RecordError::PlatformConfig { instance, source };
+        let platform_settings = PlatformSettings::parse(settings).map_err(config_error)?;
+        let settings = platform_settings
+            .decision_settings()
+            .map_err(config_error)?;
         let dispatcher = Dispatcher::new(settings, seed)
             .map_err(|source| RecordError::Settings { instance, source })?;
         let load_report_fields = platform_settings.load_report_fields().to_vec();
@@ -130,7 +133,8 @@
         Ok(())
     }
 
-    /// Handles an event; it is ignored if the instance does not exist.
+    /// Passes an event to an instance and adds the resulting actions to the reply. The event is
+    /// ignored if the instance does not exist.
     fn handle_event(&mut self, now: Duration, instance: u16, event: Event, reply: &mut Reply) {
         let mut actions = Vec::new();
         if let Some(instance) = self.instances.get_mut(&instance) {
@@ -141,7 +145,8 @@
         }
     }
 
-    /// Names of the values in an instance's load reports; none if the instance does not exist.
+    /// Returns the names of the values in the load reports of an instance; empty if the instance
+    /// does not exist.
     fn load_report_fields(&self, instance: u16) -> &[String] {
         self.instances
             .get(&instance)
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,11 +1,11 @@
-//! The adapter between the decision module and the simulator's wire. It translates; it decides
-//! nothing.
+//! Connects the decision module to the simulator. The adapter translates between the simulator's
+//! wire format and the types of the decision module, and takes no decisions itself.
 //!
-//! - [`codec`]: the wire;
-//! - `translate`: records to events, and actions to a reply;
-//! - [`host`]: the instances;
-//! - `error`: why a batch cannot be handled;
-//! - [`serve`]: batches from an input, replies to an output.
+//! - [`codec`]: encodes and decodes the wire format;
+//! - `translate`: converts records to events, and actions to records of a reply;
+//! - [`host`]: runs the simulated instances;
+//! - `error`: the reasons why a batch cannot be handled;
+//! - [`serve`]: reads batches from an input and writes replies to an output.
 
 pub mod codec;
 mod error;
@@ -17,11 +17,12 @@
 use host::Host;
 use std::io::{self, Read, Write};
 
-/// Bytes of a batch's header: the length of the payload (u32) and the clock in milliseconds (f64).
+/// The size of a batch's header, which consists of the length of the payload in bytes (u32) and the
+/// clock in milliseconds (f64).
 const HEADER_BYTES: usize = 12;
 
-/// Serves batches until the input ends. An error names the record that cannot be handled; nothing
-/// is written for its batch.
+/// Reads batches and writes their replies until the input ends. An error names the record that
+/// cannot be handled; no reply is written for its batch.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), ServeError> {
     let mut host = Host::default();
     let mut payload = Vec::new();
@@ -39,7 +40,7 @@
     clock_ms: f64,
 }
 
-/// Reads a batch's header; none if the input ends before it.
+/// Reads the header of a batch; `None` if the input ends before it.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, ServeError> {
     let mut header = [0u8; HEADER_BYTES];
     let received = fill(input, &mut header)?;
@@ -59,8 +60,8 @@
     }))
 }
 
-/// Reads a batch's payload. The buffer grows with what is received: a wrong length allocates
-/// nothing.
+/// Reads the payload of a batch. The buffer grows as data is received, so that an incorrect length
+/// in the header does not cause a large allocation.
 fn read_payload(
     input: &mut impl Read,
     expected: u64,
@@ -75,7 +76,7 @@
     Ok(())
 }
 
-/// Reads until the buffer is full or the input ends, and returns the number of bytes.
+/// Reads until the buffer is full or the input ends. Returns the number of bytes read.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut received = 0;
     while received < buffer.len() {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `roseyard-simulator-adapter`: reads batches on standard input, writes replies to standard
+//! `roseyard-simulator-adapter` reads batches from standard input and writes replies to standard
 //! output.
 
 use std::io;
--- a/crates/simulator-adapter/src/translate.rs
+++ b/crates/simulator-adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! Records to the decision module's events, and its actions to a reply.
+//! Converts records to events of the decision module, and its actions to records of a reply.
 
 use crate::codec::values::{
     counter_result, endpoint_state, list_form, load_report, outcome, ListForm, CLIENT_RETRY_FLAG,
@@ -15,8 +15,8 @@
 use roseyard_platform_config::duration_from_ms;
 use std::time::Duration;
 
-/// Odd multiplier that spreads the endpoints' numbers over all ranks: 2^64 divided by the golden
-/// ratio.
+/// An odd multiplier that distributes the numbers of endpoints evenly over all ranks: 2^64 divided
+/// by the golden ratio.
 const RANK_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 pub(crate) fn request_received(record: &RequestRecord) -> Event {
@@ -33,7 +33,7 @@
     })
 }
 
-/// `field_names` are the names of the values in a load report.
+/// Converts the end of an attempt. `field_names` are the names of the values in a load report.
 pub(crate) fn attempt_ended(
     record: &AttemptEndedRecord,
     field_names: &[String],
@@ -51,7 +51,7 @@
     }))
 }
 
-/// `field_names` are the names of the values in a load report.
+/// Converts the end of a health check. `field_names` are the names of the values in a load report.
 pub(crate) fn health_check_ended(
     record: &HealthCheckEndedRecord,
     field_names: &[String],
@@ -72,7 +72,8 @@
     })
 }
 
-/// `endpoints` looks the list's entries up; a list that is unavailable has none.
+/// Converts a change of the endpoint list. `endpoints` looks up the entries of the list and is not
+/// called if the list is unavailable.
 pub(crate) fn endpoint_list_changed<'a>(
     form_code: u8,
     endpoints: impl FnOnce() -> Result<&'a [EndpointRecord], RecordError>,
@@ -108,7 +109,7 @@
     })
 }
 
-/// Adds an instance's action to the reply.
+/// Adds an action of an instance to the reply.
 pub(crate) fn encode_action(instance: u16, action: Action, reply: &mut Reply) {
     match action {
         Action::Forward {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Byte examples of the wire, decoded and encoded, and the errors of malformed input.
+//! Tests of the wire format: examples of encoded records and errors for malformed input.
 
 use roseyard_simulator_adapter::codec::{decode, CodecError, Record, Reply};
 use roseyard_simulator_adapter::serve;
@@ -33,7 +33,7 @@
     r
 }
 
-const OPTIONS: &str = r#"{"Az":0,"Balancers":1,"Me":0,"Unknown":[1],"Ceilings":{"Cancel":true,"MaxAttempts":3,
+const SETTINGS: &str = r#"{"Az":0,"Balancers":1,"Me":0,"Unknown":[1],"Ceilings":{"Cancel":true,"MaxAttempts":3,
 "MaxRetryAfterMs":500.0,"MayDuplicate":true,"Probes":false,"RetryAfter":true},"Classes":[{"DeadlineMs":2000.0,
 "Effect":"read_like","Group":"all","LateWorth":0.0,"Stream":false,"TargetMs":500.0,"WindowMs":0.0,"Worth":1.0}],
 "Discovery":"automatic","Domain":{"CounterTimeoutMs":50.0,"MeteringMs":0.0,"SharedCounter":false},
@@ -42,7 +42,7 @@
 "BeyondCosts":1.0,"CapDepth":0.0,"CapSlack":0.0,"ExcessWorth":0.0,"MaxOut":0,"MostAtOnce":9.0,"NeverOverRate":0.0,
 "Rate":3.0,"ValueFactor":1.0}]}"#;
 
-/// One example of each event, and an endpoint list.
+/// An example of each event except `Create`, and an endpoint list.
 const EXAMPLE_EVENTS: &str =
     "05 0300 c4913a5dbe150200 00000040 0000 0000803f 0000000000006e40 640ad2557c3bf091 00004040 0000 0100
          04 0300 4d000000 08 0500 192b6f0e8e7d0f00
@@ -137,7 +137,7 @@
     reply.increment_counter(3, 4.0, 3000.0, 0x0089_f690);
     reply.reject(3, other, 250.0);
     reply.fetch_endpoint_list(3);
-    let want = hex(
+    let expected = hex(
         "01 0300 c4913a5dbe150200 000000002096c040 074a1203 05 0300 0000000000407f40 4d000000
          09 0500 1100 74776f2073657276657273206b6e6f776e 07 0300 f211902c 0b 0300 01
          08 0300 ffffffff 0400 68692037 04 0300 c4913a5dbe150200 0000
@@ -147,42 +147,42 @@
     let frame = reply.frame();
     assert_eq!(
         &frame[..8],
-        &[13u32.to_le_bytes(), (want.len() as u32).to_le_bytes()].concat()[..]
+        &[13u32.to_le_bytes(), (expected.len() as u32).to_le_bytes()].concat()[..]
     );
-    assert_eq!(&frame[8..], &want[..]);
+    assert_eq!(&frame[8..], &expected[..]);
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_error() {
+fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_not_an_error() {
     let (out, result) = run(&hex("00000000 00000000206ec040"));
     assert_eq!((out, result), (vec![0; 8], Ok(())));
 }
 
 #[test]
-fn a_request_is_forwarded_to_a_listed_endpoint_and_a_restart_within_a_batch_forgets_it() {
+fn a_request_is_forwarded_to_a_listed_endpoint_and_a_restarted_instance_has_no_endpoints() {
     let list = hex(
         "06 00000000 01000000 07000000 00 00 0000 01 0000803f 0000000000000000
          01 0300 02 2900000000000000 00000000",
     );
     let item = hex("05 0300 c4913a5dbe150200 0000803f 0000 0000803f 0000000000409f40 640ad2557c3b0000 0000803f 0000 0000");
-    let records = [create(3, OPTIONS), list, item.clone()].concat();
+    let records = [create(3, SETTINGS), list, item.clone()].concat();
     let (out, result) = run(&batch(1000.0, &records));
     assert_eq!(result, Ok(()));
     assert!(
         out.windows(4).any(|w| w == [7, 0, 0, 0]),
         "forwarded to endpoint 7"
     );
-    let again = [records, hex("0b 0300"), create(3, OPTIONS), item].concat();
+    let again = [records, hex("0b 0300"), create(3, SETTINGS), item].concat();
     let (out, result) = run(&batch(1000.0, &again));
     assert_eq!(result, Ok(()));
     assert!(
         out.len() > 40,
-        "rejected by the new instance, which knows no endpoint"
+        "the new instance, which has no endpoints, rejects the request"
     );
 }
 
 #[test]
-fn malformed_input_is_named_and_never_panics() {
+fn malformed_input_causes_an_error_that_names_it_and_no_panic() {
     let error_of = |records: &[u8]| run(&batch(1.0, records)).1.unwrap_err();
     assert!(error_of(&hex("63")).contains("unknown event code 99"));
     assert!(error_of(&hex("04 0300 4d")).contains("record 0 (code 4): truncated"));
@@ -190,10 +190,10 @@
     assert!(error_of(&create(1, "{}")).contains("missing field"));
     assert!(error_of(&create(
         1,
-        &OPTIONS.replace("\"TargetMs\":500.0", "\"TargetMs\":-5.0")
+        &SETTINGS.replace("\"TargetMs\":500.0", "\"TargetMs\":-5.0")
     ))
     .contains("TargetMs"));
-    assert!(error_of(&create(1, &OPTIONS.replace("read_like", "odd"))).contains("Effect"));
+    assert!(error_of(&create(1, &SETTINGS.replace("read_like", "odd"))).contains("Effect"));
     assert!(error_of(&hex("01 0300 02 2900000000000000 05000000")).contains("no list numbered 5"));
     assert!(run(&hex("ffffff7f 0000000000000000 01"))
         .1
