--- a/crates/decision/src/balancer/endpoint_table.rs
+++ b/crates/decision/src/balancer/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The endpoints of a service that have a state: all listed ones, unless there are very many.
+//! The known endpoints of a service, which are those that the ingress keeps state for. They are all
+//! listed endpoints, or a part of them if the list is very long.
 
 use crate::balancer::endpoint_ring::EndpointRing;
 use crate::balancer::subset::{subset_weights, MIN_KNOWN_ENDPOINTS, MIN_SUBSET_ENDPOINTS};
@@ -10,7 +11,7 @@
 use fastrand::Rng;
 use std::collections::btree_map::Entry;
 
-/// The listed endpoints, and the state of those that this ingress uses.
+/// The listed endpoints of a service and the state of the known ones.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     pub endpoints: Endpoints,
@@ -18,18 +19,19 @@
 }
 
 impl EndpointTable {
-    /// The endpoints that are listed, or those that have a state if these are more.
+    /// Returns the number of listed endpoints, or of known ones if that is higher. It can be higher
+    /// because a removed endpoint stays known until its attempts have ended.
     pub(crate) fn len(&self) -> usize {
         self.endpoints.len().max(self.ring.len())
     }
 
-    /// Listed endpoints for each one that has a state.
+    /// Returns the number of listed endpoints per known endpoint, at least 1.
     pub(crate) fn listed_per_known(&self) -> f64 {
         (self.ring.len() as f64 / self.endpoints.len().max(1) as f64).max(1.0)
     }
 
-    /// Takes in a changed entry. From then on nothing new goes to an endpoint that is draining or
-    /// removed.
+    /// Applies a changed entry. An endpoint that is draining or removed gets no new attempts from
+    /// then on.
     pub(crate) fn update(&mut self, entry: &EndpointEntry, now: f64, rng: &mut Rng) {
         self.ring.update(entry);
         let is_list_short = self.ring.len() as f64 <= MIN_KNOWN_ENDPOINTS;
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Takes in a complete list: what it does not contain is removed.
+    /// Applies a complete list. Endpoints that it does not contain are removed.
     pub(crate) fn replace(&mut self, entries: &[EndpointEntry], now: f64, rng: &mut Rng) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.ready = false;
@@ -50,20 +52,20 @@
         self.drop_removed();
     }
 
-    /// Drops endpoints that are not ready and have nothing in flight.
+    /// Removes endpoints that are not ready and have no attempt in flight.
     pub(crate) fn drop_removed(&mut self) {
         self.endpoints
             .retain(|_, endpoint| endpoint.ready || !endpoint.in_flight.is_empty());
     }
 
-    /// After a change of the list: determines which endpoints have a state here and which part of
-    /// each is in this ingress's subset.
+    /// Determines which endpoints are known and which part of each belongs to this ingress's
+    /// subset. Does nothing if the list has not changed since the last call.
     pub(crate) fn refresh_subset(&mut self, settings: &Settings, now: f64, rng: &mut Rng) {
         let Some(ring) = self.ring.take_changed() else {
             return;
         };
         let weights: Vec<f64> = ring.iter().map(|entry| entry.weight).collect();
-        let arc = |min_endpoints| {
+        let weights_on_arc = |min_endpoints| {
             subset_weights(
                 settings.ingress_index,
                 settings.ingress_count,
@@ -71,9 +73,9 @@
                 &weights,
             )
         };
-        let subset = arc(MIN_SUBSET_ENDPOINTS);
-        let known = arc(MIN_KNOWN_ENDPOINTS);
-        for ((entry, subset_weight), known_weight) in ring.iter().zip(subset).zip(known) {
+        let subset = weights_on_arc(MIN_SUBSET_ENDPOINTS);
+        let known_weights = weights_on_arc(MIN_KNOWN_ENDPOINTS);
+        for ((entry, subset_weight), known_weight) in ring.iter().zip(subset).zip(known_weights) {
             let is_known = known_weight > 0.0;
             if is_known && !self.endpoints.contains_key(&entry.endpoint) {
                 self.upsert(*entry, now, rng);
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Takes an entry into its endpoint's state, which is created if there is none.
+    /// Updates an endpoint's state from its entry, or creates the state. A new start time resets
+    /// its latency, its circuit breaker and whether it is unresponsive.
     fn upsert(&mut self, entry: EndpointEntry, now: f64, rng: &mut Rng) {
         let sample = rng.f64();
         let mut slot = match self.endpoints.entry(entry.endpoint) {
@@ -107,8 +110,9 @@
     }
 }
 
-/// A new endpoint's state. Each ingress checks endpoints in an order of its own: otherwise all
-/// would know, and use, the same few.
+/// Returns the state of a new endpoint. The time of its last health check is random, so that each
+/// ingress checks the endpoints in a different order. Otherwise all ingresses would know the load
+/// of the same few endpoints, and use those.
 fn new_endpoint(entry: EndpointEntry, sample: f64, now: f64) -> Endpoint {
     Endpoint {
         entry,
--- a/crates/decision/src/balancer/mod.rs
+++ b/crates/decision/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! The load balancer of a service: finds the eligible endpoints, scores them, chooses one.
+//! The load balancer of a service. It finds the eligible endpoints, scores them and chooses one.
 
 pub(crate) mod endpoint_ring;
 pub(crate) mod endpoint_table;
@@ -18,33 +18,34 @@
 use fastrand::Rng;
 use std::sync::Arc;
 
-/// Endpoints outside of the subset are used where those inside fail: each counts as this part of
-/// one ...
-const OUTSIDE_SUBSET_WEIGHT: f64 = 0.01;
-/// ... and all of them as this many inside at most.
-const OUTSIDE_SUBSET_TOTAL: f64 = 2.0;
+/// Endpoints outside the subset are used if those inside fail. Each of them has at most this subset
+/// weight ...
+const MAX_OUTSIDE_SUBSET_WEIGHT: f64 = 0.01;
+/// ... and all of them together have at most this much.
+const MAX_OUTSIDE_SUBSET_TOTAL_WEIGHT: f64 = 2.0;
 
-/// What the choice of an endpoint depends on, besides the endpoints. Times are in seconds.
+/// The inputs of the choice of an endpoint, apart from the endpoints. Times are in seconds.
 pub(crate) struct ChoiceInput {
     pub now: f64,
+    /// The index of the request's class.
     pub class: usize,
-    /// Mean latency of the class.
+    /// The mean latency of the class.
     pub mean_latency: f64,
     pub is_first_attempt: bool,
-    /// Whether the request may be tried at an ejected endpoint.
+    /// Whether the request may be sent to an ejected endpoint as a trial.
     pub may_be_trial: bool,
 }
 
 impl ChoiceInput {
-    /// Whether the request may be tried at this ejected endpoint.
+    /// Whether the request may be sent to this ejected endpoint as a trial now.
     fn is_trial_due(&self, endpoint: &Endpoint) -> bool {
         self.may_be_trial && self.now >= endpoint.next_trial_at
     }
 }
 
-/// What the candidates of one choice have in common.
-struct ChoiceTerms {
-    /// The least part that an endpoint counts as, inside or outside of the subset.
+/// What all candidates of one choice have in common.
+struct ChoiceContext {
+    /// The minimum subset weight of an endpoint, inside or outside the subset.
     min_weight: f64,
     budget: SlowStartBudget,
     scorer: Scorer,
@@ -53,14 +54,14 @@
 /// An eligible endpoint.
 struct Candidate {
     endpoint: EndpointId,
-    /// Only chosen where no other endpoint is left.
-    is_second_choice: bool,
+    /// Whether it is chosen only if all candidates are fallbacks.
+    is_fallback: bool,
     score: f64,
 }
 
 impl Candidate {
     fn is_better_than(&self, other: &Candidate) -> bool {
-        (self.is_second_choice, self.score) < (other.is_second_choice, other.score)
+        (self.is_fallback, self.score) < (other.is_fallback, other.score)
     }
 }
 
@@ -80,8 +81,9 @@
         }
     }
 
-    /// The endpoint with the lowest score among those that `is_allowed`, or an ejected one whose
-    /// trial is due; none if no endpoint may get the request.
+    /// Chooses an endpoint among those that `is_allowed` accepts: an ejected one whose trial is
+    /// due, otherwise the candidate with the lowest score. Returns `None` if no endpoint is
+    /// eligible.
     pub(crate) fn choose(
         &self,
         input: &ChoiceInput,
@@ -89,7 +91,7 @@
         rng: &mut Rng,
     ) -> Option<EndpointId> {
         let endpoints = &self.table.endpoints;
-        let terms = self.terms(input);
+        let context = self.context(input);
         let ejection_allowed = outlier::ejection_allowed(endpoints);
         let mut trial = None;
         let mut best: Option<Candidate> = None;
@@ -103,7 +105,7 @@
                 }
                 continue;
             }
-            let Some(candidate) = self.candidate(id, endpoint, input, &terms, rng) else {
+            let Some(candidate) = self.candidate(id, endpoint, input, &context, rng) else {
                 continue;
             };
             let is_better = |best: &Candidate| candidate.is_better_than(best);
@@ -114,45 +116,47 @@
         trial.or(best.map(|candidate| candidate.endpoint))
     }
 
-    /// What the candidates of one choice have in common.
-    fn terms(&self, input: &ChoiceInput) -> ChoiceTerms {
+    /// Calculates what all candidates of one choice have in common.
+    fn context(&self, input: &ChoiceInput) -> ChoiceContext {
         let endpoints = &self.table.endpoints;
         let count = endpoints.len().max(1) as f64;
-        let min_weight = OUTSIDE_SUBSET_WEIGHT.min(OUTSIDE_SUBSET_TOTAL / count);
-        ChoiceTerms {
+        let min_weight = MAX_OUTSIDE_SUBSET_WEIGHT.min(MAX_OUTSIDE_SUBSET_TOTAL_WEIGHT / count);
+        ChoiceContext {
             min_weight,
             budget: self.slow_start_budget(input, min_weight),
             scorer: Scorer::new(endpoints, &self.settings, input.now),
         }
     }
 
-    /// The endpoint with its score, unless its slow-start budget is used up.
+    /// Scores an endpoint. Returns `None` if its slow-start budget is used up.
     fn candidate(
         &self,
         id: EndpointId,
         endpoint: &Endpoint,
         input: &ChoiceInput,
-        terms: &ChoiceTerms,
+        context: &ChoiceContext,
         rng: &mut Rng,
     ) -> Option<Candidate> {
         let limits = &self.settings.endpoint_limits;
         let warm_up_ratio = warm_up_ratio(endpoint, limits, input.now);
-        let weight = endpoint.subset_weight.max(terms.min_weight);
-        if !terms.budget.admits(endpoint, weight, warm_up_ratio) {
+        let weight = endpoint.subset_weight.max(context.min_weight);
+        if !context.budget.admits(endpoint, weight, warm_up_ratio) {
             return None;
         }
         let capacity = endpoint.entry.weight * warm_up_ratio * weight;
         Some(Candidate {
             endpoint: id,
-            is_second_choice: self.is_second_choice(endpoint, input),
-            score: terms.scorer.score(endpoint, capacity, rng),
+            is_fallback: self.is_fallback(endpoint, input),
+            score: context.scorer.score(endpoint, capacity, rng),
         })
     }
 
-    /// Whether the endpoint is only chosen where no other is left: normally those that are expected
-    /// to refuse the connection. While a trial is due it is the others, so that a first attempt
-    /// finds out whether one of them accepts connections again.
-    fn is_second_choice(&self, endpoint: &Endpoint, input: &ChoiceInput) -> bool {
+    /// Whether the endpoint is a fallback, which is chosen only if there is no other candidate.
+    ///
+    /// Usually, fallbacks are the endpoints that are expected to refuse the connection. When a
+    /// trial is due, a first attempt treats the other endpoints as fallbacks instead, so that it
+    /// finds out whether an endpoint accepts connections again.
+    fn is_fallback(&self, endpoint: &Endpoint, input: &ChoiceInput) -> bool {
         let failures = &self.connect_failures;
         let is_refusal_expected = failures.is_refusal_expected(endpoint.circuit_breaker);
         let is_trial_due = failures.is_half_open(input.now) && input.is_first_attempt;
@@ -177,7 +181,8 @@
         )
     }
 
-    /// An attempt goes out to the endpoint; false if the endpoint is not known.
+    /// Records that an attempt is forwarded to the endpoint. Returns false if the endpoint is not
+    /// known.
     pub(crate) fn record_forward(
         &mut self,
         endpoint: EndpointId,
@@ -195,7 +200,8 @@
         true
     }
 
-    /// The endpoint and the service's failed connections, to record an outcome in.
+    /// Returns the endpoint and the service's connect failures, so that the outcome of an attempt
+    /// can be recorded in both.
     pub(crate) fn endpoint_mut(
         &mut self,
         endpoint: EndpointId,
@@ -204,7 +210,7 @@
         Some((endpoint, &mut self.connect_failures))
     }
 
-    /// The service's present load, for the concurrency limit.
+    /// Returns the present load of the service, which the concurrency limit is compared with.
     pub(crate) fn load(&self) -> ServiceLoad {
         let endpoints = &self.table.endpoints;
         let ejection_allowed = outlier::ejection_allowed(endpoints);
--- a/crates/decision/src/balancer/slow_start.rs
+++ b/crates/decision/src/balancer/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: an endpoint that is warming up gets no more than it can bear.
+//! Slow start: limits the requests to an endpoint that is warming up to what it can handle.
 
 use crate::endpoint::{Endpoint, Endpoints};
 use crate::latency::INITIAL_MEAN_LATENCY_DIVISOR;
@@ -6,13 +6,13 @@
 use crate::settings::{EndpointLimits, Settings};
 use crate::util::{seconds, EPSILON};
 
-/// Safety factor on the overload multiple where the budget follows full capacity, as it does where
-/// most endpoints are warming up.
-const OVERLOAD_MULTIPLE_USED_RATIO: f64 = 0.8;
-/// Safety factor on the overload multiple where the budget follows the present, warm capacity.
-const OVERLOAD_MULTIPLE_OF_WARM: f64 = 0.5;
+/// The safety factor on the overload multiple if the budget is based on full capacity, which is the
+/// case if most endpoints are warming up.
+const FULL_CAPACITY_OVERLOAD_RATIO: f64 = 0.8;
+/// The safety factor on the overload multiple if the budget is based on present capacity.
+const PRESENT_CAPACITY_OVERLOAD_RATIO: f64 = 0.5;
 
-/// The share of its capacity that an endpoint surely has by its age.
+/// Returns the share of its full capacity that an endpoint is guaranteed to have at its age.
 pub(crate) fn warm_up_ratio(endpoint: &Endpoint, limits: &EndpointLimits, now: f64) -> f64 {
     let started_at = endpoint.entry.started_at;
     let age = started_at.map_or(f64::MAX, |at| (now - seconds(at)).max(0.0));
@@ -21,38 +21,47 @@
     (initial + (1.0 - initial) * age / warm_up_seconds).min(1.0)
 }
 
-/// How many requests of a class go to endpoints that are warming up, within
+/// Limits how many requests of a class an endpoint that is warming up may get within
 /// [`forward_window_seconds`](crate::endpoint::forward_window_seconds).
 pub(crate) struct SlowStartBudget {
-    /// Requests for a warm endpoint that lies in the subset as a whole.
+    /// The budget of an endpoint with full capacity that lies completely in the subset.
     requests: f64,
 }
 
-/// What a budget is calculated from, besides the endpoints.
+/// The inputs of a budget, apart from the endpoints.
 pub(crate) struct BudgetInput<'a> {
     pub settings: &'a Settings,
+    /// The index of the request's class.
     pub class: usize,
-    /// Mean latency of the class, in seconds.
+    /// The mean latency of the class, in seconds.
     pub mean_latency: f64,
+    /// The minimum subset weight of an endpoint.
     pub min_subset_weight: f64,
+    /// The number of listed endpoints per known endpoint.
     pub listed_per_known: f64,
+    /// In seconds.
     pub now: f64,
 }
 
 impl SlowStartBudget {
-    /// An endpoint gets at most half of the overload multiple of its part, by subset and warm-up,
-    /// of what goes out from here; and, where most are warming up, of what would fall to it if all
-    /// were warm. If nothing has gone out yet: as much as idle endpoints bear from all ingresses.
+    /// Calculates the budget from the attempts that this ingress forwarded within the window.
+    ///
+    /// An endpoint's share of these forwards is proportional to its subset weight and its warm-up
+    /// ratio. Its budget is half of the overload multiple times this share. If most endpoints are
+    /// warming up, the budget is lower: it is then based on the share that the endpoint would have
+    /// if all endpoints had their full capacity. The number of forwards counts as at least this
+    /// ingress's part of what all ingresses may send to idle endpoints, so that the budget is not
+    /// empty before anything has been forwarded.
     pub(crate) fn new(endpoints: &Endpoints, input: &BudgetInput) -> SlowStartBudget {
         let limits = &input.settings.endpoint_limits;
         let mut full_capacity = EPSILON;
-        let mut warm_capacity = EPSILON;
+        let mut present_capacity = EPSILON;
         let mut forwards = 0.0;
         let mut endpoint_count = 0.0;
         for endpoint in endpoints.values().filter(|e| e.ready && !e.unresponsive) {
             let weight = endpoint.subset_weight.max(input.min_subset_weight);
             full_capacity += weight;
-            warm_capacity += weight * warm_up_ratio(endpoint, limits, input.now);
+            present_capacity += weight * warm_up_ratio(endpoint, limits, input.now);
             endpoint_count += 1.0;
             forwards += endpoint.recent_forwards.len() as f64;
         }
@@ -68,16 +77,17 @@
         let ingress_count = f64::from(input.settings.ingress_count);
         let forwards = f64::max(forwards, idle_forwards / ingress_count);
         let multiple = limits.overload_multiple.max(1.0);
-        let by_warm_capacity = OVERLOAD_MULTIPLE_OF_WARM * multiple / warm_capacity;
-        let by_full_capacity = OVERLOAD_MULTIPLE_USED_RATIO * multiple / full_capacity;
+        let by_present_capacity = PRESENT_CAPACITY_OVERLOAD_RATIO * multiple / present_capacity;
+        let by_full_capacity = FULL_CAPACITY_OVERLOAD_RATIO * multiple / full_capacity;
         SlowStartBudget {
-            requests: forwards * by_warm_capacity.min(by_full_capacity),
+            requests: forwards * by_present_capacity.min(by_full_capacity),
         }
     }
 
-    /// Whether the endpoint may get one more request, by its part in the subset and its warm-up;
-    /// its weight in the list does not count. A sample decides for a fraction of one: whole ones
-    /// from hundreds of ingresses overload an endpoint.
+    /// Whether the endpoint may get one more request. Its budget depends on its subset weight and
+    /// its warm-up ratio, but not on its weight in the endpoint list. A random sample rounds the
+    /// budget up or down: if it were always rounded up, an endpoint would be overloaded by one
+    /// request each from hundreds of ingresses.
     pub(crate) fn admits(
         &self,
         endpoint: &Endpoint,
--- a/crates/decision/src/health/circuit_breaker.rs
+++ b/crates/decision/src/health/circuit_breaker.rs
@@ -1,40 +1,44 @@
-//! Circuit breakers: endpoints that accept no connections get requests only where no other endpoint
-//! is left, and a trial once in a while. An ingress with little traffic keeps the
-//! breaker open until an attempt succeeds.
+//! Circuit breakers for endpoints that refuse connections. Such an endpoint gets a request only if
+//! no other endpoint is eligible, or as a periodic trial. A breaker stays open until an attempt
+//! connects or the endpoint restarts, however long that takes at an ingress with little traffic.
 
 use crate::event::Outcome;
 
-/// After a forward to an endpoint that may refuse connections, the next trial waits for this.
+/// The time from an attempt at an endpoint whose breaker is not closed to the next trial.
 const TRIAL_INTERVAL_SECONDS: f64 = 2.0;
-/// Weight of each attempt to connect in the mean of failures.
+/// The weight of one sample in the moving average of connect failures.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.3;
-/// Above this share of failures an endpoint that was never tried is taken to refuse too.
-const FAILURE_RATIO_MAX: f64 = 0.5;
+/// Above this share of connect failures, untried endpoints are expected to refuse connections too.
+const MAX_FAILURE_RATIO: f64 = 0.5;
 
-/// Whether an endpoint accepts connections from this ingress, by the last attempt at it.
+/// Whether an endpoint accepts connections from this ingress, according to the last attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum CircuitBreaker {
-    /// Not tried since its start.
+    /// No attempt since the endpoint started.
     #[default]
     Untried,
-    /// It accepted the last connection.
+    /// The endpoint accepted the last connection.
     Closed,
-    /// It refused the last connection.
+    /// The last attempt to connect failed.
     Open,
 }
 
-/// Failed connections of a service. Times are in seconds.
+/// The connect failures of a service's endpoints. Times are in seconds.
 #[derive(Default)]
 pub(crate) struct ConnectFailures {
-    /// Share of failures among connections to endpoints whose breaker was not closed.
+    /// The moving average of connect failures (1) and successes (0) at endpoints whose breaker was
+    /// not closed. Failures at an endpoint whose breaker was already open do not count.
     connect_failure_ratio: f64,
-    /// From this time on, one request may try an endpoint that refuses connections.
+    /// From this time on, one request may be sent to an endpoint that is expected to refuse the
+    /// connection, as a trial.
     half_open_at: f64,
 }
 
 impl ConnectFailures {
-    /// Records how an attempt ended at an endpoint. A closed breaker after a success calls for the
-    /// next trial at once.
+    /// Records how an attempt at an endpoint ended, and updates the endpoint's breaker. If the
+    /// attempt closes the breaker, the next trial may follow at once, since other endpoints may
+    /// accept connections again too. Outcomes that do not show whether the endpoint accepts
+    /// connections are ignored.
     pub(crate) fn record(&mut self, breaker: &mut CircuitBreaker, outcome: Outcome, now: f64) {
         if matches!(
             outcome,
@@ -63,7 +67,7 @@
         };
     }
 
-    /// An attempt goes out to an endpoint with this breaker.
+    /// Records that an attempt is forwarded to an endpoint with this breaker.
     pub(crate) fn record_forward(&mut self, breaker: CircuitBreaker, now: f64) {
         if breaker != CircuitBreaker::Closed {
             self.half_open_at = now + TRIAL_INTERVAL_SECONDS;
@@ -74,12 +78,13 @@
     pub(crate) fn is_refusal_expected(&self, breaker: CircuitBreaker) -> bool {
         match breaker {
             CircuitBreaker::Closed => false,
-            CircuitBreaker::Untried => self.connect_failure_ratio > FAILURE_RATIO_MAX,
+            CircuitBreaker::Untried => self.connect_failure_ratio > MAX_FAILURE_RATIO,
             CircuitBreaker::Open => true,
         }
     }
 
-    /// Whether a request may try an endpoint that is expected to refuse it.
+    /// Whether a trial is due: a request may be sent to an endpoint that is expected to refuse the
+    /// connection.
     pub(crate) fn is_half_open(&self, now: f64) -> bool {
         now >= self.half_open_at
     }
--- a/crates/decision/src/health/health_check.rs
+++ b/crates/decision/src/health/health_check.rs
@@ -1,38 +1,42 @@
-//! Health checks: unresponsive endpoints are checked, and all of them where load reports come with
-//! health checks only. Requests earn the budget, so that no ingress checks more than it works.
+//! Health checks of unresponsive endpoints, or of all endpoints if load reports come with health
+//! checks only. The budget for checks grows with the requests received, so that health checks
+//! remain a fraction of an ingress's traffic.
 
 use crate::action::Action;
 use crate::endpoint::{Endpoint, Endpoints};
 use crate::settings::Settings;
 
-/// Shortest time between two checks of one endpoint by one ingress.
-const INTERVAL_MIN_SECONDS: f64 = 1.0;
-/// Most checks a second at one endpoint from all ingresses together.
-const CHECKS_PER_ENDPOINT_MAX_PER_SECOND: f64 = 8.0;
+/// The minimum time between two checks of an endpoint by the same ingress.
+const MIN_INTERVAL_SECONDS: f64 = 1.0;
+/// The maximum rate of checks of one endpoint by all ingresses together.
+const MAX_CHECKS_PER_ENDPOINT_PER_SECOND: f64 = 8.0;
+/// The number of checks that each request adds to the budget.
 const CHECKS_PER_REQUEST: f64 = 0.2;
-const BUDGET_MAX_CHECKS: f64 = 20.0;
-const BUDGET_INITIAL_CHECKS: f64 = 1.0;
+const MAX_BUDGET_CHECKS: f64 = 20.0;
+const INITIAL_BUDGET_CHECKS: f64 = 1.0;
 
-/// The health checks that a service may start.
+/// The budget for the health checks of a service's endpoints.
 pub(crate) struct HealthCheckBudget {
+    /// The number of checks that may be started.
     checks: f64,
 }
 
 impl Default for HealthCheckBudget {
     fn default() -> Self {
         HealthCheckBudget {
-            checks: BUDGET_INITIAL_CHECKS,
+            checks: INITIAL_BUDGET_CHECKS,
         }
     }
 }
 
 impl HealthCheckBudget {
-    /// A request has arrived.
+    /// Called when a request arrives. Adds to the budget.
     pub(crate) fn earn(&mut self) {
-        self.checks = (self.checks + CHECKS_PER_REQUEST).min(BUDGET_MAX_CHECKS);
+        self.checks = (self.checks + CHECKS_PER_REQUEST).min(MAX_BUDGET_CHECKS);
     }
 
-    /// Starts the checks that are due, longest unchecked endpoints first.
+    /// Starts the checks that are due, as far as the budget allows, beginning with the endpoints
+    /// whose last check is oldest.
     pub(crate) fn start_due(
         &mut self,
         endpoints: &mut Endpoints,
@@ -42,7 +46,7 @@
     ) {
         let check_all = settings.load_reports_on_health_check;
         let ingress_count = f64::from(settings.ingress_count);
-        let interval = INTERVAL_MIN_SECONDS.max(ingress_count / CHECKS_PER_ENDPOINT_MAX_PER_SECOND);
+        let interval = MIN_INTERVAL_SECONDS.max(ingress_count / MAX_CHECKS_PER_ENDPOINT_PER_SECOND);
         let is_due = |endpoint: &Endpoint| {
             endpoint.ready
                 && (endpoint.unresponsive || check_all)
