--- a/crates/decision/src/action.rs
+++ b/crates/decision/src/action.rs
@@ -1,80 +1,81 @@
-//! Actions: what the caller has to carry out, in order.
+//! Actions that the caller has to carry out, in the order in which they were appended.
 
 use crate::ids::{CounterKey, EndpointId, RequestId, TimerTag};
 use crate::rejection::RejectReason;
 use std::fmt;
 use std::time::Duration;
 
-/// What the ingress has to do.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the request's next attempt.
     Forward {
-        /// The request.
+        /// The request to forward.
         request: RequestId,
-        /// The endpoint that gets the attempt.
+        /// The endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// When this attempt is given up.
+        /// The time, since the epoch of the events, at which the request times out.
         deadline: Duration,
     },
-    /// Final answer: rejected; a retry is safe.
+    /// Answer the client: the request is rejected, and retrying it is safe.
     Reject {
-        /// The request.
+        /// The request that is rejected.
         request: RequestId,
-        /// How long the client should wait before its next attempt.
+        /// How long the client should wait before it retries; `None` if clients are not told.
         retry_after: Option<Duration>,
-        /// Why.
+        /// Why the request is rejected, for operators.
         reason: RejectReason,
     },
-    /// Final answer: failed; whether it was executed is unknown.
+    /// Answer the client: the request has failed and may have been executed.
     Fail {
-        /// The request.
+        /// The request that has failed.
         request: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within the request, from 0.
         attempt: u16,
     },
-    /// Add to a number on the counter service and return the total.
+    /// Add an amount to a key of the counter service, and report the new total with
+    /// [`Event::CounterReply`](crate::Event::CounterReply).
     IncrementCounter {
-        /// The key.
+        /// The key to increment.
         key: CounterKey,
-        /// The amount.
+        /// Units to add.
         amount: f64,
-        /// A new key expires after this.
+        /// How long a key that this call creates is kept.
         time_to_live: Duration,
     },
-    /// Send [`Event::TimerExpired`](crate::Event::TimerExpired) after this time.
+    /// Report [`Event::TimerExpired`](crate::Event::TimerExpired) after a delay.
     SetTimer {
-        /// From now.
+        /// The delay from now.
         after: Duration,
-        /// Returned with the event.
+        /// The tag to report with the event.
         tag: TimerTag,
     },
     /// Start a health check of an endpoint.
     CheckHealth {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Subscribe to changes of the endpoint list from now on.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
     /// Fetch the complete endpoint list once.
     FetchEndpointList,
-    /// Write a line to the operators' log.
+    /// Write a line to the log.
     Log(Notice),
 }
 
-/// A change of state that operators want to see in the log.
+/// A change of state that is reported to operators in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// An endpoint has not answered for so long that it is taken for unresponsive.
+    /// An endpoint has not responded for so long that it counts as unresponsive.
     EndpointUnresponsive(EndpointId),
-    /// The counter is slow or failing: fewer than half of the requests call it.
+    /// The counter is slow or fails, so that fewer than half of the requests call it.
     CounterDegraded,
-    /// The counter answers again: every request calls it.
+    /// The counter responds normally again, and every request calls it.
     CounterRecovered,
 }
 
--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! One ingress: hands each event to the service that it is for. It decides nothing itself.
+//! The entry point of the crate: passes each event to the service that it concerns.
 //!
-//! Customers' quotas span services and stand above them. The cost of an event is that of the one
-//! service: a service without requests is never woken.
+//! Customers' quotas apply across services, so the dispatcher holds them. An event is processed by
+//! one service only, and a service without requests sets no timers. The cost of an event therefore
+//! does not depend on the number of services.
 
 use crate::action::Action;
 use crate::event::{
@@ -18,36 +19,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before subscribing again after a call to discovery failed.
+/// Delay before subscribing again after a call to discovery has failed.
 const RESUBSCRIBE_DELAY: Duration = Duration::from_secs(1);
-/// A gap this long between two events, while requests cause timers, is a stall of this ingress.
-const STALL_SECONDS: f64 = 0.25;
-/// Units of a request whose estimate is no number.
+/// A longer time between two events while there are requests counts as a stall of this ingress,
+/// because the timers of requests expire more often than that.
+const MIN_STALL_SECONDS: f64 = 0.25;
+/// Units of a request whose own number of units is not finite.
 const DEFAULT_UNITS: f64 = 1.0;
 
-/// The decisions of one ingress: takes events and appends actions.
+/// Makes the decisions of one ingress: takes events and appends the resulting actions.
 pub struct Dispatcher {
     settings: Arc<Settings>,
     quotas: CustomerQuotas,
     services: ServiceTable,
-    /// The service of each request of which something is still to come.
+    /// The service of each request that is not finished.
     requests: HashMap<RequestId, ServiceId>,
     resubscribe_at: Option<Duration>,
-    timer: Option<Duration>,
+    /// When the timer that was last requested from the caller expires.
+    timer_at: Option<Duration>,
+    /// The time of the current event.
     clock: Duration,
     /// When the last stall of this ingress ended, in seconds.
     resumed_at: f64,
-    started: bool,
-    /// Empty between two events; kept for its capacity.
+    /// Whether an event has been handled.
+    has_started: bool,
+    /// Empty between events; kept to reuse its allocation.
     finished_requests: Vec<RequestId>,
 }
 
 impl Dispatcher {
-    /// Checks the settings and starts without any state. The same seed and events give the same
-    /// actions.
+    /// Creates a dispatcher without endpoints or requests. The same seed and the same events result
+    /// in the same actions.
     ///
     /// # Errors
-    /// Settings that an ingress cannot run with, as [`Settings::check`] finds them.
+    /// Returns the error of [`Settings::check`] if an ingress cannot run with the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Dispatcher, SettingsError> {
         settings.check()?;
         let settings = Arc::new(settings);
@@ -57,40 +62,40 @@
             settings,
             requests: HashMap::new(),
             resubscribe_at: None,
-            timer: None,
+            timer_at: None,
             clock: Duration::ZERO,
             resumed_at: 0.0,
-            started: false,
+            has_started: false,
             finished_requests: Vec::new(),
         })
     }
 
-    /// Number of services that have endpoints or requests.
+    /// The number of services that have endpoints or requests.
     #[must_use]
     pub fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// Takes one event at the time `now` and appends what is to be done. A time before that of an
-    /// earlier event counts as that one's.
+    /// Handles an event that occurred at the time `now`, and appends the resulting actions. If
+    /// `now` is before the time of an earlier event, the earlier event's time is used.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        self.advance(now);
-        let is_first_event = !std::mem::replace(&mut self.started, true);
+        self.advance_clock(now);
+        let is_first_event = !std::mem::replace(&mut self.has_started, true);
         if is_first_event && self.settings.discovery == DiscoveryMode::Subscription {
             actions.push(Action::Subscribe);
         }
         self.dispatch(event, actions);
-        self.wake_due(actions);
+        self.run_due_services(actions);
         self.set_timer(actions);
     }
 
-    /// While there are requests, timers of their services are due all the time: a gap is a stall
-    /// of this ingress. Prevents endpoints and counter from being blamed for what waited through
-    /// it.
-    fn advance(&mut self, now: Duration) {
-        let before = self.clock;
-        self.clock = before.max(now);
-        if seconds(self.clock - before) > STALL_SECONDS && !self.requests.is_empty() {
+    /// Sets the clock and detects stalls of this ingress. While there are requests, timers expire
+    /// frequently, so a long time without an event is a stall. Endpoints and the counter must not
+    /// be considered slow because their responses waited during a stall.
+    fn advance_clock(&mut self, now: Duration) {
+        let previous = self.clock;
+        self.clock = previous.max(now);
+        if seconds(self.clock - previous) > MIN_STALL_SECONDS && !self.requests.is_empty() {
             self.resumed_at = seconds(self.clock);
         }
     }
@@ -104,18 +109,18 @@
                 elapsed,
             } => self.on_counter_reply(key, result, elapsed, actions),
             Event::AttemptEnded(end) => {
-                self.with_request(end.request, actions, |service, state| {
-                    service.on_attempt_ended(&end, state);
+                self.with_request(end.request, actions, |service, context| {
+                    service.on_attempt_ended(&end, context);
                 });
             }
             Event::StreamStarted { request, attempt } => {
-                self.with_request(request, actions, |service, state| {
-                    service.on_stream_started(request, attempt, state);
+                self.with_request(request, actions, |service, context| {
+                    service.on_stream_started(request, attempt, context);
                 });
             }
             Event::ClientDisconnected(request) => {
-                self.with_request(request, actions, |service, state| {
-                    service.close(request, state);
+                self.with_request(request, actions, |service, context| {
+                    service.close(request, context);
                 });
             }
             Event::EndpointListChanged(update) => self.on_endpoint_list(update),
@@ -125,7 +130,7 @@
                 outcome,
                 load,
             } => self.on_health_check(service, endpoint, outcome, load.as_ref()),
-            Event::TimerExpired(_) => self.timer = None,
+            Event::TimerExpired(_) => self.timer_at = None,
         }
     }
 
@@ -149,8 +154,8 @@
         };
         self.services.get_or_create(request.service, self.clock);
         self.requests.insert(request.request, request.service);
-        self.with_service(request.service, actions, |service, state| {
-            service.on_request(&request, state);
+        self.with_service(request.service, actions, |service, context| {
+            service.on_request(&request, context);
         });
     }
 
@@ -177,15 +182,15 @@
         else {
             return;
         };
-        self.with_request(request, actions, |service, state| match is_within_quota {
+        self.with_request(request, actions, |service, context| match is_within_quota {
             Some(is_within_quota) => {
                 let decision = QuotaDecision {
                     is_within_quota,
                     is_confirmed: true,
                 };
-                service.on_quota_decision(request, decision, state);
+                service.on_quota_decision(request, decision, context);
             }
-            None => service.decide_locally(request, false, state),
+            None => service.decide_locally(request, false, context),
         });
     }
 
@@ -217,30 +222,31 @@
         }
     }
 
+    /// Runs `operation` on the service of a request, unless the request is unknown.
     fn with_request(
         &mut self,
         request: RequestId,
         actions: &mut Vec<Action>,
-        act: impl FnOnce(&mut Service, &mut EventContext),
+        operation: impl FnOnce(&mut Service, &mut EventContext),
     ) {
         if let Some(&service) = self.requests.get(&request) {
-            self.with_service(service, actions, act);
+            self.with_service(service, actions, operation);
         }
     }
 
-    /// Runs `act` on a service, then removes its finished requests.
+    /// Runs `operation` on a service, then removes the service's finished requests.
     fn with_service(
         &mut self,
         id: ServiceId,
         actions: &mut Vec<Action>,
-        act: impl FnOnce(&mut Service, &mut EventContext),
+        operation: impl FnOnce(&mut Service, &mut EventContext),
     ) {
         let endpoint_count = self.services.endpoint_count();
         let unmeasured_in_flight = self.services.unmeasured_in_flight();
         let Some(service) = self.services.get_mut(id) else {
             return;
         };
-        let mut state = EventContext {
+        let mut context = EventContext {
             now: seconds(self.clock),
             resumed_at: self.resumed_at,
             quotas: &mut self.quotas,
@@ -250,18 +256,18 @@
             unmeasured_in_flight,
             finished_requests: &mut self.finished_requests,
         };
-        act(service, &mut state);
+        operation(service, &mut context);
         for request in self.finished_requests.drain(..) {
             self.requests.remove(&request);
         }
         self.services.after_event(id);
     }
 
-    fn wake_due(&mut self, actions: &mut Vec<Action>) {
+    fn run_due_services(&mut self, actions: &mut Vec<Action>) {
         let clock = self.clock;
         while let Some(service) = self.services.first_due_by(clock) {
-            self.with_service(service, actions, |service, state| {
-                service.run_due_timers(clock, state);
+            self.with_service(service, actions, |service, context| {
+                service.run_due_timers(clock, context);
             });
         }
         if self.resubscribe_at.take_if(|at| *at <= clock).is_some() {
@@ -274,8 +280,8 @@
         let Some(due) = first_due.into_iter().chain(self.resubscribe_at).min() else {
             return;
         };
-        if self.timer.is_none_or(|at| due < at) {
-            self.timer = Some(due);
+        if self.timer_at.is_none_or(|at| due < at) {
+            self.timer_at = Some(due);
             actions.push(Action::SetTimer {
                 after: due.saturating_sub(self.clock),
                 tag: TimerTag(0),
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -1,5 +1,6 @@
-//! Events: what the caller reports. Times are durations since an epoch that the caller chooses;
-//! all events of one ingress use the same epoch.
+//! Events that the caller reports to the [`Dispatcher`](crate::Dispatcher). Points in time are
+//! given as the duration since an epoch that the caller chooses; all events of one ingress use the
+//! same epoch.
 
 use crate::ids::{CounterKey, CustomerId, EndpointId, RequestId, ServiceId, TimerTag};
 use std::time::Duration;
@@ -7,11 +8,11 @@
 /// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Accepts new requests.
+    /// The endpoint accepts new requests.
     Ready,
-    /// Finishes its requests and accepts no new ones.
+    /// The endpoint finishes its requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// The endpoint no longer exists.
     #[default]
     Removed,
 }
@@ -19,66 +20,68 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// The service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: ServiceId,
-    /// Its zone.
+    /// Availability zone of the endpoint.
     pub zone: u16,
-    /// Its cell: the endpoints of a cell share their memory of idempotency keys.
+    /// Cell of the endpoint. The endpoints of a cell share their records of idempotency keys.
     pub cell: u16,
-    /// Its state.
+    /// Whether the endpoint accepts new requests.
     pub state: EndpointState,
-    /// Capacity relative to the other endpoints; one that is not a positive number counts as 1.
+    /// Capacity relative to the other endpoints. A value that is not a positive number counts as 1.
     pub weight: f64,
-    /// Its position in an order that is the same at every ingress, such as a hash of its name.
+    /// Sort key of the endpoint for subsetting, such as a hash of its name. It has to be the same
+    /// at every ingress.
     pub rank: u64,
-    /// Its latest start; none means that it has warmed up long ago.
+    /// Time of the latest start; `None` means that the endpoint is fully warmed up.
     pub started_at: Option<Duration>,
 }
 
-/// A watch event of the endpoint list.
+/// An update of the endpoint list from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListUpdate {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Changes(Vec<EndpointEntry>),
-    /// The complete list.
+    /// The complete list, which replaces the previous one.
     Full(Vec<EndpointEntry>),
-    /// A call to discovery failed or the subscription ended.
+    /// A call to discovery has failed or the subscription has ended.
     Unavailable,
 }
 
-/// Load that an endpoint reports of itself; delayed and noisy.
+/// The load that an endpoint reports about itself. Reports are delayed and noisy. A field is `None`
+/// if the endpoint does not report it.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Number of requests in flight at the endpoint.
     pub in_flight: Option<f64>,
-    /// Requests queued.
+    /// Number of requests that wait in the endpoint's queue.
     pub queued: Option<f64>,
-    /// Share of its cores in use.
+    /// CPU utilisation of the endpoint, 0 to 1.
     pub utilisation: Option<f64>,
-    /// Recent service time without queueing.
+    /// Recent service time, without the time spent in the queue.
     pub service_time: Option<Duration>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Ok,
     /// The endpoint returned an error; the request may have been executed.
     Error,
-    /// Rejected by the endpoint before it was executed.
+    /// The endpoint was overloaded and rejected the request before executing it.
     Overloaded,
-    /// No response in time; the request may have been executed.
+    /// The endpoint did not respond in time; the request may have been executed.
     Timeout,
-    /// No connection; the request was never executed.
+    /// The connection could not be established; the request was not executed.
     ConnectFailed,
-    /// The connection broke; the request may have been executed.
+    /// The connection was lost; the request may have been executed.
     Reset,
-    /// Cancelled; the request may have been executed.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent to the endpoint.
     NotStarted,
 }
 
@@ -97,57 +100,60 @@
 pub enum CounterResult {
     /// The total after the call.
     Total(f64),
-    /// Nothing was added.
+    /// The call failed and the amount was not added.
     NotAdded,
-    /// No reply; the amount may have been added.
+    /// There was no reply; the amount may have been added.
     Unknown,
 }
 
-/// A request that a client sent.
+/// A request that a client has sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Id of the request, unique while the ingress runs.
     pub request: RequestId,
-    /// The service whose endpoints may answer it.
+    /// The service that the request is for.
     pub service: ServiceId,
-    /// Index of its class in [`Settings::classes`](crate::Settings::classes).
+    /// Index of the request's class in [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// Index of its customer's plan in [`Settings::plans`](crate::Settings::plans).
+    /// Index of the customer's plan in [`Settings::plans`](crate::Settings::plans).
     pub plan: usize,
-    /// Its customer.
+    /// The customer whose quota the request uses.
     pub customer: CustomerId,
-    /// Units that it takes from the quota, perhaps an estimate; one that is not finite counts as 1.
+    /// Units that the request takes from the quota; may be an estimate. A negative value counts as
+    /// 0, and a value that is not finite as 1.
     pub units: f64,
-    /// How many ingresses the customer's requests may come through.
+    /// Number of ingresses that may receive this customer's requests.
     pub ingress_count: u32,
-    /// Time until the client gives up.
+    /// Time until the client stops waiting for an answer.
     pub time_left: Duration,
-    /// Whether the client marks it as a retry; never where clients do not mark retries.
+    /// Whether the client has marked the request as a retry; always false if clients do not mark
+    /// retries.
     pub is_retry: bool,
 }
 
-/// How an attempt ended, and what the response carried.
+/// How an attempt ended, and what the response contained.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within the request, from 0.
     pub attempt: u16,
-    /// The endpoint.
+    /// The endpoint that the attempt was forwarded to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was forwarded.
+    /// Time since the attempt was forwarded.
     pub elapsed: Duration,
-    /// The client has its final answer.
+    /// Whether the client has already been given its final answer. The request is then closed
+    /// whatever the outcome is.
     pub is_request_finished: bool,
-    /// Actual units, where the request's were an estimate.
+    /// Units that the request actually used; `None` if [`IncomingRequest::units`] was exact.
     pub true_units: Option<f64>,
-    /// The endpoint's load report.
+    /// The load report that came with the response, if any.
     pub load: Option<LoadReport>,
 }
 
-/// What has happened.
+/// An event that the caller reports to [`Dispatcher::handle`](crate::Dispatcher::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoint list has changed.
@@ -156,22 +162,22 @@
     RequestReceived(IncomingRequest),
     /// A streamed response has started.
     StreamStarted {
-        /// The request.
+        /// The request that is answered.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt whose response is streamed, from 0.
         attempt: u16,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has disconnected and gets no answer.
+    /// The client has disconnected and no longer expects an answer.
     ClientDisconnected(RequestId),
-    /// A counter call has ended; for one key in the order of the calls.
+    /// A counter call has ended. For each key, replies are reported in the order of the calls.
     CounterReply {
-        /// The key.
+        /// The key that was incremented.
         key: CounterKey,
-        /// How it ended.
+        /// The new total, or how the call failed.
         result: CounterResult,
-        /// Time since the call.
+        /// Time since the call was made.
         elapsed: Duration,
     },
     /// A timer has expired.
@@ -180,11 +186,11 @@
     HealthCheckEnded {
         /// The service that the endpoint belongs to.
         service: ServiceId,
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// The endpoint's load report.
+        /// The load report that came with the response, if any.
         load: Option<LoadReport>,
     },
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,45 +1,50 @@
-//! The decisions of an ingress for services that are sold by plan: what is admitted, which endpoint
-//! gets it, whether it is retried or hedged, when it is given up. It performs no I/O and reads no
-//! clock. The caller feeds [`Event`]s with the time to a [`Dispatcher`] and carries out its
-//! [`Action`]s: it owns the sockets, the timers, the clock and the calls to the counter service.
+//! The decision logic of an ingress for services whose customers have quotas by plan. It decides
+//! which requests are admitted, which endpoint each one is forwarded to, whether it is retried or
+//! hedged, and when it times out.
 //!
-//! # The way of a request
+//! The crate performs no I/O and reads no clock. The caller passes [`Event`]s and the current time
+//! to a [`Dispatcher`] and carries out the [`Action`]s that it returns. The caller owns the
+//! sockets, the timers, the clock and the calls to the counter service.
 //!
-//! 1. `dispatcher` hands [`Event::RequestReceived`] to the request's service (`service_table`).
-//! 2. `service::admission` consults `quota`, which calls the counter or decides locally; the total
-//!    comes back with [`Event::CounterReply`] and is reconciled with the customer's bucket.
-//! 3. `balancer` finds the eligible endpoints, scores them and chooses one; `load_shedding` rejects
-//!    what would overload them.
-//! 4. `service::attempts` forwards it ([`Action::Forward`]). While it waits, `service::timers` and
-//!    `service::hedging` may forward it to a second endpoint.
-//! 5. [`Event::AttemptEnded`] teaches `health`, `latency` and `load_shedding`; the request is
-//!    closed, or retried within the rules of `service::retry`.
+//! # How a request is processed
 //!
-//! # Rules by module
+//! 1. `dispatcher` passes [`Event::RequestReceived`] to the service that the request is for
+//!    (`service_table`).
+//! 2. `service::admission` asks `quota`, which calls the counter or decides locally. The counter's
+//!    total arrives with [`Event::CounterReply`] and is reconciled with the customer's token
+//!    bucket.
+//! 3. `balancer` scores the eligible endpoints and chooses one. `load_shedding` rejects requests
+//!    that would overload the endpoints.
+//! 4. `service::attempts` forwards the request ([`Action::Forward`]). If the response is slow,
+//!    `service::timers` and `service::hedging` may forward the request to a second endpoint.
+//! 5. [`Event::AttemptEnded`] updates the statistics of `health`, `latency` and `load_shedding`.
+//!    The request is closed, or retried as `service::retry` permits.
 //!
-//! | module | rule |
+//! # Modules
+//!
+//! | module | responsibility |
 //! | --- | --- |
-//! | `quota` | admission by a customer's quota, with a total and without |
-//! | `quota::token_bucket` | the bucket of a rate quota |
-//! | `quota::reconciliation` | totals of the counter, peers' use between them |
+//! | `quota` | admission by a customer's quota, with or without a total of the counter |
+//! | `quota::token_bucket` | the token bucket of a rate quota |
+//! | `quota::reconciliation` | the counter's totals, and other ingresses' use between them |
 //! | `quota::ceiling` | the hard ceiling over all ingresses |
-//! | `quota::counter_sampling` | how many requests call the counter; when it is degraded |
-//! | `quota::admission_odds` | requests of infrequent customers without a total |
+//! | `quota::counter_sampling` | how many requests call the counter, and whether it is degraded |
+//! | `quota::admission_odds` | admission of infrequent customers' requests without a total |
 //! | `quota::sharing`, `customer`, `customer_table` | a customer's state, dropped when idle |
-//! | `balancer` | eligible endpoints, then the score, then the choice |
-//! | `balancer::score` | work in flight and reported, for weight, warm-up and speed |
-//! | `balancer::slow_start` | endpoints that are warming up |
+//! | `balancer` | filters and scores endpoints and chooses one |
+//! | `balancer::score` | the score by load, capacity and latency |
+//! | `balancer::slow_start` | limits requests to endpoints that are warming up |
 //! | `balancer::subset`, `endpoint_ring`, `endpoint_table` | deterministic subsetting |
-//! | `health::outlier` | unresponsive and failing endpoints, ejection |
-//! | `health::circuit_breaker` | endpoints that accept no connections |
+//! | `health::outlier` | detection and ejection of unresponsive or failing endpoints |
+//! | `health::circuit_breaker` | endpoints that refuse connections |
 //! | `health::health_check` | which endpoints are checked, and how often |
-//! | `latency` | mean latency by class, ratio to the latency objective |
-//! | `load_shedding` | the concurrency limit of a service, priority of classes |
-//! | `service::admission`, `attempts`, `closing`, `timers` | one request from arrival to answer |
-//! | `service::retry` | retry budget; where a request may be executed again |
-//! | `service::hedging` | when a second attempt goes out |
-//! | `rejection` | why a request is rejected |
-//! | `service::upstream` | joins balancer, health, latency and load shedding |
+//! | `latency` | mean latency of each class, and its ratio to the latency objective |
+//! | `load_shedding` | the concurrency limit of a service, by priority of the classes |
+//! | `service::admission`, `attempts`, `closing`, `timers` | a request from arrival to answer |
+//! | `service::retry` | the retry budget, and where a request may be executed again |
+//! | `service::hedging` | when a request is hedged |
+//! | `service::upstream` | combines balancer, health, latency and load shedding of a service |
+//! | `rejection` | the reasons for which requests are rejected |
 //!
 //! # Example
 //!
@@ -118,7 +123,7 @@
 //!     is_retry: false,
 //! };
 //! dispatcher.handle(ms(1), Event::RequestReceived(request), &mut actions);
-//! // The request waits for the total; the caller makes the call and reports it.
+//! // The request awaits the counter's total: the caller calls the counter and reports the reply.
 //! let key = actions.iter().find_map(|action| match action {
 //!     Action::IncrementCounter { key, .. } => Some(*key),
 //!     _ => None,
--- a/crates/decision/src/load_shedding.rs
+++ b/crates/decision/src/load_shedding.rs
@@ -1,6 +1,8 @@
-//! The concurrency limit of a service, by Little's law: requests in flight divided by responses a
-//! second are the mean latency, which is held to a share of the latency objective. Classes that
-//! earn least for their work are rejected first.
+//! Load shedding by a concurrency limit for each service.
+//!
+//! By Little's law, the mean latency is the number of requests in flight divided by the throughput.
+//! The limit keeps the mean latency below a share of the latency objective. Classes with the lowest
+//! priority weight for their latency have the lowest limit and are rejected first.
 
 use crate::latency::LatencyStats;
 use crate::rejection::ShedLoad;
@@ -8,48 +10,52 @@
 use crate::util::held_random::HeldSample;
 use crate::util::{seconds, EPSILON};
 
-/// The share of the latency objective that the mean latency may take before new requests are
-/// rejected: at one half, one in ten is late.
+/// The ratio of mean latency to latency objective above which new requests are rejected. At a ratio
+/// of 0.5, one response in ten would exceed the objective.
 pub(crate) const MAX_OBJECTIVE_RATIO: f64 = 0.3;
-/// Requests in flight for each endpoint, over all ingresses, that never overload it: its cores stay
-/// idle.
+/// Requests in flight per endpoint, summed over all ingresses, that are always admitted: they do
+/// not keep an endpoint's cores busy.
 pub(crate) const MIN_CONCURRENCY_PER_ENDPOINT: f64 = 2.0;
-/// An ingress may have so many requests in flight at services that have not responded yet, over all
-/// of them.
-const UNMEASURED_IN_FLIGHT_MIN: f64 = 4.0;
-/// Up to this many ingresses, each one's own requests in flight show the load of the endpoints.
-const OBSERVING_INGRESSES_MAX: f64 = 4.0;
-/// The classes that earn least for their work are limited to this share of the limit.
-const LEAST_CLASS_RATIO: f64 = 0.2;
-/// Below this share of the latency that a class is permitted, responses are quick.
-const QUICK_RATIO: f64 = 0.7;
+/// The limit of an ingress's requests in flight at services that have not responded yet is at least
+/// this, over all such services.
+const MIN_UNMEASURED_IN_FLIGHT_LIMIT: f64 = 4.0;
+/// With no more ingresses than this, the requests in flight at one ingress represent the load of
+/// the endpoints well enough.
+const MAX_INGRESSES_OBSERVING_FULL_LOAD: f64 = 4.0;
+/// Minimum share of [`MAX_OBJECTIVE_RATIO`] that a class of low value is permitted.
+const MIN_CLASS_VALUE_RATIO: f64 = 0.2;
+/// The latency counts as low below this share of the latency that a class is permitted.
+const LOW_LATENCY_RATIO: f64 = 0.7;
 const THROUGHPUT_TIME_CONSTANT_SECONDS: f64 = 0.5;
-const PEAK_TIME_CONSTANT_SECONDS: f64 = 6.0;
-/// Factor on the least limit before the first response.
-const LEAST_LIMIT_FACTOR_AT_START: f64 = 1.5;
-/// While responses are quick, so many roots of the limit are permitted beyond it, and one request.
-const QUICK_FLUCTUATION_ROOTS: f64 = 2.0;
-/// The fluctuation is at least the root of the limit, up to this part of the limit.
-const FLUCTUATION_DIVISOR: f64 = 4.0;
-
-/// A service's present load at this ingress.
+const PEAK_THROUGHPUT_TIME_CONSTANT_SECONDS: f64 = 6.0;
+/// Factor by which the minimum limit is raised before the first response.
+const INITIAL_MIN_LIMIT_FACTOR: f64 = 1.5;
+/// While the latency is low, the margin above the limit is this many standard deviations of the
+/// number in flight, which are each the square root of the limit, plus one request.
+const LOW_LATENCY_MARGIN_STANDARD_DEVIATIONS: f64 = 2.0;
+/// While the latency is not low, the margin above the limit is at least one standard deviation, or
+/// the limit divided by this if that is less.
+const MIN_MARGIN_LIMIT_DIVISOR: f64 = 4.0;
+
+/// The current load of a service at this ingress.
 pub(crate) struct ServiceLoad {
     /// Attempts in flight at endpoints that are not ejected.
     pub in_flight: usize,
-    /// Endpoints that are ready and not ejected.
+    /// Number of endpoints that are ready and not ejected, among those that this ingress tracks.
     pub live_endpoints: usize,
-    /// Listed endpoints for each one that has a state.
+    /// Number of listed endpoints per endpoint that this ingress tracks, at least 1.
     pub listed_per_known: f64,
 }
 
-/// Throughput of one service and the decision to shed load. Times are in seconds.
+/// Measures the throughput of one service and decides whether to shed load. Times are in seconds.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
-    /// Responses a second, and the peak remembered.
+    /// Moving average of the responses per second.
     throughput: f64,
+    /// Recent maximum of `throughput`, which decays more slowly.
     peak_throughput: f64,
     last_response_at: f64,
-    /// Decides whether a fraction of one request is left under the limit.
+    /// Random number that is compared with the fractional part of the limit.
     pub sample: HeldSample,
 }
 
@@ -61,18 +67,19 @@
         }
     }
 
-    /// A response has come.
+    /// Called when an endpoint has served a request.
     pub(crate) fn record_response(&mut self, now: f64) {
         let elapsed = now - self.last_response_at;
         let decayed = self.throughput * (-elapsed / THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
         self.throughput = decayed + 1.0 / THROUGHPUT_TIME_CONSTANT_SECONDS;
-        let peak = self.peak_throughput * (-elapsed / PEAK_TIME_CONSTANT_SECONDS).exp();
+        let peak = self.peak_throughput * (-elapsed / PEAK_THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
         self.peak_throughput = peak.max(self.throughput);
         self.last_response_at = now;
     }
 
-    /// The load, if one more request of the class would exceed the limit. `sample`, 0 to 1, decides
-    /// for a fraction of one request.
+    /// Returns the load if one more request of the class would exceed the limit. `sample`, 0 to 1,
+    /// is the size that the additional request counts as: a random one admits the fractional part
+    /// of the limit with that probability.
     pub(crate) fn shed_load(
         &self,
         settings: &Settings,
@@ -82,12 +89,13 @@
         sample: f64,
         now: f64,
     ) -> Option<ShedLoad> {
-        let latency_ratio = latency.faded_objective_ratio(now);
+        let latency_ratio = latency.decayed_objective_ratio(now);
         let permitted = PermittedLatency::new(settings, latency, class, latency_ratio);
         let objective = seconds(settings.classes[class].latency_objective);
-        let by_throughput = self.throughput(now) * objective * permitted.ratio * permitted.slowdown;
-        let mean_limit = by_throughput.max(self.least_limit(settings, load));
-        let limit = mean_limit + permitted.fluctuation(mean_limit, settings.ingress_count);
+        let by_throughput =
+            self.throughput(now) * objective * permitted.ratio * permitted.limit_factor;
+        let mean_limit = by_throughput.max(self.min_limit(settings, load));
+        let limit = mean_limit + permitted.margin(mean_limit, settings.ingress_count);
         (load.in_flight as f64 + sample > limit).then_some(ShedLoad {
             in_flight: load.in_flight as u32,
             limit,
@@ -95,45 +103,46 @@
         })
     }
 
-    /// Whether this many requests in flight, over all services, are no more than this ingress's
-    /// part of what all endpoints bear while they are idle.
+    /// Whether `other_requests`, this ingress's other open requests of all services, leave room for
+    /// one more within its share of [`MIN_CONCURRENCY_PER_ENDPOINT`].
     pub(crate) fn is_ingress_idle(
         &self,
         other_requests: f64,
         endpoint_count: usize,
         ingress_count: u32,
     ) -> bool {
-        other_requests + self.sample.value <= idle_in_flight(endpoint_count, ingress_count)
+        other_requests + self.sample.value <= min_concurrency(endpoint_count, ingress_count)
     }
 
-    /// Responses a second, present or remembered.
+    /// Responses per second: the decayed average, or the decayed peak if it is higher.
     fn throughput(&self, now: f64) -> f64 {
         let elapsed = now - self.last_response_at;
-        let present = self.throughput * (-elapsed / THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
-        let peak = self.peak_throughput * (-elapsed / PEAK_TIME_CONSTANT_SECONDS).exp();
-        present.max(peak)
+        let current = self.throughput * (-elapsed / THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
+        let peak = self.peak_throughput * (-elapsed / PEAK_THROUGHPUT_TIME_CONSTANT_SECONDS).exp();
+        current.max(peak)
     }
 
-    /// This ingress's part of what idle endpoints bear.
-    fn least_limit(&self, settings: &Settings, load: &ServiceLoad) -> f64 {
-        let idle =
+    /// The minimum of the limit: this ingress's share of [`MIN_CONCURRENCY_PER_ENDPOINT`].
+    fn min_limit(&self, settings: &Settings, load: &ServiceLoad) -> f64 {
+        let share =
             MIN_CONCURRENCY_PER_ENDPOINT * load.live_endpoints as f64 * load.listed_per_known
                 / f64::from(settings.ingress_count);
         if self.peak_throughput > 0.0 {
-            idle
+            share
         } else {
-            LEAST_LIMIT_FACTOR_AT_START * idle
+            INITIAL_MIN_LIMIT_FACTOR * share
         }
     }
 }
 
-/// The latency that a class is permitted, as a share of its objective, against the present one.
+/// The latency that a class is permitted, compared with the current latency.
 struct PermittedLatency {
+    /// The permitted latency as a share of the latency objective.
     ratio: f64,
-    /// By how much the limit is reduced because the present latency is higher; 0 to 1.
-    slowdown: f64,
-    /// Whether the present latency is well below.
-    is_quick: bool,
+    /// Factor, 0 to 1, that reduces the limit if the current latency is above the permitted one.
+    limit_factor: f64,
+    /// Whether the current latency is well below the permitted one.
+    is_latency_low: bool,
 }
 
 impl PermittedLatency {
@@ -143,55 +152,58 @@
         class: usize,
         latency_ratio: f64,
     ) -> PermittedLatency {
-        let value = relative_value(settings, latency, class).max(LEAST_CLASS_RATIO);
-        let ranked_ratio = MAX_OBJECTIVE_RATIO * value;
-        let is_quick = latency_ratio < QUICK_RATIO * ranked_ratio;
-        // While responses are quick there is nothing for classes to compete for.
-        let ratio = if is_quick {
+        let value = relative_value(settings, latency, class).max(MIN_CLASS_VALUE_RATIO);
+        let class_ratio = MAX_OBJECTIVE_RATIO * value;
+        let is_latency_low = latency_ratio < LOW_LATENCY_RATIO * class_ratio;
+        // While the latency is low, there is capacity for all classes and none needs priority.
+        let ratio = if is_latency_low {
             MAX_OBJECTIVE_RATIO
         } else {
-            ranked_ratio
+            class_ratio
         };
         PermittedLatency {
             ratio,
-            slowdown: (ratio / latency_ratio.max(EPSILON)).min(1.0),
-            is_quick,
+            limit_factor: (ratio / latency_ratio.max(EPSILON)).min(1.0),
+            is_latency_low,
         }
     }
 
-    /// What is permitted beyond the limit of the mean. The number in flight fluctuates by about its
-    /// root: while responses are quick a few more are harmless, else the sample decides. Of many
-    /// ingresses, the local fluctuation is no evidence: customers that are rejected for it retry.
-    fn fluctuation(&self, mean_limit: f64, ingress_count: u32) -> f64 {
-        let root = mean_limit.sqrt();
-        if self.is_quick {
-            return QUICK_FLUCTUATION_ROOTS * root + 1.0;
+    /// The number of requests in flight that is permitted above `mean_limit`, the limit of their
+    /// mean. The number fluctuates around its mean by a standard deviation of about its square
+    /// root. While the latency is low, a few more requests do no harm, and the margin is wide. With
+    /// many ingresses, a local fluctuation says little about the load of the endpoints, so the
+    /// margin includes it: customers whose requests are rejected would only retry.
+    fn margin(&self, mean_limit: f64, ingress_count: u32) -> f64 {
+        let standard_deviation = mean_limit.sqrt();
+        if self.is_latency_low {
+            return LOW_LATENCY_MARGIN_STANDARD_DEVIATIONS * standard_deviation + 1.0;
         }
-        let unobserved =
-            unobserved_load_ratio(ingress_count) * (self.slowdown * root).min(mean_limit);
-        unobserved.max(root.min(mean_limit / FLUCTUATION_DIVISOR))
+        let unobserved = unobserved_load_ratio(ingress_count)
+            * (self.limit_factor * standard_deviation).min(mean_limit);
+        unobserved.max(standard_deviation.min(mean_limit / MIN_MARGIN_LIMIT_DIVISOR))
     }
 }
 
-/// An ingress's part of what this many idle endpoints bear in flight.
-fn idle_in_flight(endpoint_count: usize, ingress_count: u32) -> f64 {
+/// One ingress's share of [`MIN_CONCURRENCY_PER_ENDPOINT`] for this many endpoints.
+fn min_concurrency(endpoint_count: usize, ingress_count: u32) -> f64 {
     MIN_CONCURRENCY_PER_ENDPOINT * endpoint_count as f64 / f64::from(ingress_count)
 }
 
-/// Whether an ingress may have one more request in flight at a service that has not responded yet,
-/// beside this many at all such services. Prevents that ingresses which start at once fill the
-/// endpoints.
+/// Whether an ingress may forward one more request to a service that has not responded yet, with
+/// `unmeasured_in_flight` requests in flight at all such services. The limit prevents ingresses
+/// that start at the same time from overloading the endpoints.
 pub(crate) fn may_measure_latency(
     unmeasured_in_flight: usize,
     endpoint_count: usize,
     ingress_count: u32,
 ) -> bool {
-    let limit = idle_in_flight(endpoint_count, ingress_count).max(UNMEASURED_IN_FLIGHT_MIN);
+    let limit = min_concurrency(endpoint_count, ingress_count).max(MIN_UNMEASURED_IN_FLIGHT_LIMIT);
     unmeasured_in_flight as f64 + 1.0 <= limit
 }
 
-/// What a class earns for its work, relative to the class that earns most. A class that has not
-/// responded yet counts as that one: its assumed latency says nothing of its work.
+/// The priority weight of a class per second of its mean latency, relative to the class with the
+/// highest value. A class without a response yet counts as 1, because its initial mean latency is
+/// only assumed.
 fn relative_value(settings: &Settings, latency: &LatencyStats, class: usize) -> f64 {
     if !latency.is_class_measured(class) {
         return 1.0;
@@ -206,7 +218,7 @@
     value(&settings.classes[class], latency.mean(class)) / highest
 }
 
-/// The share of the endpoints' load that an ingress does not see.
+/// The share of the endpoints' load that an ingress cannot observe by its own requests, 0 to 1.
 pub(crate) fn unobserved_load_ratio(ingress_count: u32) -> f64 {
-    1.0 - (OBSERVING_INGRESSES_MAX / f64::from(ingress_count)).min(1.0)
+    1.0 - (MAX_INGRESSES_OBSERVING_FULL_LOAD / f64::from(ingress_count)).min(1.0)
 }
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -1,4 +1,4 @@
-//! The admission of a request: by its customer's quota, by the service's load, by its endpoints.
+//! Admission of requests: by the customer's quota, the service's load and the eligible endpoints.
 
 use crate::event::IncomingRequest;
 use crate::ids::RequestId;
@@ -10,46 +10,49 @@
 use crate::service::state::{EventContext, Service, Timer};
 use crate::util::{duration, seconds};
 
-/// A request is answered this many ticks before its client gives up.
+/// A request is answered this many ticks before its client stops waiting.
 const DEADLINE_MARGIN_TICKS: f64 = 2.0;
-/// The sample that decides for a fraction of one request is held for this many mean latencies.
-const SAMPLE_HELD_MEAN_LATENCIES: f64 = HEDGE_DELAY_MEAN_LATENCIES;
+/// How long the random number that decides about the fractional part of the concurrency limit is
+/// held, in mean latencies.
+const SAMPLE_HOLD_MEAN_LATENCIES: f64 = HEDGE_DELAY_MEAN_LATENCIES;
 
-/// Whether a request is within its quota.
+/// Whether a request is within its customer's quota, and how that was decided.
 #[derive(Clone, Copy)]
 pub(crate) struct QuotaDecision {
     pub is_within_quota: bool,
-    /// Whether the counter's total has decided.
+    /// Whether the decision is based on the counter's total. If not, it was made locally.
     pub is_confirmed: bool,
 }
 
 impl Service {
-    /// A request has arrived.
-    pub(crate) fn on_request(&mut self, incoming: &IncomingRequest, state: &mut EventContext) {
+    /// Called when a request has arrived.
+    pub(crate) fn on_request(&mut self, incoming: &IncomingRequest, context: &mut EventContext) {
         let id = incoming.request;
-        let deadline = self.deadline(incoming, state.now);
+        let deadline = self.deadline(incoming, context.now);
         self.requests.insert(id, Request::new(incoming, deadline));
         self.timers.set(duration(deadline), Timer::Deadline(id));
         self.upstream.health_checks.earn();
         if !self.is_maintenance_scheduled {
-            self.on_maintenance_timer(state);
+            self.on_maintenance_timer(context);
         }
-        let quota_check = state
-            .quotas
-            .admit(incoming, &mut self.rng, state.now, state.actions);
+        let quota_check =
+            context
+                .quotas
+                .admit(incoming, &mut self.rng, context.now, context.actions);
         match quota_check {
             QuotaCheck::AwaitCounter { wait_seconds } => self
                 .timers
-                .set(duration(state.now + wait_seconds), Timer::CounterWait(id)),
-            QuotaCheck::DecideLocally => self.decide_locally(id, true, state),
+                .set(duration(context.now + wait_seconds), Timer::CounterWait(id)),
+            QuotaCheck::DecideLocally => self.decide_locally(id, true, context),
             QuotaCheck::ConcurrencyLimit => {
-                self.finish_unserved(id, RejectReason::ConcurrencyLimit, state);
+                self.finish_unserved(id, RejectReason::ConcurrencyLimit, context);
             }
         }
     }
 
-    /// Some ticks before the client gives up. Where a late response earns nothing, it is the
-    /// latency objective: what is in flight later only takes capacity from other requests.
+    /// Returns when the request times out: shortly before its client stops waiting, or at the
+    /// latency objective if a late response earns nothing. A later response would only take
+    /// capacity from other requests.
     fn deadline(&self, incoming: &IncomingRequest, now: f64) -> f64 {
         let class = &self.settings.classes[incoming.class];
         let margin = DEADLINE_MARGIN_TICKS * seconds(self.settings.tick);
@@ -60,38 +63,40 @@
         deadline.max(now)
     }
 
-    /// Decides without the counter's total. `is_unreported`: no counter call is out for it.
+    /// Makes the quota decision of a request without the counter's total. `is_unreported` tells
+    /// whether the counter was not called for the request, so that its units are yet to be
+    /// reported.
     pub(crate) fn decide_locally(
         &mut self,
         id: RequestId,
         is_unreported: bool,
-        state: &mut EventContext,
+        context: &mut EventContext,
     ) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let is_within_quota =
-            state
+            context
                 .quotas
-                .decide_locally(&request.incoming, is_unreported, state.now);
+                .decide_locally(&request.incoming, is_unreported, context.now);
         let decision = QuotaDecision {
             is_within_quota,
             is_confirmed: false,
         };
-        self.on_quota_decision(id, decision, state);
+        self.on_quota_decision(id, decision, context);
     }
 
-    /// The quota has decided: forwards the request, or rejects it.
+    /// Called when the quota decision of a request has been made. Forwards or rejects the request.
     pub(crate) fn on_quota_decision(
         &mut self,
         id: RequestId,
         decision: QuotaDecision,
-        state: &mut EventContext,
+        context: &mut EventContext,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !std::mem::take(&mut request.is_awaiting_counter) {
+        if !std::mem::take(&mut request.is_quota_decision_pending) {
             return;
         }
         let IncomingRequest {
@@ -101,64 +106,66 @@
             ..
         } = request.incoming;
         if request.is_closed {
-            let quota = state.quotas.get_mut(customer);
+            let quota = context.quotas.get_mut(customer);
             if let Some(quota) = quota.filter(|_| decision.is_within_quota) {
                 quota.refund(units);
             }
-            return self.remove_if_finished(id, state);
+            return self.remove_if_finished(id, context);
         }
-        let endpoint = self.upstream.choose(request, state.now, &mut self.rng);
-        let shed_load = self.shed_load(class, state);
-        let quota = state.quotas.get_mut(customer);
+        let endpoint = self.upstream.choose(request, context.now, &mut self.rng);
+        let shed_load = self.shed_load(class, context);
+        let quota = context.quotas.get_mut(customer);
         let Some(quota) = quota.filter(|_| decision.is_within_quota) else {
-            return self.finish_unserved(id, RejectReason::OverQuota, state);
+            return self.finish_unserved(id, RejectReason::OverQuota, context);
         };
         let reason = match (endpoint, shed_load) {
             (Some(endpoint), None) => {
                 quota.start_request(units, decision.is_confirmed);
                 self.retry_budget.earn();
-                return self.forward(id, endpoint, state);
+                return self.forward(id, endpoint, context);
             }
             (None, _) => RejectReason::NoEndpoint,
             (Some(_), Some(load)) => RejectReason::Overloaded(load),
         };
         quota.refund(units);
-        self.finish_unserved(id, reason, state);
+        self.finish_unserved(id, reason, context);
     }
 
-    /// The load for which a new request of the class is to be rejected, if it is too high. The
-    /// sample is held for a few responses: drawn for each request, all ingresses would fill up to
-    /// the next whole one.
-    fn shed_load(&mut self, class: usize, state: &EventContext) -> Option<ShedLoad> {
-        let now = state.now;
-        let hold_seconds = SAMPLE_HELD_MEAN_LATENCIES * self.upstream.latency.mean(class);
+    /// Returns the load if it is too high for a new request of the class. The random number for the
+    /// fractional part of the limit is held for a few mean latencies. If it were drawn for each
+    /// request, one of many requests would soon be admitted, and every ingress would in effect
+    /// round its limit up.
+    fn shed_load(&mut self, class: usize, context: &EventContext) -> Option<ShedLoad> {
+        let now = context.now;
+        let hold_seconds = SAMPLE_HOLD_MEAN_LATENCIES * self.upstream.latency.mean(class);
         let shedder = &mut self.upstream.load_shedder;
         shedder
             .sample
             .renew_if_expired(now, hold_seconds, &mut self.rng);
         let sample = shedder.sample.value;
         let shed_load = self.upstream.shed_load(class, sample, now);
-        shed_load.filter(|_| !self.may_measure_latency(state) && !self.is_only_request(state))
+        shed_load.filter(|_| !self.may_measure_latency(context) && !self.is_only_request(context))
     }
 
-    /// Whether it finds out how a service responds that has not responded yet: one request at a
-    /// time, while the ingress has few such requests in flight.
-    fn may_measure_latency(&self, state: &EventContext) -> bool {
+    /// Whether a request may be forwarded to measure the latency of a service that has not
+    /// responded yet. One request at a time may, as long as the ingress has few such requests in
+    /// flight.
+    fn may_measure_latency(&self, context: &EventContext) -> bool {
         !self.upstream.latency.is_measured()
             && self.attempts_in_flight == 0
             && load_shedding::may_measure_latency(
-                state.unmeasured_in_flight,
-                state.endpoint_count,
+                context.unmeasured_in_flight,
+                context.endpoint_count,
                 self.settings.ingress_count,
             )
     }
 
-    /// Whether it is the only request here, and the ingress as a whole is idle.
-    fn is_only_request(&self, state: &EventContext) -> bool {
+    /// Whether the request is the only one of this service, and the ingress is nearly idle.
+    fn is_only_request(&self, context: &EventContext) -> bool {
         self.requests.len() == 1
             && self.upstream.load_shedder.is_ingress_idle(
-                state.request_count as f64 - 1.0,
-                state.endpoint_count,
+                context.request_count as f64 - 1.0,
+                context.endpoint_count,
                 self.settings.ingress_count,
             )
     }
--- a/crates/decision/src/service/attempts.rs
+++ b/crates/decision/src/service/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request: forwarded, ended, retried.
+//! The attempts of a request: forwarding, their outcomes, and retries.
 
 use crate::action::Action;
 use crate::endpoint::AttemptKey;
@@ -11,11 +11,13 @@
 use crate::util::duration;
 
 impl Service {
+    /// Starts the request's next attempt at the endpoint and sets its hedge timer. Does nothing if
+    /// the request or the endpoint is unknown.
     pub(super) fn forward(
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
-        state: &mut EventContext,
+        context: &mut EventContext,
     ) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -26,17 +28,17 @@
             attempt: request.attempts.len() as u16,
         };
         let balancer = &mut self.upstream.balancer;
-        if !balancer.record_forward(endpoint, key, class, state.now) {
+        if !balancer.record_forward(endpoint, key, class, context.now) {
             return;
         }
         request.attempts.push(Attempt {
             endpoint,
-            forwarded_at: state.now,
+            forwarded_at: context.now,
             is_in_flight: true,
             provably_not_executed: false,
         });
         self.attempts_in_flight += 1;
-        state.actions.push(Action::Forward {
+        context.actions.push(Action::Forward {
             request: id,
             endpoint,
             deadline: duration(request.deadline),
@@ -44,11 +46,11 @@
         let mean_latency = self.upstream.latency.mean(class);
         let delay = hedge_delay_seconds(&self.settings, class, mean_latency);
         self.timers
-            .set(duration(state.now + delay), Timer::Hedge(id));
+            .set(duration(context.now + delay), Timer::Hedge(id));
     }
 
-    /// An attempt has ended: learns from its outcome, then closes the request or retries it.
-    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, state: &mut EventContext) {
+    /// Called when an attempt has ended. Records its outcome, then closes or retries the request.
+    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, context: &mut EventContext) {
         let Some(request) = self.requests.get_mut(&end.request) else {
             return;
         };
@@ -64,24 +66,30 @@
         attempt.provably_not_executed = end.outcome.is_provably_not_executed();
         let endpoint = attempt.endpoint;
         let incoming = &request.incoming;
+        self.upstream.record_outcome(
+            endpoint,
+            incoming.class,
+            end,
+            context.now,
+            context.resumed_at,
+        );
         self.upstream
-            .record_outcome(endpoint, incoming.class, end, state.now, state.resumed_at);
-        self.upstream
-            .record_load_report(endpoint, end.load.as_ref(), state.now);
+            .record_load_report(endpoint, end.load.as_ref(), context.now);
         let true_units = end.true_units.filter(|units| units.is_finite());
-        let more_units = true_units.map_or(0.0, |units| units.max(0.0) - incoming.units);
-        if let Some(quota) = state.quotas.get_mut(incoming.customer) {
-            quota.correct_estimate(more_units);
+        let additional_units = true_units.map_or(0.0, |units| units.max(0.0) - incoming.units);
+        if let Some(quota) = context.quotas.get_mut(incoming.customer) {
+            quota.correct_estimate(additional_units);
         }
         if end.is_request_finished || end.outcome == Outcome::Ok {
-            return self.close(end.request, state);
+            return self.close(end.request, context);
         }
-        self.retry_or_finish(end.request, state);
-        self.remove_if_finished(end.request, state);
+        self.retry_or_finish(end.request, context);
+        self.remove_if_finished(end.request, context);
     }
 
-    /// Retries a request that has no attempt in flight, if its deadline and the budget allow it.
-    fn retry_or_finish(&mut self, id: RequestId, state: &mut EventContext) {
+    /// Retries an open request that has no attempt in flight, or ends it if its deadline, the retry
+    /// budget or the endpoints do not permit a retry.
+    fn retry_or_finish(&mut self, id: RequestId, context: &mut EventContext) {
         let Some(request) = self
             .requests
             .get(&id)
@@ -92,28 +100,28 @@
         let last = request.attempts.last();
         let not_executed = last.is_some_and(|attempt| attempt.provably_not_executed);
         let mean_latency = self.upstream.latency.mean(request.incoming.class);
-        let is_in_time = state.now + mean_latency < request.deadline;
-        if is_in_time && self.retry_budget.is_available() {
-            let endpoint = self.upstream.choose(request, state.now, &mut self.rng);
+        let has_time_to_retry = context.now + mean_latency < request.deadline;
+        if has_time_to_retry && self.retry_budget.is_available() {
+            let endpoint = self.upstream.choose(request, context.now, &mut self.rng);
             if let Some(endpoint) = endpoint {
                 self.retry_budget.spend_retry(not_executed);
-                return self.forward(id, endpoint, state);
+                return self.forward(id, endpoint, context);
             }
         }
-        self.finish_unserved(id, RejectReason::AttemptsFailed, state);
+        self.finish_unserved(id, RejectReason::AttemptsFailed, context);
     }
 
-    /// A streamed response has started: other attempts are cancelled.
+    /// Called when a streamed response has started. Cancels the request's other attempts.
     pub(crate) fn on_stream_started(
         &mut self,
         id: RequestId,
         attempt: u16,
-        state: &mut EventContext,
+        context: &mut EventContext,
     ) {
         let Some(request) = self.open_request(id) else {
             return;
         };
         request.is_streaming |= usize::from(attempt) < request.attempts.len();
-        self.cancel_attempts_except(id, Some(attempt), state);
+        self.cancel_attempts_except(id, Some(attempt), context);
     }
 }
--- a/crates/decision/src/service/closing.rs
+++ b/crates/decision/src/service/closing.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its final answer where it is not served, and its removal.
+//! The end of a request: the final answer to requests that are not served, and the removal.
 
 use crate::action::Action;
 use crate::ids::RequestId;
@@ -9,49 +9,52 @@
 use crate::util::duration;
 
 impl Service {
-    /// Ends a request without a response: rejected where a retry is safe, else failed. The client
-    /// is to wait until its units are refilled or what is in flight here is answered: without a
-    /// wait, clients would retry at once; with a longer one, their next attempt would be late.
+    /// Ends a request that cannot be served: rejects it if a retry is safe, and fails it otherwise.
+    /// A rejected client is told to wait until the quota holds the request's units again, and at
+    /// least for one mean latency, after which the requests now in flight are mostly answered.
+    /// Without a wait, clients would retry at once; with a longer one, their retries would be late.
     pub(super) fn finish_unserved(
         &mut self,
         id: RequestId,
         reason: RejectReason,
-        state: &mut EventContext,
+        context: &mut EventContext,
     ) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_closed) else {
             return;
         };
         let incoming = &request.incoming;
-        let quota = state.quotas.get(incoming.customer);
+        let quota = context.quotas.get(incoming.customer);
         let refill_seconds = quota.map_or(0.0, |quota| {
             quota.bucket.seconds_until_available(incoming.units)
         });
         let wait_seconds = refill_seconds.max(self.upstream.latency.mean(incoming.class));
         let answer = final_answer(id, request, &self.settings, wait_seconds, reason);
-        state.actions.push(answer);
-        self.close(id, state);
+        context.actions.push(answer);
+        self.close(id, context);
     }
 
-    /// The client has its final answer or has disconnected: nothing more goes out for the request.
-    pub(crate) fn close(&mut self, id: RequestId, state: &mut EventContext) {
+    /// Closes a request whose client has its final answer or has disconnected. Attempts in flight
+    /// are cancelled where that is permitted, and no further attempt is made.
+    pub(crate) fn close(&mut self, id: RequestId, context: &mut EventContext) {
         let Some(request) = self.open_request(id) else {
-            return self.remove_if_finished(id, state);
+            return self.remove_if_finished(id, context);
         };
         request.is_closed = true;
         let was_forwarded = !request.attempts.is_empty();
-        let quota = state.quotas.get_mut(request.incoming.customer);
+        let quota = context.quotas.get_mut(request.incoming.customer);
         if let Some(quota) = quota.filter(|_| was_forwarded) {
             quota.end_request();
         }
-        self.cancel_attempts_except(id, None, state);
-        self.remove_if_finished(id, state);
+        self.cancel_attempts_except(id, None, context);
+        self.remove_if_finished(id, context);
     }
 
+    /// Cancels the request's attempts in flight except `kept`, if cancelling is permitted.
     pub(super) fn cancel_attempts_except(
         &self,
         id: RequestId,
         kept: Option<u16>,
-        state: &mut EventContext,
+        context: &mut EventContext,
     ) {
         if !self.settings.permissions.cancel {
             return;
@@ -62,7 +65,7 @@
         for (number, attempt) in request.attempts.iter().enumerate() {
             let number = number as u16;
             if attempt.is_in_flight && kept != Some(number) {
-                state.actions.push(Action::Cancel {
+                context.actions.push(Action::Cancel {
                     request: id,
                     attempt: number,
                 });
@@ -70,16 +73,17 @@
         }
     }
 
-    pub(super) fn remove_if_finished(&mut self, id: RequestId, state: &mut EventContext) {
+    /// Removes the request if it is closed and awaits neither the counter nor an attempt.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId, context: &mut EventContext) {
         if self.requests.get(&id).is_some_and(Request::is_finished) {
             self.requests.remove(&id);
-            state.finished_requests.push(id);
+            context.finished_requests.push(id);
         }
     }
 }
 
-/// Rejected, if the client may safely send it again; failed otherwise. The client should wait
-/// for `wait_seconds`.
+/// Returns [`Action::Reject`] if the client may safely retry, after `wait_seconds`, and
+/// [`Action::Fail`] otherwise.
 fn final_answer(
     id: RequestId,
     request: &Request,
@@ -101,7 +105,7 @@
     }
 }
 
-/// Whether the client may send the request again, through any ingress.
+/// Whether the client may safely retry the request, through any ingress.
 fn is_retry_safe(request: &Request, settings: &Settings) -> bool {
     let idempotency = settings.classes[request.incoming.class].idempotency;
     let is_safe_anywhere = matches!(
--- a/crates/decision/src/service/hedging.rs
+++ b/crates/decision/src/service/hedging.rs
@@ -1,65 +1,71 @@
-//! Hedging: when a request that waits for long goes to a second endpoint as well. Prevents
-//! unresponsive endpoints and single hanging responses from holding up requests. Where hedging is
-//! not permitted, a request moves away from an unresponsive endpoint. In service it never is: the
-//! request engine, which tracks one attempt a request, withdraws the permission.
+//! Hedging: a request whose response is slow is forwarded to a second endpoint as well, so that an
+//! unresponsive endpoint or a single slow response does not delay it. If hedging is not permitted,
+//! a request at an unresponsive endpoint is cancelled and retried instead. The request engine
+//! tracks only one attempt per request and therefore never permits hedging.
 
 use crate::service::request::Request;
 use crate::service::retry::may_execute_again;
 use crate::settings::Settings;
 use crate::util::seconds;
 
-/// A request is hedged after this many mean latencies ...
+/// A request is hedged after this many mean latencies, or earlier by
+/// [`HEDGE_DELAY_OBJECTIVE_RATIO`].
 pub(crate) const HEDGE_DELAY_MEAN_LATENCIES: f64 = 3.0;
-/// ... or this share of the latency objective: later, the response would be late.
-const HEDGE_DELAY_OF_OBJECTIVE: f64 = 0.45;
-/// Requests at a responsive endpoint are hedged below this part of the permitted latency ratio.
-pub(crate) const HEDGE_LOAD_RATIO_MAX: f64 = 0.4;
-const ATTEMPTS_IN_FLIGHT_MAX: usize = 2;
-/// Ticks that cancelling an attempt and retrying it are given, when they are checked against the
-/// deduplication window.
+/// A request is hedged at the latest after this share of the latency objective. After a longer
+/// delay the response would exceed the objective.
+const HEDGE_DELAY_OBJECTIVE_RATIO: f64 = 0.45;
+/// Requests at a responsive endpoint are hedged only while the objective ratio is at most this
+/// share of [`MAX_OBJECTIVE_RATIO`](crate::load_shedding::MAX_OBJECTIVE_RATIO).
+pub(crate) const MAX_HEDGE_LOAD_RATIO: f64 = 0.4;
+const MAX_ATTEMPTS_IN_FLIGHT: usize = 2;
+/// Ticks that it takes at most to cancel an attempt and to retry it. The deduplication window has
+/// to be open for that long.
 const CANCEL_AND_RETRY_TICKS: f64 = 4.0;
 
-/// What to do when a request has waited for its hedge delay.
+/// What to do with a request that has not been answered within its hedge delay.
 pub(crate) enum HedgeDecision {
-    /// Forward it to a second endpoint.
+    /// Forward the request to a second endpoint.
     Hedge,
-    /// Cancel the attempt; the retry follows when it has ended.
+    /// Cancel the attempt. The request is retried when the attempt has ended.
     CancelAndRetry,
-    /// Wait on.
+    /// Keep waiting, and decide again later.
     Wait,
 }
 
-/// What the decision depends on, besides the request.
+/// What the decision depends on, apart from the request and the settings.
 pub(crate) struct HedgeInput {
-    /// Its last attempt is at an endpoint that is ejected or no longer ready.
-    pub is_endpoint_lost: bool,
-    /// The service has no capacity for hedged requests.
+    /// Whether the endpoint of the last attempt is ejected or no longer ready.
+    pub is_endpoint_unavailable: bool,
+    /// Whether the service's load is too high for hedged requests.
     pub is_busy: bool,
+    /// Whether the retry budget permits one more retry or hedged request.
     pub is_budget_available: bool,
+    /// The current time in seconds.
     pub now: f64,
 }
 
-/// Seconds from an attempt to the decision whether it is hedged.
+/// The delay in seconds between forwarding a request and deciding whether to hedge it.
 pub(crate) fn hedge_delay_seconds(settings: &Settings, class: usize, mean_latency: f64) -> f64 {
     let objective = seconds(settings.classes[class].latency_objective);
-    (HEDGE_DELAY_OF_OBJECTIVE * objective).min(HEDGE_DELAY_MEAN_LATENCIES * mean_latency)
+    (HEDGE_DELAY_OBJECTIVE_RATIO * objective).min(HEDGE_DELAY_MEAN_LATENCIES * mean_latency)
 }
 
-/// Decides whether a request goes to a second endpoint.
+/// Decides whether a request is hedged, or cancelled and retried.
 pub(crate) fn decide(request: &Request, settings: &Settings, input: &HedgeInput) -> HedgeDecision {
-    let is_possible = input.is_budget_available && (input.is_endpoint_lost || !input.is_busy);
+    let is_possible =
+        input.is_budget_available && (input.is_endpoint_unavailable || !input.is_busy);
     if !is_possible {
         return HedgeDecision::Wait;
     }
     let permissions = &settings.permissions;
     if permissions.hedging {
-        return if request.attempts_in_flight() < ATTEMPTS_IN_FLIGHT_MAX {
+        return if request.attempts_in_flight() < MAX_ATTEMPTS_IN_FLIGHT {
             HedgeDecision::Hedge
         } else {
             HedgeDecision::Wait
         };
     }
-    let can_move = input.is_endpoint_lost
+    let can_move = input.is_endpoint_unavailable
         && permissions.cancel
         && may_execute_again(request, settings, CANCEL_AND_RETRY_TICKS, input.now);
     if can_move {
--- a/crates/decision/src/service/mod.rs
+++ b/crates/decision/src/service/mod.rs
@@ -1,9 +1,9 @@
-//! One service: its requests from arrival to their final answer. Nothing that happens to one
-//! service costs or changes another.
+//! One service and its requests, from arrival to the final answer. Services are independent: the
+//! events of one service neither affect another service nor cause work for it.
 //!
 //! A request is admitted ([`admission`]), forwarded and retried ([`attempts`], [`retry`]), hedged
-//! while it waits ([`timers`], [`hedging`]) and closed ([`closing`]). [`upstream`] is what the
-//! service knows of its endpoints.
+//! if the response is slow ([`timers`], [`hedging`]) and closed ([`closing`]). [`upstream`] holds
+//! the endpoints of the service and the statistics about them.
 
 mod admission;
 mod attempts;
--- a/crates/decision/src/service/request.rs
+++ b/crates/decision/src/service/request.rs
@@ -6,22 +6,26 @@
 /// One attempt of a request at an endpoint.
 pub(crate) struct Attempt {
     pub endpoint: EndpointId,
+    /// When the attempt was forwarded, in seconds.
     pub forwarded_at: f64,
     pub is_in_flight: bool,
-    /// Its outcome proves that the endpoint did not execute it.
+    /// Whether the outcome proves that the endpoint did not execute the request.
     pub provably_not_executed: bool,
 }
 
-/// A request of which something is still to come.
+/// A request that is not finished: its client awaits an answer, its quota decision is pending, or
+/// an attempt is in flight.
 pub(crate) struct Request {
     pub incoming: IncomingRequest,
-    /// When it gets its final answer at the latest.
+    /// When the request times out, in seconds.
     pub deadline: f64,
-    /// It has not been decided: the counter's total is awaited.
-    pub is_awaiting_counter: bool,
-    /// The client has its final answer or has disconnected.
+    /// Whether the quota decision has not been made yet, usually because the counter is awaited.
+    pub is_quota_decision_pending: bool,
+    /// Whether the client has its final answer or has disconnected.
     pub is_closed: bool,
+    /// Whether a streamed response has started.
     pub is_streaming: bool,
+    /// All attempts, by their number.
     pub attempts: Vec<Attempt>,
 }
 
@@ -30,7 +34,7 @@
         Request {
             incoming: *incoming,
             deadline,
-            is_awaiting_counter: true,
+            is_quota_decision_pending: true,
             is_closed: false,
             is_streaming: false,
             attempts: Vec::new(),
@@ -46,20 +50,20 @@
         in_flight.count()
     }
 
-    /// The first attempt that may have been executed.
+    /// The first attempt that the endpoint may have executed, if any.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         let mut attempts = self.attempts.iter();
         attempts.find(|attempt| !attempt.provably_not_executed)
     }
 
-    /// Whether an attempt has gone to the endpoint.
+    /// Whether the request has been forwarded to the endpoint before.
     pub(crate) fn was_attempted_at(&self, endpoint: EndpointId) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// Whether nothing more is to come for it.
+    /// Whether the request is closed and awaits neither its quota decision nor an attempt.
     pub(crate) fn is_finished(&self) -> bool {
-        self.is_closed && !self.is_awaiting_counter && !self.has_attempt_in_flight()
+        self.is_closed && !self.is_quota_decision_pending && !self.has_attempt_in_flight()
     }
 }
--- a/crates/decision/src/service/retry.rs
+++ b/crates/decision/src/service/retry.rs
@@ -1,22 +1,22 @@
-//! Retries: the budget that requests earn for them, and where a request may be executed again.
+//! Retries: the budget that limits them, and the endpoints where a request may be executed again.
 
 use crate::endpoint::{Endpoint, Endpoints};
 use crate::service::request::Request;
 use crate::settings::{DeduplicationScope, Idempotency, Settings};
 use crate::util::seconds;
 
-/// Retries earned by each forwarded request: a small part of the load.
-const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Most retries that are saved up.
-const RETRY_BUDGET_MAX: f64 = 20.0;
-const RETRY_BUDGET_INITIAL: f64 = 1.0;
-/// What a retry costs, in retries, if the attempt before it was provably not executed.
-const COST_WHERE_NOT_EXECUTED: f64 = 0.5;
-/// Ticks that a retry is given to reach its endpoint, when it is checked against the deduplication
-/// window.
+/// Retries that each forwarded request adds to the budget. The value keeps retries to a small part
+/// of the load.
+const RETRIES_EARNED_PER_REQUEST: f64 = 0.1;
+const MAX_BUDGET_RETRIES: f64 = 20.0;
+const INITIAL_BUDGET_RETRIES: f64 = 1.0;
+/// Cost of a retry, in retries of the budget, if the previous attempt was provably not executed.
+const NOT_EXECUTED_RETRY_COST: f64 = 0.5;
+/// Ticks that it takes at most until a retry reaches its endpoint. The deduplication window has to
+/// be open for that long.
 const RETRY_TICKS: f64 = 2.0;
 
-/// The retries and hedged requests that a service may forward.
+/// Limits the retries and hedged requests of a service to a share of its requests.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
@@ -24,38 +24,38 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         RetryBudget {
-            retries: RETRY_BUDGET_INITIAL,
+            retries: INITIAL_BUDGET_RETRIES,
         }
     }
 }
 
 impl RetryBudget {
-    /// A request is forwarded for the first time.
+    /// Called when a request is forwarded for the first time.
     pub(crate) fn earn(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(RETRY_BUDGET_MAX);
+        self.retries = (self.retries + RETRIES_EARNED_PER_REQUEST).min(MAX_BUDGET_RETRIES);
     }
 
-    /// Whether one more retry or hedged request may go out.
+    /// Whether the budget permits one more retry or hedged request.
     pub(crate) fn is_available(&self) -> bool {
         self.retries >= 1.0
     }
 
-    /// A retry goes out after an attempt that may or may not have been executed.
+    /// Called when a request is retried. `provably_not_executed` refers to the previous attempt.
     pub(crate) fn spend_retry(&mut self, provably_not_executed: bool) {
         self.retries -= if provably_not_executed {
-            COST_WHERE_NOT_EXECUTED
+            NOT_EXECUTED_RETRY_COST
         } else {
             1.0
         };
     }
 
-    /// A hedged request goes out.
+    /// Called when a request is hedged.
     pub(crate) fn spend_hedge(&mut self) {
         self.retries -= 1.0;
     }
 }
 
-/// The endpoints that may get the next attempt of a request.
+/// The endpoints that the next attempt of a request may be forwarded to.
 pub(crate) enum AllowedEndpoints {
     None,
     All,
@@ -64,8 +64,9 @@
 }
 
 impl AllowedEndpoints {
-    /// By the number of attempts, those in flight, and what may have been executed already.
-    pub(crate) fn of(
+    /// Determines the endpoints by the number of attempts, by whether one is in flight, and by what
+    /// may have been executed already.
+    pub(crate) fn for_next_attempt(
         request: &Request,
         endpoints: &Endpoints,
         settings: &Settings,
@@ -97,6 +98,7 @@
         }
     }
 
+    /// Whether the endpoint is one of the allowed endpoints.
     pub(crate) fn contains(&self, endpoint: &Endpoint) -> bool {
         match self {
             AllowedEndpoints::None => false,
@@ -107,13 +109,13 @@
     }
 }
 
-/// Whether the request may be executed again: it is idempotent, or a duplicate forwarded after this
-/// many ticks would still be dropped. The request engine checks the window once more, without a
-/// margin, before the first byte is written.
+/// Whether the request may be executed again: it is idempotent, or a duplicate that arrives within
+/// `delay_ticks` would still be dropped. The request engine checks the window again, without this
+/// margin, before it writes the first byte.
 pub(crate) fn may_execute_again(
     request: &Request,
     settings: &Settings,
-    ticks: f64,
+    delay_ticks: f64,
     now: f64,
 ) -> bool {
     match settings.classes[request.incoming.class].idempotency {
@@ -122,7 +124,7 @@
         Idempotency::IdempotencyKey { window, .. } => {
             let first = request.first_possible_execution();
             let first_at = first.map_or(f64::MAX, |attempt| attempt.forwarded_at);
-            now + ticks * seconds(settings.tick) < first_at + seconds(window)
+            now + delay_ticks * seconds(settings.tick) < first_at + seconds(window)
         }
     }
 }
--- a/crates/decision/src/service/state.rs
+++ b/crates/decision/src/service/state.rs
@@ -13,30 +13,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a service needs of the ingress while it handles an event. Times are in seconds.
+/// The ingress's state that a service needs to handle an event. Times are in seconds.
 pub(crate) struct EventContext<'a> {
+    /// Time of the event.
     pub now: f64,
-    /// When this ingress's last stall ended.
+    /// When the last stall of this ingress ended; 0 if there was none.
     pub resumed_at: f64,
+    /// The quotas of all customers.
     pub quotas: &'a mut CustomerQuotas,
+    /// The actions that the caller has to carry out, to which the service appends.
     pub actions: &'a mut Vec<Action>,
-    /// Requests of all services.
+    /// Number of requests of all services.
     pub request_count: usize,
-    /// Endpoints of all services.
+    /// Number of endpoints of all services.
     pub endpoint_count: usize,
-    /// Attempts in flight at all services that have not responded yet.
+    /// Number of attempts in flight at all services that have not responded yet.
     pub unmeasured_in_flight: usize,
-    /// Requests of which nothing more is to come.
+    /// Requests that the service has removed, for the dispatcher to remove as well.
     pub finished_requests: &'a mut Vec<RequestId>,
 }
 
-/// What a service waits for.
+/// A timer of a service.
 #[derive(Clone, Copy)]
 pub(super) enum Timer {
-    /// The counter has not answered in time.
+    /// The request stops waiting for the counter and its quota is decided locally.
     CounterWait(RequestId),
+    /// The request may be hedged.
     Hedge(RequestId),
+    /// The request times out.
     Deadline(RequestId),
+    /// The next round of maintenance is due.
     Maintenance,
 }
 
@@ -66,12 +72,13 @@
         }
     }
 
-    /// Its endpoints: those that are listed, or those that have a state if these are more.
+    /// The number of listed endpoints, or of tracked endpoints if that is greater: endpoints that
+    /// are no longer listed are tracked until their last attempt has ended.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.upstream.balancer.table.len()
     }
 
-    /// Its attempts in flight, if it has not responded yet; else none.
+    /// The number of attempts in flight if the service has not responded yet, and 0 otherwise.
     pub(crate) fn unmeasured_in_flight(&self) -> usize {
         if self.upstream.latency.is_measured() {
             0
@@ -80,22 +87,23 @@
         }
     }
 
-    /// Whether it has neither endpoints nor requests.
+    /// Whether the service has neither endpoints nor requests.
     pub(crate) fn is_unused(&self) -> bool {
         self.endpoint_count() == 0 && self.requests.is_empty()
     }
 
-    /// When it is to be woken.
+    /// When the next timer of the service expires; `None` if no timer is set.
     pub(crate) fn next_timer(&self) -> Option<Duration> {
         self.timers.first_due()
     }
 
+    /// Returns a request that is not closed.
     pub(super) fn open_request(&mut self, id: RequestId) -> Option<&mut Request> {
         let request = self.requests.get_mut(&id);
         request.filter(|request| !request.is_closed)
     }
 
-    /// A health check has ended.
+    /// Called when a health check has ended.
     pub(crate) fn on_health_check(
         &mut self,
         endpoint: EndpointId,
@@ -107,13 +115,13 @@
             .on_health_check(endpoint, outcome, report, now);
     }
 
-    /// An entry of the endpoint list has changed.
+    /// Called when an entry of the endpoint list has changed.
     pub(crate) fn update_endpoint(&mut self, entry: &EndpointEntry, now: f64) {
         let table = &mut self.upstream.balancer.table;
         table.update(entry, now, &mut self.rng);
     }
 
-    /// A complete endpoint list has come.
+    /// Called when a complete endpoint list has arrived.
     pub(crate) fn replace_endpoints(&mut self, entries: &[EndpointEntry], now: f64) {
         let table = &mut self.upstream.balancer.table;
         table.replace(entries, now, &mut self.rng);
--- a/crates/decision/src/service/timers.rs
+++ b/crates/decision/src/service/timers.rs
@@ -1,4 +1,4 @@
-//! What a service does when its timers are due.
+//! Handlers of a service's timers.
 
 use crate::action::Action;
 use crate::ids::{EndpointId, RequestId};
@@ -9,47 +9,48 @@
 use crate::util::duration;
 use std::time::Duration;
 
-/// Time between two rounds of maintenance while there are requests.
+/// Interval between two rounds of maintenance while the service has requests.
 const MAINTENANCE_INTERVAL_SECONDS: f64 = 0.05;
 
 impl Service {
-    /// Handles all timers that are due.
-    pub(crate) fn run_due_timers(&mut self, clock: Duration, state: &mut EventContext) {
+    /// Handles all timers that have expired by the time `clock`.
+    pub(crate) fn run_due_timers(&mut self, clock: Duration, context: &mut EventContext) {
         while let Some(timer) = self.timers.pop_due(clock) {
             match timer {
-                Timer::CounterWait(id) => self.on_counter_wait_timer(id, state),
-                Timer::Hedge(id) => self.on_hedge_timer(id, state),
-                Timer::Deadline(id) => self.on_deadline_timer(id, state),
-                Timer::Maintenance => self.on_maintenance_timer(state),
+                Timer::CounterWait(id) => self.on_counter_wait_timer(id, context),
+                Timer::Hedge(id) => self.on_hedge_timer(id, context),
+                Timer::Deadline(id) => self.on_deadline_timer(id, context),
+                Timer::Maintenance => self.on_maintenance_timer(context),
             }
         }
     }
 
-    fn on_counter_wait_timer(&mut self, id: RequestId, state: &mut EventContext) {
+    fn on_counter_wait_timer(&mut self, id: RequestId, context: &mut EventContext) {
         let request = self.requests.get(&id);
-        if request.is_some_and(|request| request.is_awaiting_counter && !request.is_closed) {
-            self.decide_locally(id, false, state);
+        if request.is_some_and(|request| request.is_quota_decision_pending && !request.is_closed) {
+            self.decide_locally(id, false, context);
         }
     }
 
-    fn on_deadline_timer(&mut self, id: RequestId, state: &mut EventContext) {
+    fn on_deadline_timer(&mut self, id: RequestId, context: &mut EventContext) {
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|r| !r.is_closed && !r.is_streaming) else {
             return;
         };
         if request.attempts.is_empty() {
-            return self.finish_unserved(id, RejectReason::DeadlineExceeded, state);
+            return self.finish_unserved(id, RejectReason::DeadlineExceeded, context);
         }
-        // Once an attempt has been made, a client whose deadline has passed is not told to retry.
-        state.actions.push(Action::Fail { request: id });
-        self.close(id, state);
+        // A request that timed out after it was forwarded fails instead of being rejected, so that
+        // its client is not told to retry.
+        context.actions.push(Action::Fail { request: id });
+        self.close(id, context);
     }
 
-    /// A request has waited for its hedge delay.
-    fn on_hedge_timer(&mut self, id: RequestId, state: &mut EventContext) {
-        let now = state.now;
+    /// Called when a request has not been answered within its hedge delay.
+    fn on_hedge_timer(&mut self, id: RequestId, context: &mut EventContext) {
+        let now = context.now;
         self.upstream
-            .detect_unresponsive(state.resumed_at, now, state.actions);
+            .detect_unresponsive(context.resumed_at, now, context.actions);
         let request = self.requests.get(&id);
         let Some(request) = request.filter(|r| !r.is_closed && !r.is_streaming) else {
             return;
@@ -68,11 +69,11 @@
                 let endpoint = self.upstream.choose(request, now, &mut self.rng);
                 if let Some(endpoint) = endpoint {
                     self.retry_budget.spend_hedge();
-                    return self.forward(id, endpoint, state);
+                    return self.forward(id, endpoint, context);
                 }
             }
             HedgeDecision::CancelAndRetry => {
-                return state.actions.push(Action::Cancel {
+                return context.actions.push(Action::Cancel {
                     request: id,
                     attempt: request.attempts.len() as u16 - 1,
                 });
@@ -85,24 +86,27 @@
 
     fn hedge_input(&self, class: usize, endpoint: EndpointId, now: f64) -> HedgeInput {
         HedgeInput {
-            is_endpoint_lost: self.upstream.is_lost(endpoint),
+            is_endpoint_unavailable: self.upstream.is_unavailable(endpoint),
             is_busy: self.is_too_busy_to_hedge(class, now),
             is_budget_available: self.retry_budget.is_available(),
             now,
         }
     }
 
+    /// Whether the load of the service is too high for hedged requests of the class.
     fn is_too_busy_to_hedge(&self, class: usize, now: f64) -> bool {
-        let ratio_max = hedging::HEDGE_LOAD_RATIO_MAX * MAX_OBJECTIVE_RATIO;
-        self.upstream.latency.objective_ratio() > ratio_max
+        let max_ratio = hedging::MAX_HEDGE_LOAD_RATIO * MAX_OBJECTIVE_RATIO;
+        self.upstream.latency.objective_ratio() > max_ratio
             || self.upstream.shed_load(class, 1.0, now).is_some()
     }
 
-    pub(super) fn on_maintenance_timer(&mut self, state: &mut EventContext) {
-        let now = state.now;
+    /// Runs a round of maintenance, and schedules the next one if the service has requests. Also
+    /// called when a request arrives while no round is scheduled.
+    pub(super) fn on_maintenance_timer(&mut self, context: &mut EventContext) {
+        let now = context.now;
         self.upstream
-            .detect_unresponsive(state.resumed_at, now, state.actions);
-        self.upstream.maintain(now, &mut self.rng, state.actions);
+            .detect_unresponsive(context.resumed_at, now, context.actions);
+        self.upstream.maintain(now, &mut self.rng, context.actions);
         self.is_maintenance_scheduled = !self.requests.is_empty();
         if self.is_maintenance_scheduled {
             self.timers.set(
--- a/crates/decision/src/service/upstream.rs
+++ b/crates/decision/src/service/upstream.rs
@@ -1,5 +1,5 @@
-//! The endpoints of a service and what their responses say: joins the balancer, the latency
-//! statistics and the concurrency limit.
+//! The endpoints of a service and the statistics about their responses. Combines the load balancer,
+//! the latency statistics, the concurrency limit and the health checks.
 
 use crate::action::Action;
 use crate::balancer::{ChoiceInput, LoadBalancer};
@@ -18,7 +18,7 @@
 use fastrand::Rng;
 use std::sync::Arc;
 
-/// The endpoints of a service, their latency and their load.
+/// The endpoints of a service with their latency, load and health.
 pub(crate) struct Upstream {
     settings: Arc<Settings>,
     pub balancer: LoadBalancer,
@@ -28,8 +28,9 @@
 }
 
 impl Upstream {
-    /// An upstream without endpoints. Its latency counts as just permitted until responses come:
-    /// otherwise all ingresses would fill the endpoints at the start.
+    /// Creates an upstream without endpoints. Until it has responded, its latency is assumed to be
+    /// the highest that is permitted. With a lower assumption, all ingresses together would
+    /// overload the endpoints when they start.
     pub(crate) fn new(settings: &Arc<Settings>, now: f64) -> Upstream {
         Upstream {
             settings: Arc::clone(settings),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The endpoint that gets the request's next attempt, if any may.
+    /// Chooses the endpoint for the request's next attempt; `None` if no endpoint is eligible.
     pub(crate) fn choose(
         &mut self,
         request: &Request,
@@ -50,7 +51,7 @@
         let settings = &self.settings;
         self.balancer.table.refresh_subset(settings, now, rng);
         let endpoints = &self.balancer.table.endpoints;
-        let allowed = AllowedEndpoints::of(request, endpoints, settings, now);
+        let allowed = AllowedEndpoints::for_next_attempt(request, endpoints, settings, now);
         let class = request.incoming.class;
         let is_idempotent = settings.classes[class].idempotency == Idempotency::Idempotent;
         let is_first_attempt = request.attempts.is_empty();
@@ -68,7 +69,8 @@
         )
     }
 
-    /// The load, if one more request of the class would overload the endpoints.
+    /// Returns the load if one more request of the class would exceed the concurrency limit.
+    /// `sample` is explained at [`LoadShedder::shed_load`].
     pub(crate) fn shed_load(&self, class: usize, sample: f64, now: f64) -> Option<ShedLoad> {
         self.load_shedder.shed_load(
             &self.settings,
@@ -80,16 +82,18 @@
         )
     }
 
-    /// Whether the endpoint is ejected, no longer ready, or not known.
-    pub(crate) fn is_lost(&self, endpoint: EndpointId) -> bool {
+    /// Whether the endpoint is unresponsive, no longer ready or unknown. Always false while more
+    /// than half of the ready endpoints are unresponsive, because none is ejected then.
+    pub(crate) fn is_unavailable(&self, endpoint: EndpointId) -> bool {
         let endpoints = &self.balancer.table.endpoints;
         let state = endpoints.get(&endpoint);
         outlier::ejection_allowed(endpoints)
             && state.is_none_or(|endpoint| endpoint.unresponsive || !endpoint.ready)
     }
 
-    /// Takes in how an attempt of a request of the class ended at the endpoint. What waited through
-    /// this ingress's last stall, which ended at `resumed_at`, says nothing of the endpoint.
+    /// Records how an attempt at the endpoint ended. The latency of an attempt that was in flight
+    /// during this ingress's last stall, which ended at `resumed_at`, is ignored, because it
+    /// includes the stall.
     pub(crate) fn record_outcome(
         &mut self,
         endpoint: EndpointId,
@@ -112,14 +116,14 @@
         outlier::record_outcome(endpoint, end, failure_decay, now, resumed_at);
         let is_ejected = endpoint.is_ejected(ejection_allowed);
         let latency = seconds(end.elapsed);
-        let is_stalled = now - latency < resumed_at;
+        let overlaps_stall = now - latency < resumed_at;
         let is_ok = end.outcome == Outcome::Ok;
-        if (is_ok || end.outcome == Outcome::Timeout) && !is_ejected && !is_stalled {
+        if (is_ok || end.outcome == Outcome::Timeout) && !is_ejected && !overlaps_stall {
             let objective = seconds(self.settings.classes[class].latency_objective);
             let ratio = latency / objective;
             self.latency.record_objective_ratio(ratio, now);
         }
-        if is_ok && !is_stalled {
+        if is_ok && !overlaps_stall {
             let ratio = self.latency.record_response(class, latency);
             endpoint.record_latency_ratio(ratio);
         }
@@ -128,8 +132,8 @@
         }
     }
 
-    /// How long a failure takes to decay. Most attempts end with a response, which is no failure
-    /// and needs no walk over the endpoints.
+    /// The time in seconds over which a failure decays. The value does not matter for a successful
+    /// attempt, so the iteration over the endpoints is skipped.
     fn failure_decay_seconds(&self, outcome: Outcome) -> f64 {
         if outcome == Outcome::Ok {
             return outlier::MIN_FAILURE_DECAY_SECONDS;
@@ -138,7 +142,7 @@
         outlier::failure_decay_seconds(endpoints, &self.settings.endpoint_limits)
     }
 
-    /// Takes in an endpoint's load report, if there is one.
+    /// Records an endpoint's load report, if there is one.
     pub(crate) fn record_load_report(
         &mut self,
         endpoint: EndpointId,
@@ -151,7 +155,7 @@
         }
     }
 
-    /// A health check has ended.
+    /// Called when a health check has ended.
     pub(crate) fn on_health_check(
         &mut self,
         endpoint: EndpointId,
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Finds endpoints that have not answered for long.
+    /// Marks endpoints that have not responded for a long time as unresponsive.
     pub(crate) fn detect_unresponsive(
         &mut self,
         resumed_at: f64,
@@ -184,8 +188,8 @@
         );
     }
 
-    /// Does what time alone brings on: forwards expire, health checks start, removed endpoints are
-    /// dropped.
+    /// Does the periodic work: forgets old forwards, starts health checks and drops endpoints that
+    /// were removed from the list.
     pub(crate) fn maintain(&mut self, now: f64, rng: &mut Rng, actions: &mut Vec<Action>) {
         let window = forward_window_seconds(&self.settings.endpoint_limits);
         let table = &mut self.balancer.table;
--- a/crates/decision/src/service_table.rs
+++ b/crates/decision/src/service_table.rs
@@ -1,7 +1,7 @@
-//! All services of an ingress, and which of them is to be woken next.
+//! All services of an ingress, and the order in which their timers expire.
 //!
-//! A [`Service`] is created when its first endpoint or request comes and dropped with its last. A
-//! change of the endpoint list touches the endpoints that it names.
+//! A [`Service`] is created for its first endpoint or request and dropped when it has neither. A
+//! change of the endpoint list is applied only to the endpoints that it names.
 
 use crate::event::EndpointEntry;
 use crate::ids::ServiceId;
@@ -12,12 +12,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Least weight of an endpoint.
-const ENDPOINT_WEIGHT_MIN: f64 = 0.05;
+/// A smaller weight of an endpoint is raised to this.
+const MIN_ENDPOINT_WEIGHT: f64 = 0.05;
 
-/// A service, and what the table last saw of it.
+/// A service with the values that the totals and the schedule of [`ServiceTable`] include for it.
 struct ScheduledService {
     service: Service,
+    /// When the service's next timer expires, as entered in [`ServiceTable::due`].
     due: Option<Duration>,
     endpoint_count: usize,
     unmeasured_in_flight: usize,
@@ -28,11 +29,11 @@
     settings: Arc<Settings>,
     seed: u64,
     services: BTreeMap<ServiceId, ScheduledService>,
-    /// Endpoints of all services.
+    /// Number of endpoints of all services.
     endpoint_count: usize,
-    /// Attempts in flight at all services that have not responded yet.
+    /// Number of attempts in flight at all services that have not responded yet.
     unmeasured_in_flight: usize,
-    /// When each service is to be woken.
+    /// When the next timer of each service expires; services without a timer are left out.
     due: BTreeSet<(Duration, ServiceId)>,
 }
 
@@ -52,22 +53,22 @@
         self.services.len()
     }
 
-    /// Endpoints of all services.
+    /// The number of endpoints of all services.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.endpoint_count
     }
 
-    /// Attempts in flight at all services that have not responded yet.
+    /// The number of attempts in flight at all services that have not responded yet.
     pub(crate) fn unmeasured_in_flight(&self) -> usize {
         self.unmeasured_in_flight
     }
 
-    /// When the next service is to be woken.
+    /// When the next timer of any service expires; `None` if no timer is set.
     pub(crate) fn next_timer(&self) -> Option<Duration> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// The first service that is to be woken by `now`.
+    /// The service whose timer has expired first, if any has expired by `now`.
     pub(crate) fn first_due_by(&self, now: Duration) -> Option<ServiceId> {
         let first = self.due.first().filter(|(at, _)| *at <= now);
         first.map(|(_, service)| *service)
@@ -78,7 +79,7 @@
         scheduled.map(|scheduled| &mut scheduled.service)
     }
 
-    /// The service, created if there is none.
+    /// Returns the service, which is created if it does not exist.
     pub(crate) fn get_or_create(&mut self, id: ServiceId, now: Duration) -> &mut Service {
         let settings = &self.settings;
         let seed = self.seed.wrapping_add(u64::from(id.0));
@@ -91,7 +92,7 @@
         &mut scheduled.service
     }
 
-    /// An entry of the endpoint list has changed.
+    /// Called when an entry of the endpoint list has changed.
     pub(crate) fn update_endpoint(&mut self, entry: EndpointEntry, now: Duration) {
         let entry = with_valid_weight(entry);
         let service = self.get_or_create(entry.service, now);
@@ -99,7 +100,8 @@
         self.update_counts(entry.service);
     }
 
-    /// A complete endpoint list has come: endpoints and services that it does not name are gone.
+    /// Called when a complete endpoint list has arrived. Removes all endpoints that it does not
+    /// name.
     pub(crate) fn replace_endpoints(&mut self, entries: Vec<EndpointEntry>, now: Duration) {
         let mut by_service: BTreeMap<ServiceId, Vec<EndpointEntry>> = BTreeMap::new();
         for entry in entries {
@@ -118,32 +120,33 @@
         }
     }
 
-    /// A service has handled an event: notes when it is due next, and drops it if it is unused.
+    /// Called when a service has handled an event. Updates its schedule and the totals, and drops
+    /// the service if it is unused.
     pub(crate) fn after_event(&mut self, id: ServiceId) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
         };
         let due = scheduled.service.next_timer();
         if due != scheduled.due {
-            if let Some(before) = std::mem::replace(&mut scheduled.due, due) {
-                self.due.remove(&(before, id));
+            if let Some(previous) = std::mem::replace(&mut scheduled.due, due) {
+                self.due.remove(&(previous, id));
             }
             self.due.extend(due.map(|at| (at, id)));
         }
         self.update_counts(id);
     }
 
-    /// Takes the service's counts over into those of all, and drops it if it is unused.
+    /// Updates the totals by the service's current counts, and drops the service if it is unused.
     fn update_counts(&mut self, id: ServiceId) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
         };
         let count = scheduled.service.endpoint_count();
-        let before = std::mem::replace(&mut scheduled.endpoint_count, count);
-        self.endpoint_count = self.endpoint_count - before + count;
+        let previous = std::mem::replace(&mut scheduled.endpoint_count, count);
+        self.endpoint_count = self.endpoint_count - previous + count;
         let count = scheduled.service.unmeasured_in_flight();
-        let before = std::mem::replace(&mut scheduled.unmeasured_in_flight, count);
-        self.unmeasured_in_flight = self.unmeasured_in_flight - before + count;
+        let previous = std::mem::replace(&mut scheduled.unmeasured_in_flight, count);
+        self.unmeasured_in_flight = self.unmeasured_in_flight - previous + count;
         if scheduled.service.is_unused() {
             self.drop_service(id);
         }
@@ -157,12 +160,12 @@
     }
 }
 
-/// The entry with a weight that can be calculated with: one that is not a positive number counts
-/// as 1.
+/// Returns the entry with a weight that is safe to divide by: a weight that is not a positive
+/// number is replaced by 1, and a very small one by [`MIN_ENDPOINT_WEIGHT`].
 fn with_valid_weight(entry: EndpointEntry) -> EndpointEntry {
     let is_valid = entry.weight.is_finite() && entry.weight > 0.0;
     let weight = if is_valid {
-        entry.weight.max(ENDPOINT_WEIGHT_MIN)
+        entry.weight.max(MIN_ENDPOINT_WEIGHT)
     } else {
         1.0
     };
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,150 +1,153 @@
-//! Settings of an ingress. Plain data without defaults.
+//! Settings of an ingress: plain data without defaults, checked by [`Settings::check`].
 
 use std::time::Duration;
 
-/// How often a request of a class may be executed.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times, anywhere.
+    /// The request may be executed any number of times, at any endpoint.
     Idempotent,
-    /// Endpoints of `scope` drop duplicates for `window` after the first attempt.
+    /// The request carries an idempotency key, by which endpoints drop duplicates.
     IdempotencyKey {
-        /// The endpoints that share their memory of keys.
+        /// The endpoints that share their records of keys.
         scope: DeduplicationScope,
-        /// How long they remember a key.
+        /// How long duplicates are dropped, from the first attempt on.
         window: Duration,
     },
-    /// Never more than once.
+    /// The request must not be executed more than once.
     NonIdempotent,
 }
 
-/// Which endpoints drop each other's duplicates.
+/// The endpoints that recognise duplicates of requests that one of them has executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints.
+    /// All endpoints of the service.
     All,
-    /// Endpoints of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Endpoints of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// A request class.
+/// A request class: its latency objective, its priority and how it may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// A response within this time earns the full priority weight.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of the request's own work.
+    /// The latency objective is extended by this factor times the work that the request requires; 0
+    /// means that the objective is fixed.
     pub objective_work_factor: f64,
-    /// Total time that a client waits over all its attempts.
+    /// Total time that a client waits for an answer, including its own retries.
     pub deadline: Duration,
-    /// Value of one served request.
+    /// Value of a request that is served within the latency objective.
     pub priority_weight: f64,
-    /// Share of the priority weight that is earned after the objective.
+    /// Share of the priority weight that a response after the latency objective earns.
     pub late_weight_ratio: f64,
-    /// Whether a request may be executed again.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
     /// Whether the response is streamed.
     pub streamed: bool,
 }
 
-/// A plan; its quotas hold for each customer over all ingresses together.
+/// A plan that customers subscribe to. Its quotas apply to each customer over all ingresses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second; 0 means no rate quota.
+    /// Rate quota in units per second; 0 means that there is none.
     pub rate: f64,
-    /// Capacity of the quota's bucket, in units.
+    /// Capacity of the rate quota's token bucket, in units.
     pub burst: f64,
-    /// Most requests in flight at once; 0 means no such quota.
+    /// Maximum number of requests in flight; 0 means that it is not limited.
     pub max_concurrent: u32,
-    /// Units a second of the hard ceiling; 0 means none.
+    /// Rate of the hard ceiling in units per second; 0 means that there is no ceiling.
     pub ceiling_rate: f64,
-    /// Capacity of the ceiling's bucket, in units.
+    /// Capacity of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
-    /// How far the ceiling's bucket may fall below zero, in units.
+    /// Units by which the ceiling's token bucket may be overdrawn.
     pub ceiling_slack: f64,
-    /// Factor on the priority weight.
+    /// Factor by which the priority weight of a request is multiplied.
     pub priority_factor: f64,
-    /// Share of the priority weight that is earned beyond the quota.
+    /// Share of the priority weight that a request served beyond the quota earns.
     pub over_quota_weight_ratio: f64,
-    /// Share of the priority weight that a request forwarded beyond the quota costs.
+    /// Cost of a request forwarded beyond the quota, as a share of its priority weight; 0 means
+    /// that exceeding the quota costs nothing.
     pub over_quota_cost: f64,
 }
 
-/// The counter service.
+/// Settings of the calls to the counter service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CounterSettings {
-    /// A call without a reply by then ends as [`CounterResult::Unknown`](crate::CounterResult).
+    /// A call without a reply ends after this time with
+    /// [`CounterResult::Unknown`](crate::CounterResult::Unknown).
     pub timeout: Duration,
 }
 
-/// What the platform permits.
+/// What the platform permits an ingress to do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permissions {
-    /// Most attempts for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether a request may have two attempts in flight.
     pub hedging: bool,
-    /// Whether endpoints may be health-checked.
+    /// Whether the ingress may start health checks.
     pub health_checks: bool,
-    /// Whether rejections carry a retry-after time.
+    /// Whether rejections tell the client how long to wait before it retries.
     pub retry_after: bool,
-    /// The longest retry-after time that clients honour.
+    /// Maximum time that a rejection may tell the client to wait.
     pub max_retry_after: Duration,
 }
 
-/// What endpoints guarantee, and what is required towards them.
+/// What endpoints guarantee while they warm up, and what an ingress must not ask of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointLimits {
-    /// An endpoint starts with at least this share of its capacity.
+    /// Share of its capacity that an endpoint has at least when it starts, 0 to 1.
     pub initial_capacity_ratio: f64,
-    /// It has its full capacity no later than this after its start.
+    /// Time from its start until an endpoint has its full capacity.
     pub warm_up_duration: Duration,
-    /// An endpoint that is warming up fails when it gets more than this multiple of its present
-    /// capacity ...
+    /// An endpoint that is warming up fails if its load exceeds this multiple of its current
+    /// capacity throughout `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long an endpoint that is warming up withstands a load above `overload_multiple`.
     pub overload_window: Duration,
-    /// Nothing is forwarded to a draining or removed endpoint later than this.
+    /// Time after which nothing may be forwarded to an endpoint that is draining or removed.
     pub drain_grace: Duration,
 }
 
 /// How the endpoint list reaches the ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed without a request.
+    /// Changes are reported without being requested.
     Push,
-    /// Changes come only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// Changes are reported only after [`Action::Subscribe`](crate::Action::Subscribe) or
     /// [`Action::FetchEndpointList`](crate::Action::FetchEndpointList).
     Subscription,
 }
 
-/// Settings that an ingress starts with.
+/// The settings that a [`Dispatcher`](crate::Dispatcher) is created with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of ingresses in this tier.
+    /// Number of ingresses that share the quotas and the endpoints.
     pub ingress_count: u32,
-    /// This ingress's index among them, from 0.
+    /// Index of this ingress among all ingresses, from 0.
     pub ingress_index: u32,
-    /// The zone of this ingress.
+    /// Availability zone of this ingress.
     pub zone: u16,
-    /// Shortest time between two rounds of events.
+    /// Time resolution: the shortest time between two batches of events.
     pub tick: Duration,
-    /// Request classes, by index.
+    /// The request classes; requests refer to them by index.
     pub classes: Vec<RequestClass>,
-    /// Plans, by index.
+    /// The plans; requests refer to them by index.
     pub plans: Vec<Plan>,
-    /// The counter service, if any.
+    /// Settings of the counter service; `None` if there is none, and quotas are decided locally.
     pub counter: Option<CounterSettings>,
-    /// Whether reports of an endpoint's load come with health checks only.
+    /// Whether endpoints report their load only in responses to health checks.
     pub load_reports_on_health_check: bool,
-    /// How the endpoint list arrives.
+    /// How updates of the endpoint list reach this ingress.
     pub discovery: DiscoveryMode,
-    /// Permissions.
+    /// What the platform permits this ingress to do.
     pub permissions: Permissions,
-    /// Endpoint limits.
+    /// What the endpoints guarantee and require.
     pub endpoint_limits: EndpointLimits,
 }
 
@@ -152,11 +155,11 @@
     /// Checks that an ingress can run with these settings.
     ///
     /// # Errors
-    /// The first [`SettingsError`] found.
+    /// Returns the first [`SettingsError`] found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.ingress_index >= self.ingress_count {
             return Err(SettingsError::InvalidNumber(
-                "the number of gateways, or this one's among them,",
+                "the ingress index must be less than the number of ingresses",
             ));
         }
         if self.classes.is_empty() {
@@ -166,13 +169,22 @@
             return Err(SettingsError::NoPlan);
         }
         if !self.plans.iter().all(Plan::is_valid) {
-            return Err(SettingsError::InvalidNumber("a plan's figure"));
+            return Err(SettingsError::InvalidNumber(
+                "a plan's rates, bursts, ceilings and factors must be finite and at least 0, \
+                 and a plan with a rate needs a burst above 0",
+            ));
         }
         if !self.classes.iter().all(RequestClass::is_valid) {
-            return Err(SettingsError::InvalidNumber("a class's figure"));
+            return Err(SettingsError::InvalidNumber(
+                "a class's weights must be finite and at least 0, \
+                 and its latency objective above 0",
+            ));
         }
         if !self.endpoint_limits.is_valid() {
-            return Err(SettingsError::InvalidNumber("a guarantee"));
+            return Err(SettingsError::InvalidNumber(
+                "an endpoint limit must be finite and at least 0, \
+                 and the initial capacity ratio at most 1",
+            ));
         }
         Ok(())
     }
@@ -213,16 +225,16 @@
     }
 }
 
-/// Settings that an ingress cannot run with.
+/// Why an ingress cannot run with its settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// No request class.
+    /// [`Settings::classes`] is empty.
     #[error("no request class is given")]
     NoClass,
-    /// No plan.
+    /// [`Settings::plans`] is empty.
     #[error("no plan is given")]
     NoPlan,
-    /// A number is out of range.
-    #[error("{0} must be a finite number in its range")]
+    /// A number is out of range; the text says which values are allowed.
+    #[error("number out of range: {0}")]
     InvalidNumber(&'static str),
 }
--- a/crates/decision/tests/many_ingresses.rs
+++ b/crates/decision/tests/many_ingresses.rs
@@ -302,6 +302,6 @@
         )
         .err()
         .unwrap();
-        assert!(wrong.to_string().contains("number of gateways"), "{wrong}");
+        assert!(wrong.to_string().contains("number of ingresses"), "{wrong}");
     }
 }
--- a/crates/platform-config/tests/fields.rs
+++ b/crates/platform-config/tests/fields.rs
@@ -82,10 +82,10 @@
             };
             rejected += 1;
             let without_field_name = [
-                "a plan's figure",
-                "a class's figure",
-                "a guarantee",
-                "number of gateways",
+                "a plan's rates",
+                "a class's weights",
+                "an endpoint limit",
+                "number of ingresses",
                 "is given",
             ];
             let is_named =
