--- a/crates/platform-config/src/wire.rs
+++ b/crates/platform-config/src/wire.rs
@@ -32,6 +32,7 @@
     pub(crate) tiers_of_service: Vec<WirePlan>,
 }
 
+/// The limits of an ingress, and the measures that it may take.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Ceilings {
@@ -49,6 +50,7 @@
     pub(crate) retry_after: bool,
 }
 
+/// A request class with its latency objective, deadline, value and idempotency.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct WireClass {
@@ -70,6 +72,7 @@
     pub(crate) worth: f64,
 }
 
+/// The properties of quotas and of the counter.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Domain {
@@ -81,6 +84,7 @@
     pub(crate) shared_counter: bool,
 }
 
+/// The behaviour of endpoints that the platform guarantees.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct WireGuarantees {
@@ -91,6 +95,7 @@
     pub(crate) warm_within_ms: f64,
 }
 
+/// The content of load reports and the way in which endpoints send them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Report {
@@ -98,6 +103,7 @@
     pub(crate) via: String,
 }
 
+/// The plan of a customer, with its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct WirePlan {
--- a/crates/request-engine/src/endpoint_registry/mod.rs
+++ b/crates/request-engine/src/endpoint_registry/mod.rs
@@ -145,12 +145,13 @@
         let is_same_process = previous.is_none_or(|previous| {
             previous.started_at() == started_at && previous.address == address
         });
-        let left_service = previous
+        let previous_service = previous
             .and_then(Endpoint::service)
-            .filter(|left| Some(*left) != endpoint.service);
-        pending
-            .entries
-            .extend(left_service.map(|left| endpoint.entry_in(left, EndpointState::Removed)));
+            .filter(|service_id| Some(*service_id) != endpoint.service);
+        pending.entries.extend(
+            previous_service
+                .map(|service_id| endpoint.entry_in(service_id, EndpointState::Removed)),
+        );
         if state == EndpointState::Removed {
             pending.removed.insert(id);
         } else {
@@ -221,9 +222,9 @@
         }
     }
 
-    /// Marks the endpoints that a full list does not contain for removal. An endpoint that a later
-    /// revision has contained is kept, since the list then comes from a discovery agent that lags
-    /// behind. Its entry is added to the update for the decision module.
+    /// Marks the endpoints that a full list does not contain for removal. An endpoint that is known
+    /// from a later revision is kept, since the list then comes from a discovery agent that lags
+    /// behind. The entry of such an endpoint is added to the update for the decision module.
     fn remove_unlisted(
         &mut self,
         listed: &HashSet<EndpointId>,
--- a/crates/request-engine/src/output.rs
+++ b/crates/request-engine/src/output.rs
@@ -64,7 +64,8 @@
 pub enum Response<V> {
     /// The value that an endpoint returned.
     Served(V),
-    /// The request was rejected and has not been executed.
+    /// The request was rejected. The client can safely retry it, since it has not been executed or
+    /// its class is idempotent.
     Rejected {
         /// The time after which the client may retry; `None` if the response gives no time.
         retry_after: Option<Duration>,
--- a/crates/request-engine/src/request.rs
+++ b/crates/request-engine/src/request.rs
@@ -24,9 +24,10 @@
     attempts: u16,
     /// Whether an attempt that has ended may have reached an endpoint.
     may_have_arrived: bool,
+    /// Whether an attempt that has ended may have been executed.
     may_have_executed: bool,
     /// The time after which a retry could execute the request a second time. `None` if there is no
-    /// such time, because no attempt was executed or the request is idempotent.
+    /// such time, because no attempt can have been executed or the request is idempotent.
     retry_deadline: Option<Duration>,
     /// Whether the request has its final response or its owner has disconnected.
     pub(crate) is_finished: bool,
--- a/crates/request-engine/src/slots.rs
+++ b/crates/request-engine/src/slots.rs
@@ -1,4 +1,5 @@
-//! A slot table whose keys identify an entry even after its slot was reused.
+//! A slot table with generational keys: the key of a removed entry does not refer to a later entry
+//! in the same slot.
 
 /// Identifies an entry of a [`Slots`] table by its slot and the generation of the slot at the time
 /// of the insertion.
