--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -18,6 +18,8 @@
         self.accept_up_to(self.limits.max_accepts_per_round, driver, io);
     }
 
+    /// Accepts up to `max` waiting connections. If descriptors are exhausted, closes an idle
+    /// upstream connection or an idle client, or else rejects one connection and stops.
     pub(super) fn accept_up_to(&mut self, max: usize, driver: &mut Driver, io: &mut Io) {
         for _ in 0..max {
             match self.listener.accept(io) {
@@ -95,8 +97,8 @@
 
     /// Closes the idle client that admission evicts. Returns false if it evicts none.
     fn evict_idle_client(&mut self, io: &mut Io) -> bool {
-        let before = self.clients.len();
+        let count_before = self.clients.len();
         self.notify_admission(Event::DescriptorsExhausted, io);
-        self.clients.len() < before
+        self.clients.len() < count_before
     }
 }
--- a/crates/ingress/src/routing/frontend/client.rs
+++ b/crates/ingress/src/routing/frontend/client.rs
@@ -50,7 +50,7 @@
     pub(super) pending_reply_bytes: usize,
     pub(super) phase: Phase,
     /// The client has shut down its side for writing or has closed the connection. In both cases it
-    /// is taken to read no further replies.
+    /// is treated as disconnected.
     pub(super) is_peer_closed: bool,
     /// Commands are not read because too many replies are pending or unwritten.
     pub(super) is_read_blocked: bool,
@@ -62,13 +62,13 @@
     pub(super) last_active_at: Duration,
     /// When the first part of an incomplete command was read; `None` if no command is incomplete.
     pub(super) incomplete_command_since: Option<Duration>,
-    /// `None` if all replies were written.
+    /// Set while the socket has not accepted all replies; `None` once they are written.
     pub(super) stall: Option<WriteStall>,
     /// In [`Phase::Lingering`], when the connection is closed even if the client has not closed it.
     pub(super) linger_deadline: Duration,
     /// Bytes of input discarded since the connection left [`Phase::Open`].
     pub(super) discarded_bytes: usize,
-    /// Bytes of input and replies that the client accounts for in the total of the frontend.
+    /// The client's share of the frontend's `buffered_bytes`.
     pub(super) buffered_bytes: usize,
     /// The time for which a timer is set; `None` if none is set.
     pub(super) deadline: Option<Duration>,
--- a/crates/ingress/src/routing/frontend/commands.rs
+++ b/crates/ingress/src/routing/frontend/commands.rs
@@ -7,7 +7,7 @@
 use roseyard_request_engine::Directory;
 use std::time::Duration;
 
-/// Longest time that a client may wait for a response; longer ones are reduced to it.
+/// Longest time that a client may wait for a response; longer waits are reduced to it.
 const MAX_WAIT_SECONDS: f64 = 3600.0;
 
 /// The classes and plans that a request may name, and the ranges of its arguments. The decision
@@ -18,7 +18,7 @@
     /// Names of the plans, in the order of the settings.
     pub plans: Vec<String>,
     /// The number of ingresses in the tier, at least 1.
-    pub ingresses: u32,
+    pub tier_ingress_count: u32,
     /// The most quota units that a request may have.
     pub max_units: f64,
     /// Name of the field that carries the route; `None` if requests have no route.
@@ -58,7 +58,7 @@
                 .map(class_schema)
                 .collect(),
             plans: plan_names.map(str::to_owned).collect(),
-            ingresses: settings.ingress_count.max(1),
+            tier_ingress_count: settings.ingress_count.max(1),
             max_units,
             route_field: route_field.map(str::to_owned),
         }
@@ -164,7 +164,7 @@
     class: &ClassSchema,
     schema: &RequestSchema,
 ) -> Result<(), &'static str> {
-    let ingresses = schema.ingresses;
+    let tier_ingress_count = schema.tier_ingress_count;
     if class.is_idempotent != command::is_read(words[0]) {
         return Err("this class goes with the other command");
     }
@@ -175,8 +175,8 @@
         return Err("units out of range");
     }
     if request.ingress_count < 1
-        || request.ingress_count > ingresses
-        || request.first_ingress >= ingresses
+        || request.ingress_count > tier_ingress_count
+        || request.first_ingress >= tier_ingress_count
     {
         return Err("spread or first out of range");
     }
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -65,10 +65,10 @@
         client.last_active_at = io.now;
         let max_bytes = self.limits.protocol.max_message_bytes();
         let stream = &mut client.stream;
-        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
-        client.is_peer_closed |= matches!(filled, Fill::Ended | Fill::Broken);
+        let read_outcome = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
+        client.is_peer_closed |= matches!(read_outcome, Fill::Ended | Fill::Broken);
         let has_more = self.execute_commands(key, driver, io);
-        self.after_read(key, filled, has_more, driver, io);
+        self.after_read(key, read_outcome, has_more, driver, io);
     }
 
     /// Updates the client's state after its commands were executed. `has_more` is true if a limit
@@ -76,7 +76,7 @@
     fn after_read(
         &mut self,
         key: Key,
-        filled: Fill,
+        read_outcome: Fill,
         has_more: bool,
         driver: &mut Driver,
         io: &mut Io,
@@ -106,7 +106,7 @@
         if self.is_draining {
             self.schedule_flush(key);
         }
-        if has_more || filled == Fill::Limited {
+        if has_more || read_outcome == Fill::Limited {
             self.schedule_read(key);
         }
         self.update_buffered_bytes(key, driver, io);
@@ -124,8 +124,8 @@
         if !has_unread_replies {
             let max_bytes = self.limits.max_read_ahead_bytes;
             let stream = &mut client.stream;
-            let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
-            client.is_peer_closed |= matches!(filled, Fill::Ended | Fill::Broken);
+            let read_outcome = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
+            client.is_peer_closed |= matches!(read_outcome, Fill::Ended | Fill::Broken);
         }
         if client.is_peer_closed {
             return self.disconnect(key, false, driver, io);
@@ -141,10 +141,10 @@
         };
         client.incomplete_command_since = None;
         let max_bytes = self.limits.max_discard_bytes_per_round;
-        let (filled, discarded) = client.stream.discard(max_bytes, &mut self.discard_buffer);
+        let (read_outcome, discarded) = client.stream.discard(max_bytes, &mut self.discard_buffer);
         client.discarded_bytes += discarded;
         let is_within_limit = client.discarded_bytes < self.limits.max_discard_bytes;
-        match filled {
+        match read_outcome {
             Fill::Drained => {}
             Fill::Limited if is_within_limit => self.schedule_read(key),
             _ => {
@@ -159,7 +159,7 @@
     /// end of the input.
     fn execute_commands(&mut self, key: Key, driver: &mut Driver, io: &mut Io) -> bool {
         let mut offset = 0;
-        let mut executed = 0;
+        let mut executed_count = 0;
         let mut has_more = false;
         while let Some(client) = self.clients.get_mut(key) {
             if client.phase != Phase::Open {
@@ -167,7 +167,7 @@
             }
             client.is_read_blocked =
                 client.pending_replies.len() >= self.limits.max_pipelined_requests;
-            if client.is_read_blocked || executed >= self.limits.max_commands_per_round {
+            if client.is_read_blocked || executed_count >= self.limits.max_commands_per_round {
                 has_more = true;
                 break;
             }
@@ -181,7 +181,7 @@
                 }
                 NextCommand::Incomplete => break,
             }
-            executed += 1;
+            executed_count += 1;
         }
         let Some(client) = self.clients.get_mut(key) else {
             return false;
@@ -252,7 +252,7 @@
             return; // The client does not wait for a reply.
         }
         // During shutdown the process might exit before the endpoint replies. Before the ingress is
-        // ready, the request would be forwarded by the endpoint list of the previous run.
+        // ready, the request would be forwarded according to the endpoint list of the previous run.
         if self.is_draining || !self.is_ready {
             driver.record_rejection(RejectReason::NotServing, io);
             return self.reply(key, &reply::busy(None));
--- a/crates/ingress/src/routing/frontend/limits.rs
+++ b/crates/ingress/src/routing/frontend/limits.rs
@@ -56,7 +56,7 @@
     pub retry_after_at_capacity: Duration,
     /// Length of the listener's queue of connections that are not accepted yet.
     pub listen_backlog: i32,
-    /// Pause of accepting after it failed or the descriptors were exhausted.
+    /// How long accepting pauses after it failed or the descriptors were exhausted.
     pub accept_retry_interval: Duration,
     /// A client that reads nothing of its replies for this long is disconnected.
     pub reply_stall_timeout: Duration,
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -64,6 +64,8 @@
 }
 
 impl Listener {
+    /// Registers the socket with the poller, and takes the descriptors of
+    /// [`RESERVED_DESCRIPTOR_USES`] from the budget.
     pub(super) fn new(
         socket: OwnedFd,
         policy: AdmissionPolicy,
@@ -118,6 +120,7 @@
         actions
     }
 
+    /// Schedules a summary if admission took an action and no summary is scheduled yet.
     fn schedule_summary(&mut self, actions: &[Action], io: &mut Io) {
         if !actions.is_empty() && self.summary_due.is_none() {
             let deadline = io.now + self.limits.summary_interval;
--- a/crates/ingress/src/routing/frontend/timeouts.rs
+++ b/crates/ingress/src/routing/frontend/timeouts.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 impl Frontend {
-    /// Sets the timer of a client to its next deadline, unless it is set to an earlier time: it is
-    /// then set again when that time has come.
+    /// Sets the timer of a client to its next deadline. A timer that is set to an earlier time
+    /// stays, and is set again when it expires.
     pub(super) fn update_deadline(&mut self, key: Key, io: &mut Io) {
         let idle_timeout = self.idle_timeout(key);
         let Some(client) = self.clients.get_mut(key) else {
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Called when the timer of a client has expired: the client may be idle, be slow to read its
-    /// replies, have sent only part of a command, or not have closed a half-closed connection.
+    /// Called when the timer of a client has expired. Handles the deadline that has passed, if any:
+    /// disconnects a client that is idle or does not read its replies, and replies to an incomplete
+    /// command with an error.
     pub fn on_client_due(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let idle_timeout = self.idle_timeout(key);
         let Some(client) = self.clients.get_mut(key) else {
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -32,7 +32,7 @@
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
 /// Member names whose sequence numbers are remembered to detect replayed datagrams.
 const MAX_REMEMBERED_NAMES: usize = 4096;
-/// Longer than the longest valid datagram, so that a longer one is recognised instead of truncated
+/// Longer than the longest valid datagram, so that a longer one is detected rather than truncated
 /// to a valid length.
 const RECEIVE_BUFFER_BYTES: usize = 512;
 /// The burst is the number of datagrams allowed per second divided by this.
@@ -61,22 +61,22 @@
 impl MembershipDriver {
     /// Opens the socket and starts to join the cluster. Returns `None` if the operator's file
     /// configures no address to listen on. `generation` is the Unix time of the process start in
-    /// milliseconds.
+    /// milliseconds; `seed` seeds the random choices of the protocol.
     ///
     /// # Errors
     /// Returns an error if the name or a key is invalid, or if the socket cannot be opened.
     pub fn start(
-        operator: &MembershipSettings,
+        config: &MembershipSettings,
         name: &str,
         generation: u64,
         seed: u64,
         io: &mut Io,
     ) -> Result<Option<MembershipDriver>, MembershipError> {
-        let Some(listen) = operator.listen else {
+        let Some(listen) = config.listen else {
             return Ok(None);
         };
         let local_name = parse_name(name)?;
-        let keys = read_keys(operator)?;
+        let keys = read_keys(config)?;
         let socket = Datagrams::bind(listen).map_err(|source| MembershipError::Listen {
             address: listen,
             source,
@@ -86,17 +86,17 @@
             .add_level(&socket, EventSource::Membership.token())
             .map_err(std::io::Error::from)?;
         let metadata = Metadata {
-            zone: operator.zone.as_str().try_into().unwrap_or_default(),
+            zone: config.zone.as_str().try_into().unwrap_or_default(),
             ..Metadata::default()
         };
-        log_listening(name, address, &operator.cluster, &keys);
-        let settings = swim_settings(operator);
+        log_listening(name, address, &config.cluster, &keys);
+        let settings = swim_settings(config);
         let mut driver = MembershipDriver {
-            guard: Guard::new(&operator.cluster, keys, local_name, MAX_REMEMBERED_NAMES),
+            guard: Guard::new(&config.cluster, keys, local_name, MAX_REMEMBERED_NAMES),
             swim: Swim::new(settings, local_name, address, generation, metadata, seed),
             socket,
             deadline: None,
-            max_send_rate: send_rate(operator),
+            max_send_rate: send_rate(config),
             send_limiter: Gcra::default(),
             counts: BTreeMap::new(),
             dropped: BTreeMap::new(),
@@ -108,9 +108,9 @@
 
     /// Applies the keys and the send rate of a reloaded operator's file. If a key cannot be read,
     /// the previous keys stay in force.
-    pub fn reload(&mut self, operator: &MembershipSettings) {
-        self.max_send_rate = send_rate(operator);
-        match read_keys(operator) {
+    pub fn reload(&mut self, config: &MembershipSettings) {
+        self.max_send_rate = send_rate(config);
+        match read_keys(config) {
             Ok(keys) => {
                 let fingerprints = fingerprints(&keys);
                 tracing::info!(
@@ -277,28 +277,28 @@
 
 /// Returns the settings of the protocol from the operator's file. Overrides for names that the
 /// protocol cannot carry are left out.
-fn swim_settings(operator: &MembershipSettings) -> Settings {
+fn swim_settings(config: &MembershipSettings) -> Settings {
     let address_override =
         |named: &NamedAddress| Some((Name::from(&named.name).ok()?, named.address));
     Settings {
-        probe_interval: operator.probe_period,
-        probe_timeout: operator.probe_timeout,
-        gossip_interval: operator.gossip_interval,
-        sync_interval: operator.sync_interval,
-        suspicion_multiplier: operator.suspicion_periods,
-        seeds: operator.seeds.clone(),
-        address_overrides: operator
+        probe_interval: config.probe_period,
+        probe_timeout: config.probe_timeout,
+        gossip_interval: config.gossip_interval,
+        sync_interval: config.sync_interval,
+        suspicion_multiplier: config.suspicion_periods,
+        seeds: config.seeds.clone(),
+        address_overrides: config
             .address_overrides
             .iter()
             .filter_map(address_override)
             .collect(),
-        ..Settings::new(operator.expected_members)
+        ..Settings::new(config.expected_members)
     }
 }
 
 /// Returns the limit on outgoing datagrams from the operator's file.
-fn send_rate(operator: &MembershipSettings) -> Rate {
-    let per_second = f64::from(operator.max_datagrams_per_second);
+fn send_rate(config: &MembershipSettings) -> Rate {
+    let per_second = f64::from(config.max_datagrams_per_second);
     Rate {
         per_second,
         burst: (per_second / BURST_DIVISOR).max(MIN_BURST_DATAGRAMS),
