--- a/crates/ingress/src/routing/discovery/call.rs
+++ b/crates/ingress/src/routing/discovery/call.rs
@@ -1,5 +1,5 @@
 //! A call of the watch: an HTTP request on its own connection, whose response stays open and
-//! carries one endpoint list per line.
+//! delivers endpoint lists, and empty lines if nothing has changed.
 
 use super::backoff::CallFailure;
 use super::limits::DiscoveryLimits;
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Called when the connection is readable or writable. Appends the complete lines that it reads
-    /// to `lines`, even if it returns an error.
+    /// Called when the connection is readable or writable. Appends the complete endpoint lists and
+    /// the empty lines that it reads to `lines`, even if it returns an error.
     pub(super) fn read(
         &mut self,
         ready: Ready,
@@ -175,7 +175,8 @@
         Ok(())
     }
 
-    /// Parses the received part of the response body, and appends complete lines to `lines`.
+    /// Parses the received part of the response body, and appends complete endpoint lists and empty
+    /// lines to `lines`.
     fn parse_body(&mut self, lines: &mut Vec<Vec<u8>>) -> Result<(), CallError> {
         while let Some(body) = self.body.filter(|_| !self.stream.input().is_empty()) {
             let input = self.stream.input();
--- a/crates/ingress/src/routing/discovery/limits.rs
+++ b/crates/ingress/src/routing/discovery/limits.rs
@@ -7,8 +7,8 @@
 const MIN_LIST_BYTES_PER_SECOND: f64 = 8.0 * 1024.0;
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 const MAX_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longer than 2 s, after which discovery sends an empty line if nothing has changed. That may be
-/// the first line of a call.
+/// If nothing has changed, the first line of a call may be the empty line, which discovery sends
+/// after 2 s.
 const PREVIOUS_CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_millis(3000);
--- a/crates/ingress/src/routing/discovery/mod.rs
+++ b/crates/ingress/src/routing/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery: an HTTP call whose response stays open. Discovery sends a line for each
-//! change of the endpoint list, and an empty line every 2 s.
+//! The watch on discovery: an HTTP call whose response stays open. Discovery sends an endpoint list
+//! for each change, and an empty line every 2 s.
 //!
 //! - `call`: a call, and the framing of its response
 //! - `backoff`: the delay before the next call
--- a/crates/ingress/src/routing/driver/start.rs
+++ b/crates/ingress/src/routing/driver/start.rs
@@ -45,7 +45,7 @@
 /// counter from the settings, if it has no address or no settings.
 ///
 /// The time-out in the settings suits the simulator, which never answers a late call. On a socket
-/// the late reply still shows how much the other ingresses use, so calls have at least
+/// the late reply still shows how much the other ingresses use, so the time-out is at least
 /// [`CounterLimits::min_call_timeout`] here. How long a request waits for the call is up to the
 /// decision module.
 pub(super) fn create_counter_client(
