--- a/crates/decision/src/balancer/mod.rs
+++ b/crates/decision/src/balancer/mod.rs
@@ -18,10 +18,10 @@
 use fastrand::Rng;
 use std::sync::Arc;
 
-/// Endpoints outside the subset are used if those inside fail. Each of them has at most this subset
-/// weight ...
+/// The maximum subset weight of an endpoint outside the subset. Such endpoints have a small weight
+/// instead of none, so that they are used if those inside the subset fail.
 const MAX_OUTSIDE_SUBSET_WEIGHT: f64 = 0.01;
-/// ... and all of them together have at most this much.
+/// The maximum sum of the subset weights of all endpoints outside the subset.
 const MAX_OUTSIDE_SUBSET_TOTAL_WEIGHT: f64 = 2.0;
 
 /// The inputs of the choice of an endpoint, apart from the endpoints. Times are in seconds.
--- a/crates/decision/src/balancer/score.rs
+++ b/crates/decision/src/balancer/score.rs
@@ -44,14 +44,14 @@
         let failures = failure_load(endpoint, self.failure_decay_seconds, self.now);
         let in_flight = endpoint.in_flight.len() as f64;
         let reported = REPORTED_REQUEST_WEIGHT * self.reported_load(endpoint);
-        let work = 1.0 + in_flight + reported + failures;
+        let load = 1.0 + in_flight + reported + failures;
         let zone_factor = if endpoint.entry.zone == self.zone {
             1.0
         } else {
             OTHER_ZONE_SCORE_FACTOR
         };
         let jitter = 1.0 + JITTER_RATIO * rng.f64();
-        let score = work * endpoint.latency_ratio / capacity * zone_factor * jitter;
+        let score = load * endpoint.latency_ratio / capacity * zone_factor * jitter;
         // If there are few ingresses, each observes most of the load, and the plain score is used.
         // If there are many, each observes very little of it, and all would prefer the same large
         // endpoints. The score is then multiplied by an exponential sample. Because the sample is
@@ -62,7 +62,7 @@
         } else {
             1.0
         };
-        score * (work * endpoint.latency_ratio * sample.max(EPSILON)).powf(self.unobserved_ratio)
+        score * (load * endpoint.latency_ratio * sample.max(EPSILON)).powf(self.unobserved_ratio)
     }
 
     /// Returns the endpoint's reported load, which decays towards the mean of all endpoints as its
--- a/crates/decision/src/balancer/slow_start.rs
+++ b/crates/decision/src/balancer/slow_start.rs
@@ -39,7 +39,7 @@
     pub min_subset_weight: f64,
     /// The number of listed endpoints per known endpoint.
     pub listed_per_known: f64,
-    /// In seconds.
+    /// The present time, in seconds.
     pub now: f64,
 }
 
@@ -49,9 +49,9 @@
     /// An endpoint's share of these forwards is proportional to its subset weight and its warm-up
     /// ratio. Its budget is half of the overload multiple times this share. If most endpoints are
     /// warming up, the budget is lower: it is then based on the share that the endpoint would have
-    /// if all endpoints had their full capacity. The number of forwards counts as at least this
-    /// ingress's part of what all ingresses may send to idle endpoints, so that the budget is not
-    /// empty before anything has been forwarded.
+    /// if all endpoints had their full capacity. The calculation assumes at least this ingress's
+    /// share of the requests that all ingresses may send to idle endpoints, so that the budget is
+    /// not empty before anything has been forwarded.
     pub(crate) fn new(endpoints: &Endpoints, input: &BudgetInput) -> SlowStartBudget {
         let limits = &input.settings.endpoint_limits;
         let mut full_capacity = EPSILON;
--- a/crates/decision/src/endpoint.rs
+++ b/crates/decision/src/endpoint.rs
@@ -13,8 +13,9 @@
 
 /// The time constant of the average over load reports, and of its decay once reports stop.
 pub(crate) const LOAD_REPORT_TIME_CONSTANT_SECONDS: f64 = 5.0;
-/// Bounds on the weight of one load report. A single report is out of date when it arrives, and
-/// ingresses that react to it strongly all move to the same endpoints at the same time.
+/// Bounds on the weight of one load report. The minimum is low because a single report is out of
+/// date when it arrives: ingresses that reacted to it strongly would all move to the same endpoints
+/// at the same time.
 const LOAD_REPORT_WEIGHT: SampleWeight = SampleWeight {
     min: 0.03,
     max: 1.0,
@@ -57,7 +58,7 @@
     /// The share of it, from 0 to 1, that belongs to this ingress's subset.
     pub subset_weight: f64,
     pub in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
-    /// When it last responded, or when an attempt was first forwarded to it while none was in
+    /// When it last responded, or when an attempt was last forwarded to it while no other was in
     /// flight. Time spent waiting for a response counts from here.
     pub last_response_at: f64,
     /// The mean of its latency divided by the service's mean latency for the same class.
--- a/crates/decision/src/health/health_check.rs
+++ b/crates/decision/src/health/health_check.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 
 /// The minimum time between two checks of an endpoint by the same ingress.
-const MIN_INTERVAL_SECONDS: f64 = 1.0;
+const MIN_CHECK_INTERVAL_SECONDS: f64 = 1.0;
 /// The maximum rate of checks of one endpoint by all ingresses together.
 const MAX_CHECKS_PER_ENDPOINT_PER_SECOND: f64 = 8.0;
 /// The number of checks that each request adds to the budget.
@@ -46,7 +46,8 @@
     ) {
         let check_all = settings.load_reports_on_health_check;
         let ingress_count = f64::from(settings.ingress_count);
-        let interval = MIN_INTERVAL_SECONDS.max(ingress_count / MAX_CHECKS_PER_ENDPOINT_PER_SECOND);
+        let interval =
+            MIN_CHECK_INTERVAL_SECONDS.max(ingress_count / MAX_CHECKS_PER_ENDPOINT_PER_SECOND);
         let is_due = |endpoint: &Endpoint| {
             endpoint.ready
                 && (endpoint.unresponsive || check_all)
--- a/crates/decision/src/health/outlier.rs
+++ b/crates/decision/src/health/outlier.rs
@@ -20,9 +20,9 @@
 /// The lower bound on the time constant with which failures decay.
 pub(crate) const MIN_FAILURE_DECAY_SECONDS: f64 = 4.0;
 const MAX_FAILURE_DECAY_SECONDS: f64 = 30.0;
-/// The time constant is the average time in which this ingress forwards this many attempts to an
-/// endpoint. A fixed time would let an ingress with few requests forget a failure before its next
-/// request.
+/// The time constant with which failures decay is the average time in which this ingress forwards
+/// this many attempts to an endpoint, within the bounds above. A fixed time would let an ingress
+/// with few requests forget a failure before its next request.
 const FAILURE_DECAY_FORWARDS: f64 = 2.0;
 
 /// Whether unresponsive endpoints may be ejected, which requires that at most half of the ready
--- a/crates/decision/src/quota/customer.rs
+++ b/crates/decision/src/quota/customer.rs
@@ -10,7 +10,7 @@
 
 /// Below this many requests in a window, this ingress receives few of the customer's requests. Its
 /// bucket is then less up to date than the counter's total.
-const MAX_INFREQUENT_REQUESTS: f64 = 2.0;
+const FEW_REQUESTS_THRESHOLD: f64 = 2.0;
 const MIN_WINDOW_SECONDS: f64 = 0.1;
 /// The longest time for which the counter keeps a key.
 const MAX_WINDOW_SECONDS: f64 = 60.0;
@@ -63,7 +63,7 @@
     pub units_since_total: f64,
     /// The calls whose replies are pending, oldest first.
     pub pending_calls: VecDeque<CounterCall>,
-    /// The number of requests received, decaying exponentially over one window.
+    /// The number of requests received, decaying exponentially with a time constant of one window.
     pub recent_requests: f64,
     /// The number of this ingress's requests for the customer that are in flight.
     pub in_flight: u32,
@@ -119,7 +119,7 @@
 
     /// Whether this ingress received few requests of the customer within the last window.
     pub(crate) fn has_few_requests(&self) -> bool {
-        self.recent_requests < MAX_INFREQUENT_REQUESTS
+        self.recent_requests < FEW_REQUESTS_THRESHOLD
     }
 
     /// Refills the bucket and the ceiling for the time since the last refill.
@@ -186,7 +186,8 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Subtracts units from the next increment, because their request was counted but not served.
+    /// Subtracts the units of a request from the next increment. Called if they have been counted
+    /// although the request is not forwarded.
     pub(crate) fn refund(&mut self, units: f64) {
         self.unreported_units -= units;
     }
