--- a/crates/decision/src/dispatcher.rs
+++ b/crates/decision/src/dispatcher.rs
@@ -1,8 +1,8 @@
 //! The entry point of the crate: passes each event to the service that it concerns.
 //!
 //! Customers' quotas apply across services, so the dispatcher holds them. An event is processed by
-//! one service only, and a service without requests sets no timers. The cost of an event therefore
-//! does not depend on the number of services.
+//! one service only, and a service without requests schedules no timers. The cost of an event
+//! therefore does not depend on the number of services.
 
 use crate::action::Action;
 use crate::event::{
@@ -167,7 +167,7 @@
         actions: &mut Vec<Action>,
     ) {
         let now = seconds(self.clock);
-        let undecided = self.quotas.on_counter_reply(key, result, now);
+        let counter_decision = self.quotas.on_counter_reply(key, result, now);
         self.quotas.sampling.record_counter_latency(
             result,
             seconds(elapsed),
@@ -178,7 +178,7 @@
         let Some(CounterDecision {
             request,
             is_within_quota,
-        }) = undecided
+        }) = counter_decision
         else {
             return;
         };
--- a/crates/decision/src/load_shedding.rs
+++ b/crates/decision/src/load_shedding.rs
@@ -19,8 +19,8 @@
 /// The limit of an ingress's requests in flight at services that have not responded yet is at least
 /// this, over all such services.
 const MIN_UNMEASURED_IN_FLIGHT_LIMIT: f64 = 4.0;
-/// With no more ingresses than this, the requests in flight at one ingress represent the load of
-/// the endpoints well enough.
+/// With up to this many ingresses, the load of the endpoints can be judged by the requests in
+/// flight at a single ingress.
 const MAX_INGRESSES_OBSERVING_FULL_LOAD: f64 = 4.0;
 /// Minimum share of [`MAX_OBJECTIVE_RATIO`] that a class of low value is permitted.
 const MIN_CLASS_VALUE_RATIO: f64 = 0.2;
@@ -31,10 +31,10 @@
 /// Factor by which the minimum limit is raised before the first response.
 const INITIAL_MIN_LIMIT_FACTOR: f64 = 1.5;
 /// While the latency is low, the margin above the limit is this many standard deviations of the
-/// number in flight, which are each the square root of the limit, plus one request.
+/// number in flight plus one request. One standard deviation is the square root of the limit.
 const LOW_LATENCY_MARGIN_STANDARD_DEVIATIONS: f64 = 2.0;
-/// While the latency is not low, the margin above the limit is at least one standard deviation, or
-/// the limit divided by this if that is less.
+/// While the latency is not low, the margin above the limit is at least one standard deviation, but
+/// this minimum does not exceed the limit divided by this number.
 const MIN_MARGIN_LIMIT_DIVISOR: f64 = 4.0;
 
 /// The current load of a service at this ingress.
@@ -168,11 +168,12 @@
         }
     }
 
-    /// The number of requests in flight that is permitted above `mean_limit`, the limit of their
-    /// mean. The number fluctuates around its mean by a standard deviation of about its square
-    /// root. While the latency is low, a few more requests do no harm, and the margin is wide. With
-    /// many ingresses, a local fluctuation says little about the load of the endpoints, so the
-    /// margin includes it: customers whose requests are rejected would only retry.
+    /// The number of requests in flight that is permitted above `mean_limit`, which limits their
+    /// mean. The number in flight fluctuates, with a standard deviation of about the square root of
+    /// the mean. While the latency is low, a few more requests do no harm, so the margin is wide.
+    /// Otherwise the margin is wider the more ingresses there are: a fluctuation at one of many
+    /// ingresses says little about the load of the endpoints, and customers whose requests were
+    /// rejected because of it would only retry.
     fn margin(&self, mean_limit: f64, ingress_count: u32) -> f64 {
         let standard_deviation = mean_limit.sqrt();
         if self.is_latency_low {
--- a/crates/decision/src/service/admission.rs
+++ b/crates/decision/src/service/admission.rs
@@ -132,8 +132,8 @@
     }
 
     /// Returns the load if it is too high for a new request of the class. The random number for the
-    /// fractional part of the limit is held for a few mean latencies. If it were drawn for each
-    /// request, one of many requests would soon be admitted, and every ingress would in effect
+    /// fractional part of the limit is held for a few mean latencies: if a new number were drawn
+    /// for each request, one of them would soon be admitted, and every ingress would in effect
     /// round its limit up.
     fn shed_load(&mut self, class: usize, context: &EventContext) -> Option<ShedLoad> {
         let now = context.now;
@@ -148,8 +148,8 @@
     }
 
     /// Whether a request may be forwarded to measure the latency of a service that has not
-    /// responded yet. One request at a time may, as long as the ingress has few such requests in
-    /// flight.
+    /// responded yet. Only one request at a time may, and only while the ingress has few such
+    /// requests in flight.
     fn may_measure_latency(&self, context: &EventContext) -> bool {
         !self.upstream.latency.is_measured()
             && self.attempts_in_flight == 0
--- a/crates/decision/src/service/closing.rs
+++ b/crates/decision/src/service/closing.rs
@@ -10,9 +10,9 @@
 
 impl Service {
     /// Ends a request that cannot be served: rejects it if a retry is safe, and fails it otherwise.
-    /// A rejected client is told to wait until the quota holds the request's units again, and at
-    /// least for one mean latency, after which the requests now in flight are mostly answered.
-    /// Without a wait, clients would retry at once; with a longer one, their retries would be late.
+    /// A rejected client is told to wait until its quota has enough units for the request, and for
+    /// at least one mean latency, in which most of the requests in flight are answered. Without a
+    /// wait, clients would retry at once; with a longer one, their retries would be late.
     pub(super) fn finish_unserved(
         &mut self,
         id: RequestId,
--- a/crates/decision/src/service/hedging.rs
+++ b/crates/decision/src/service/hedging.rs
@@ -18,8 +18,8 @@
 /// share of [`MAX_OBJECTIVE_RATIO`](crate::load_shedding::MAX_OBJECTIVE_RATIO).
 pub(crate) const MAX_HEDGE_LOAD_RATIO: f64 = 0.4;
 const MAX_ATTEMPTS_IN_FLIGHT: usize = 2;
-/// Ticks that it takes at most to cancel an attempt and to retry it. The deduplication window has
-/// to be open for that long.
+/// Time allowed for cancelling an attempt and retrying it, in ticks. A request with an idempotency
+/// key is cancelled and retried only if its deduplication window is still open then.
 const CANCEL_AND_RETRY_TICKS: f64 = 4.0;
 
 /// What to do with a request that has not been answered within its hedge delay.
@@ -65,10 +65,10 @@
             HedgeDecision::Wait
         };
     }
-    let can_move = input.is_endpoint_unavailable
+    let may_cancel_and_retry = input.is_endpoint_unavailable
         && permissions.cancel
         && may_execute_again(request, settings, CANCEL_AND_RETRY_TICKS, input.now);
-    if can_move {
+    if may_cancel_and_retry {
         HedgeDecision::CancelAndRetry
     } else {
         HedgeDecision::Wait
--- a/crates/decision/src/service/request.rs
+++ b/crates/decision/src/service/request.rs
@@ -9,7 +9,8 @@
     /// When the attempt was forwarded, in seconds.
     pub forwarded_at: f64,
     pub is_in_flight: bool,
-    /// Whether the outcome proves that the endpoint did not execute the request.
+    /// Whether the outcome proves that the endpoint did not execute the request; false while the
+    /// attempt is in flight.
     pub provably_not_executed: bool,
 }
 
--- a/crates/decision/src/service/retry.rs
+++ b/crates/decision/src/service/retry.rs
@@ -12,8 +12,8 @@
 const INITIAL_BUDGET_RETRIES: f64 = 1.0;
 /// Cost of a retry, in retries of the budget, if the previous attempt was provably not executed.
 const NOT_EXECUTED_RETRY_COST: f64 = 0.5;
-/// Ticks that it takes at most until a retry reaches its endpoint. The deduplication window has to
-/// be open for that long.
+/// Time allowed for a retry to reach its endpoint, in ticks. A request with an idempotency key is
+/// retried only if its deduplication window is still open then.
 const RETRY_TICKS: f64 = 2.0;
 
 /// Limits the retries and hedged requests of a service to a share of its requests.
--- a/crates/decision/src/service/state.rs
+++ b/crates/decision/src/service/state.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The ingress's state that a service needs to handle an event. Times are in seconds.
+/// The state of the ingress that a service needs to handle an event. Times are in seconds.
 pub(crate) struct EventContext<'a> {
     /// Time of the event.
     pub now: f64,
@@ -97,7 +97,7 @@
         self.timers.first_due()
     }
 
-    /// Returns a request that is not closed.
+    /// Returns the request, or `None` if it is closed or unknown.
     pub(super) fn open_request(&mut self, id: RequestId) -> Option<&mut Request> {
         let request = self.requests.get_mut(&id);
         request.filter(|request| !request.is_closed)
--- a/crates/decision/src/service_table.rs
+++ b/crates/decision/src/service_table.rs
@@ -12,14 +12,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A smaller weight of an endpoint is raised to this.
+/// Smaller weights of endpoints are raised to this value.
 const MIN_ENDPOINT_WEIGHT: f64 = 0.05;
 
-/// A service with the values that the totals and the schedule of [`ServiceTable`] include for it.
+/// A service and its contribution to the totals and the schedule of [`ServiceTable`].
 struct ScheduledService {
     service: Service,
-    /// When the service's next timer expires, as entered in [`ServiceTable::due`].
-    due: Option<Duration>,
+    /// When the service's next timer expires, as entered in [`ServiceTable::schedule`].
+    next_timer_at: Option<Duration>,
     endpoint_count: usize,
     unmeasured_in_flight: usize,
 }
@@ -34,7 +34,7 @@
     /// Number of attempts in flight at all services that have not responded yet.
     unmeasured_in_flight: usize,
     /// When the next timer of each service expires; services without a timer are left out.
-    due: BTreeSet<(Duration, ServiceId)>,
+    schedule: BTreeSet<(Duration, ServiceId)>,
 }
 
 impl ServiceTable {
@@ -45,7 +45,7 @@
             services: BTreeMap::new(),
             endpoint_count: 0,
             unmeasured_in_flight: 0,
-            due: BTreeSet::new(),
+            schedule: BTreeSet::new(),
         }
     }
 
@@ -65,12 +65,12 @@
 
     /// When the next timer of any service expires; `None` if no timer is set.
     pub(crate) fn next_timer(&self) -> Option<Duration> {
-        self.due.first().map(|(at, _)| *at)
+        self.schedule.first().map(|(at, _)| *at)
     }
 
     /// The service whose timer has expired first, if any has expired by `now`.
     pub(crate) fn first_due_by(&self, now: Duration) -> Option<ServiceId> {
-        let first = self.due.first().filter(|(at, _)| *at <= now);
+        let first = self.schedule.first().filter(|(at, _)| *at <= now);
         first.map(|(_, service)| *service)
     }
 
@@ -85,7 +85,7 @@
         let seed = self.seed.wrapping_add(u64::from(id.0));
         let scheduled = self.services.entry(id).or_insert_with(|| ScheduledService {
             service: Service::new(settings, seed, seconds(now)),
-            due: None,
+            next_timer_at: None,
             endpoint_count: 0,
             unmeasured_in_flight: 0,
         });
@@ -127,11 +127,11 @@
             return;
         };
         let due = scheduled.service.next_timer();
-        if due != scheduled.due {
-            if let Some(previous) = std::mem::replace(&mut scheduled.due, due) {
-                self.due.remove(&(previous, id));
+        if due != scheduled.next_timer_at {
+            if let Some(previous) = std::mem::replace(&mut scheduled.next_timer_at, due) {
+                self.schedule.remove(&(previous, id));
             }
-            self.due.extend(due.map(|at| (at, id)));
+            self.schedule.extend(due.map(|at| (at, id)));
         }
         self.update_counts(id);
     }
@@ -154,8 +154,8 @@
 
     fn drop_service(&mut self, id: ServiceId) {
         let dropped = self.services.remove(&id);
-        if let Some(due) = dropped.and_then(|scheduled| scheduled.due) {
-            self.due.remove(&(due, id));
+        if let Some(due) = dropped.and_then(|scheduled| scheduled.next_timer_at) {
+            self.schedule.remove(&(due, id));
         }
     }
 }
