--- a/crates/decision/src/load_shedding.rs
+++ b/crates/decision/src/load_shedding.rs
@@ -16,8 +16,8 @@
 /// Requests in flight per endpoint, summed over all ingresses, that are always admitted: they do
 /// not keep an endpoint's cores busy.
 pub(crate) const MIN_CONCURRENCY_PER_ENDPOINT: f64 = 2.0;
-/// The limit of an ingress's requests in flight at services that have not responded yet is at least
-/// this, over all such services.
+/// The limit on an ingress's requests in flight at all services that have not responded yet is
+/// never below this.
 const MIN_UNMEASURED_IN_FLIGHT_LIMIT: f64 = 4.0;
 /// With up to this many ingresses, the load of the endpoints can be judged by the requests in
 /// flight at a single ingress.
@@ -39,11 +39,12 @@
 
 /// The current load of a service at this ingress.
 pub(crate) struct ServiceLoad {
-    /// Attempts in flight at endpoints that are not ejected.
+    /// Number of attempts in flight at known endpoints that are ready and not ejected.
     pub in_flight: usize,
-    /// Number of endpoints that are ready and not ejected, among those that this ingress tracks.
+    /// Number of known endpoints that are ready and not ejected.
     pub live_endpoints: usize,
-    /// Number of listed endpoints per endpoint that this ingress tracks, at least 1.
+    /// Number of listed endpoints per known endpoint, at least 1. An endpoint is known if this
+    /// ingress keeps state for it.
     pub listed_per_known: f64,
 }
 
--- a/crates/decision/src/service/state.rs
+++ b/crates/decision/src/service/state.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// The number of listed endpoints, or of tracked endpoints if that is greater: endpoints that
-    /// are no longer listed are tracked until their last attempt has ended.
+    /// The number of listed endpoints, or of known endpoints if that is greater: an endpoint that
+    /// is no longer listed stays known until its last attempt has ended.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.upstream.balancer.table.len()
     }
