--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -35,7 +35,7 @@
     harness.run_until("it is ready", |_| {
         probe.send(PING);
         probe.read();
-        probe.text().contains("+PONG")
+        probe.received_text().contains("+PONG")
     });
     probe.close();
     harness.run_until("no client is connected", |s| s.program.open().clients == 0);
@@ -91,7 +91,7 @@
         (OneCommand, 4000),
         (Reconnect, 4000),
     ] {
-        let mut harness = Harness::with_sockets(1, 64);
+        let mut harness = Harness::with_descriptors(1, 64);
         let mut active = harness.connect();
         serve_read(&mut harness, &mut active, 1);
         serve_read(&mut harness, &mut active, 2);
@@ -242,7 +242,7 @@
             end.read();
             s.program.open().requests > held || !end.input.is_empty()
         });
-        rejected += usize::from(end.text() == "-BUSY 500\r\n");
+        rejected += usize::from(end.received_text() == "-BUSY 500\r\n");
     }
     assert_eq!(
         rejected, 3,
--- a/crates/ingress/tests/change_notification.rs
+++ b/crates/ingress/tests/change_notification.rs
@@ -15,7 +15,7 @@
         for fault in DISCOVERY_FAULTS {
             // Several lengths, as the backoff grows with them.
             let outages: &[u64] = match fault {
-                DiscoveryFault::Hangs
+                DiscoveryFault::NeverAccepts
                 | DiscoveryFault::Silent
                 | DiscoveryFault::HeadOnly
                 | DiscoveryFault::HalfList => &[4050, 17_350],
@@ -28,7 +28,7 @@
                 change.recover(fault);
                 let since = change.harness.now;
                 change.assert_applied_within(
-                    NOTIFIED_AFTER,
+                    MAX_NOTIFICATION_DELAY,
                     since,
                     &format!("{fault:?} for {outage:?}"),
                 );
@@ -46,7 +46,10 @@
             // The watch has fallen silent; the call after it fails.
             let waits = Duration::from_millis(2500);
             change.fail_for(DiscoveryFault::Silent, waits);
-            if matches!(fault, DiscoveryFault::Refuses | DiscoveryFault::Hangs) {
+            if matches!(
+                fault,
+                DiscoveryFault::Refuses | DiscoveryFault::NeverAccepts
+            ) {
                 change.harness.discovery.connections.clear();
                 change.fail(fault);
                 change.fail_for(fault, Duration::from_millis(700));
@@ -54,7 +57,7 @@
             } else {
                 while change.step(fault) == 0 {}
             }
-            let most = NOTIFIED_AFTER + Duration::from_millis(mode.grace);
+            let most = MAX_NOTIFICATION_DELAY + Duration::from_millis(mode.drain_grace_ms);
             change.assert_applied_within(most, since, &format!("silent, then {fault:?}"));
         }
     }
@@ -70,16 +73,16 @@
             let _old = change.migrate_discovery();
             let since = change.harness.now;
             change.assert_applied_within(
-                NOTIFIED_AFTER_RELOAD,
+                MAX_NOTIFICATION_DELAY_AFTER_RELOAD,
                 since,
                 &format!("moved away from {fault:?}"),
             );
         }
         let mut change = PendingChange::new(mode);
-        change.old_peer = Some(change.migrate_discovery());
+        change.old_discovery = Some(change.migrate_discovery());
         let since = change.harness.now;
         change.assert_applied_within(
-            NOTIFIED_AFTER_RELOAD,
+            MAX_NOTIFICATION_DELAY_AFTER_RELOAD,
             since,
             "moved away from an address that keeps sending",
         );
@@ -103,7 +106,7 @@
             change.recover(fault);
             let since = change.harness.now;
             change.assert_applied_within(
-                NOTIFIED_AFTER,
+                MAX_NOTIFICATION_DELAY,
                 since,
                 &format!("moved thrice, {fault:?}"),
             );
@@ -156,11 +159,11 @@
 fn idle_clients_do_not_take_the_descriptors_of_discovery_counter_and_endpoints() {
     for fault in [
         DiscoveryFault::Refuses,
-        DiscoveryFault::Hangs,
+        DiscoveryFault::NeverAccepts,
         DiscoveryFault::Silent,
         DiscoveryFault::Rejects,
     ] {
-        let mut change = PendingChange::with(
+        let mut change = PendingChange::with_replacements(
             DISCOVERY_MODES[0],
             &[("\"sockets\":1024", "\"sockets\":64")],
         );
@@ -186,7 +189,7 @@
                 serve_request(
                     &mut change.harness,
                     &mut active,
-                    read_request_of(100 + n, n),
+                    read_request_of_customer(100 + n, n),
                 );
             }
         }
@@ -199,7 +202,7 @@
         let most = Duration::from_millis(1000 + STEP_MS);
         change.assert_applied_within(most, since, &format!("{fault:?}, filled with idle clients"));
         let counter_calls = change.harness.counter.calls.len();
-        active.send(read_request_of(900, 900));
+        active.send(read_request_of_customer(900, 900));
         let (endpoint, connection, _) = change.harness.next_request();
         assert_eq!(
             (endpoint, change.harness.counter.calls.len()),
--- a/crates/ingress/tests/client_commands.rs
+++ b/crates/ingress/tests/client_commands.rs
@@ -47,7 +47,7 @@
     harness.run_until("the second reply", |s| s.program.open().requests == 1);
     client.read();
     assert_eq!(
-        client.text(),
+        client.received_text(),
         "",
         "the first command's reply is still pending"
     );
@@ -285,7 +285,7 @@
             "nothing of it is buffered"
         );
     }
-    client.end_sending();
+    client.half_close();
     harness.run_until_closed(&mut client);
     assert!(!client.was_reset, "an end, no reset");
     harness.run_until("it is closed", |s| s.program.open().clients == 0);
@@ -296,7 +296,7 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     client.send("GET / HTTP/1.1\r\n\r\n");
-    client.end_sending();
+    client.half_close();
     assert!(harness
         .read_line(&mut client)
         .starts_with("-ERR Protocol error"));
--- a/crates/ingress/tests/client_connections.rs
+++ b/crates/ingress/tests/client_connections.rs
@@ -52,7 +52,7 @@
 
 #[test]
 fn hundreds_of_silent_clients_do_not_displace_an_active_one() {
-    let mut harness = Harness::with_sockets(1, 64);
+    let mut harness = Harness::with_descriptors(1, 64);
     let mut active = harness.connect();
     active.send("*1\r\n$4\r\nPING\r\n");
     harness.expect_reply(&mut active, "+PONG\r\n");
@@ -77,7 +77,7 @@
 
 #[test]
 fn clients_with_one_command_do_not_displace_a_returning_one() {
-    let mut harness = Harness::with_sockets(1, 64);
+    let mut harness = Harness::with_descriptors(1, 64);
     let mut active = harness.connect();
     active.send("*1\r\n$4\r\nPING\r\n".repeat(2));
     harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
@@ -122,7 +122,7 @@
 
 #[test]
 fn more_clients_than_descriptors_are_served_by_closing_idle_connections() {
-    let mut harness = Harness::with_sockets(1, 48);
+    let mut harness = Harness::with_descriptors(1, 48);
     let mut clients = Vec::new();
     for _ in 0..40 {
         let mut client = harness.connect();
--- a/crates/ingress/tests/client_disconnects.rs
+++ b/crates/ingress/tests/client_disconnects.rs
@@ -27,7 +27,7 @@
             "its requests are released"
         );
         // Its units are subtracted with the customer's next increment.
-        assert_total_with_next_request(&mut harness, 1.0, &format!("replied: {replied}"));
+        assert_total_after_next_request(&mut harness, 1.0, &format!("replied: {replied}"));
     }
 }
 
@@ -49,7 +49,7 @@
         "its connection goes too"
     );
     // Nothing has reached an endpoint: the customer's next request is the first that counts.
-    assert_total_with_next_request(&mut harness, 1.0, "no endpoint was reached");
+    assert_total_after_next_request(&mut harness, 1.0, "no endpoint was reached");
 }
 
 #[test]
@@ -79,7 +79,7 @@
             ),
             (0, 0)
         );
-        assert_total_with_next_request(
+        assert_total_after_next_request(
             &mut harness,
             2.0,
             "the first attempt has reached an endpoint",
@@ -94,7 +94,7 @@
     let mut client = harness.connect();
     // As many as may be pipelined on a connection, and more behind them.
     for id in 0..1100 {
-        client.send(read_request_of(1000 + id, id));
+        client.send(read_request_of_customer(1000 + id, id));
     }
     harness.run_until("reading is paused", |s| s.program.open().requests == 1024);
     for _ in 0..5 {
@@ -118,7 +118,7 @@
     client.send(read_request(1));
     let (s, c, _) = harness.next_request();
     client.send("*1\r\n$4\r\nPING\r\n".repeat(1100));
-    client.send(read_request_of(7, 2));
+    client.send(read_request_of_customer(7, 2));
     for _ in 0..40 {
         harness.run_round();
     }
@@ -144,7 +144,7 @@
         // All of it and the end are there before the next round.
         client.send(
             (0..requests)
-                .flat_map(|id| read_request_of(1000 + id, id))
+                .flat_map(|id| read_request_of_customer(1000 + id, id))
                 .collect::<Vec<u8>>(),
         );
         client.close();
--- a/crates/ingress/tests/common/config.rs
+++ b/crates/ingress/tests/common/config.rs
@@ -10,21 +10,21 @@
 use roseyard_platform_config::PlatformSettings;
 use std::net::SocketAddr;
 
-pub(crate) const SETTINGS: &str = include_str!("../settings.json");
+pub(crate) const PLATFORM_SETTINGS: &str = include_str!("../settings.json");
 
 /// The parsers' limits in an ingress of the usual size.
-pub(crate) fn limits() -> ProtocolLimits {
-    limits_of(1, 2000).protocol
+pub(crate) fn protocol_limits() -> ProtocolLimits {
+    tier_limits(1, 2000).protocol
 }
 
 /// The limits in a tier of so many ingresses, with so many milliseconds of grace for requests to
 /// endpoints that drain.
-pub(crate) fn limits_of(ingresses: u32, drain_grace_ms: u32) -> Limits {
+pub(crate) fn tier_limits(ingresses: u32, drain_grace_ms: u32) -> Limits {
     let operator = OperatorSettings::new(&MachineLimits {
         platform_descriptors: 1024,
         system_descriptors: 1024,
     });
-    let settings = SETTINGS
+    let settings = PLATFORM_SETTINGS
         .replace("\"Balancers\":1,", &format!("\"Balancers\":{ingresses},"))
         .replace(
             "\"StopSendingWithinMs\":2000.0",
@@ -49,7 +49,7 @@
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","counter":"{}","seed":"0123456789abcdef",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{platform_descriptors}}},
-        "known":{{"rev":41,"all":true,"targets":[{}]}},"settings":{SETTINGS}}}"#,
+        "known":{{"rev":41,"all":true,"targets":[{}]}},"settings":{PLATFORM_SETTINGS}}}"#,
         discovery.address,
         counter.address,
         known.join(",")
--- a/crates/ingress/tests/common/connection.rs
+++ b/crates/ingress/tests/common/connection.rs
@@ -1,6 +1,6 @@
 //! One end of a connection, read and written by the test.
 
-use super::limits;
+use super::protocol_limits;
 use roseyard_ingress::protocol::resp;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -97,7 +97,7 @@
     }
 
     /// Half-closes the connection.
-    pub(crate) fn end_sending(&mut self) {
+    pub(crate) fn half_close(&mut self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
@@ -120,7 +120,7 @@
     /// Takes the next complete command, if one has come.
     pub(crate) fn next_command(&mut self) -> Option<Vec<String>> {
         let (words, used) =
-            resp::command(&self.input, &limits()).expect("a well-formed command")?;
+            resp::command(&self.input, &protocol_limits()).expect("a well-formed command")?;
         let words = words
             .get()
             .iter()
@@ -130,7 +130,7 @@
         Some(words)
     }
 
-    pub(crate) fn text(&self) -> &str {
+    pub(crate) fn received_text(&self) -> &str {
         std::str::from_utf8(&self.input).unwrap()
     }
 }
--- a/crates/ingress/tests/common/fake_counter.rs
+++ b/crates/ingress/tests/common/fake_counter.rs
@@ -32,7 +32,7 @@
     }
 
     /// The connection with a call that has no reply.
-    pub(crate) fn unanswered(&mut self) -> &mut Connection {
+    pub(crate) fn connection_with_pending_call(&mut self) -> &mut Connection {
         let mut connections = self.peer.connections.iter_mut();
         connections.find(|end| !end.input.is_empty()).unwrap()
     }
--- a/crates/ingress/tests/common/harness.rs
+++ b/crates/ingress/tests/common/harness.rs
@@ -29,10 +29,10 @@
 
 impl Harness {
     pub(crate) fn new(endpoints: usize) -> Harness {
-        Harness::with_sockets(endpoints, 1024)
+        Harness::with_descriptors(endpoints, 1024)
     }
 
-    pub(crate) fn with_sockets(endpoints: usize, platform_descriptors: usize) -> Harness {
+    pub(crate) fn with_descriptors(endpoints: usize, platform_descriptors: usize) -> Harness {
         Harness::with_memory(endpoints, platform_descriptors, 192)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Restarts the ingress with parts of its configuration, each of which it must have, replaced.
-    pub(crate) fn restart_with(&mut self, words: &[(&str, &str)]) {
+    pub(crate) fn restart_with_replacements(&mut self, words: &[(&str, &str)]) {
         let mut text = config(&self.counter.peer, &self.discovery, &self.endpoints, 1024);
         for (was, is) in words {
             assert!(text.contains(was), "the configuration has no {was}");
@@ -99,7 +99,9 @@
     /// The same, with so many milliseconds of grace for requests to endpoints that drain.
     pub(crate) fn restart_with_drain_grace(&mut self, ms: u64, words: &[(&str, &str)]) {
         let grace = format!("\"StopSendingWithinMs\":{ms}.0");
-        self.restart_with(&[&[("\"StopSendingWithinMs\":2000.0", grace.as_str())], words].concat());
+        self.restart_with_replacements(
+            &[&[("\"StopSendingWithinMs\":2000.0", grace.as_str())], words].concat(),
+        );
     }
 
     pub(crate) fn connect(&self) -> Connection {
@@ -167,7 +169,7 @@
 
     /// Discovery and counter move to new addresses, and the ingress reloads its configuration. The
     /// old counter is returned, and no longer served.
-    pub(crate) fn reload(&mut self) -> FakeCounter {
+    pub(crate) fn reload_with_new_peers(&mut self) -> FakeCounter {
         let old = std::mem::replace(&mut self.counter, FakeCounter::new());
         self.discovery = Peer::new();
         let text = config(&self.counter.peer, &self.discovery, &self.endpoints, 1024);
@@ -216,7 +218,7 @@
             client.read();
             client.input.len() >= text.len()
         });
-        assert_eq!(client.text(), text);
+        assert_eq!(client.received_text(), text);
         client.input.clear();
     }
 
--- a/crates/ingress/tests/common/ingress_process.rs
+++ b/crates/ingress/tests/common/ingress_process.rs
@@ -18,15 +18,15 @@
     pub(crate) fn start(name: &str, text: &str) -> IngressProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
         command.env_remove("LB_DISCOVERY");
-        IngressProcess::start_with(name, text, command)
+        IngressProcess::start_command(name, text, command)
     }
 
-    pub(crate) fn start_with(name: &str, text: &str, command: Command) -> IngressProcess {
-        IngressProcess::start_when(name, text, command, |_| ())
+    pub(crate) fn start_command(name: &str, text: &str, command: Command) -> IngressProcess {
+        IngressProcess::start_after_reading_log(name, text, command, |_| ())
     }
 
     /// Runs `first` on the log before the listening line is awaited.
-    pub(crate) fn start_when(
+    pub(crate) fn start_after_reading_log(
         name: &str,
         text: &str,
         mut command: Command,
@@ -44,7 +44,7 @@
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         first(&mut log);
-        let line = line_with(&mut log, "info: listening name=");
+        let line = next_line_containing(&mut log, "info: listening name=");
         let address = line.rsplit('=').next().unwrap().trim().parse().unwrap();
         IngressProcess {
             child,
@@ -81,7 +81,7 @@
 }
 
 /// The next line of the log with this text.
-pub(crate) fn line_with(log: &mut impl BufRead, text: &str) -> String {
+pub(crate) fn next_line_containing(log: &mut impl BufRead, text: &str) -> String {
     loop {
         let mut line = String::new();
         assert!(
@@ -96,7 +96,11 @@
 
 /// Replies with this text to each message that ends with these bytes, on a thread for each
 /// connection.
-pub(crate) fn answer_with(listener: TcpListener, ends_with: &'static [u8], text: &'static str) {
+pub(crate) fn serve_fixed_reply(
+    listener: TcpListener,
+    ends_with: &'static [u8],
+    text: &'static str,
+) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
--- a/crates/ingress/tests/common/messages.rs
+++ b/crates/ingress/tests/common/messages.rs
@@ -73,7 +73,7 @@
 }
 
 /// A read of this customer.
-pub(crate) fn read_request_of(customer: u64, id: u64) -> Vec<u8> {
+pub(crate) fn read_request_of_customer(customer: u64, id: u64) -> Vec<u8> {
     request_of_customer(customer, "API.READ", id, READ_FIELDS)
 }
 
--- a/crates/ingress/tests/common/pending_change.rs
+++ b/crates/ingress/tests/common/pending_change.rs
@@ -11,7 +11,7 @@
 pub(crate) enum DiscoveryFault {
     Refuses,
     /// Connections are never established.
-    Hangs,
+    NeverAccepts,
     Silent,
     /// The head of a reply, and nothing behind it.
     HeadOnly,
@@ -25,7 +25,7 @@
 
 pub(crate) const DISCOVERY_FAULTS: [DiscoveryFault; 8] = [
     DiscoveryFault::Refuses,
-    DiscoveryFault::Hangs,
+    DiscoveryFault::NeverAccepts,
     DiscoveryFault::Silent,
     DiscoveryFault::HeadOnly,
     DiscoveryFault::HalfList,
@@ -35,10 +35,10 @@
 ];
 
 /// A change counts as notified this long after discovery has it and can be reached.
-pub(crate) const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+pub(crate) const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
 /// And this long after SIGHUP where the new address has it by then.
-pub(crate) const NOTIFIED_AFTER_RELOAD: Duration = Duration::from_secs(4);
+pub(crate) const MAX_NOTIFICATION_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
 
 pub(crate) const STEP_MS: u64 = 100;
 
@@ -46,32 +46,32 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DiscoveryMode {
     /// Are lists pushed, or polled by calls that may wait?
-    pub(crate) pushed: bool,
+    pub(crate) is_pushed: bool,
     pub(crate) ingresses: u32,
     /// Milliseconds within which requests to a drained endpoint must end.
-    pub(crate) grace: u64,
+    pub(crate) drain_grace_ms: u64,
 }
 
 pub(crate) const DISCOVERY_MODES: [DiscoveryMode; 4] = [
     DiscoveryMode {
-        pushed: true,
+        is_pushed: true,
         ingresses: 1,
-        grace: 2000,
+        drain_grace_ms: 2000,
     },
     DiscoveryMode {
-        pushed: true,
+        is_pushed: true,
         ingresses: 300,
-        grace: 500,
+        drain_grace_ms: 500,
     },
     DiscoveryMode {
-        pushed: false,
+        is_pushed: false,
         ingresses: 300,
-        grace: 2000,
+        drain_grace_ms: 2000,
     },
     DiscoveryMode {
-        pushed: false,
+        is_pushed: false,
         ingresses: 300,
-        grace: 0,
+        drain_grace_ms: 0,
     },
 ];
 
@@ -80,21 +80,21 @@
     pub(crate) harness: Harness,
     pub(crate) mode: DiscoveryMode,
     /// Connections to discovery that have been replied to.
-    pub(crate) handled: usize,
+    pub(crate) handled_connections: usize,
     /// The old address of discovery, which keeps sending that nothing has changed.
-    pub(crate) old_peer: Option<Peer>,
+    pub(crate) old_discovery: Option<Peer>,
 }
 
 impl PendingChange {
     pub(crate) fn new(mode: DiscoveryMode) -> PendingChange {
-        PendingChange::with(mode, &[])
+        PendingChange::with_replacements(mode, &[])
     }
 
     /// The same with parts of its configuration replaced.
-    pub(crate) fn with(mode: DiscoveryMode, words: &[(&str, &str)]) -> PendingChange {
+    pub(crate) fn with_replacements(mode: DiscoveryMode, words: &[(&str, &str)]) -> PendingChange {
         let mut harness = Harness::new(2);
         let ingresses = format!("\"Balancers\":{},", mode.ingresses);
-        let discovery = if mode.pushed {
+        let discovery = if mode.is_pushed {
             "\"Discovery\":\"automatic\""
         } else {
             "\"Discovery\":\"subscribe\""
@@ -103,18 +103,18 @@
             ("\"Balancers\":1,", &*ingresses),
             ("\"Discovery\":\"automatic\"", discovery),
         ];
-        harness.restart_with_drain_grace(mode.grace, &[&tier, words].concat());
+        harness.restart_with_drain_grace(mode.drain_grace_ms, &[&tier, words].concat());
         harness.discovery_replies = false;
-        let handled = harness.discovery.connections.len();
+        let handled_connections = harness.discovery.connections.len();
         PendingChange {
             harness,
             mode,
-            handled,
-            old_peer: None,
+            handled_connections,
+            old_discovery: None,
         }
     }
 
-    pub(crate) fn update(&self) -> String {
+    pub(crate) fn update_line(&self) -> String {
         endpoint_list(
             42,
             false,
@@ -130,7 +130,7 @@
     pub(crate) fn fail(&mut self, fault: DiscoveryFault) {
         match fault {
             DiscoveryFault::Refuses => self.harness.discovery.stop(),
-            DiscoveryFault::Hangs => self.harness.discovery.stop_accepting(),
+            DiscoveryFault::NeverAccepts => self.harness.discovery.stop_accepting(),
             DiscoveryFault::Silent | DiscoveryFault::HeadOnly | DiscoveryFault::HalfList => {}
             DiscoveryFault::Resets | DiscoveryFault::Rejects | DiscoveryFault::EndsAtOnce => {
                 self.harness
@@ -140,35 +140,36 @@
                     .for_each(Connection::close);
             }
         }
-        self.handled = self.harness.discovery.connections.len();
+        self.handled_connections = self.harness.discovery.connections.len();
     }
 
     /// Calls from now on can reach discovery; those from before never get a reply.
     pub(crate) fn recover(&mut self, fault: DiscoveryFault) {
         match fault {
             DiscoveryFault::Refuses => self.harness.discovery.restart(),
-            DiscoveryFault::Hangs => {
+            DiscoveryFault::NeverAccepts => {
                 self.harness.discovery.resume_accepting();
                 self.harness.discovery.accept();
             }
             _ => {}
         }
-        self.handled = self.harness.discovery.connections.len();
+        self.handled_connections = self.harness.discovery.connections.len();
     }
 
     /// Lets time pass while calls fail like this; how many calls there were.
     pub(crate) fn step(&mut self, fault: DiscoveryFault) -> usize {
         self.harness.advance(STEP_MS);
-        let update = self.update();
+        let update = self.update_line();
         let calls = self
             .harness
             .discovery
             .connections
-            .split_at_mut(self.handled)
+            .split_at_mut(self.handled_connections)
             .1;
         for call in calls.iter_mut() {
             match fault {
-                DiscoveryFault::Refuses | DiscoveryFault::Hangs | DiscoveryFault::Silent => {}
+                DiscoveryFault::Refuses | DiscoveryFault::NeverAccepts | DiscoveryFault::Silent => {
+                }
                 DiscoveryFault::HeadOnly => call.send(WATCH_HEAD),
                 DiscoveryFault::HalfList => call.send(format!(
                     "{WATCH_HEAD}{}",
@@ -182,7 +183,7 @@
             }
         }
         let made = calls.len();
-        self.handled += made;
+        self.handled_connections += made;
         for _ in 0..made {
             self.harness.run_round();
         }
@@ -199,7 +200,7 @@
     /// Calls are replied to with the change; it must be applied this long after `since` at the
     /// latest.
     pub(crate) fn assert_applied_within(&mut self, most: Duration, since: Duration, what: &str) {
-        let update = format!("{WATCH_HEAD}{}", chunk(&self.update()));
+        let update = format!("{WATCH_HEAD}{}", chunk(&self.update_line()));
         while self.harness.program.list_revision() == 41 {
             let late = self.harness.now - since;
             assert!(
@@ -208,18 +209,18 @@
                 self.mode
             );
             self.harness.advance(STEP_MS);
-            if let Some(old_peer) = &mut self.old_peer {
-                old_peer.read();
-                old_peer
+            if let Some(old_discovery) = &mut self.old_discovery {
+                old_discovery.read();
+                old_discovery
                     .connections
                     .iter_mut()
                     .for_each(|end| end.send(chunk("\n")));
             }
-            for call in &mut self.harness.discovery.connections[self.handled..] {
+            for call in &mut self.harness.discovery.connections[self.handled_connections..] {
                 call.send(&update);
             }
-            if self.harness.discovery.connections.len() > self.handled {
-                self.handled = self.harness.discovery.connections.len();
+            if self.harness.discovery.connections.len() > self.handled_connections {
+                self.handled_connections = self.harness.discovery.connections.len();
                 self.harness
                     .run_until("the list", |s| s.program.list_revision() == 42);
             }
@@ -229,8 +230,8 @@
     /// A reload migrates discovery to a new address; the old one stays as it is.
     pub(crate) fn migrate_discovery(&mut self) -> Peer {
         let old = std::mem::replace(&mut self.harness.discovery, Peer::new());
-        drop(self.harness.reload());
-        self.handled = 0;
+        drop(self.harness.reload_with_new_peers());
+        self.handled_connections = 0;
         old
     }
 }
--- a/crates/ingress/tests/common/steps.rs
+++ b/crates/ingress/tests/common/steps.rs
@@ -48,7 +48,7 @@
 
 /// Another client's request of the same customer is served, and the customer's total is this with
 /// it.
-pub(crate) fn assert_total_with_next_request(harness: &mut Harness, total: f64, what: &str) {
+pub(crate) fn assert_total_after_next_request(harness: &mut Harness, total: f64, what: &str) {
     let mut other = harness.connect();
     serve_request(harness, &mut other, read_request(2));
     assert_eq!(harness.counter.totals["00000000b4d65521"], total, "{what}");
--- a/crates/ingress/tests/counter_calls.rs
+++ b/crates/ingress/tests/counter_calls.rs
@@ -48,7 +48,7 @@
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
     // Its total comes long after the settings' time-out: others have used the window.
     harness.advance(100);
-    let end = harness.counter.unanswered();
+    let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     for _ in 0..3 {
         harness.run_round();
@@ -78,7 +78,7 @@
             .iter()
             .any(|e| e.input.windows(4).filter(|w| w == b"\r\n\r\n").count() == 2)
     });
-    let end = harness.counter.unanswered();
+    let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
     for _ in 0..3 {
         harness.run_round();
@@ -88,7 +88,7 @@
         None,
         "the first reply decides nothing"
     );
-    let end = harness.counter.unanswered();
+    let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
@@ -108,7 +108,7 @@
         let mut client = harness.connect();
         client.send(read_request(1));
         harness.run_until("the call", |s| has_unanswered_call(s));
-        let end = harness.counter.unanswered();
+        let end = harness.counter.connection_with_pending_call();
         end.send(malformed);
         harness.run_round();
         harness.advance(26);
@@ -211,7 +211,7 @@
     let mut client = harness.connect();
     client.send(read_request(1));
     harness.run_until("the call", |s| has_unanswered_call(s));
-    let end = harness.counter.unanswered();
+    let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 103 Early Hints\r\nContent-Length: 5\r\n\r\n");
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
@@ -235,7 +235,7 @@
         let mut client = harness.connect();
         client.send(read_request(1));
         harness.run_until("the call", |s| has_unanswered_call(s));
-        let end = harness.counter.unanswered();
+        let end = harness.counter.connection_with_pending_call();
         // More than the allowance of 8.
         end.send("HTTP/1.1 200 OK\r\n\r\n9");
         match reset {
--- a/crates/ingress/tests/descriptor_exhaustion.rs
+++ b/crates/ingress/tests/descriptor_exhaustion.rs
@@ -132,7 +132,7 @@
 }
 
 fn assert_one_reply(client: &Connection) {
-    let text = client.text();
+    let text = client.received_text();
     let is_one = ["$1\r\nv\r\n", "-ERR failed\r\n"].contains(&text)
         || text.starts_with("-BUSY") && text.matches("\r\n").count() == 1;
     assert!(is_one, "exactly one reply: {text:?}");
@@ -174,7 +174,7 @@
         clients.iter().all(|client| !client.is_open)
     });
     clients.iter().for_each(assert_one_reply);
-    let is_served = |client: &&Connection| client.text() == "$1\r\nv\r\n";
+    let is_served = |client: &&Connection| client.received_text() == "$1\r\nv\r\n";
     let served = clients.iter().filter(is_served).count();
     assert!(
         served >= 2 && retries >= served,
--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -83,10 +83,13 @@
         clients.iter_mut().for_each(Connection::read);
         clients.iter().all(|c| !c.input.is_empty())
     });
-    let served = clients.iter().filter(|c| c.text() == "$1\r\nv\r\n").count();
+    let served = clients
+        .iter()
+        .filter(|c| c.received_text() == "$1\r\nv\r\n")
+        .count();
     let rejected = clients
         .iter()
-        .filter(|c| c.text().starts_with("-BUSY "))
+        .filter(|c| c.received_text().starts_with("-BUSY "))
         .count();
     assert_eq!((served, rejected), (2, 4), "exactly one reply each");
     drop(flood);
--- a/crates/ingress/tests/disconnect_before_attempt.rs
+++ b/crates/ingress/tests/disconnect_before_attempt.rs
@@ -89,7 +89,7 @@
         };
         case.client.send(
             (0..requests)
-                .flat_map(|id| read_request_of(100 + id, id))
+                .flat_map(|id| read_request_of_customer(100 + id, id))
                 .collect::<Vec<u8>>(),
         );
         case.wait(requests as usize);
@@ -124,7 +124,7 @@
     fn pause_by_commands(&mut self) {
         self.client.send(PING.repeat(PINGS));
         let behind: Vec<u8> = (0..)
-            .flat_map(|id| read_request_of(5000 + id, 5000 + id))
+            .flat_map(|id| read_request_of_customer(5000 + id, 5000 + id))
             .take(UNREAD_BEHIND)
             .collect();
         let mut remaining = &behind[..];
@@ -155,7 +155,7 @@
         self.harness.run_until("replies are not read", |s| {
             s.program.client_usage().buffered_bytes > 256 << 10
         });
-        self.client.send(read_request_of(5000, 5000));
+        self.client.send(read_request_of_customer(5000, 5000));
         for _ in 0..5 {
             self.harness.run_round();
         }
@@ -173,7 +173,7 @@
                 let elsewhere = Connection::connect(self.harness.discovery.address);
                 drop(std::mem::replace(&mut self.client, elsewhere));
             }
-            Disconnect::EndsSending => self.client.end_sending(),
+            Disconnect::EndsSending => self.client.half_close(),
             Disconnect::Resets => self.client.reset(),
         }
         // No time passes until then.
--- a/crates/ingress/tests/discovery_backoff.rs
+++ b/crates/ingress/tests/discovery_backoff.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::limits_of;
+use common::tier_limits;
 use roseyard_ingress::routing::discovery::{Backoff, CallFailure};
 use std::time::Duration;
 
 /// Calls that `ingresses` make in ten seconds to a discovery that rejects each at once, and how
 /// many of them fall into the fullest 20 ms of the last half of a second.
 fn calls(ingresses: u32) -> (usize, usize) {
-    let limits = limits_of(ingresses, 2000).driver.discovery;
+    let limits = tier_limits(ingresses, 2000).driver.discovery;
     let mut slots = Vec::new();
     for seed in 0..ingresses {
         let mut backoff = Backoff::new(&limits, u64::from(seed));
@@ -40,7 +40,7 @@
         (300, 1000),
         (300, 2000),
     ] {
-        let limits = limits_of(ingresses, grace).driver.discovery;
+        let limits = tier_limits(ingresses, grace).driver.discovery;
         let mut backoff = Backoff::new(&limits, 5);
         let failure = |n| match n % 2 == 0 {
             true => CallFailure::Rejected,
--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -90,7 +90,7 @@
                 .connections
                 .iter_mut()
                 .for_each(Connection::close),
-            WatchFault::Moved => drop(harness.reload()),
+            WatchFault::Moved => drop(harness.reload_with_new_peers()),
         }
         // Two more calls are accepted and get no reply, except after a migration.
         let silent = if matches!(what, WatchFault::Moved) {
@@ -142,7 +142,7 @@
     harness.discovery_replies = false;
     // Written to the ingress, but not read when SIGHUP is handled; the new address stays silent.
     harness.send_endpoint_states(42, &[(0, "DRAINING")]);
-    harness.reload();
+    harness.reload_with_new_peers();
     for _ in 0..5 {
         harness.run_round();
     }
--- a/crates/ingress/tests/endpoint_attempts.rs
+++ b/crates/ingress/tests/endpoint_attempts.rs
@@ -96,7 +96,7 @@
         client.read();
         !client.input.is_empty()
     });
-    assert!(client.text().starts_with("-BUSY "));
+    assert!(client.received_text().starts_with("-BUSY "));
     other.send(read_request(2));
     let (_, c, _) = harness.next_request();
     old.read();
@@ -215,7 +215,7 @@
         "sigterm",
     ] {
         let mut harness = Harness::new(2);
-        harness.restart_with(&[(
+        harness.restart_with_replacements(&[(
             "\"Effect\":\"idempotency_key\"",
             "\"Effect\":\"non_idempotent\"",
         )]);
@@ -248,7 +248,7 @@
             );
         }
         assert_eq!(
-            client.text(),
+            client.received_text(),
             "-ERR failed\r\n",
             "{end}: one final reply, without a retry time"
         );
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -55,7 +55,7 @@
     harness.run_until("the next list", |s| s.program.list_revision() == 43);
     let mut client = harness.connect();
     for id in 0..6 {
-        client.send(read_request_of(50 + id, id));
+        client.send(read_request_of_customer(50 + id, id));
         let (s, c, _) = harness.next_request();
         assert_eq!(s, 1, "the first one drains");
         harness.endpoints[s].connections[c].send(served_reply("v"));
@@ -204,8 +204,8 @@
         // Two at a time: the second goes to another endpoint.
         client.send(
             [
-                read_request_of(50 + id, id),
-                read_request_of(150 + id, 100 + id),
+                read_request_of_customer(50 + id, id),
+                read_request_of_customer(150 + id, 100 + id),
             ]
             .concat(),
         );
@@ -273,7 +273,7 @@
             .unwrap()
             .send(chunk(&later));
         harness.run_until("the later list", |s| s.program.list_revision() == 45);
-        client.send(read_request_of(99, 99));
+        client.send(read_request_of_customer(99, 99));
         assert_eq!(harness.next_request().0, 0);
     }
 }
@@ -282,7 +282,7 @@
 fn a_new_process_forwards_nothing_by_its_old_list_before_discovery_has_replied() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
-    harness.restart_with(&[]);
+    harness.restart_with_replacements(&[]);
     let mut client = harness.connect();
     client.send(read_request(1));
     assert!(
@@ -312,7 +312,7 @@
 fn a_new_process_with_silent_discovery_serves_by_its_list_after_the_ready_timeout() {
     let mut harness = Harness::new(1);
     harness.discovery_replies = false;
-    harness.restart_with(&[]);
+    harness.restart_with_replacements(&[]);
     harness.advance(1001);
     let mut client = harness.connect();
     serve_request(&mut harness, &mut client, read_request(1));
@@ -323,11 +323,11 @@
     for _ in 0..5 {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
-        serve_request(&mut harness, &mut client, read_request_of(5, 1));
+        serve_request(&mut harness, &mut client, read_request_of_customer(5, 1));
         harness.advance(30);
         // The requests are there first; the drain is applied before they are decided all the same.
         for id in 2..4 {
-            client.send(read_request_of(5 + id, id));
+            client.send(read_request_of_customer(5 + id, id));
         }
         harness.send_endpoint_states(42, &[(0, "DRAINING")]);
         harness.run_round();
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -13,7 +13,7 @@
 fn partly_written_request() -> (Harness, Connection, usize) {
     let mut harness = Harness::new(2);
     harness.endpoints = vec![Peer::with_small_buffers(), Peer::with_small_buffers()];
-    harness.restart_with(&[]);
+    harness.restart_with_replacements(&[]);
     let mut client = harness.connect();
     client.send(write_with_body(1, BODY));
     let s = harness.run_until_contacted(|peer| {
@@ -72,7 +72,7 @@
         !harness.endpoints[s].connections[0].is_open
             && harness.endpoints[s].connections[0].input.len() < BODY
     );
-    assert_total_with_next_request(
+    assert_total_after_next_request(
         &mut harness,
         1.0,
         "no complete request has reached an endpoint",
@@ -95,7 +95,7 @@
         // The connection is begun in one round and taken as established in the next.
         let early_endpoint = harness.run_until_contacted(|peer| !peer.connections.is_empty());
         match early.as_str() {
-            "" => harness.endpoints[early_endpoint].connections[0].end_sending(),
+            "" => harness.endpoints[early_endpoint].connections[0].half_close(),
             early => harness.endpoints[early_endpoint].connections[0].send(early),
         }
         let (s, c, _) = harness.next_request();
@@ -142,8 +142,8 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     serve_request(&mut harness, &mut client, read_request(1));
-    serve_request(&mut harness, &mut client, read_request_of(7, 2));
-    client.send(read_request_of(8, 3));
+    serve_request(&mut harness, &mut client, read_request_of_customer(7, 2));
+    client.send(read_request_of_customer(8, 3));
     harness.now += Duration::from_millis(6001);
     let (s, c, _) = harness.next_request();
     harness.endpoints[s].connections[c].send(served_reply("w"));
@@ -165,7 +165,7 @@
         ("a", "-BUSY\r\n*3\r\n", false),
     ] {
         let mut harness = Harness::new(3);
-        harness.restart_with(&[
+        harness.restart_with_replacements(&[
             ("\"read_like\"", "\"non_idempotent\""),
             ("\"form-load\"", &format!("{name:?}")),
         ]);
@@ -203,7 +203,7 @@
 fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
     for late in [false, true] {
         let mut harness = Harness::new(2);
-        harness.restart_with(&[
+        harness.restart_with_replacements(&[
             ("\"Group\":\"cell\"", "\"Group\":\"all\""),
             ("\"WindowMs\":8000.0", "\"WindowMs\":300.0"),
         ]);
--- a/crates/ingress/tests/endpoint_replies.rs
+++ b/crates/ingress/tests/endpoint_replies.rs
@@ -147,7 +147,7 @@
     for post_paid in [true, false] {
         let mut harness = Harness::new(1);
         let domain = format!("\"PostPaid\":{post_paid},\"SharedCounter\"");
-        harness.restart_with(&[("\"SharedCounter\"", &domain)]);
+        harness.restart_with_replacements(&[("\"SharedCounter\"", &domain)]);
         let mut client = harness.connect();
         for (n, (figures, true_units)) in corrections.iter().enumerate() {
             let customer = format!("{:016x}", 500 + n);
--- a/crates/ingress/tests/process.rs
+++ b/crates/ingress/tests/process.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::ingress_process::{answer_with, line_with, IngressProcess};
+use common::ingress_process::{next_line_containing, serve_fixed_reply, IngressProcess};
 use common::*;
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -13,23 +13,23 @@
 fn the_program_serves_a_request_and_ends_well_on_sigterm() {
     let (endpoint, counter, discovery) = (Peer::new(), Peer::new(), Peer::new());
     let text = config(&counter, &discovery, std::slice::from_ref(&endpoint), 1024);
-    answer_with(
+    serve_fixed_reply(
         endpoint.blocking_listener(),
         b"first=0\r\n",
         "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n",
     );
-    answer_with(
+    serve_fixed_reply(
         counter.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
     );
-    answer_with(
+    serve_fixed_reply(
         discovery.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n",
     );
     let mut running = IngressProcess::start("serves", &text);
-    line_with(&mut running.log, "info: ready");
+    next_line_containing(&mut running.log, "info: ready");
     let mut client = running.connect();
     client.write_all(b"*1\r\n$4\r\nPING\r\n").unwrap();
     let mut pong = [0; 7];
@@ -47,20 +47,20 @@
         rest.is_empty(),
         "the idle connection was ended, not answered"
     );
-    line_with(&mut running.log, "shutdown completed open_requests=0");
+    next_line_containing(&mut running.log, "shutdown completed open_requests=0");
 }
 
 #[test]
 fn rejected_requests_are_logged_by_their_reason() {
     let (counter, discovery) = (Peer::new(), Peer::new());
-    answer_with(
+    serve_fixed_reply(
         discovery.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n",
     );
     let text = config(&counter, &discovery, &[], 1024);
     let mut running = IngressProcess::start("rejections", &text);
-    line_with(&mut running.log, "info: ready");
+    next_line_containing(&mut running.log, "info: ready");
     let mut client = running.connect();
     for id in 1..=2 {
         client.write_all(&read_request(id)).unwrap();
@@ -70,7 +70,7 @@
         while client.read_exact(&mut reply[..1]).is_ok() && reply[0] != b'\n' {}
     }
     assert_eq!(running.terminate().code(), Some(0));
-    let line = line_with(&mut running.log, "info: requests rejected");
+    let line = next_line_containing(&mut running.log, "info: requests rejected");
     assert!(line.contains(" no_endpoint=2 "), "{line}");
     assert!(line.contains(" over_quota=0 "), "{line}");
     assert!(line.contains(" overloaded=0 "), "{line}");
@@ -82,16 +82,16 @@
     let text = config(&counter, &discovery, &[], 1024);
     let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
     command.env("LB_DISCOVERY", discovery.address.to_string());
-    let mut running = IngressProcess::start_with("reload", &text, command);
+    let mut running = IngressProcess::start_command("reload", &text, command);
     let half = &text[..text.len() / 2];
     std::fs::write(&running.config, half).unwrap();
     running.signal(Signal::HUP);
-    line_with(&mut running.log, "warn: configuration rejected");
+    next_line_containing(&mut running.log, "warn: configuration rejected");
     let moved = Peer::new();
     std::fs::write(&running.config, config(&counter, &moved, &[], 1024)).unwrap();
     for _ in 0..2 {
         running.signal(Signal::HUP);
-        line_with(
+        next_line_containing(
             &mut running.log,
             &format!("info: configuration reloaded discovery={}", moved.address),
         );
@@ -118,21 +118,21 @@
         .env_remove("LB_DISCOVERY")
         .env("ROSEYARD_SETTINGS", &settings);
     let text = config(&counter, &discovery, &[], 1024);
-    let mut running = IngressProcess::start_with("services", &text, command);
+    let mut running = IngressProcess::start_command("services", &text, command);
     std::fs::write(
         &settings,
         services.replace("service=\"x\"", "service=\"y\""),
     )
     .unwrap();
     running.signal(Signal::HUP);
-    let line = line_with(&mut running.log, "warn: configuration rejected");
+    let line = next_line_containing(&mut running.log, "warn: configuration rejected");
     assert!(
         line.contains(".kdl:1:74: there is no service 'y'; there are x"),
         "{line}"
     );
     std::fs::write(&settings, services.replace("route \"a\"", "route \"b\"")).unwrap();
     running.signal(Signal::HUP);
-    line_with(
+    next_line_containing(
         &mut running.log,
         "info: services changed services=1 routes=1 changes=2",
     );
@@ -151,8 +151,8 @@
         "ulimit -n 32; exec \"$0\"",
         env!("CARGO_BIN_EXE_roseyard-ingress"),
     ]);
-    let mut running = IngressProcess::start_with("descriptors", &text, shell);
-    line_with(&mut running.log, "info: ready");
+    let mut running = IngressProcess::start_command("descriptors", &text, shell);
+    next_line_containing(&mut running.log, "info: ready");
     let mut clients = Vec::new();
     for _ in 0..50 {
         let mut client = running.connect();
@@ -179,8 +179,8 @@
     let mut before = Some(before);
     let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
     command.env_remove("LB_DISCOVERY");
-    let mut running = IngressProcess::start_when("address", &text, command, |log| {
-        line_with(log, "address in use, retrying address=");
+    let mut running = IngressProcess::start_after_reading_log("address", &text, command, |log| {
+        next_line_containing(log, "address in use, retrying address=");
         before = None;
     });
     assert_eq!(running.address, address);
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -102,7 +102,7 @@
                 client.read();
                 client.input.len() >= text.len()
             });
-            prop_assert_eq!(client.text(), text);
+            prop_assert_eq!(client.received_text(), text);
         }
         prop_assert!(model.iter().all(Option::is_some));
         prop_assert_eq!(harness.program.open().requests, 0);
@@ -119,7 +119,7 @@
 }
 
 fn words(bytes: &[u8]) -> Vec<Vec<u8>> {
-    let (words, used) = resp::command(bytes, &limits()).unwrap().unwrap();
+    let (words, used) = resp::command(bytes, &protocol_limits()).unwrap().unwrap();
     assert_eq!(used, bytes.len());
     words.get().iter().map(|w| w.to_vec()).collect()
 }
@@ -133,7 +133,7 @@
         resp::put_array(&mut bytes, said.len());
         said.iter().for_each(|word| resp::put_bulk(&mut bytes, word));
         for end in 0..bytes.len() {
-            prop_assert_eq!(resp::command(&bytes[..end], &limits()), Ok(None));
+            prop_assert_eq!(resp::command(&bytes[..end], &protocol_limits()), Ok(None));
         }
         prop_assert_eq!(words(&bytes), said);
     }
@@ -165,9 +165,9 @@
         bytes.extend(&body);
         bytes.extend(b"\r\n");
         for end in 0..bytes.len() {
-            prop_assert_eq!(http::chunk(&bytes[..end], &limits()), Ok(None));
+            prop_assert_eq!(http::chunk(&bytes[..end], &protocol_limits()), Ok(None));
         }
-        prop_assert_eq!(http::chunk(&bytes, &limits()), Ok(Some((&body[..], bytes.len()))));
+        prop_assert_eq!(http::chunk(&bytes, &protocol_limits()), Ok(Some((&body[..], bytes.len()))));
     }
 
     #[test]
@@ -176,7 +176,7 @@
         rest in prop::collection::vec(prop::sample::select(b"*$+-:0123456789abc\r\n \xff={}\"".to_vec()), 0..60),
     ) {
         let input = [kind, &rest].concat();
-        let limits = limits();
+        let limits = protocol_limits();
         let used = [
             resp::command(&input, &limits).ok().flatten().map(|f| f.1),
             resp::value(&input, &limits).ok().flatten().map(|f| f.1),
--- a/crates/ingress/tests/reload.rs
+++ b/crates/ingress/tests/reload.rs
@@ -20,8 +20,8 @@
     };
     harness.run_until("the call", |s| calls(&s.counter) == 1);
     // Twice in a row: a call on the first counter is still awaited there.
-    let mut first = harness.reload();
-    harness.reload();
+    let mut first = harness.reload_with_new_peers();
+    harness.reload_with_new_peers();
     harness.run_until("the watch at the last address", |s| {
         s.watch_requests.len() >= 2 && s.discovery.connections.len() == 1
     });
@@ -61,7 +61,7 @@
     harness.counter.mode = CounterMode::Silent;
     client.send(read_request(1));
     harness.run_until("the call", |s| has_unanswered_call(s));
-    let _silent = harness.reload();
+    let _silent = harness.reload_with_new_peers();
     harness.advance(200);
     client.send(read_request(2));
     for _ in 0..5 {
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::ingress_process::{answer_with, line_with, IngressProcess};
+use common::ingress_process::{next_line_containing, serve_fixed_reply, IngressProcess};
 use common::*;
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -54,7 +54,10 @@
         let mut answer = [0; 512];
         while !ends.load(Ordering::Relaxed) {
             id += 1;
-            if stream.write_all(&read_request_of(id % 1000, id)).is_err() {
+            if stream
+                .write_all(&read_request_of_customer(id % 1000, id))
+                .is_err()
+            {
                 break;
             }
             match stream.read(&mut answer) {
@@ -89,12 +92,12 @@
 fn restarts_under_load(name: &str, discovery: &Peer, restarts: usize) -> Vec<Duration> {
     const CLIENTS: u64 = 3;
     let (endpoint, counter) = (Peer::new(), Peer::new());
-    answer_with(
+    serve_fixed_reply(
         endpoint.blocking_listener(),
         b"first=0\r\n",
         "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n",
     );
-    answer_with(
+    serve_fixed_reply(
         counter.blocking_listener(),
         b"\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
@@ -211,7 +214,7 @@
     );
     let text = text.replace("\"targets\":[]", &known);
     let begun = Instant::now();
-    let mut running = IngressProcess::start_with(
+    let mut running = IngressProcess::start_command(
         "54000",
         &text,
         Command::new(env!("CARGO_BIN_EXE_roseyard-ingress")),
@@ -219,7 +222,7 @@
     wait_until_ready(&running);
     let ready = begun.elapsed();
     loop {
-        let line = line_with(&mut running.log, "");
+        let line = next_line_containing(&mut running.log, "");
         assert!(
             !line.contains("invalid chunk size"),
             "the list is rejected: {line}"
--- a/crates/ingress/tests/services.rs
+++ b/crates/ingress/tests/services.rs
@@ -160,9 +160,9 @@
     }
     client.read();
     assert!(
-        !client.text().starts_with('$'),
+        !client.received_text().starts_with('$'),
         "no endpoint of another service has replied: {}",
-        client.text()
+        client.received_text()
     );
     assert!(harness.endpoints[0].next_command().is_none());
 }
@@ -178,9 +178,9 @@
             .find_map(|(n, p)| p.next_command().map(|(c, w)| (n, c, w)));
         client.read();
         assert!(
-            found.is_some() || client.text().is_empty(),
+            found.is_some() || client.received_text().is_empty(),
             "replied to without an endpoint: {}",
-            client.text()
+            client.received_text()
         );
         found.is_some()
     });
@@ -244,7 +244,7 @@
         );
         for (id, client) in &mut self.clients {
             client.read();
-            assert_eq!(client.text(), "", "request {id} had one reply");
+            assert_eq!(client.received_text(), "", "request {id} had one reply");
         }
     }
 }
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -108,12 +108,12 @@
 
 #[test]
 fn new_clients_without_a_descriptor_are_rejected_before_the_listener_closes() {
-    let mut harness = Harness::with_sockets(1, 48);
+    let mut harness = Harness::with_descriptors(1, 48);
     // Every client waits for an endpoint.
     let mut held = Vec::new();
     for id in 0..60 {
         let mut client = harness.connect();
-        client.send(read_request_of(1000 + id, id));
+        client.send(read_request_of_customer(1000 + id, id));
         for _ in 0..3 {
             harness.advance(2);
         }
@@ -123,7 +123,7 @@
     let mut late: Vec<Connection> = (0..5).map(|_| harness.connect()).collect();
     harness.advance(601);
     for client in &mut late {
-        client.send(read_request_of(9, 900));
+        client.send(read_request_of_customer(9, 900));
         let line = harness.read_line(client);
         assert!(line.starts_with("-BUSY"), "{line}");
     }
@@ -195,7 +195,7 @@
     harness.run_round();
     begin_drain(&mut harness);
     client.read();
-    assert_eq!(client.text(), "");
+    assert_eq!(client.received_text(), "");
     // SIGKILL comes 3.7 s after SIGTERM at the earliest.
     harness.advance(3001);
     harness.expect_reply(&mut client, "-ERR failed\r\n-ERR failed\r\n");
@@ -245,7 +245,7 @@
         if first == "term" {
             begin_drain(&mut harness);
         }
-        let _old = harness.reload();
+        let _old = harness.reload_with_new_peers();
         if first == "hup" {
             begin_drain(&mut harness);
         }
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -18,7 +18,7 @@
     harness.run_until("bytes at the endpoint", |s| {
         let ends = s.endpoints[0].connections.iter_mut().enumerate();
         found = ends
-            .filter(|(_, e)| e.text().ends_with(end))
+            .filter(|(_, e)| e.received_text().ends_with(end))
             .map(|(n, e)| (n, String::from_utf8(std::mem::take(&mut e.input)).unwrap()))
             .next();
         found.is_some()
@@ -68,7 +68,10 @@
         ends.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
     });
     let ends = &harness.counter.peer.connections;
-    let call = ends.iter().map(Connection::text).find(|t| !t.is_empty());
+    let call = ends
+        .iter()
+        .map(Connection::received_text)
+        .find(|t| !t.is_empty());
     let host = harness.counter.peer.address;
     assert_eq!(
         call.unwrap(),
@@ -103,7 +106,7 @@
             .discovery
             .connections
             .iter()
-            .map(Connection::text)
+            .map(Connection::received_text)
             .collect();
         assert!(
             start.elapsed() < Duration::from_secs(20),
@@ -120,7 +123,7 @@
 #[test]
 fn a_health_check_asks_for_the_load_report() {
     let mut harness = Harness::new(1);
-    harness.restart_with(&[("\"Probes\":false", "\"Probes\":true")]);
+    harness.restart_with_replacements(&[("\"Probes\":false", "\"Probes\":true")]);
     let mut client = harness.connect();
     client.send(READ);
     bytes_at_endpoint(&mut harness, "first=0\r\n");
@@ -130,7 +133,7 @@
         let mut ends = harness.endpoints[0].connections.iter();
         sent = ends
             .find(|e| !e.input.is_empty())
-            .map(|e| e.text().to_owned());
+            .map(|e| e.received_text().to_owned());
         if sent.as_ref().is_some_and(|t| t.ends_with("load\r\n")) {
             break;
         }
@@ -168,7 +171,7 @@
 fn a_client_is_sent_loading_until_discovery_has_answered() {
     let mut harness = Harness::new(1);
     harness.discovery_replies = false;
-    harness.restart_with(&[]);
+    harness.restart_with_replacements(&[]);
     let mut client = harness.connect();
     client.send("*1\r\n$4\r\nPING\r\n");
     harness.expect_reply(&mut client, "-LOADING waiting for discovery\r\n");
@@ -198,5 +201,5 @@
     harness.advance(50);
     harness.advance(5_000);
     harness.run_until_closed(&mut client);
-    assert_eq!(client.text(), "-ERR failed\r\n-BUSY\r\n");
+    assert_eq!(client.received_text(), "-ERR failed\r\n-BUSY\r\n");
 }
