--- a/crates/ingress/src/program/cli.rs
+++ b/crates/ingress/src/program/cli.rs
@@ -6,7 +6,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use roseyard_operator_config::log::{self, LogFormat};
 use roseyard_operator_config::{
-    ConfigErrors, File, FileError, MachineLimits, OperatorSettings, SettingRow,
+    ConfigErrors, MachineLimits, OperatorFile, OperatorFileError, OperatorSettings, SettingRow,
 };
 use std::path::{Path, PathBuf};
 
@@ -96,7 +96,7 @@
     Status(#[from] StatusError),
     /// The operator's file cannot be read.
     #[error(transparent)]
-    Unreadable(FileError),
+    Unreadable(OperatorFileError),
     /// The operator's file has errors: their number and a report that shows each in its line.
     #[error("{file}: {count} mistakes\n{report}")]
     Invalid {
@@ -121,10 +121,10 @@
 
 impl RunOptions {
     /// Reads the operator's file; without one, the defaults.
-    pub fn operator_file(&self) -> Result<File, ProgramError> {
+    pub fn operator_file(&self) -> Result<OperatorFile, ProgramError> {
         match &self.settings {
-            Some(path) => Ok(File::load(path)?),
-            None => Ok(File::none()),
+            Some(path) => Ok(OperatorFile::load(path)?),
+            None => Ok(OperatorFile::empty()),
         }
     }
 
@@ -174,7 +174,7 @@
 
 /// An operator's file without errors, and the settings that it results in.
 struct CheckedFile {
-    file: File,
+    file: OperatorFile,
     rows: Vec<SettingRow>,
 }
 
@@ -187,10 +187,10 @@
             count: errors.iter().count(),
             report: errors.report(),
         };
-        let file = match path.map(File::load) {
-            None => File::none(),
+        let file = match path.map(OperatorFile::load) {
+            None => OperatorFile::empty(),
             Some(Ok(file)) => file,
-            Some(Err(FileError::Invalid(errors))) => return Err(invalid(errors)),
+            Some(Err(OperatorFileError::Invalid(errors))) => return Err(invalid(errors)),
             Some(Err(error)) => return Err(CommandError::Unreadable(error)),
         };
         let rows = file.setting_rows(machine).map_err(invalid)?;
@@ -209,7 +209,7 @@
     let line = |row: &SettingRow| {
         format!(
             "{:names$}  {:values$}  {:sources$}  {} ({})\n",
-            row.name, row.value, row.source, row.about, row.allowed
+            row.name, row.value, row.source, row.description, row.allowed
         )
     };
     rows.iter().map(line).collect()
--- a/crates/ingress/src/program/error.rs
+++ b/crates/ingress/src/program/error.rs
@@ -38,7 +38,7 @@
     Configuration(#[from] super::config::ConfigurationError),
     /// The operator's file cannot be read, or has errors.
     #[error(transparent)]
-    OperatorFile(#[from] roseyard_operator_config::FileError),
+    OperatorFile(#[from] roseyard_operator_config::OperatorFileError),
     /// The operator's settings do not fit this machine.
     #[error(transparent)]
     OperatorSettings(roseyard_operator_config::ConfigErrors),
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -6,13 +6,13 @@
 
 use super::config::Config;
 use super::{cli::RunOptions, Program, ProgramError};
-use roseyard_operator_config::{File, OperatorSettings};
+use roseyard_operator_config::{OperatorFile, OperatorSettings};
 
 /// Both files, checked against each other and the machine.
 struct NewConfiguration {
     config: Config,
     operator: OperatorSettings,
-    file: File,
+    file: OperatorFile,
 }
 
 impl Program {
@@ -21,7 +21,7 @@
         let file = self
             .run_options
             .as_ref()
-            .map_or_else(|| Ok(File::none()), RunOptions::operator_file);
+            .map_or_else(|| Ok(OperatorFile::empty()), RunOptions::operator_file);
         self.reload(
             Config::reread()
                 .map_err(ProgramError::from)
@@ -30,7 +30,7 @@
     }
 
     /// Applies a configuration that was read, or logs why it is rejected.
-    pub fn reload(&mut self, read: Result<(Config, File), ProgramError>) {
+    pub fn reload(&mut self, read: Result<(Config, OperatorFile), ProgramError>) {
         match read.and_then(|(config, file)| self.check(config, file)) {
             Ok(new) => self.apply(new),
             Err(error) => tracing::warn!(
@@ -41,7 +41,7 @@
         }
     }
 
-    fn check(&self, config: Config, file: File) -> Result<NewConfiguration, ProgramError> {
+    fn check(&self, config: Config, file: OperatorFile) -> Result<NewConfiguration, ProgramError> {
         let operator = file
             .resolve(&self.machine)
             .map_err(ProgramError::OperatorSettings)?;
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -12,7 +12,7 @@
 use crate::transport::{allowed, listen, spare, Deadlines, Poller};
 use roseyard_admission::DescriptorBudget;
 use roseyard_decision::Settings;
-use roseyard_operator_config::{File, MachineLimits, OperatorSettings};
+use roseyard_operator_config::{MachineLimits, OperatorFile, OperatorSettings};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
 use std::net::SocketAddr;
@@ -28,7 +28,11 @@
 
 impl Program {
     /// Listens, and opens the watch on discovery.
-    pub fn start(config: &Config, file: &File, clock: Clock) -> Result<Program, ProgramError> {
+    pub fn start(
+        config: &Config,
+        file: &OperatorFile,
+        clock: Clock,
+    ) -> Result<Program, ProgramError> {
         let machine = machine_limits(config);
         let operator = file
             .resolve(&machine)
@@ -125,7 +129,7 @@
     listener: OwnedFd,
     settings: &Settings,
     config: &Config,
-    file: &File,
+    file: &OperatorFile,
     operator: &OperatorSettings,
     limits: &Limits,
     io: &mut Io,
@@ -142,7 +146,7 @@
 fn open_driver(
     config: &Config,
     settings: Settings,
-    file: &File,
+    file: &OperatorFile,
     limits: &Limits,
     clock: Clock,
     io: &mut Io,
--- a/crates/ingress/src/routing/membership/keys.rs
+++ b/crates/ingress/src/routing/membership/keys.rs
@@ -41,7 +41,7 @@
 /// Reads all keys that the operator's file names. The first key authenticates outgoing datagrams;
 /// incoming ones may be authenticated with any of them.
 pub(super) fn read_keys(config: &MembershipSettings) -> Result<Vec<Key>, KeyFileError> {
-    let files = config.key_file.iter().chain(&config.other_key_file);
+    let files = config.key_file.iter().chain(&config.secondary_key_file);
     let read = |path: &PathBuf| {
         read_key(path).map_err(|reason| KeyFileError {
             path: path.clone(),
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -281,11 +281,11 @@
     let address_override =
         |named: &NamedAddress| Some((Name::from(&named.name).ok()?, named.address));
     Settings {
-        probe_interval: config.probe_period,
+        probe_interval: config.probe_interval,
         probe_timeout: config.probe_timeout,
         gossip_interval: config.gossip_interval,
         sync_interval: config.sync_interval,
-        suspicion_multiplier: config.suspicion_periods,
+        suspicion_multiplier: config.suspicion_multiplier,
         seeds: config.seeds.clone(),
         address_overrides: config
             .address_overrides
--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -6,7 +6,7 @@
 use common::*;
 use roseyard_ingress::clock::Clock;
 use roseyard_ingress::program::{config::Config, Program};
-use roseyard_operator_config::FileError;
+use roseyard_operator_config::OperatorFileError;
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 const UNLIMITED_IDLE: &str = "admission { silent-room 1; once-room 1 }";
@@ -300,11 +300,12 @@
     // One has a request in flight, and an invalid file changes nothing.
     ends[0].send(read_request(1));
     let (s, c, _) = harness.next_request();
-    let error = roseyard_operator_config::File::parse("roseyard.kdl", "admission { plcaes 3 }")
-        .unwrap_err();
+    let error =
+        roseyard_operator_config::OperatorFile::parse("roseyard.kdl", "admission { plcaes 3 }")
+            .unwrap_err();
     harness
         .program
-        .reload(Err(FileError::Invalid(error).into()));
+        .reload(Err(OperatorFileError::Invalid(error).into()));
     assert_eq!(harness.program.open().clients, 8);
     harness.program.reload(Ok((parsed(), file(3))));
     harness.advance(1);
--- a/crates/ingress/tests/common/config.rs
+++ b/crates/ingress/tests/common/config.rs
@@ -6,7 +6,7 @@
 use roseyard_ingress::program::config::{Config, ConfigurationError};
 use roseyard_ingress::program::ProgramError;
 use roseyard_ingress::protocol::ProtocolLimits;
-use roseyard_operator_config::{File, FileError, MachineLimits, OperatorSettings};
+use roseyard_operator_config::{MachineLimits, OperatorFile, OperatorFileError, OperatorSettings};
 use roseyard_platform_config::PlatformSettings;
 use std::net::SocketAddr;
 
@@ -57,8 +57,8 @@
 }
 
 /// A valid operator's file.
-pub(crate) fn operator_file(text: &str) -> File {
-    File::parse("roseyard.kdl", text).unwrap()
+pub(crate) fn operator_file(text: &str) -> OperatorFile {
+    OperatorFile::parse("roseyard.kdl", text).unwrap()
 }
 
 /// Parses a configuration as the program does at a reload.
@@ -71,7 +71,7 @@
 }
 
 /// Parses an operator's file as the program does at a reload.
-pub(crate) fn parse_operator_file(text: &str) -> Result<File, ProgramError> {
-    let parsed = File::parse("roseyard.kdl", text);
-    parsed.map_err(|errors| FileError::Invalid(errors).into())
+pub(crate) fn parse_operator_file(text: &str) -> Result<OperatorFile, ProgramError> {
+    let parsed = OperatorFile::parse("roseyard.kdl", text);
+    parsed.map_err(|errors| OperatorFileError::Invalid(errors).into())
 }
--- a/crates/ingress/tests/common/harness.rs
+++ b/crates/ingress/tests/common/harness.rs
@@ -8,7 +8,7 @@
 use super::peer::Peer;
 use roseyard_ingress::clock::Clock;
 use roseyard_ingress::program::{config::Config, Program};
-use roseyard_operator_config::File;
+use roseyard_operator_config::OperatorFile;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -174,7 +174,7 @@
         self.discovery = Peer::new();
         let text = config(&self.counter.peer, &self.discovery, &self.endpoints, 1024);
         self.program
-            .reload(parse_config(&text).map(|config| (config, File::none())));
+            .reload(parse_config(&text).map(|config| (config, OperatorFile::empty())));
         old
     }
 
--- a/crates/ingress/tests/reload.rs
+++ b/crates/ingress/tests/reload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use roseyard_operator_config::File;
+use roseyard_operator_config::OperatorFile;
 
 #[test]
 fn a_reload_migrates_discovery_and_counter_at_once_and_loses_no_request_or_count() {
@@ -78,7 +78,7 @@
     let mut harness = Harness::new(1);
     harness
         .program
-        .reload(parse_config("half a file").map(|config| (config, File::none())));
+        .reload(parse_config("half a file").map(|config| (config, OperatorFile::empty())));
     let mut client = harness.connect();
     client.send(read_request(1));
     let (_, c, _) = harness.next_request();
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -9,7 +9,7 @@
 
 /// Why a file could not be loaded.
 #[derive(Debug, thiserror::Error)]
-pub enum FileError {
+pub enum OperatorFileError {
     /// It could not be read.
     #[error("{}: {source}", .path.display())]
     Io {
@@ -20,7 +20,7 @@
     },
     /// It is longer than any file that is read.
     #[error("{}: longer than 4 MiB", .path.display())]
-    TooLong {
+    TooLarge {
         /// The file.
         path: PathBuf,
     },
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,6 +1,6 @@
 //! A file that was read and checked. A file with an error has no effect at all.
 
-use crate::error::{position, ConfigError, ConfigErrors, FileError};
+use crate::error::{position, ConfigError, ConfigErrors, OperatorFileError};
 use crate::given_settings::GivenSettings;
 use crate::schema::{settings, Setting};
 use crate::section_reader::{read_sections, Sections};
@@ -19,17 +19,17 @@
 
 /// A file in which every setting is allowed.
 #[derive(Clone, Debug)]
-pub struct File {
+pub struct OperatorFile {
     source: Arc<NamedSource<String>>,
     given: GivenSettings,
     services: Services,
 }
 
-impl File {
+impl OperatorFile {
     /// A file that sets nothing: all settings have their defaults.
     #[must_use]
-    pub fn none() -> File {
-        File {
+    pub fn empty() -> OperatorFile {
+        OperatorFile {
             source: Arc::new(NamedSource::new("defaults", String::new())),
             given: GivenSettings::default(),
             services: Services::none(),
@@ -40,20 +40,20 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be read, is longer than 4 MiB, or [`File::parse`] finds errors in it.
-    pub fn load(path: &Path) -> Result<File, FileError> {
-        let io_error = |source| FileError::Io {
+    /// If it cannot be read, is longer than 4 MiB, or [`OperatorFile::parse`] finds errors in it.
+    pub fn load(path: &Path) -> Result<OperatorFile, OperatorFileError> {
+        let io_error = |source| OperatorFileError::Io {
             path: path.to_owned(),
             source,
         };
         let metadata = std::fs::metadata(path).map_err(io_error)?;
         if metadata.len() > MAX_FILE_BYTES {
-            return Err(FileError::TooLong {
+            return Err(OperatorFileError::TooLarge {
                 path: path.to_owned(),
             });
         }
         let text = std::fs::read_to_string(path).map_err(io_error)?;
-        Ok(File::parse(&path.display().to_string(), &text)?)
+        Ok(OperatorFile::parse(&path.display().to_string(), &text)?)
     }
 
     /// Checks a file's text; `name` names it in errors and sources.
@@ -61,14 +61,14 @@
     /// # Errors
     ///
     /// All errors in the file, in its order; only the syntax errors if it has any.
-    pub fn parse(name: &str, text: &str) -> Result<File, ConfigErrors> {
+    pub fn parse(name: &str, text: &str) -> Result<OperatorFile, ConfigErrors> {
         let source = Arc::new(NamedSource::new(name, text.to_owned()));
         let document = KdlDocument::parse_v2(text).map_err(|error| {
             let diagnostics = error.diagnostics.iter();
             ConfigErrors(diagnostics.map(|d| syntax_error(&source, d)).collect())
         })?;
         let Sections { given, services } = read_sections(&source, &document)?;
-        Ok(File {
+        Ok(OperatorFile {
             source,
             given,
             services,
@@ -96,7 +96,7 @@
     /// timeout leaves too little of it.
     fn check_probe_timeout(&self, in_force: &OperatorSettings) -> Result<(), ConfigErrors> {
         let membership = &in_force.membership;
-        if membership.probe_timeout * 2 <= membership.probe_period {
+        if membership.probe_timeout * 2 <= membership.probe_interval {
             return Ok(());
         }
         let given = |name| self.given.span("membership", name);
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// As [`File::resolve`].
+    /// As [`OperatorFile::resolve`].
     pub fn setting_rows(&self, machine: &MachineLimits) -> Result<Vec<SettingRow>, ConfigErrors> {
         let in_force = self.resolve(machine)?;
         let defaults = OperatorSettings::new(machine);
@@ -159,7 +159,7 @@
             name: format!("{}.{}", setting.section, setting.name),
             value,
             source,
-            about: setting.about,
+            description: setting.description,
             allowed: setting.kind.allowed(),
         }
     }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,18 +1,18 @@
 //! The operator's file: KDL (version 2) in which every setting is checked, the settings in force
 //! with their sources, and the set-up of logs.
 //!
-//! [`File`] is a file that was read and checked; [`File::resolve`] gives the [`OperatorSettings`]
-//! in force, and [`File::setting_rows`] explains each of them. [`ConfigErrors`] names all that is
+//! [`OperatorFile`] is a checked file, [`OperatorFile::resolve`] returns the [`OperatorSettings`] that
+//! it results in, and [`OperatorFile::setting_rows`] explains each. [`ConfigErrors`] names all that is
 //! wrong with a file, with its place and what is allowed there.
 //!
 //! ```
-//! use roseyard_operator_config::{File, MachineLimits};
+//! use roseyard_operator_config::{MachineLimits, OperatorFile};
 //!
-//! let file = File::parse("roseyard.kdl", "admission { places 400; reserve 0.25 }").unwrap();
+//! let file = OperatorFile::parse("roseyard.kdl", "admission { places 400; reserve 0.25 }").unwrap();
 //! let machine = MachineLimits { platform_descriptors: 1024, system_descriptors: 20_000 };
 //! let settings = file.resolve(&machine).unwrap();
 //! assert_eq!(settings.policy.reserve, 100);
-//! let errors = File::parse("roseyard.kdl", "admission { resrve 0.25 }").unwrap_err();
+//! let errors = OperatorFile::parse("roseyard.kdl", "admission { resrve 0.25 }").unwrap_err();
 //! assert_eq!(
 //!     errors.lines()[0],
 //!     "roseyard.kdl:1:13: 'admission' has no setting 'resrve'; did you mean 'reserve'?"
@@ -34,8 +34,8 @@
 mod value_reader;
 mod value_syntax;
 
-pub use error::{ConfigError, ConfigErrors, FileError, Position};
-pub use file::File;
+pub use error::{ConfigError, ConfigErrors, OperatorFileError, Position};
+pub use file::OperatorFile;
 pub use services::Services;
 pub use setting_row::SettingRow;
 pub use settings::{
--- a/crates/operator-config/src/schema/descriptors.rs
+++ b/crates/operator-config/src/schema/descriptors.rs
@@ -25,7 +25,7 @@
         section: "descriptors",
         name: "total",
         kind: ValueKind::Count(48, 1 << 20),
-        about: "descriptors of the process; never more than the platform and the system allow",
+        description: "descriptors of the process; never more than the platform and the system allow",
         apply: |settings, value| {
             *settings = OperatorSettings::new(&MachineLimits {
                 platform_descriptors: value.count(),
@@ -38,7 +38,7 @@
         section: "descriptors",
         name: "clients",
         kind: ValueKind::Limits(1 << 20),
-        about: "connections of clients: always there, and at most",
+        description: "connections of clients: always there, and at most",
         apply: |settings, value| {
             set_limits(settings, DescriptorUse::Clients, value);
             let max_clients = settings.descriptor_limits_of(DescriptorUse::Clients).max;
@@ -50,7 +50,7 @@
         section: "descriptors",
         name: "links",
         kind: ValueKind::Limits(1 << 20),
-        about: "connections to servers: always there, and at most, borrowed while clients leave them unused",
+        description: "connections to servers: always there, and at most, borrowed while clients leave them unused",
         apply: |settings, value| set_limits(settings, DescriptorUse::Upstream, value),
         format: |settings| limits(settings.descriptor_limits_of(DescriptorUse::Upstream)),
     },
@@ -58,7 +58,7 @@
         section: "descriptors",
         name: "counter",
         kind: ValueKind::Count(1, 32),
-        about: "connections to the counter",
+        description: "connections to the counter",
         apply: |settings, value| {
             let limits = DescriptorLimits::exactly(value.count());
             settings.descriptor_limits[DescriptorUse::Counter as usize] = limits;
--- a/crates/operator-config/src/schema/log.rs
+++ b/crates/operator-config/src/schema/log.rs
@@ -9,7 +9,8 @@
         section: "log",
         name: "lines",
         kind: ValueKind::Count(1, 100_000),
-        about: "log lines a second; further ones are counted (takes effect at the next start)",
+        description:
+            "log lines a second; further ones are counted (takes effect at the next start)",
         apply: |settings, value| settings.max_log_lines_per_second = value.count() as u32,
         format: |settings| settings.max_log_lines_per_second.to_string(),
     },
@@ -17,7 +18,7 @@
         section: "log",
         name: "format",
         kind: ValueKind::OneOf(&["text", "json"]),
-        about: "the form of log lines; --log goes before it (takes effect at the next start)",
+        description: "the form of log lines; --log goes before it (takes effect at the next start)",
         apply: |settings, value| {
             settings.log_format = if value.text() == "json" {
                 LogFormat::Json
--- a/crates/operator-config/src/schema/setting.rs
+++ b/crates/operator-config/src/schema/setting.rs
@@ -10,7 +10,7 @@
     pub name: &'static str,
     pub kind: ValueKind,
     /// What it is for, as `explain` prints it.
-    pub about: &'static str,
+    pub description: &'static str,
     /// Changes the settings in force to a value.
     pub apply: fn(&mut OperatorSettings, &Value),
     /// Its value in force, as the file would have it.
--- a/crates/operator-config/src/services/section.rs
+++ b/crates/operator-config/src/services/section.rs
@@ -60,16 +60,18 @@
             .and_then(|id| directory.name(id));
         let services = directory.service_count();
         let selectors = directory.selector_count();
-        let row = |name: &'static str, value: String, about: &'static str, allowed: String| {
-            let first_line = self.first_lines.get(name);
-            SettingRow {
-                name: format!("{SECTION}.{name}"),
-                value,
-                source: first_line.map_or_else(|| "default".to_owned(), |span| source_of(*span)),
-                about,
-                allowed,
-            }
-        };
+        let row =
+            |name: &'static str, value: String, description: &'static str, allowed: String| {
+                let first_line = self.first_lines.get(name);
+                SettingRow {
+                    name: format!("{SECTION}.{name}"),
+                    value,
+                    source: first_line
+                        .map_or_else(|| "default".to_owned(), |span| source_of(*span)),
+                    description,
+                    allowed,
+                }
+            };
         vec![
             row(
                 ROUTE_FIELD,
--- a/crates/operator-config/src/setting_row.rs
+++ b/crates/operator-config/src/setting_row.rs
@@ -10,7 +10,7 @@
     /// The file and line that set it; `default` or `follows from others` if none does.
     pub source: String,
     /// What it is for.
-    pub about: &'static str,
+    pub description: &'static str,
     /// The values that are allowed.
     pub allowed: String,
 }
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -45,7 +45,7 @@
     /// The file of the key that seals datagrams.
     pub key_file: Option<PathBuf>,
     /// The file of a second key that opens datagrams, for the rotation of keys.
-    pub other_key_file: Option<PathBuf>,
+    pub secondary_key_file: Option<PathBuf>,
     /// Members that this one joins through.
     pub seeds: Vec<SocketAddr>,
     /// Addresses at which members are reached from here, by their names, where these differ from
@@ -57,7 +57,7 @@
     /// This ingress's zone; empty, the default, for none.
     pub zone: String,
     /// Time between two probes; 1 s by default.
-    pub probe_period: Duration,
+    pub probe_interval: Duration,
     /// Time that a direct probe waits for its answer before others probe too; at most half of the
     /// period, 300 ms by default.
     pub probe_timeout: Duration,
@@ -67,7 +67,7 @@
     pub sync_interval: Duration,
     /// Shortest suspicion, in probe periods; 4 by default. It grows with the logarithm of the
     /// number of members.
-    pub suspicion_periods: u32,
+    pub suspicion_multiplier: u32,
     /// Datagrams sent a second at most; further ones are dropped and counted. 2,000 by default.
     pub max_datagrams_per_second: u32,
     /// The file that `roseyard-ingress status` reads; none by default.
@@ -80,16 +80,16 @@
             listen: None,
             cluster: "roseyard".into(),
             key_file: None,
-            other_key_file: None,
+            secondary_key_file: None,
             seeds: Vec::new(),
             address_overrides: Vec::new(),
             expected_members: 1,
             zone: String::new(),
-            probe_period: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(300),
             gossip_interval: Duration::from_millis(200),
             sync_interval: Duration::from_secs(5),
-            suspicion_periods: 4,
+            suspicion_multiplier: 4,
             max_datagrams_per_second: 2000,
             status_file: None,
         }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -2,7 +2,7 @@
 
 use roseyard_admission::{DescriptorUse, Rate};
 use roseyard_operator_config::log::LogFormat;
-use roseyard_operator_config::{File, FileError, MachineLimits, Position};
+use roseyard_operator_config::{MachineLimits, OperatorFile, OperatorFileError, Position};
 use std::time::Duration;
 
 const MACHINE: MachineLimits = MachineLimits {
@@ -17,7 +17,7 @@
         admission {\n  places 300; reserve 0.1\n  by-address #true\n  per-client 12\n  rate-client 2.5 burst=10\n\
         prefixes v4=16\n  listed \"10.0.0.0/8\" \"::1\"\n  silent \"1s 500ms\"\n}\n\
         standing { file \"/var/lib/roseyard/standing\"; every \"5s\" }\nlog { format \"json\" }\n";
-    let file = File::parse("roseyard.kdl", text).unwrap();
+    let file = OperatorFile::parse("roseyard.kdl", text).unwrap();
     let in_force = file.resolve(&MACHINE).unwrap();
     assert_eq!(
         (
@@ -67,7 +67,7 @@
     );
     assert_eq!(row("admission.idle").source, "default");
     assert_eq!(row("admission.once-room").source, "follows from others");
-    let none = File::none().setting_rows(&MACHINE).unwrap();
+    let none = OperatorFile::empty().setting_rows(&MACHINE).unwrap();
     assert!(none.iter().all(|r| r.source == "default") && none.len() == rows.len());
 }
 
@@ -125,14 +125,14 @@
 #[test]
 fn each_error_has_its_place_and_what_is_allowed() {
     for (text, expected) in ERRORS {
-        let found = File::parse("f", text).unwrap_err().lines();
+        let found = OperatorFile::parse("f", text).unwrap_err().lines();
         assert!(found[0].contains(expected), "{text}: {found:?}");
     }
 }
 
 #[test]
 fn all_errors_are_found_at_once_and_reported_with_their_lines() {
-    let errors = File::parse(
+    let errors = OperatorFile::parse(
         "f",
         "// ü\nadmission { plcaes 3; reserve 2 }\nlgo { }\nlog { lines 0 }",
     )
@@ -154,7 +154,7 @@
 
 #[test]
 fn guaranteed_descriptors_beyond_the_machine_are_an_error() {
-    let file = File::parse(
+    let file = OperatorFile::parse(
         "f",
         "descriptors { clients least=900 most=900; links least=400 }",
     )
@@ -171,7 +171,7 @@
         })
         .unwrap();
     assert_eq!(small.policy.capacity, 900);
-    let low = File::none()
+    let low = OperatorFile::empty()
         .resolve(&MachineLimits {
             platform_descriptors: 1024,
             system_descriptors: 64,
@@ -187,13 +187,19 @@
     let path = directory.join("roseyard.kdl");
     let shown = path.display().to_string();
 
-    let missing = File::load(&path).unwrap_err();
-    assert!(matches!(missing, FileError::Io { .. }), "{missing:?}");
+    let missing = OperatorFile::load(&path).unwrap_err();
+    assert!(
+        matches!(missing, OperatorFileError::Io { .. }),
+        "{missing:?}"
+    );
     assert!(missing.to_string().starts_with(&format!("{shown}: ")));
 
     std::fs::write(&path, "admission { places 0 }\nlog { lines 0 }").unwrap();
-    let invalid = File::load(&path).unwrap_err();
-    assert!(matches!(invalid, FileError::Invalid(_)), "{invalid:?}");
+    let invalid = OperatorFile::load(&path).unwrap_err();
+    assert!(
+        matches!(invalid, OperatorFileError::Invalid(_)),
+        "{invalid:?}"
+    );
     assert_eq!(
         invalid.to_string(),
         format!(
@@ -203,12 +209,18 @@
     );
 
     std::fs::write(&path, vec![b'\n'; (4 << 20) + 1]).unwrap();
-    let long = File::load(&path).unwrap_err();
-    assert!(matches!(long, FileError::TooLong { .. }), "{long:?}");
+    let long = OperatorFile::load(&path).unwrap_err();
+    assert!(
+        matches!(long, OperatorFileError::TooLarge { .. }),
+        "{long:?}"
+    );
     assert_eq!(long.to_string(), format!("{shown}: longer than 4 MiB"));
 
     std::fs::write(&path, "admission { places 7 }").unwrap();
-    let loaded = File::load(&path).unwrap().resolve(&MACHINE).unwrap();
+    let loaded = OperatorFile::load(&path)
+        .unwrap()
+        .resolve(&MACHINE)
+        .unwrap();
     assert_eq!(loaded.policy.capacity, 7);
     std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/crates/operator-config/tests/services.rs
+++ b/crates/operator-config/tests/services.rs
@@ -1,6 +1,6 @@
 //! The section `services` of the operator's file: what is read, and the errors with their places.
 
-use roseyard_operator_config::{File, MachineLimits};
+use roseyard_operator_config::{MachineLimits, OperatorFile};
 use roseyard_request_engine::SINGLE_SERVICE;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -25,12 +25,12 @@
 ";
 
 fn lines(text: &str) -> Vec<String> {
-    File::parse("f", text).unwrap_err().lines()
+    OperatorFile::parse("f", text).unwrap_err().lines()
 }
 
 #[test]
 fn services_routes_and_endpoints_are_read() {
-    let file = File::parse("f", TEXT).unwrap();
+    let file = OperatorFile::parse("f", TEXT).unwrap();
     let services = file.services();
     let directory = services.directory();
     assert_eq!(services.route_field(), Some("route"));
@@ -76,8 +76,8 @@
 #[test]
 fn without_the_section_one_service_holds_everything() {
     for file in [
-        File::none(),
-        File::parse("f", "admission { places 3 }").unwrap(),
+        OperatorFile::empty(),
+        OperatorFile::parse("f", "admission { places 3 }").unwrap(),
     ] {
         assert!(file.services().directory().is_single_service());
         assert_eq!(
@@ -90,7 +90,7 @@
 
 #[test]
 fn the_summary_is_one_line_of_counts() {
-    let summary = |text| File::parse("f", text).unwrap().services().to_string();
+    let summary = |s| OperatorFile::parse("f", s).unwrap().services().to_string();
     assert_eq!(
         summary(TEXT),
         "services: 2 services, 2 routes, 5 networks, addresses or uids of servers"
@@ -103,7 +103,7 @@
 
 #[test]
 fn setting_rows_count_lines_that_repeat() {
-    let rows = File::parse("f", TEXT)
+    let rows = OperatorFile::parse("f", TEXT)
         .unwrap()
         .setting_rows(&MACHINE)
         .unwrap();
@@ -282,7 +282,7 @@
 #[test]
 fn the_default_service_needs_no_servers_of_its_own() {
     let text = "services { default \"rest\"; service \"rest\" }";
-    let file = File::parse("f", text).unwrap();
+    let file = OperatorFile::parse("f", text).unwrap();
     let directory = file.services().directory();
     let endpoint = directory.service_of_endpoint("s-1", "10.0.0.1:80".parse().unwrap());
     assert_eq!((endpoint, endpoint.is_some()), (directory.id("rest"), true));
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_file_of_3200_services_and_11000_routes_is_read() {
-    let file = File::parse("f", &large(3200, 11_000, |n| n * 7919 % 3200)).unwrap();
+    let file = OperatorFile::parse("f", &large(3200, 11_000, |n| n * 7919 % 3200)).unwrap();
     let directory = file.services().directory();
     assert_eq!(
         (directory.service_count(), directory.route_count()),
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -5,7 +5,7 @@
 use super::run_options::RunOptions;
 use super::targets;
 use kdl::KdlDocument;
-use roseyard_operator_config::File;
+use roseyard_operator_config::OperatorFile;
 
 /// Longest file in bytes; the program rejects a longer one.
 const MAX_FILE_BYTES: usize = 1 << 20;
@@ -46,7 +46,7 @@
     figures.parse.push(size, &parses_ms);
     let known = file_of_addresses(size);
     let checks_ms = samples(run, || {
-        File::parse("scale.kdl", &known).map_err(|error| error.lines())
+        OperatorFile::parse("scale.kdl", &known).map_err(|error| error.lines())
     });
     figures.check.push(size, &checks_ms);
 }
