--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 const MIN_MEMORY_MB: usize = 32;
-const MEMORY_PER_HELD_REQUESTS: usize = 4;
+const MEMORY_TO_REQUEST_BYTES_RATIO: usize = 4;
 const DEFAULT_MAX_REQUESTS: usize = 20_000;
 
 /// Limits by their users.
@@ -70,7 +70,7 @@
             driver: DriverLimits {
                 engine: EngineLimits {
                     requests: settings.max_open_requests().unwrap_or(DEFAULT_MAX_REQUESTS),
-                    bytes: memory_bytes / MEMORY_PER_HELD_REQUESTS,
+                    bytes: memory_bytes / MEMORY_TO_REQUEST_BYTES_RATIO,
                 },
                 upstream: UpstreamLimits::new(settings, protocol),
                 counter: CounterLimits::new(operator, connect_timeout(settings), protocol),
--- a/crates/ingress/src/program/cli.rs
+++ b/crates/ingress/src/program/cli.rs
@@ -114,7 +114,7 @@
         let configured = || Config::read().ok().map(|config| config.limits.sockets);
         MachineLimits {
             platform_descriptors: self.sockets.or_else(configured).unwrap_or(DEFAULT_SOCKETS),
-            system_descriptors: crate::transport::allowed(),
+            system_descriptors: crate::transport::max_descriptors(),
         }
     }
 }
--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -105,7 +105,7 @@
     /// What the process may use.
     pub limits: ResourceLimits,
     /// The endpoint list that this ingress held last; always a full one.
-    pub known: EndpointListMessage,
+    pub initial_endpoints: EndpointListMessage,
     /// The platform's settings.
     pub settings: PlatformSettings,
 }
@@ -142,8 +142,8 @@
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, InvalidConfiguration> {
         let raw: RawConfig = roseyard_platform_config::decode(&mut text)?;
-        let mut known = raw.known;
-        known.is_full = true;
+        let mut initial_endpoints = raw.known;
+        initial_endpoints.is_full = true;
         let listen = variable(LISTEN_VARIABLE).unwrap_or(raw.listen);
         let discovery = variable(DISCOVERY_VARIABLE).unwrap_or(raw.discovery);
         Ok(Config {
@@ -156,7 +156,7 @@
                 .transpose()?,
             seed: seed(raw.seed)?,
             limits: raw.limits,
-            known,
+            initial_endpoints,
             settings: raw.settings,
         })
     }
--- a/crates/ingress/src/program/event_loop.rs
+++ b/crates/ingress/src/program/event_loop.rs
@@ -21,7 +21,7 @@
         let token = EventSource::Signal.token();
         self.io
             .poller
-            .add_level(signals.pipe(), token)
+            .add_level_triggered(signals.pipe(), token)
             .map_err(ProgramError::SignalRegistration)?;
         self.signals = Some(signals);
         Ok(())
@@ -29,7 +29,7 @@
 
     /// Runs one round; waits for up to `wait` (none: until something happens) and reads `now` after
     /// that. False once the shutdown is complete.
-    pub fn round(
+    pub fn run_iteration(
         &mut self,
         wait: Option<Duration>,
         now: impl FnOnce() -> Duration,
@@ -48,8 +48,8 @@
         self.read_events(&mut events);
         self.ready_events = events;
         // Replies that have arrived count before the timeouts that they beat.
-        while let Some(source) = self.io.deadlines.pop(self.io.now) {
-            self.on_due(source);
+        while let Some(source) = self.io.deadlines.pop_expired(self.io.now) {
+            self.on_deadline(source);
         }
         self.serve_once_synced();
         self.decide_and_write();
@@ -99,13 +99,13 @@
 
     /// Becomes ready once discovery has answered, or the time for that is over.
     fn serve_once_synced(&mut self) {
-        if self.frontend.is_ready() || !(self.driver.is_synced() || self.ready_due.is_none()) {
+        if self.frontend.is_ready() || !(self.driver.is_synced() || self.ready_deadline.is_none()) {
             return;
         }
         self.frontend.set_ready();
         self.io
             .deadlines
-            .set(&mut self.ready_due, None, EventSource::ReadyTimeout);
+            .set(&mut self.ready_deadline, None, EventSource::ReadyTimeout);
         tracing::info!(event = "ready", "ready");
         if let Some(membership) = &mut self.membership {
             membership.on_serving(&mut self.io);
@@ -126,45 +126,45 @@
         }
     }
 
-    fn on_due(&mut self, source: EventSource) {
+    fn on_deadline(&mut self, source: EventSource) {
         let driver = &mut self.driver;
         let io = &mut self.io;
         match source {
-            EventSource::Engine => driver.on_engine_due(),
-            EventSource::Client(key) => self.frontend.on_client_due(key, driver, io),
-            EventSource::Upstream(key) => driver.on_upstream_due(key, io),
-            EventSource::Counter(n, _) => driver.on_counter_due(n, io),
-            EventSource::Discovery(_) => driver.on_discovery_due(io),
+            EventSource::Engine => driver.on_engine_deadline(),
+            EventSource::Client(key) => self.frontend.on_client_deadline(key, driver, io),
+            EventSource::Upstream(key) => driver.on_upstream_deadline(key, io),
+            EventSource::Counter(n, _) => driver.on_counter_deadline(n, io),
+            EventSource::Discovery(_) => driver.on_discovery_deadline(io),
             EventSource::Listener => {
-                self.frontend.on_listener_due(io);
+                self.frontend.on_listener_deadline(io);
                 self.accept_pending = true;
             }
-            EventSource::AdmissionSummary => self.frontend.on_summary_due(),
+            EventSource::AdmissionSummary => self.frontend.on_summary_deadline(),
             EventSource::RejectionSummary => driver.log_rejections(),
-            EventSource::Snapshot => self.on_snapshot_due(),
-            EventSource::Membership => self.membership.iter_mut().for_each(|m| m.on_due(io)),
-            EventSource::Status => self.on_status_due(),
-            EventSource::ReadyTimeout => self.ready_due = None,
-            EventSource::Shutdown => self.on_shutdown_due(),
+            EventSource::Snapshot => self.on_snapshot_deadline(),
+            EventSource::Membership => self.membership.iter_mut().for_each(|m| m.on_deadline(io)),
+            EventSource::Status => self.on_status_deadline(),
+            EventSource::ReadyTimeout => self.ready_deadline = None,
+            EventSource::Shutdown => self.on_shutdown_deadline(),
             EventSource::Signal => {}
         }
     }
 
-    fn on_snapshot_due(&mut self) {
-        self.snapshot_due = None;
+    fn on_snapshot_deadline(&mut self) {
+        self.snapshot_deadline = None;
         self.snapshots.write(self.frontend.admission(), self.io.now);
         self.snapshots
-            .schedule(&mut self.snapshot_due, &mut self.io);
+            .schedule(&mut self.snapshot_deadline, &mut self.io);
     }
 
-    fn on_status_due(&mut self) {
-        self.status_due = None;
+    fn on_status_deadline(&mut self) {
+        self.status_deadline = None;
         if let (Some(status_file), Some(membership)) = (&mut self.status_file, &self.membership) {
             status_file.write(membership, self.io.now);
             let at = self.io.now + STATUS_INTERVAL;
             self.io
                 .deadlines
-                .set(&mut self.status_due, Some(at), EventSource::Status);
+                .set(&mut self.status_deadline, Some(at), EventSource::Status);
         }
     }
 
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -47,18 +47,18 @@
     shutdown_limits: ShutdownLimits,
     shutdown: ShutdownPhase,
     /// When the next phase of the shutdown is due.
-    shutdown_due: Option<Duration>,
+    shutdown_deadline: Option<Duration>,
     /// When requests are served even if discovery has said nothing.
-    ready_due: Option<Duration>,
+    ready_deadline: Option<Duration>,
     /// The machine's limits at the start, which hold until the process ends.
     machine: MachineLimits,
     snapshots: SnapshotStore,
-    snapshot_due: Option<Duration>,
+    snapshot_deadline: Option<Duration>,
     /// The other ingresses, where membership is on.
     membership: Option<MembershipDriver>,
     /// The file that shows how they are seen, where the operator wants one.
     status_file: Option<StatusFile>,
-    status_due: Option<Duration>,
+    status_deadline: Option<Duration>,
     /// How the program was started; its file is read again on SIGHUP.
     run_options: Option<RunOptions>,
     /// Connections wait at the listener.
@@ -91,9 +91,9 @@
     options.start_log(&settings);
     let mut program = Program::start(&config, &file, clock)?;
     program.handle_signals(signals, options.clone())?;
-    while program.round(program.time_to_wait(clock.now()), || clock.now())? {}
+    while program.run_iteration(program.wait_timeout(clock.now()), || clock.now())? {}
     let open_requests = program.open().requests;
-    program.end();
+    program.finalize();
     tracing::info!(
         event = "shutdown.completed",
         open_requests,
@@ -114,13 +114,13 @@
     }
 
     /// The earliest deadline.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         self.io.deadlines.next()
     }
 
     /// How long the event loop may wait at this time; none: until something happens.
-    fn time_to_wait(&self, now: Duration) -> Option<Duration> {
-        self.next_due().map(|due| due.saturating_sub(now))
+    fn wait_timeout(&self, now: Duration) -> Option<Duration> {
+        self.next_deadline().map(|due| due.saturating_sub(now))
     }
 
     /// What is open now.
@@ -139,7 +139,7 @@
 
     /// Logs what was rejected last, and writes the snapshot of clients for the next start. Call once,
     /// after the last round.
-    pub fn end(&mut self) {
+    pub fn finalize(&mut self) {
         self.driver.log_rejections();
         self.snapshots
             .finish(self.frontend.admission(), self.io.now);
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -73,7 +73,7 @@
         }
         self.frontend.set_policy(operator.policy, io);
         self.snapshots.set(operator.reputation_snapshot);
-        self.snapshots.schedule(&mut self.snapshot_due, io);
+        self.snapshots.schedule(&mut self.snapshot_deadline, io);
         if let Some(membership) = &mut self.membership {
             membership.reload(&operator.membership);
         }
--- a/crates/ingress/src/program/shutdown.rs
+++ b/crates/ingress/src/program/shutdown.rs
@@ -52,8 +52,8 @@
     }
 
     /// The present phase's time is over.
-    pub(super) fn on_shutdown_due(&mut self) {
-        self.shutdown_due = None;
+    pub(super) fn on_shutdown_deadline(&mut self) {
+        self.shutdown_deadline = None;
         match self.shutdown {
             ShutdownPhase::Accepting => self.start_draining(),
             ShutdownPhase::Draining => self.answer_open_requests(),
@@ -103,6 +103,6 @@
         let at = self.io.now + after;
         self.io
             .deadlines
-            .set(&mut self.shutdown_due, Some(at), EventSource::Shutdown);
+            .set(&mut self.shutdown_deadline, Some(at), EventSource::Shutdown);
     }
 }
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -9,7 +9,7 @@
 use crate::limits::Limits;
 use crate::routing::membership::MembershipDriver;
 use crate::routing::{Driver, DriverConfig, EventSource, Frontend, Io, RequestSchema};
-use crate::transport::{allowed, listen, spare, Deadlines, Poller};
+use crate::transport::{listen, max_descriptors, open_spare_descriptor, Deadlines, Poller};
 use roseyard_admission::DescriptorBudget;
 use roseyard_decision::Settings;
 use roseyard_operator_config::{MachineLimits, OperatorFile, OperatorSettings};
@@ -22,7 +22,7 @@
 pub(super) fn machine_limits(config: &Config) -> MachineLimits {
     MachineLimits {
         platform_descriptors: config.limits.sockets,
-        system_descriptors: allowed(),
+        system_descriptors: max_descriptors(),
     }
 }
 
@@ -39,7 +39,7 @@
             .map_err(ProgramError::OperatorSettings)?;
         let limits = Limits::new(&operator, config.limits.memory_mb, &config.settings);
         let mut io = open_io(&operator, &limits, clock)?;
-        let listener = take_address(&config.listen, &limits)?;
+        let listener = listen_with_retry(&config.listen, &limits)?;
         let settings = config.settings.decision_settings()?;
         let mut frontend = open_frontend(
             listener, &settings, config, file, &operator, &limits, &mut io,
@@ -54,10 +54,10 @@
             tracing::info!(event = "listening", name, %address, "listening");
         }
         let driver = open_driver(config, settings, file, &limits, clock, &mut io)?;
-        let latest_ready = io.now + limits.event_loop.ready_timeout;
-        let ready_due = schedule(&mut io, latest_ready, EventSource::ReadyTimeout);
-        let mut snapshot_due = None;
-        snapshots.schedule(&mut snapshot_due, &mut io);
+        let ready_at = io.now + limits.event_loop.ready_timeout;
+        let ready_deadline = schedule(&mut io, ready_at, EventSource::ReadyTimeout);
+        let mut snapshot_deadline = None;
+        snapshots.schedule(&mut snapshot_deadline, &mut io);
         let membership = &operator.membership;
         let membership_driver = MembershipDriver::start(
             membership,
@@ -71,8 +71,8 @@
             .filter(|_| membership_driver.is_some())
             .map(StatusFile::new);
         let now = io.now;
-        let first_status = status_file.as_ref();
-        let status_due = first_status.and_then(|_| schedule(&mut io, now, EventSource::Status));
+        let writer = status_file.as_ref();
+        let status_deadline = writer.and_then(|_| schedule(&mut io, now, EventSource::Status));
         Ok(Program {
             io,
             driver,
@@ -80,14 +80,14 @@
             signals: None,
             shutdown_limits: limits.shutdown,
             shutdown: ShutdownPhase::Serving,
-            shutdown_due: None,
-            ready_due,
+            shutdown_deadline: None,
+            ready_deadline,
             machine,
             snapshots,
-            snapshot_due,
+            snapshot_deadline,
             membership: membership_driver,
             status_file,
-            status_due,
+            status_deadline,
             run_options: None,
             accept_pending: false,
             ready_events: Vec::new(),
@@ -102,7 +102,7 @@
 /// Keeps the hash secret of client tables apart from the decisions' random numbers, which clients
 /// can see the effects of.
 const HASH_SECRET_MASK: u64 = 0x61c8_8646_80b5_83eb;
-const HASH_SECRET_ROTATION: u32 = 23;
+const HASH_SECRET_ROTATION_BITS: u32 = 23;
 
 fn open_io(operator: &OperatorSettings, limits: &Limits, clock: Clock) -> Result<Io, ProgramError> {
     let poller =
@@ -114,7 +114,7 @@
         deadlines: Deadlines::default(),
         now: clock.now(),
         descriptor_budget,
-        spare_descriptor: spare(),
+        spare_descriptor: open_spare_descriptor(),
     })
 }
 
@@ -137,7 +137,7 @@
     let route_field = file.services().route_field();
     let max_units = limits.frontend.max_units;
     let schema = RequestSchema::new(&config.settings, settings, max_units, route_field);
-    let secret = config.seed.rotate_left(HASH_SECRET_ROTATION) ^ HASH_SECRET_MASK;
+    let secret = config.seed.rotate_left(HASH_SECRET_ROTATION_BITS) ^ HASH_SECRET_MASK;
     let policy = operator.policy.clone();
     Frontend::new(listener, schema, policy, secret, limits.frontend, io)
         .map_err(ProgramError::ListenerRegistration)
@@ -161,12 +161,12 @@
         counter: config.counter,
         limits: limits.driver,
     };
-    Driver::new(driver_config, &config.known, io).map_err(ProgramError::Settings)
+    Driver::new(driver_config, &config.initial_endpoints, io).map_err(ProgramError::Settings)
 }
 
 /// Listens on the address. While another process holds it, retries for a while: a predecessor that
 /// is shutting down may not have closed its listener yet.
-fn take_address(address: &SocketAddr, limits: &Limits) -> Result<OwnedFd, ProgramError> {
+fn listen_with_retry(address: &SocketAddr, limits: &Limits) -> Result<OwnedFd, ProgramError> {
     let since = Instant::now();
     let mut logged = false;
     loop {
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -3,15 +3,15 @@
 //! The platform's field names (`c`, `t`, `d`, `units`, `spread`, `first`, `k`, `r`) are mapped
 //! here, and nowhere else.
 
-use super::resp::{decimal, put_array, put_bulk, put_bulk_of};
+use super::resp::{decimal, put_array, put_bulk, put_bulk_parts};
 use roseyard_request_engine::MAX_NAME_BYTES;
 
 /// Customers have numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
+const MAX_CUSTOMERS: u64 = 1 << 33;
 /// Most words of a request.
-const MAX_WORDS: usize = 5;
+const MAX_ARGUMENTS: usize = 5;
 /// The word that holds the list of names and values.
-const LIST_WORD: usize = 3;
+const FIELD_LIST_INDEX: usize = 3;
 
 /// A request as a client sends it; every required field is there and readable.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,7 +39,7 @@
     /// Its route, where the operator names a field for it.
     pub route: Option<&'a str>,
     /// Where the value of `d` stands in the list, to be replaced for the endpoint.
-    wait_span: Span,
+    wait_value_span: Span,
 }
 
 /// What is wrong with a command whose framing is intact. The text goes to the client.
@@ -48,26 +48,26 @@
 pub struct InvalidCommand(pub &'static str);
 
 /// Is this word the name of a request's command?
-pub fn is_request(word: &[u8]) -> bool {
-    is_read(word) || word.eq_ignore_ascii_case(b"API.WRITE")
+pub fn is_request_command(argument: &[u8]) -> bool {
+    is_read_command(argument) || argument.eq_ignore_ascii_case(b"API.WRITE")
 }
 
 /// Is it the one for classes that are idempotent?
-pub fn is_read(word: &[u8]) -> bool {
-    word.eq_ignore_ascii_case(b"API.READ")
+pub fn is_read_command(argument: &[u8]) -> bool {
+    argument.eq_ignore_ascii_case(b"API.READ")
 }
 
 /// 16 hex digits. The standard parser alone would take a sign or fewer digits too.
-fn hex(word: &[u8]) -> Option<u64> {
-    if word.len() != 16 || !word.iter().all(u8::is_ascii_hexdigit) {
+fn parse_hex(argument: &[u8]) -> Option<u64> {
+    if argument.len() != 16 || !argument.iter().all(u8::is_ascii_hexdigit) {
         return None;
     }
-    u64::from_str_radix(std::str::from_utf8(word).ok()?, 16).ok()
+    u64::from_str_radix(std::str::from_utf8(argument).ok()?, 16).ok()
 }
 
 /// A plain decimal number. The standard parser alone would take signs, exponents, `nan` and `inf`
 /// too, which must not reach a customer's count.
-fn decimal_number(text: &str) -> Option<f64> {
+fn parse_decimal(text: &str) -> Option<f64> {
     let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |t: &str| (1..=12).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| digits(whole) && digits(part))
@@ -87,7 +87,7 @@
 }
 
 /// A plain decimal number without a sign.
-fn whole_number(text: &str) -> Option<u32> {
+fn parse_unsigned(text: &str) -> Option<u32> {
     let number = text.parse().ok();
     number.filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()))
 }
@@ -105,7 +105,7 @@
     class: Option<&'a str>,
     plan: Option<&'a str>,
     wait_ms: Option<f64>,
-    wait_span: Option<Span>,
+    wait_value_span: Option<Span>,
     units: Option<f64>,
     ingress_count: Option<u32>,
     first_ingress: Option<u32>,
@@ -116,7 +116,7 @@
 
 impl<'a> Fields<'a> {
     /// Reads `name=value` items; unknown names are skipped.
-    fn read(list: &'a str, route_field: Option<&str>) -> Result<Fields<'a>, InvalidCommand> {
+    fn from_list(list: &'a str, route_field: Option<&str>) -> Result<Fields<'a>, InvalidCommand> {
         let mut fields = Fields::default();
         let mut start = 0;
         for item in list.split(',') {
@@ -144,26 +144,26 @@
             "c" => set_once(&mut self.class, Some(value), "invalid c"),
             "t" => set_once(&mut self.plan, Some(value), "invalid t"),
             "d" => {
-                self.wait_span = Some(span);
-                set_once(&mut self.wait_ms, decimal_number(value), "invalid d")
+                self.wait_value_span = Some(span);
+                set_once(&mut self.wait_ms, parse_decimal(value), "invalid d")
             }
-            "units" => set_once(&mut self.units, decimal_number(value), "invalid units"),
+            "units" => set_once(&mut self.units, parse_decimal(value), "invalid units"),
             "spread" => {
-                let count = whole_number(value);
+                let count = parse_unsigned(value);
                 set_once(&mut self.ingress_count, count, "invalid spread")
             }
             "first" => set_once(
                 &mut self.first_ingress,
-                whole_number(value),
+                parse_unsigned(value),
                 "invalid first",
             ),
             "k" => set_once(
                 &mut self.idempotency_key,
-                hex(value.as_bytes()),
+                parse_hex(value.as_bytes()),
                 "invalid k",
             ),
             "r" => {
-                let flag = whole_number(value).filter(|flag| *flag <= 1);
+                let flag = parse_unsigned(value).filter(|flag| *flag <= 1);
                 set_once(&mut self.retry, flag, "invalid r")
             }
             _ => Ok(()),
@@ -173,26 +173,26 @@
 
 /// Reads a request's words; `route_field` is the name whose value is the request's route, as it
 /// stands.
-pub fn request<'a>(
-    words: &[&'a [u8]],
+pub fn decode_request<'a>(
+    arguments: &[&'a [u8]],
     route_field: Option<&str>,
 ) -> Result<Request<'a>, InvalidCommand> {
-    let (4 | 5, [_, customer, id, list, ..]) = (words.len(), words) else {
+    let (4 | 5, [_, customer, id, list, ..]) = (arguments.len(), arguments) else {
         return Err(InvalidCommand("wrong number of arguments"));
     };
-    let customer = hex(customer)
-        .filter(|customer| *customer < CUSTOMERS)
+    let customer = parse_hex(customer)
+        .filter(|customer| *customer < MAX_CUSTOMERS)
         .ok_or(InvalidCommand("invalid customer"))?;
-    let id = hex(id).ok_or(InvalidCommand("invalid request id"))?;
+    let id = parse_hex(id).ok_or(InvalidCommand("invalid request id"))?;
     let list = std::str::from_utf8(list)
         .map_err(|_| InvalidCommand("invalid list of names and values"))?;
-    let fields = Fields::read(list, route_field)?;
+    let fields = Fields::from_list(list, route_field)?;
     let missing = InvalidCommand;
     Ok(Request {
         customer,
         id,
         wait_ms: fields.wait_ms.ok_or(missing("d is missing"))?,
-        wait_span: fields.wait_span.ok_or(missing("d is missing"))?,
+        wait_value_span: fields.wait_value_span.ok_or(missing("d is missing"))?,
         class: fields.class.ok_or(missing("c is missing"))?,
         plan: fields.plan.ok_or(missing("t is missing"))?,
         units: fields.units.ok_or(missing("units is missing"))?,
@@ -209,25 +209,25 @@
 pub struct RequestCommand {
     bytes: Box<[u8]>,
     /// Where each word ends.
-    ends: [u32; MAX_WORDS],
-    word_count: usize,
-    wait_span: Span,
+    ends: [u32; MAX_ARGUMENTS],
+    argument_count: usize,
+    wait_value_span: Span,
 }
 
 impl RequestCommand {
     /// Keeps the words of a request that was read.
-    pub fn new(words: &[&[u8]], request: &Request) -> RequestCommand {
-        let mut bytes = Vec::with_capacity(words.iter().map(|word| word.len()).sum());
-        let mut ends = [0; MAX_WORDS];
-        for (word, end) in words.iter().zip(&mut ends) {
-            bytes.extend_from_slice(word);
+    pub fn new(arguments: &[&[u8]], request: &Request) -> RequestCommand {
+        let mut bytes = Vec::with_capacity(arguments.iter().map(|argument| argument.len()).sum());
+        let mut ends = [0; MAX_ARGUMENTS];
+        for (argument, end) in arguments.iter().zip(&mut ends) {
+            bytes.extend_from_slice(argument);
             *end = bytes.len() as u32;
         }
         RequestCommand {
             bytes: bytes.into_boxed_slice(),
             ends,
-            word_count: words.len().min(MAX_WORDS),
-            wait_span: request.wait_span,
+            argument_count: arguments.len().min(MAX_ARGUMENTS),
+            wait_value_span: request.wait_value_span,
         }
     }
 
@@ -244,17 +244,17 @@
     /// Appends the command for an endpoint: unchanged, except that `d` says how long this ingress
     /// waits, in milliseconds.
     pub fn put(&self, wait_ms: u64, out: &mut Vec<u8>) {
-        put_array(out, self.word_count);
+        put_array(out, self.argument_count);
         let mut start = 0;
-        for (position, end) in self.ends[..self.word_count].iter().enumerate() {
-            let word = &self.bytes[start..*end as usize];
+        for (position, end) in self.ends[..self.argument_count].iter().enumerate() {
+            let argument = &self.bytes[start..*end as usize];
             start = *end as usize;
-            if position == LIST_WORD {
-                let before = &word[..self.wait_span.start];
-                let after = &word[self.wait_span.end..];
-                put_bulk_of(out, &[before, decimal(wait_ms, &mut [0; 20]), after]);
+            if position == FIELD_LIST_INDEX {
+                let before = &argument[..self.wait_value_span.start];
+                let after = &argument[self.wait_value_span.end..];
+                put_bulk_parts(out, &[before, decimal(wait_ms, &mut [0; 20]), after]);
             } else {
-                put_bulk(out, word);
+                put_bulk(out, argument);
             }
         }
     }
--- a/crates/ingress/src/protocol/http.rs
+++ b/crates/ingress/src/protocol/http.rs
@@ -5,28 +5,28 @@
 
 /// How a reply's body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum Framing {
     /// This many bytes.
     Length(usize),
     /// In chunks.
     Chunked,
     /// All until the connection ends.
-    UntilEnd,
+    UntilClose,
 }
 
 /// A reply's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct ReplyHead {
     /// Status.
     pub status: u16,
     /// The body's framing.
-    pub body: Body,
+    pub body: Framing,
     /// The peer closes the connection after this reply.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// The head of a reply and its length.
-pub fn reply_head(input: &[u8], limits: &ProtocolLimits) -> Parsed<Head> {
+pub fn parse_reply_head(input: &[u8], limits: &ProtocolLimits) -> Parsed<ReplyHead> {
     let seen = &input[..input.len().min(limits.max_line_bytes)];
     let Some(end) = seen.windows(4).position(|w| w == b"\r\n\r\n") else {
         return match input.len() >= limits.max_line_bytes {
@@ -43,31 +43,31 @@
     let status = status
         .and_then(|s| s.parse().ok())
         .ok_or(Malformed("no status line"))?;
-    let mut found = Head {
+    let mut found = ReplyHead {
         status,
-        body: Body::UntilEnd,
-        closes: first.starts_with("HTTP/1.0"),
+        body: Framing::UntilClose,
+        closes_connection: first.starts_with("HTTP/1.0"),
     };
     // These never have a body, whatever their headers say.
-    let bare = matches!(status, 100..=199 | 204 | 304);
-    if bare {
-        found.body = Body::Length(0);
+    let has_no_body = matches!(status, 100..=199 | 204 | 304);
+    if has_no_body {
+        found.body = Framing::Length(0);
     }
     for line in lines {
         let (name, value) = line
             .split_once(':')
             .ok_or(Malformed("header without a colon"))?;
         let value = value.trim();
-        if name.eq_ignore_ascii_case("content-length") && found.body == Body::UntilEnd {
+        if name.eq_ignore_ascii_case("content-length") && found.body == Framing::UntilClose {
             let length = value.parse().ok().filter(|n| *n <= limits.max_value_bytes);
-            found.body = Body::Length(length.ok_or(Malformed("invalid content-length"))?);
-        } else if name.eq_ignore_ascii_case("transfer-encoding") && !bare {
+            found.body = Framing::Length(length.ok_or(Malformed("invalid content-length"))?);
+        } else if name.eq_ignore_ascii_case("transfer-encoding") && !has_no_body {
             if !value.eq_ignore_ascii_case("chunked") {
                 return Err(Malformed("unknown transfer-encoding"));
             }
-            found.body = Body::Chunked;
+            found.body = Framing::Chunked;
         } else if name.eq_ignore_ascii_case("connection") {
-            found.closes |= value.eq_ignore_ascii_case("close");
+            found.closes_connection |= value.eq_ignore_ascii_case("close");
         }
     }
     Ok(Some((found, end + 4)))
@@ -107,15 +107,15 @@
 /// sending, which alone ends a body without a length; a reset does not.
 pub fn reply<'a>(
     input: &'a [u8],
-    ended: bool,
+    at_eof: bool,
     limits: &ProtocolLimits,
-) -> Parsed<(Head, &'a [u8])> {
-    let Some((found, at)) = reply_head(input, limits)? else {
+) -> Parsed<(ReplyHead, &'a [u8])> {
+    let Some((found, at)) = parse_reply_head(input, limits)? else {
         return Ok(None);
     };
     match found.body {
-        Body::Length(n) => Ok(input.get(at..at + n).map(|body| ((found, body), at + n))),
-        Body::Chunked => {
+        Framing::Length(n) => Ok(input.get(at..at + n).map(|body| ((found, body), at + n))),
+        Framing::Chunked => {
             // The counter's totals are short: a body of one chunk and the last.
             let Some((body, used)) = chunk(&input[at..], limits)? else {
                 return Ok(None);
@@ -132,12 +132,12 @@
                 false => Err(Malformed("a total in several chunks")),
             }
         }
-        Body::UntilEnd => Ok(ended.then(|| ((found, &input[at..]), input.len()))),
+        Framing::UntilClose => Ok(at_eof.then(|| ((found, &input[at..]), input.len()))),
     }
 }
 
 /// Appends a call to the counter.
-pub fn put_increment(out: &mut Vec<u8>, host: &str, name: u64, add: f64, keep_ms: u64) {
+pub fn put_increment_request(out: &mut Vec<u8>, host: &str, name: u64, add: f64, keep_ms: u64) {
     let _ = write!(
         out,
         "POST /tally/{name:016x}?n={add}&keep_ms={keep_ms} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
@@ -145,7 +145,7 @@
 }
 
 /// Appends the call that opens a watch after this version of the list.
-pub fn put_watch(out: &mut Vec<u8>, host: &str, after: u64) {
+pub fn put_watch_request(out: &mut Vec<u8>, host: &str, after: u64) {
     let _ = write!(
         out,
         "GET /discovery/hosts?watch=1&after={after} HTTP/1.1\r\nHost: {host}\r\n\r\n"
--- a/crates/ingress/src/protocol/limits.rs
+++ b/crates/ingress/src/protocol/limits.rs
@@ -2,10 +2,10 @@
 
 const MAX_VALUE_BYTES: usize = 64 << 10;
 const MAX_LINE_BYTES: usize = 8 << 10;
-const MAX_WORDS: usize = 32;
+const MAX_ELEMENTS: usize = 32;
 const MAX_DEPTH: usize = 4;
 /// The endpoint list is held more than once while it is applied, hence a part of the memory.
-const MEMORY_PER_ENDPOINT_LIST: usize = 12;
+const MEMORY_TO_ENDPOINT_LIST_RATIO: usize = 12;
 const MIN_ENDPOINT_LIST_BYTES: usize = 4 << 20;
 
 /// Bounds on one message; what exceeds them is malformed.
@@ -16,7 +16,7 @@
     /// Longest header line, status line or chunk head, in bytes.
     pub max_line_bytes: usize,
     /// Most words of a command and most values of an array.
-    pub max_words: usize,
+    pub max_elements: usize,
     /// Deepest nesting of arrays in a reply.
     pub max_depth: usize,
     /// Longest line of the endpoint list, in bytes.
@@ -30,9 +30,10 @@
         ProtocolLimits {
             max_value_bytes: MAX_VALUE_BYTES,
             max_line_bytes: MAX_LINE_BYTES,
-            max_words: MAX_WORDS,
+            max_elements: MAX_ELEMENTS,
             max_depth: MAX_DEPTH,
-            max_list_bytes: (memory_bytes / MEMORY_PER_ENDPOINT_LIST).max(MIN_ENDPOINT_LIST_BYTES),
+            max_list_bytes: (memory_bytes / MEMORY_TO_ENDPOINT_LIST_RATIO)
+                .max(MIN_ENDPOINT_LIST_BYTES),
         }
     }
 
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -7,7 +7,7 @@
 /// several; an empty line says that nothing has changed.
 #[derive(Default)]
 pub struct ListSplitter {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     /// Braces and brackets that are open.
     depth: usize,
     /// The last byte stands in a string.
@@ -18,18 +18,18 @@
 
 impl ListSplitter {
     /// Bytes of a list whose rest is still to come.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 
     /// Takes bytes; complete lists, empty lines and lines that can be neither go to `found`.
-    pub fn take(&mut self, bytes: &[u8], found: &mut Vec<Vec<u8>>) {
+    pub fn feed(&mut self, bytes: &[u8], found: &mut Vec<Vec<u8>>) {
         for byte in bytes {
             if *byte == b'\n' && self.is_complete() {
-                found.push(std::mem::take(self).held);
+                found.push(std::mem::take(self).buffer);
                 continue;
             }
-            self.held.push(*byte);
+            self.buffer.push(*byte);
             self.track_structure(*byte);
         }
     }
@@ -49,7 +49,7 @@
     /// line, and for one that was cut: no string goes over a line end, and no list has an empty
     /// line.
     fn is_complete(&self) -> bool {
-        let line = self.held.rsplit(|byte| *byte == b'\n').next();
+        let line = self.buffer.rsplit(|byte| *byte == b'\n').next();
         let is_empty = line.unwrap_or_default().trim_ascii().is_empty();
         self.depth == 0 || self.in_string || is_empty
     }
--- a/crates/ingress/src/protocol/report.rs
+++ b/crates/ingress/src/protocol/report.rs
@@ -7,7 +7,7 @@
 
 /// Reads a load report. Unknown fields, and values that are no number of 0 or above, are skipped;
 /// none if nothing is left.
-pub fn report(text: &[u8]) -> Option<LoadReport> {
+pub fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let text = std::str::from_utf8(text).ok()?;
     let mut load = LoadReport::default();
     let fields = text
@@ -37,7 +37,7 @@
 
 /// Reads the true units of a request (`cost`) from a reply's usage figures. None if they are
 /// missing, stand there twice, or are not above 0 and at most `max_units`: the estimate then holds.
-pub fn true_units(figures: &[u8], max_units: f64) -> Option<f64> {
+pub fn parse_true_units(figures: &[u8], max_units: f64) -> Option<f64> {
     let text = std::str::from_utf8(figures).ok()?;
     let mut costs = text
         .split(',')
--- a/crates/ingress/src/protocol/resp.rs
+++ b/crates/ingress/src/protocol/resp.rs
@@ -55,26 +55,26 @@
     Ok(Some((&found[..len], at + len + 2)))
 }
 
-/// Words that are kept of a command; no command that is served here has more.
-const KEPT: usize = 8;
+/// Arguments that are kept of a command; no command that is served here has more.
+const MAX_STORED_ARGUMENTS: usize = 8;
 
 /// The first words of a command.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Words<'a> {
-    kept: [&'a [u8]; KEPT],
+pub struct CommandArguments<'a> {
+    stored: [&'a [u8]; MAX_STORED_ARGUMENTS],
     count: usize,
 }
 
-impl<'a> Words<'a> {
+impl<'a> CommandArguments<'a> {
     /// The words, up to the most that are kept.
-    pub fn get(&self) -> &[&'a [u8]] {
-        &self.kept[..self.count.min(KEPT)]
+    pub fn as_slice(&self) -> &[&'a [u8]] {
+        &self.stored[..self.count.min(MAX_STORED_ARGUMENTS)]
     }
 }
 
 /// A command: an array of bulk strings.
-pub fn command<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<Words<'a>> {
-    let mut words = Words::default();
+pub fn command<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<CommandArguments<'a>> {
+    let mut arguments = CommandArguments::default();
     match input.first() {
         None => return Ok(None),
         Some(b'*') => {}
@@ -84,7 +84,7 @@
         return Ok(None);
     };
     let count = length(&head[1..])?.unwrap_or(0);
-    if count > limits.max_words {
+    if count > limits.max_elements {
         return Err(Malformed("too many words"));
     }
     for _ in 0..count {
@@ -100,16 +100,16 @@
         if len > limits.max_value_bytes {
             return Err(Malformed("value too long"));
         }
-        let Some((word, next)) = bulk(input, next, len)? else {
+        let Some((argument, next)) = bulk(input, next, len)? else {
             return Ok(None);
         };
-        if let Some(place) = words.kept.get_mut(words.count) {
-            *place = word;
+        if let Some(place) = arguments.stored.get_mut(arguments.count) {
+            *place = argument;
         }
-        words.count += 1;
+        arguments.count += 1;
         at = next;
     }
-    Ok(Some((words, at)))
+    Ok(Some((arguments, at)))
 }
 
 /// An answer.
@@ -149,16 +149,16 @@
             None => Value::Bulk(None),
             Some(len) if len > limits.max_value_bytes => return Err(Malformed("value too long")),
             Some(len) => {
-                let Some((word, next)) = bulk(input, at, len)? else {
+                let Some((content, next)) = bulk(input, at, len)? else {
                     return Ok(None);
                 };
                 at = next;
-                Value::Bulk(Some(word))
+                Value::Bulk(Some(content))
             }
         },
         _ => match length(text)? {
             None => Value::Array(None),
-            Some(count) if count > limits.max_words => return Err(Malformed("too many values")),
+            Some(count) if count > limits.max_elements => return Err(Malformed("too many values")),
             Some(_) if depth == 0 => return Err(Malformed("nested too deep")),
             Some(count) => {
                 let mut values = Vec::with_capacity(count);
@@ -183,11 +183,11 @@
 
 /// Appends a bulk string.
 pub fn put_bulk(out: &mut Vec<u8>, text: &[u8]) {
-    put_bulk_of(out, &[text]);
+    put_bulk_parts(out, &[text]);
 }
 
 /// Appends a bulk string made of these parts.
-pub fn put_bulk_of(out: &mut Vec<u8>, parts: &[&[u8]]) {
+pub fn put_bulk_parts(out: &mut Vec<u8>, parts: &[&[u8]]) {
     put_head(out, b'$', parts.iter().map(|p| p.len()).sum());
     parts.iter().for_each(|part| out.extend_from_slice(part));
     out.extend_from_slice(b"\r\n");
--- a/crates/ingress/src/routing/counter_client/connection.rs
+++ b/crates/ingress/src/routing/counter_client/connection.rs
@@ -143,7 +143,7 @@
     }
 
     /// Called when the deadline of the connection expires.
-    pub(super) fn on_due(
+    pub(super) fn on_deadline(
         &mut self,
         target: &CounterAddress,
         io: &mut Io,
@@ -187,7 +187,7 @@
         let Some(stream) = self.stream.as_ref().filter(|_| ready.writable) else {
             return true;
         };
-        if stream.connected().is_err() {
+        if stream.connect_result().is_err() {
             return false;
         }
         self.is_established = true;
@@ -232,7 +232,7 @@
             let output = stream.output();
             let previous_len = output.len();
             let time_to_live_ms = call.time_to_live.as_millis().max(1) as u64;
-            http::put_increment(
+            http::put_increment_request(
                 output,
                 &target.host,
                 call.key.0,
--- a/crates/ingress/src/routing/counter_client/mod.rs
+++ b/crates/ingress/src/routing/counter_client/mod.rs
@@ -107,9 +107,9 @@
     }
 
     /// Called when the deadline of the connection with this index expires.
-    pub fn on_due(&mut self, index: u16, io: &mut Io, engine: &mut IngressEngine) {
+    pub fn on_deadline(&mut self, index: u16, io: &mut Io, engine: &mut IngressEngine) {
         if let Some(connection) = self.connections.get_mut(usize::from(index)) {
-            connection.on_due(&self.address, io, engine);
+            connection.on_deadline(&self.address, io, engine);
         }
     }
 }
--- a/crates/ingress/src/routing/counter_client/replies.rs
+++ b/crates/ingress/src/routing/counter_client/replies.rs
@@ -4,7 +4,7 @@
 use crate::protocol::http;
 use crate::routing::engine::IngressEngine;
 use crate::routing::io::{Io, READ_BUFFER_BYTES};
-use crate::transport::{Fill, Ready};
+use crate::transport::{ReadOutcome, Ready};
 use roseyard_decision::CounterResult;
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
             return StreamStatus::Usable;
         }
         let max_bytes = self.limits.max_read_bytes;
-        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
-        if !self.complete_calls(filled == Fill::Ended, io.now, engine) {
+        let filled = stream.read_available(max_bytes, READ_BUFFER_BYTES, ready.peer_closed);
+        if !self.complete_calls(filled == ReadOutcome::EndOfStream, io.now, engine) {
             return StreamStatus::OutOfSync;
         }
         match filled {
-            Fill::Drained | Fill::Limited => StreamStatus::Usable,
-            Fill::Ended | Fill::Broken => StreamStatus::Closed,
+            ReadOutcome::Drained | ReadOutcome::LimitReached => StreamStatus::Usable,
+            ReadOutcome::EndOfStream | ReadOutcome::Failed => StreamStatus::Closed,
         }
     }
 
@@ -60,7 +60,7 @@
                 Err(_) => return false,
             };
             let result = parse_result(head.status, body);
-            stream.take(length);
+            stream.consume(length);
             self.last_active_at = now;
             self.reply_incomplete_since = None;
             self.has_replied = true;
@@ -76,7 +76,7 @@
             }
             // The bytes after an invalid reply may still be part of it, and must not be taken for
             // the total of the next call.
-            if head.closes || result == CounterResult::Unknown {
+            if head.closes_connection || result == CounterResult::Unknown {
                 return false;
             }
         }
--- a/crates/ingress/src/routing/discovery/call.rs
+++ b/crates/ingress/src/routing/discovery/call.rs
@@ -3,11 +3,11 @@
 
 use super::backoff::CallFailure;
 use super::limits::DiscoveryLimits;
-use crate::protocol::http::{self, Body, Head};
+use crate::protocol::http::{self, Framing, ReplyHead};
 use crate::protocol::list::ListSplitter;
 use crate::protocol::Malformed;
 use crate::routing::io::{MAX_IDLE_BUFFER_BYTES, READ_BUFFER_BYTES};
-use crate::transport::{Fill, Ready, Stream};
+use crate::transport::{ReadOutcome, Ready, Stream};
 use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
@@ -61,7 +61,7 @@
     pub(super) serial: u32,
     is_established: bool,
     /// The framing of the response body; `None` until the response head has been received.
-    body: Option<Body>,
+    body: Option<Framing>,
     /// Whether at least one line has been received.
     received_line: bool,
     /// Splits the response body into endpoint lists.
@@ -81,7 +81,7 @@
         limits: DiscoveryLimits,
         now: Duration,
     ) -> WatchCall {
-        http::put_watch(stream.output(), &address.to_string(), revision);
+        http::put_watch_request(stream.output(), &address.to_string(), revision);
         WatchCall {
             stream,
             limits,
@@ -107,7 +107,7 @@
             if !ready.writable {
                 return Ok(());
             }
-            let connected = self.stream.connected();
+            let connected = self.stream.connect_result();
             connected.map_err(|_| CallError::CannotConnect)?;
             self.is_established = true;
         }
@@ -118,16 +118,18 @@
         }
         let protocol = &self.limits.protocol;
         let max_bytes = protocol.max_list_bytes + protocol.max_line_bytes;
-        let filled = self.stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
+        let filled = self
+            .stream
+            .read_available(max_bytes, READ_BUFFER_BYTES, ready.peer_closed);
         self.parse_head()?;
         self.parse_body(lines)?;
-        self.stream.trim(MAX_IDLE_BUFFER_BYTES);
+        self.stream.release_large_buffers(MAX_IDLE_BUFFER_BYTES);
         let since = self.list_incomplete_since.filter(|_| lines.is_empty());
         self.list_incomplete_since = (self.incomplete_bytes() > 0).then_some(since.unwrap_or(now));
         match filled {
-            Fill::Drained => Ok(()),
-            Fill::Limited => Err(CallError::ChunkTooLong),
-            Fill::Ended | Fill::Broken => Err(CallError::ConnectionClosed),
+            ReadOutcome::Drained => Ok(()),
+            ReadOutcome::LimitReached => Err(CallError::ChunkTooLong),
+            ReadOutcome::EndOfStream | ReadOutcome::Failed => Err(CallError::ConnectionClosed),
         }
     }
 
@@ -152,20 +154,20 @@
     /// Parses the head of the response, and skips interim responses (status 1xx).
     fn parse_head(&mut self) -> Result<(), CallError> {
         while self.body.is_none() {
-            let head = http::reply_head(self.stream.input(), &self.limits.protocol)?;
+            let head = http::parse_reply_head(self.stream.input(), &self.limits.protocol)?;
             match head {
                 Some((head, length)) if (100..=199).contains(&head.status) => {
-                    self.stream.take(length);
+                    self.stream.consume(length);
                 }
                 Some((
-                    Head {
+                    ReplyHead {
                         status: 200,
-                        body: body @ (Body::Chunked | Body::UntilEnd),
+                        body: body @ (Framing::Chunked | Framing::UntilClose),
                         ..
                     },
                     length,
                 )) => {
-                    self.stream.take(length);
+                    self.stream.consume(length);
                     self.body = Some(body);
                 }
                 Some(_) => return Err(CallError::WatchNotOpened),
@@ -181,7 +183,7 @@
         while let Some(body) = self.body.filter(|_| !self.stream.input().is_empty()) {
             let input = self.stream.input();
             let (part, length) = match body {
-                Body::Chunked => match http::chunk(input, &self.limits.protocol)? {
+                Framing::Chunked => match http::chunk(input, &self.limits.protocol)? {
                     Some(found) => found,
                     None => break,
                 },
@@ -190,12 +192,12 @@
             if part.is_empty() {
                 return Err(CallError::WatchEnded);
             }
-            self.splitter.take(part, lines);
+            self.splitter.feed(part, lines);
             self.received_line |= !lines.is_empty();
-            if self.splitter.held() > self.limits.protocol.max_list_bytes {
+            if self.splitter.buffered_bytes() > self.limits.protocol.max_list_bytes {
                 return Err(CallError::ListTooLong);
             }
-            self.stream.take(length);
+            self.stream.consume(length);
         }
         Ok(())
     }
@@ -207,6 +209,6 @@
         } else {
             0
         };
-        self.splitter.held() + unparsed_bytes
+        self.splitter.buffered_bytes() + unparsed_bytes
     }
 }
--- a/crates/ingress/src/routing/discovery/mod.rs
+++ b/crates/ingress/src/routing/discovery/mod.rs
@@ -145,7 +145,7 @@
             token: 0,
             readable: true,
             writable: false,
-            ended: true,
+            peer_closed: true,
         };
         let calls = [self.previous_call.as_ref(), self.call.as_ref()];
         let serials = calls.map(|call| call.map(|call| call.serial));
@@ -156,7 +156,7 @@
 
     /// Called when the deadline expires, either because no line arrived in time or because the
     /// backoff has ended. The caller then opens a new call.
-    pub fn on_due(&mut self, revision: u64, now: Duration) {
+    pub fn on_deadline(&mut self, revision: u64, now: Duration) {
         self.due = None;
         let Some(call) = self.call.take() else {
             return;
--- a/crates/ingress/src/routing/driver/events.rs
+++ b/crates/ingress/src/routing/driver/events.rs
@@ -11,8 +11,8 @@
     }
 
     /// Called when the deadline of a connection to an endpoint expires.
-    pub fn on_upstream_due(&mut self, key: Key, io: &mut Io) {
-        self.upstream.on_due(key, &mut self.engine, io);
+    pub fn on_upstream_deadline(&mut self, key: Key, io: &mut Io) {
+        self.upstream.on_deadline(key, &mut self.engine, io);
     }
 
     /// Called when the connection to the counter with this index is readable or writable. `serial`
@@ -24,9 +24,9 @@
     }
 
     /// Called when the deadline of the connection to the counter with this index expires.
-    pub fn on_counter_due(&mut self, index: u16, io: &mut Io) {
+    pub fn on_counter_deadline(&mut self, index: u16, io: &mut Io) {
         if let Some(counter) = &mut self.counter {
-            counter.on_due(index, io, &mut self.engine);
+            counter.on_deadline(index, io, &mut self.engine);
         }
     }
 
@@ -45,14 +45,14 @@
     }
 
     /// Called when the deadline of the watch on discovery expires; opens the next call.
-    pub fn on_discovery_due(&mut self, io: &mut Io) {
+    pub fn on_discovery_deadline(&mut self, io: &mut Io) {
         let revision = self.list_revision();
-        self.watch.on_due(revision, io.now);
+        self.watch.on_deadline(revision, io.now);
         self.open_watch(io);
     }
 
     /// Called when the timer of the request engine expires.
-    pub fn on_engine_due(&mut self) {
+    pub fn on_engine_deadline(&mut self) {
         self.engine_due = None;
         self.engine.on_due();
     }
--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -6,7 +6,7 @@
 use crate::routing::driver::Driver;
 use crate::routing::event_source::EventSource;
 use crate::routing::io::Io;
-use crate::transport::{spare, Key, Stream};
+use crate::transport::{open_spare_descriptor, Key, Stream};
 use roseyard_admission::{Action, DescriptorUse, Event};
 use std::net::IpAddr;
 use std::time::Duration;
@@ -39,9 +39,9 @@
     /// descriptor for it.
     pub fn restore_spare_descriptor(&mut self, io: &mut Io) {
         if io.spare_descriptor.is_none() {
-            io.spare_descriptor = spare();
+            io.spare_descriptor = open_spare_descriptor();
             if io.spare_descriptor.is_none() && self.evict_idle_client(io) {
-                io.spare_descriptor = spare();
+                io.spare_descriptor = open_spare_descriptor();
             }
         }
     }
--- a/crates/ingress/src/routing/frontend/commands.rs
+++ b/crates/ingress/src/routing/frontend/commands.rs
@@ -83,19 +83,19 @@
     Quit,
 }
 
-/// Parses a command from its words, the first of which is its name.
+/// Parses a command from its arguments, the first of which is its name.
 pub(super) fn parse(
-    words: &[&[u8]],
+    arguments: &[&[u8]],
     id: CommandId,
     schema: &RequestSchema,
     directory: &Directory,
     is_ready: bool,
 ) -> Command {
-    let Some(name) = words.first() else {
+    let Some(name) = arguments.first() else {
         return Command::Invalid("empty command");
     };
-    if command::is_request(name) {
-        return parse_request(words, id, schema, directory).unwrap_or_else(Command::Invalid);
+    if command::is_request_command(name) {
+        return parse_request(arguments, id, schema, directory).unwrap_or_else(Command::Invalid);
     }
     let is_command = |expected_name: &str| name.eq_ignore_ascii_case(expected_name.as_bytes());
     if is_command("PING") {
@@ -116,12 +116,12 @@
 /// Parses a request and checks it against the schema. The checks keep out arguments that would
 /// distort the quotas of other customers, and requests that no endpoint accepts.
 fn parse_request(
-    words: &[&[u8]],
+    arguments: &[&[u8]],
     owner: CommandId,
     schema: &RequestSchema,
     directory: &Directory,
 ) -> Result<Command, &'static str> {
-    let request = command::request(words, schema.route_field.as_deref())
+    let request = command::decode_request(arguments, schema.route_field.as_deref())
         .map_err(|InvalidCommand(error)| error)?;
     let mut classes = schema.classes.iter();
     let class = classes
@@ -131,12 +131,12 @@
     let plan = plans
         .position(|plan| plan == request.plan)
         .ok_or("unknown plan")?;
-    check_arguments(words, &request, &schema.classes[class], schema)?;
+    check_arguments(arguments, &request, &schema.classes[class], schema)?;
     let service = match request.route {
         Some(route) => directory.service_of_route(route).ok_or("unknown route")?,
         None => directory.default_service().ok_or("route is missing")?,
     };
-    let command = RequestCommand::new(words, &request);
+    let command = RequestCommand::new(arguments, &request);
     let wait_seconds = (request.wait_ms / 1000.0).min(MAX_WAIT_SECONDS);
     let submission = Submission {
         service,
@@ -159,13 +159,13 @@
 
 /// Checks that the arguments of a request are within the ranges of its class and of the settings.
 fn check_arguments(
-    words: &[&[u8]],
+    arguments: &[&[u8]],
     request: &command::Request,
     class: &ClassSchema,
     schema: &RequestSchema,
 ) -> Result<(), &'static str> {
     let tier_ingress_count = schema.tier_ingress_count;
-    if class.is_idempotent != command::is_read(words[0]) {
+    if class.is_idempotent != command::is_read_command(arguments[0]) {
         return Err("this class goes with the other command");
     }
     if class.has_idempotency_key && request.idempotency_key.is_none() {
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -8,7 +8,7 @@
 use crate::routing::driver::Driver;
 use crate::routing::engine::{CommandId, Submission};
 use crate::routing::io::{Io, READ_BUFFER_BYTES};
-use crate::transport::{Fill, Key, Ready};
+use crate::transport::{Key, ReadOutcome, Ready};
 use roseyard_admission::{Action, Event};
 use roseyard_decision::RejectReason;
 use std::time::Duration;
@@ -28,7 +28,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        client.is_peer_closed |= ready.ended;
+        client.is_peer_closed |= ready.peer_closed;
         if ready.writable && client.stream.unwritten() > 0 {
             self.schedule_flush(key);
         }
@@ -65,8 +65,10 @@
         client.last_active_at = io.now;
         let max_bytes = self.limits.protocol.max_message_bytes();
         let stream = &mut client.stream;
-        let read_outcome = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
-        client.is_peer_closed |= matches!(read_outcome, Fill::Ended | Fill::Broken);
+        let read_outcome =
+            stream.read_available(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
+        client.is_peer_closed |=
+            matches!(read_outcome, ReadOutcome::EndOfStream | ReadOutcome::Failed);
         let has_more = self.execute_commands(key, driver, io);
         self.after_read(key, read_outcome, has_more, driver, io);
     }
@@ -76,7 +78,7 @@
     fn after_read(
         &mut self,
         key: Key,
-        read_outcome: Fill,
+        read_outcome: ReadOutcome,
         has_more: bool,
         driver: &mut Driver,
         io: &mut Io,
@@ -106,7 +108,7 @@
         if self.is_draining {
             self.schedule_flush(key);
         }
-        if has_more || read_outcome == Fill::Limited {
+        if has_more || read_outcome == ReadOutcome::LimitReached {
             self.schedule_read(key);
         }
         self.update_buffered_bytes(key, driver, io);
@@ -124,8 +126,10 @@
         if !has_unread_replies {
             let max_bytes = self.limits.max_read_ahead_bytes;
             let stream = &mut client.stream;
-            let read_outcome = stream.fill(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
-            client.is_peer_closed |= matches!(read_outcome, Fill::Ended | Fill::Broken);
+            let read_outcome =
+                stream.read_available(max_bytes, READ_BUFFER_BYTES, client.is_peer_closed);
+            client.is_peer_closed |=
+                matches!(read_outcome, ReadOutcome::EndOfStream | ReadOutcome::Failed);
         }
         if client.is_peer_closed {
             return self.disconnect(key, false, driver, io);
@@ -145,8 +149,8 @@
         client.discarded_bytes += discarded;
         let is_within_limit = client.discarded_bytes < self.limits.max_discard_bytes;
         match read_outcome {
-            Fill::Drained => {}
-            Fill::Limited if is_within_limit => self.schedule_read(key),
+            ReadOutcome::Drained => {}
+            ReadOutcome::LimitReached if is_within_limit => self.schedule_read(key),
             _ => {
                 let _ = client.stream.flush();
                 return self.disconnect(key, false, driver, io);
@@ -186,7 +190,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return false;
         };
-        client.stream.take(offset);
+        client.stream.consume(offset);
         if client.stream.unwritten() > 0 || client.phase == Phase::Closing {
             self.schedule_flush(key);
         }
@@ -201,14 +205,19 @@
         let input = &client.stream.input()[offset..];
         match resp::command(input, &self.limits.protocol) {
             Ok(None) => NextCommand::Incomplete,
-            Ok(Some((words, length))) => {
+            Ok(Some((arguments, length))) => {
                 let id = CommandId {
                     client: key,
                     number: client.next_number(),
                 };
                 let directory = driver.directory();
-                let command =
-                    commands::parse(words.get(), id, &self.schema, directory, self.is_ready);
+                let command = commands::parse(
+                    arguments.as_slice(),
+                    id,
+                    &self.schema,
+                    directory,
+                    self.is_ready,
+                );
                 NextCommand::Parsed(command, length)
             }
             Err(malformed) => NextCommand::Malformed(malformed),
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -5,7 +5,9 @@
 use super::reply;
 use crate::routing::event_source::EventSource;
 use crate::routing::io::{Io, READ_BUFFER_BYTES};
-use crate::transport::{accept, is_fd_shortage, listening_at, spare, Key, Stream};
+use crate::transport::{
+    accept, is_fd_shortage, listener_address, open_spare_descriptor, Key, Stream,
+};
 use roseyard_admission::{
     Action, AdmissionController, AdmissionPolicy, ConnectionId, DescriptorUse, Event,
     RejectionCounts, RejectionReason, REJECTION_REASONS,
@@ -74,7 +76,7 @@
         io: &mut Io,
     ) -> rustix::io::Result<Listener> {
         io.poller
-            .add_level(&socket, EventSource::Listener.token())?;
+            .add_level_triggered(&socket, EventSource::Listener.token())?;
         for descriptor_use in RESERVED_DESCRIPTOR_USES {
             while io.descriptor_budget.used(descriptor_use)
                 < io.descriptor_budget.limits(descriptor_use).guaranteed
@@ -94,7 +96,7 @@
 
     /// Returns the address of the socket; `None` once the listener is closed.
     pub(super) fn address(&self) -> Option<SocketAddr> {
-        listening_at(self.socket.as_ref()?)
+        listener_address(self.socket.as_ref()?)
     }
 
     /// Passes an event to the admission controller, and calls `on_action` with each resulting
@@ -162,7 +164,7 @@
         if let Some(Ok((stream, _))) = socket.map(|socket| accept(socket, READ_BUFFER_BYTES)) {
             reject(stream, self.controller.policy().retry_after);
         }
-        io.spare_descriptor = spare();
+        io.spare_descriptor = open_spare_descriptor();
         tracing::warn!(
             event = "clients.descriptors_exhausted",
             "descriptors exhausted, accepting paused"
@@ -186,7 +188,9 @@
     pub(super) fn resume(&mut self, io: &mut Io) {
         self.paused_until = None;
         if let Some(socket) = &self.socket {
-            let _ = io.poller.add_level(socket, EventSource::Listener.token());
+            let _ = io
+                .poller
+                .add_level_triggered(socket, EventSource::Listener.token());
         }
     }
 
@@ -206,11 +210,11 @@
                 Err(_) => break,
             }
         }
-        io.spare_descriptor = spare();
+        io.spare_descriptor = open_spare_descriptor();
     }
 
     /// Logs how many connections and requests were rejected since the last summary, by reason.
-    pub(super) fn on_summary_due(&mut self) {
+    pub(super) fn on_summary_deadline(&mut self) {
         self.summary_due = None;
         let current_counts = self.controller.rejection_counts();
         let previous_counts = std::mem::replace(&mut self.last_counts, current_counts);
@@ -240,7 +244,7 @@
         .extend_from_slice(&reply::busy(Some(retry_after)));
     // Closing a socket with unread input sends a reset, which destroys the reply in transit.
     let _ = stream.flush();
-    let _ = stream.end_sending();
+    let _ = stream.shut_down_write();
     let _ = stream.discard(
         MAX_REJECTED_INPUT_BYTES,
         &mut [0; REJECTED_INPUT_BUFFER_BYTES],
--- a/crates/ingress/src/routing/frontend/mod.rs
+++ b/crates/ingress/src/routing/frontend/mod.rs
@@ -164,12 +164,12 @@
     }
 
     /// Called when the summary of rejected connections and requests is to be logged.
-    pub fn on_summary_due(&mut self) {
-        self.listener.on_summary_due();
+    pub fn on_summary_deadline(&mut self) {
+        self.listener.on_summary_deadline();
     }
 
     /// Called when the pause of the listener is over.
-    pub fn on_listener_due(&mut self, io: &mut Io) {
+    pub fn on_listener_deadline(&mut self, io: &mut Io) {
         self.listener.resume(io);
     }
 
--- a/crates/ingress/src/routing/frontend/output.rs
+++ b/crates/ingress/src/routing/frontend/output.rs
@@ -66,12 +66,12 @@
             if client.first_pending_number > 0 {
                 client.last_active_at = io.now;
             }
-            client.stream.trim(MAX_IDLE_BUFFER_BYTES);
+            client.stream.release_large_buffers(MAX_IDLE_BUFFER_BYTES);
         }
         let was_read_blocked = std::mem::take(&mut client.is_read_blocked);
         if self.is_draining && !was_read_blocked && client.is_drained(io.now, &self.limits) {
             // Input that has arrived since the last read is answered before the connection closes.
-            if client.stream.quiet() {
+            if client.stream.is_open_without_input() {
                 client.phase = Phase::Closing;
             } else {
                 self.schedule_read(key);
@@ -103,7 +103,7 @@
             self.limits.linger_timeout
         };
         client.linger_deadline = io.now + timeout;
-        if client.stream.end_sending().is_err() {
+        if client.stream.shut_down_write().is_err() {
             return self.disconnect(key, false, driver, io);
         }
         self.schedule_read(key);
--- a/crates/ingress/src/routing/frontend/timeouts.rs
+++ b/crates/ingress/src/routing/frontend/timeouts.rs
@@ -36,7 +36,7 @@
     /// Called when the timer of a client has expired. Handles the deadline that has passed, if any:
     /// disconnects a client that is idle or does not read its replies, and replies to an incomplete
     /// command with an error.
-    pub fn on_client_due(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
+    pub fn on_client_deadline(&mut self, key: Key, driver: &mut Driver, io: &mut Io) {
         let idle_timeout = self.idle_timeout(key);
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -75,7 +75,7 @@
             return self.schedule_flush(key);
         }
         // Input that has arrived since the last event is still read.
-        if !client.stream.quiet() {
+        if !client.stream.is_open_without_input() {
             return self.read(key, driver, io);
         }
         if self.is_draining {
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -15,7 +15,7 @@
 
 use super::event_source::EventSource;
 use super::io::Io;
-use crate::transport::Datagrams;
+use crate::transport::DatagramSocket;
 use keys::{fingerprints, read_keys};
 use roseyard_admission::{Gcra, Rate};
 use roseyard_membership::{
@@ -42,7 +42,7 @@
 /// Runs the membership protocol: its socket, its state machine and the authentication of its
 /// datagrams.
 pub struct MembershipDriver {
-    socket: Datagrams,
+    socket: DatagramSocket,
     swim: Swim,
     guard: Guard,
     /// The time for which a timer is set; `None` if none is set.
@@ -77,13 +77,13 @@
         };
         let local_name = parse_name(name)?;
         let keys = read_keys(config)?;
-        let socket = Datagrams::bind(listen).map_err(|source| MembershipError::Listen {
+        let socket = DatagramSocket::bind(listen).map_err(|source| MembershipError::Listen {
             address: listen,
             source,
         })?;
         let address = socket.address()?;
         io.poller
-            .add_level(&socket, EventSource::Membership.token())
+            .add_level_triggered(&socket, EventSource::Membership.token())
             .map_err(std::io::Error::from)?;
         let metadata = Metadata {
             zone: config.zone.as_str().try_into().unwrap_or_default(),
@@ -161,7 +161,7 @@
     }
 
     /// Called when the deadline of the state machine has come.
-    pub fn on_due(&mut self, io: &mut Io) {
+    pub fn on_deadline(&mut self, io: &mut Io) {
         self.deadline = None;
         self.handle(Event::Due, io);
     }
--- a/crates/ingress/src/routing/upstream/attempts.rs
+++ b/crates/ingress/src/routing/upstream/attempts.rs
@@ -92,7 +92,8 @@
         };
         // Readiness is edge-triggered: if the endpoint had sent bytes or closed the connection
         // before the first request, this would be read after the request and taken for its reply.
-        if connection.stream.connected().is_err() || !connection.stream.quiet() {
+        if connection.stream.connect_result().is_err() || !connection.stream.is_open_without_input()
+        {
             return self.fail(key, Outcome::ConnectFailed, engine, io);
         }
         // The endpoint's address may have changed since the connection was started.
--- a/crates/ingress/src/routing/upstream/decoded_reply.rs
+++ b/crates/ingress/src/routing/upstream/decoded_reply.rs
@@ -1,7 +1,7 @@
 //! Decodes endpoints' replies to attempts and health checks.
 
 use super::limits::UpstreamLimits;
-use crate::protocol::report::{report, true_units};
+use crate::protocol::report::{parse_load_report, parse_true_units};
 use crate::protocol::resp::Value;
 use roseyard_decision::{LoadReport, Outcome};
 
@@ -54,12 +54,12 @@
             return DecodedReply::unexpected();
         };
         let load = match load {
-            Value::Bulk(Some(load)) => report(load),
+            Value::Bulk(Some(load)) => parse_load_report(load),
             _ => None,
         };
         let true_units = match usage {
             Value::Bulk(Some(usage)) if limits.units_are_estimated => {
-                true_units(usage, limits.max_units)
+                parse_true_units(usage, limits.max_units)
             }
             _ => None,
         };
@@ -75,7 +75,7 @@
     pub(super) fn from_health_check_reply(value: &Value) -> DecodedReply {
         match value {
             Value::Bulk(Some(text)) => DecodedReply {
-                load: report(text),
+                load: parse_load_report(text),
                 ..DecodedReply::from_outcome(Outcome::Ok)
             },
             Value::Simple(_) => DecodedReply::from_outcome(Outcome::Ok),
@@ -100,7 +100,10 @@
             return DecodedReply::unexpected();
         };
         DecodedReply {
-            load: text.rsplit(|byte| *byte == b' ').next().and_then(report),
+            load: text
+                .rsplit(|byte| *byte == b' ')
+                .next()
+                .and_then(parse_load_report),
             ..DecodedReply::from_outcome(outcome)
         }
     }
--- a/crates/ingress/src/routing/upstream/mod.rs
+++ b/crates/ingress/src/routing/upstream/mod.rs
@@ -158,7 +158,7 @@
 
     /// Called when the deadline of a connection expires: it was not established in time, its reply
     /// is late, or it was idle for too long.
-    pub fn on_due(&mut self, key: Key, engine: &mut IngressEngine, io: &mut Io) {
+    pub fn on_deadline(&mut self, key: Key, engine: &mut IngressEngine, io: &mut Io) {
         let Some(connection) = self.pool.connections.get_mut(key) else {
             return;
         };
--- a/crates/ingress/src/routing/upstream/pool.rs
+++ b/crates/ingress/src/routing/upstream/pool.rs
@@ -101,7 +101,7 @@
             let key = idle[position];
             let connection = self.connections.get(key)?;
             let idle_time = io.now.saturating_sub(connection.last_used_at);
-            let choice = if connection.stream.quiet() {
+            let choice = if connection.stream.is_open_without_input() {
                 self.idle_risk.choose(idle_time, is_idempotent, io.now)
             } else {
                 IdleConnectionUse::Close
@@ -124,7 +124,9 @@
         };
         connection.state = ConnectionState::Idle;
         connection.last_used_at = io.now;
-        connection.stream.trim(MAX_IDLE_BUFFER_BYTES);
+        connection
+            .stream
+            .release_large_buffers(MAX_IDLE_BUFFER_BYTES);
         let due = io.now + self.limits.idle_timeout;
         io.deadlines
             .set(&mut connection.due, Some(due), EventSource::Upstream(key));
--- a/crates/ingress/src/routing/upstream/replies.rs
+++ b/crates/ingress/src/routing/upstream/replies.rs
@@ -9,7 +9,7 @@
 use crate::routing::engine::IngressEngine;
 use crate::routing::event_source::EventSource;
 use crate::routing::io::{Io, READ_BUFFER_BYTES};
-use crate::transport::{Fill, Key, Ready};
+use crate::transport::{Key, ReadOutcome, Ready};
 use roseyard_decision::{EndpointId, Outcome};
 use roseyard_request_engine::AttemptResult;
 
@@ -24,13 +24,13 @@
         };
         let max_bytes = self.limits.protocol.max_message_bytes();
         let stream = &mut connection.stream;
-        let filled = stream.fill(max_bytes, READ_BUFFER_BYTES, ready.ended);
+        let filled = stream.read_available(max_bytes, READ_BUFFER_BYTES, ready.peer_closed);
         if !stream.input().is_empty() {
             let endpoint = connection.endpoint;
             self.pool.record_received(endpoint, io.now);
             self.on_input(key, engine, io);
         }
-        if self.pool.connections.get(key).is_some() && filled != Fill::Drained {
+        if self.pool.connections.get(key).is_some() && filled != ReadOutcome::Drained {
             self.on_closed(key, engine, io);
         }
     }
@@ -89,7 +89,7 @@
         let Some(connection) = self.pool.connections.get_mut(key) else {
             return;
         };
-        connection.stream.take(length);
+        connection.stream.consume(length);
         let is_reusable = !reply.is_unexpected && connection.stream.input().is_empty();
         let idle_time = connection.idle_time;
         self.pool.idle_risk.record_outcome(idle_time, false, io.now);
--- a/crates/ingress/src/transport/datagrams.rs
+++ b/crates/ingress/src/transport/datagrams.rs
@@ -5,16 +5,16 @@
 use std::net::{SocketAddr, UdpSocket};
 
 /// A socket for datagrams.
-pub struct Datagrams {
+pub struct DatagramSocket {
     socket: UdpSocket,
 }
 
-impl Datagrams {
+impl DatagramSocket {
     /// A socket that listens on this address.
-    pub fn bind(at: SocketAddr) -> io::Result<Datagrams> {
+    pub fn bind(at: SocketAddr) -> io::Result<DatagramSocket> {
         let socket = UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
-        Ok(Datagrams { socket })
+        Ok(DatagramSocket { socket })
     }
 
     /// The address it listens on.
@@ -40,7 +40,7 @@
     }
 }
 
-impl AsFd for Datagrams {
+impl AsFd for DatagramSocket {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.socket.as_fd()
     }
--- a/crates/ingress/src/transport/deadlines.rs
+++ b/crates/ingress/src/transport/deadlines.rs
@@ -5,13 +5,13 @@
 
 /// Deadlines in order of time, each with what it is for.
 pub struct Deadlines<D> {
-    due: BTreeSet<(Duration, D)>,
+    entries: BTreeSet<(Duration, D)>,
 }
 
 impl<D: Ord + Copy> Default for Deadlines<D> {
     fn default() -> Self {
         Deadlines {
-            due: BTreeSet::new(),
+            entries: BTreeSet::new(),
         }
     }
 }
@@ -21,22 +21,22 @@
     /// keeps the slot, so that a deadline can be moved without a search.
     pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, purpose: D) {
         if let Some(old) = slot.take() {
-            self.due.remove(&(old, purpose));
+            self.entries.remove(&(old, purpose));
         }
         if let Some(at) = at {
-            self.due.insert((at, purpose));
+            self.entries.insert((at, purpose));
         }
         *slot = at;
     }
 
     /// The earliest deadline.
     pub fn next(&self) -> Option<Duration> {
-        self.due.first().map(|(at, _)| *at)
+        self.entries.first().map(|(at, _)| *at)
     }
 
     /// Takes out the earliest deadline if it is due. Its owner's slot still shows it.
-    pub fn pop(&mut self, now: Duration) -> Option<D> {
-        self.due.first().filter(|(at, _)| *at <= now)?;
-        self.due.pop_first().map(|(_, purpose)| purpose)
+    pub fn pop_expired(&mut self, now: Duration) -> Option<D> {
+        self.entries.first().filter(|(at, _)| *at <= now)?;
+        self.entries.pop_first().map(|(_, purpose)| purpose)
     }
 }
--- a/crates/ingress/src/transport/mod.rs
+++ b/crates/ingress/src/transport/mod.rs
@@ -5,10 +5,11 @@
 pub mod poller;
 pub mod stream;
 
-pub use datagrams::Datagrams;
+pub use datagrams::DatagramSocket;
 pub use deadlines::Deadlines;
 pub use poller::{Poller, Ready};
 pub use roseyard_request_engine::{Key, Slots};
 pub use stream::{
-    accept, allowed, connect, is_fd_shortage, listen, listening_at, spare, Fill, Stream,
+    accept, connect, is_fd_shortage, listen, listener_address, max_descriptors,
+    open_spare_descriptor, ReadOutcome, Stream,
 };
--- a/crates/ingress/src/transport/poller.rs
+++ b/crates/ingress/src/transport/poller.rs
@@ -16,7 +16,7 @@
     /// Writing may go on, or a connection has come up or failed.
     pub writable: bool,
     /// The other side has ended its sending or the connection.
-    pub ended: bool,
+    pub peer_closed: bool,
 }
 
 /// The epoll instance.
@@ -47,7 +47,7 @@
     }
 
     /// Registers a listener or pipe, level-triggered: an event a wait while something is there.
-    pub fn add_level(&self, source: impl AsFd, token: u64) -> io::Result<()> {
+    pub fn add_level_triggered(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         epoll::add(
             &self.epoll,
             source,
@@ -69,19 +69,19 @@
             tv_nsec: d.subsec_nanos().into(),
         });
         self.events.clear();
-        let spare = rustix::buffer::spare_capacity(&mut self.events);
-        match epoll::wait(&self.epoll, spare, timeout.as_ref()) {
+        let unused = rustix::buffer::spare_capacity(&mut self.events);
+        match epoll::wait(&self.epoll, unused, timeout.as_ref()) {
             Err(io::Errno::INTR) => return Ok(()),
             result => result?,
         };
         ready.extend(self.events.iter().map(|e| {
             let (flags, data) = (e.flags, e.data);
-            let ended = flags.intersects(F::RDHUP | F::HUP | F::ERR);
+            let peer_closed = flags.intersects(F::RDHUP | F::HUP | F::ERR);
             Ready {
                 token: data.u64(),
-                readable: ended || flags.contains(F::IN),
+                readable: peer_closed || flags.contains(F::IN),
                 writable: flags.intersects(F::OUT | F::HUP | F::ERR),
-                ended,
+                peer_closed,
             }
         }));
         Ok(())
--- a/crates/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -9,34 +9,34 @@
 
 /// How reading ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fill {
+pub enum ReadOutcome {
     /// Everything that had arrived was read.
     Drained,
     /// The limit was reached; more may wait.
-    Limited,
+    LimitReached,
     /// The other side has ended its sending.
-    Ended,
+    EndOfStream,
     /// The connection is broken.
-    Broken,
+    Failed,
 }
 
 /// A connection with what was read and not yet taken, and what is to be written.
 pub struct Stream {
     fd: OwnedFd,
     input: Vec<u8>,
-    taken: usize,
+    consumed: usize,
     output: Vec<u8>,
     written: usize,
 }
 
 /// A descriptor without a use, to be closed when the system has none left.
-pub fn spare() -> Option<OwnedFd> {
+pub fn open_spare_descriptor() -> Option<OwnedFd> {
     use rustix::event::{eventfd, EventfdFlags};
     eventfd(0, EventfdFlags::CLOEXEC).ok()
 }
 
 /// Descriptors that the system allows this process.
-pub fn allowed() -> usize {
+pub fn max_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit
         .current
@@ -75,7 +75,7 @@
 }
 
 /// The address that a listener was given.
-pub fn listening_at(listener: impl AsFd) -> Option<SocketAddr> {
+pub fn listener_address(listener: impl AsFd) -> Option<SocketAddr> {
     net::getsockname(listener).ok()?.try_into().ok()
 }
 
@@ -106,7 +106,7 @@
         Ok(Stream {
             fd,
             input: Vec::with_capacity(chunk),
-            taken: 0,
+            consumed: 0,
             output: Vec::new(),
             written: 0,
         })
@@ -118,52 +118,52 @@
     }
 
     /// The result of a connection that was started.
-    pub fn connected(&self) -> Result<(), Errno> {
+    pub fn connect_result(&self) -> Result<(), Errno> {
         sockopt::socket_error(&self.fd)?
     }
 
     /// What was read and not yet taken.
     pub fn input(&self) -> &[u8] {
-        &self.input[self.taken..]
+        &self.input[self.consumed..]
     }
 
     /// Takes this many bytes of the input.
-    pub fn take(&mut self, bytes: usize) {
-        self.taken = (self.taken + bytes).min(self.input.len());
-        if self.taken == self.input.len() {
+    pub fn consume(&mut self, bytes: usize) {
+        self.consumed = (self.consumed + bytes).min(self.input.len());
+        if self.consumed == self.input.len() {
             self.input.clear();
-            self.taken = 0;
+            self.consumed = 0;
         }
     }
 
     /// Reads until nothing waits or `limit` bytes are held. `ended` says that the poller has
     /// reported an end: only then is a short read followed by another, as an event comes for later
     /// bytes.
-    pub fn fill(&mut self, limit: usize, chunk: usize, ended: bool) -> Fill {
+    pub fn read_available(&mut self, limit: usize, chunk: usize, peer_closed: bool) -> ReadOutcome {
         loop {
-            if self.input.len() - self.taken >= limit {
-                return Fill::Limited;
+            if self.input.len() - self.consumed >= limit {
+                return ReadOutcome::LimitReached;
             }
-            if self.taken > 0 {
-                self.input.drain(..self.taken);
-                self.taken = 0;
+            if self.consumed > 0 {
+                self.input.drain(..self.consumed);
+                self.consumed = 0;
             }
             if self.input.capacity() - self.input.len() < chunk / 2 {
                 self.input.reserve(chunk);
             }
             let free = self.input.capacity() - self.input.len();
             match io::read(&self.fd, rustix::buffer::spare_capacity(&mut self.input)) {
-                Ok(0) => return Fill::Ended,
-                Ok(n) if n < free && !ended => return Fill::Drained,
+                Ok(0) => return ReadOutcome::EndOfStream,
+                Ok(n) if n < free && !peer_closed => return ReadOutcome::Drained,
                 Ok(_) | Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) => return Fill::Drained,
-                Err(_) => return Fill::Broken,
+                Err(Errno::AGAIN) => return ReadOutcome::Drained,
+                Err(_) => return ReadOutcome::Failed,
             }
         }
     }
 
     /// Is there nothing to read, not even an end? Sees what has come since the last event too.
-    pub fn quiet(&self) -> bool {
+    pub fn is_open_without_input(&self) -> bool {
         let mut byte = [0; 1];
         let seen = net::recv(&self.fd, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
         self.input().is_empty() && matches!(seen, Err(Errno::AGAIN))
@@ -171,9 +171,9 @@
 
     /// Discards what waits, up to `limit` bytes, and returns how many were discarded. TCP drops
     /// what is read with TRUNC inside the kernel, so a large value costs neither memory nor copies.
-    pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (Fill, usize) {
+    pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (ReadOutcome, usize) {
         self.input = Vec::new();
-        self.taken = 0;
+        self.consumed = 0;
         let mut discarded = 0;
         while discarded < limit {
             match net::recv(
@@ -181,14 +181,14 @@
                 &mut *scratch,
                 RecvFlags::TRUNC | RecvFlags::DONTWAIT,
             ) {
-                Ok((_, 0)) => return (Fill::Ended, discarded),
+                Ok((_, 0)) => return (ReadOutcome::EndOfStream, discarded),
                 Ok((_, n)) => discarded += n,
                 Err(Errno::INTR) => {}
-                Err(Errno::AGAIN) => return (Fill::Drained, discarded),
-                Err(_) => return (Fill::Broken, discarded),
+                Err(Errno::AGAIN) => return (ReadOutcome::Drained, discarded),
+                Err(_) => return (ReadOutcome::Failed, discarded),
             }
         }
-        (Fill::Limited, discarded)
+        (ReadOutcome::LimitReached, discarded)
     }
 
     /// Bytes are appended here and go out with the next `flush`.
@@ -217,17 +217,17 @@
     }
 
     /// Gives back what a large message made the buffers grow to, once they are empty.
-    pub fn trim(&mut self, keep: usize) {
-        if self.output.is_empty() && self.output.capacity() > keep {
+    pub fn release_large_buffers(&mut self, max_bytes: usize) {
+        if self.output.is_empty() && self.output.capacity() > max_bytes {
             self.output = Vec::new();
         }
-        if self.input.is_empty() && self.input.capacity() > keep {
-            self.input = Vec::with_capacity(keep);
+        if self.input.is_empty() && self.input.capacity() > max_bytes {
+            self.input = Vec::with_capacity(max_bytes);
         }
     }
 
     /// Ends the sending; what was written still arrives.
-    pub fn end_sending(&self) -> io::Result<()> {
+    pub fn shut_down_write(&self) -> io::Result<()> {
         net::shutdown(&self.fd, Shutdown::Write)
     }
 }
--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -171,7 +171,7 @@
             serve_read(&mut harness, &mut known, id);
         }
         // The process ends; only its snapshot outlasts it.
-        harness.program.end();
+        harness.program.finalize();
         restart(&mut harness, file);
         let mut flood: Vec<Connection> = (0..30)
             .map(|n| Connection::connect_from([127, 64, 0, n], harness.program.address().unwrap()))
--- a/crates/ingress/tests/clock.rs
+++ b/crates/ingress/tests/clock.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn unix_times_compare_with_the_clock_and_stay_small() {
-    let clock = Clock::anchored(Duration::from_millis(1_800_000_000_000));
+    let clock = Clock::at_unix_time(Duration::from_millis(1_800_000_000_000));
     let now = clock.now();
     let five_s_ago = clock.from_unix_ms(1_799_999_995_000.0).unwrap();
     let age = now - five_s_ago;
--- a/crates/ingress/tests/common/connection.rs
+++ b/crates/ingress/tests/common/connection.rs
@@ -122,7 +122,7 @@
         let (words, used) =
             resp::command(&self.input, &protocol_limits()).expect("a well-formed command")?;
         let words = words
-            .get()
+            .as_slice()
             .iter()
             .map(|w| String::from_utf8_lossy(w).into_owned())
             .collect();
--- a/crates/ingress/tests/common/harness.rs
+++ b/crates/ingress/tests/common/harness.rs
@@ -114,7 +114,7 @@
         let now = self.now;
         let goes_on = self
             .program
-            .round(Some(Duration::from_millis(1)), || now)
+            .run_iteration(Some(Duration::from_millis(1)), || now)
             .unwrap();
         self.counter.serve();
         self.endpoints.iter_mut().for_each(Peer::read);
@@ -144,7 +144,7 @@
         loop {
             let now = self.now;
             self.program
-                .round(Some(Duration::from_millis(1)), || now)
+                .run_iteration(Some(Duration::from_millis(1)), || now)
                 .unwrap();
             self.counter.serve();
             self.endpoints.iter_mut().for_each(Peer::accept);
--- a/crates/ingress/tests/configuration.rs
+++ b/crates/ingress/tests/configuration.rs
@@ -20,7 +20,10 @@
         ("n3", 0x8c1f_30d2_7a5b_e964)
     );
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (128, 512));
-    assert!(config.known.is_full, "the list last held is a whole one");
+    assert!(
+        config.initial_endpoints.is_full,
+        "the list last held is a whole one"
+    );
     assert_eq!(config.settings.plan_names(), ["seedling"]);
     let env = |name: &str| (name == "LB_LISTEN").then(|| "127.0.0.2:1".to_owned());
     let config = Config::parse(text("1", "127.0.0.1:6379"), env).unwrap();
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -71,7 +71,7 @@
     let now = harness.now;
     harness
         .program
-        .round(Some(Duration::from_millis(1)), || now)
+        .run_iteration(Some(Duration::from_millis(1)), || now)
         .unwrap();
 }
 
--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -70,7 +70,7 @@
     let now = harness.now;
     harness
         .program
-        .round(Some(Duration::from_millis(1)), || now)
+        .run_iteration(Some(Duration::from_millis(1)), || now)
         .unwrap();
     drop(exhausted);
     // As many as the retry budget allows after six requests.
--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -35,7 +35,7 @@
 fn a_watch_that_breaks_is_reopened_after_the_backoff() {
     let mut harness = Harness::new(1);
     harness.discovery.connections.clear();
-    harness.run_until("the loss", |s| s.program.next_due().is_some());
+    harness.run_until("the loss", |s| s.program.next_deadline().is_some());
     for _ in 0..3 {
         harness.run_round();
     }
--- a/crates/ingress/tests/endpoint_list_parsing.rs
+++ b/crates/ingress/tests/endpoint_list_parsing.rs
@@ -38,7 +38,7 @@
     let (mut lists, mut found) = (ListSplitter::default(), Vec::new());
     parts
         .iter()
-        .for_each(|part| lists.take(part.as_bytes(), &mut found));
+        .for_each(|part| lists.feed(part.as_bytes(), &mut found));
     found
         .into_iter()
         .map(|f| String::from_utf8(f).unwrap())
--- a/crates/ingress/tests/http_replies.rs
+++ b/crates/ingress/tests/http_replies.rs
@@ -1,6 +1,6 @@
 //! HTTP replies of counter and discovery, and the calls that are written to them.
 
-use roseyard_ingress::protocol::http::{put_increment, reply, Body};
+use roseyard_ingress::protocol::http::{put_increment_request, reply, Framing};
 use roseyard_ingress::protocol::{Malformed, ProtocolLimits};
 
 fn limits() -> ProtocolLimits {
@@ -13,7 +13,7 @@
         (
             h.status,
             String::from_utf8_lossy(body).into(),
-            h.closes,
+            h.closes_connection,
             used,
         )
     }))
@@ -60,7 +60,7 @@
     let (found, used) = reply(text, true, &limits()).unwrap().unwrap();
     assert_eq!(
         (found.0.body, found.1, used),
-        (Body::UntilEnd, &b"12"[..], text.len())
+        (Framing::UntilClose, &b"12"[..], text.len())
     );
     assert_eq!(
         reply(&text[..18], true, &limits()),
@@ -72,7 +72,7 @@
 #[test]
 fn a_call_is_worded_as_the_counter_takes_it() {
     let mut out = Vec::new();
-    put_increment(&mut out, "127.0.0.1:6400", 0xb4d65521, 2.5, 4000);
+    put_increment_request(&mut out, "127.0.0.1:6400", 0xb4d65521, 2.5, 4000);
     let text = String::from_utf8(out).unwrap();
     assert!(
         text.starts_with("POST /tally/00000000b4d65521?n=2.5&keep_ms=4000 HTTP/1.1\r\n"),
--- a/crates/ingress/tests/load_report.rs
+++ b/crates/ingress/tests/load_report.rs
@@ -1,12 +1,12 @@
 //! Load reports and usage figures: what is read, and what is skipped.
 
 use proptest::prelude::*;
-use roseyard_ingress::protocol::report::{report, true_units};
+use roseyard_ingress::protocol::report::{parse_load_report, parse_true_units};
 
 #[test]
 fn true_units_are_read_where_they_are_a_count_that_a_request_may_have() {
-    assert_eq!(true_units(b"used=37,cost=4", 8.0), Some(4.0));
-    assert_eq!(true_units(b"cost=0.5", 8.0), Some(0.5));
+    assert_eq!(parse_true_units(b"used=37,cost=4", 8.0), Some(4.0));
+    assert_eq!(parse_true_units(b"cost=0.5", 8.0), Some(0.5));
     for odd in [
         "used=37",
         "",
@@ -19,9 +19,9 @@
         "cost=1,cost=2",
         "xcost=3",
     ] {
-        assert_eq!(true_units(odd.as_bytes(), 8.0), None, "{odd}");
+        assert_eq!(parse_true_units(odd.as_bytes(), 8.0), None, "{odd}");
     }
-    assert_eq!(true_units(b"cost=1\xff", 8.0), None);
+    assert_eq!(parse_true_units(b"cost=1\xff", 8.0), None);
 }
 
 proptest! {
@@ -32,19 +32,22 @@
         let mut text = noise;
         let at = at.min(text.len());
         text.splice(at..at, format!(",cost={cost},").bytes());
-        prop_assert!(true_units(&text, 8.0).is_none_or(|u| u > 0.0 && u <= 8.0));
+        prop_assert!(parse_true_units(&text, 8.0).is_none_or(|u| u > 0.0 && u <= 8.0));
     }
 }
 
 #[test]
 fn known_fields_are_read_and_the_rest_is_passed_over() {
-    let load = report(b"inflight=7,queue=2,util=0.61,eps=3,odd").unwrap();
+    let load = parse_load_report(b"inflight=7,queue=2,util=0.61,eps=3,odd").unwrap();
     assert_eq!(
         (load.in_flight, load.queued, load.utilisation),
         (Some(7.0), Some(2.0), Some(0.61))
     );
-    assert_eq!(report(b"cpu_share=0.5").unwrap().utilisation, Some(0.5));
-    assert_eq!(report(b"util=nan,queue=-1"), None);
-    assert_eq!(report(b"failed"), None);
-    assert_eq!(report(b"\xff"), None);
+    assert_eq!(
+        parse_load_report(b"cpu_share=0.5").unwrap().utilisation,
+        Some(0.5)
+    );
+    assert_eq!(parse_load_report(b"util=nan,queue=-1"), None);
+    assert_eq!(parse_load_report(b"failed"), None);
+    assert_eq!(parse_load_report(b"\xff"), None);
 }
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -121,7 +121,7 @@
 fn words(bytes: &[u8]) -> Vec<Vec<u8>> {
     let (words, used) = resp::command(bytes, &protocol_limits()).unwrap().unwrap();
     assert_eq!(used, bytes.len());
-    words.get().iter().map(|w| w.to_vec()).collect()
+    words.as_slice().iter().map(|w| w.to_vec()).collect()
 }
 
 proptest! {
@@ -151,7 +151,7 @@
         let sent = [vec![b"API.WRITE".to_vec(), customer, id, list(&said.to_string())], Vec::from_iter(body)];
         let mut sent = sent.concat();
         let words: Vec<&[u8]> = sent.iter().map(Vec::as_slice).collect();
-        let request = command::request(&words, None).unwrap();
+        let request = command::decode_request(&words, None).unwrap();
         prop_assert_eq!((request.customer, request.wait_ms), (0xb4d6_5521, f64::from(said)));
         let mut bytes = Vec::new();
         RequestCommand::new(&words, &request).put(wait, &mut bytes);
@@ -185,7 +185,7 @@
             http::chunk(&input, &limits).ok().flatten().map(|f| f.1),
         ];
         prop_assert!(used.into_iter().flatten().all(|n| n > 0 && n <= input.len()));
-        let load = report::report(&input);
+        let load = report::parse_load_report(&input);
         prop_assert!(load.is_none_or(|l| l.utilisation.is_none_or(f64::is_finite)));
         prop_assert!(list::decode(&mut input.clone()).is_err(), "none of these is a list");
     }
@@ -230,7 +230,7 @@
             };
             prop_assert_eq!(deadlines.next(), model.values().min().copied());
             now += pass;
-            while let Some(fired) = deadlines.pop(Duration::from_millis(now)) {
+            while let Some(fired) = deadlines.pop_expired(Duration::from_millis(now)) {
                 owners[fired] = None;
                 let at = model.remove(&fired).expect("set");
                 prop_assert!(at <= Duration::from_millis(now) && model.values().all(|other| *other >= at));
--- a/crates/ingress/tests/quotas.rs
+++ b/crates/ingress/tests/quotas.rs
@@ -140,7 +140,7 @@
     fn round(&mut self, reached: &mut Vec<u64>) {
         let now = self.now;
         for program in &mut self.programs {
-            program.round(Some(Duration::ZERO), || now).unwrap();
+            program.run_iteration(Some(Duration::ZERO), || now).unwrap();
         }
         self.counter.serve();
         self.expire_counter_keys();
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -100,7 +100,7 @@
     while !request.ends_with("\r\n\r\n") {
         let now = harness.now;
         let wait = Some(Duration::from_millis(1));
-        harness.program.round(wait, || now).unwrap();
+        harness.program.run_iteration(wait, || now).unwrap();
         harness.discovery.read();
         request = harness
             .discovery
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -141,8 +141,8 @@
 fn decode(line: &[u8]) -> EndpointListMessage {
     let mut lists = list::ListSplitter::default();
     let mut found = Vec::new();
-    lists.take(line, &mut found);
-    lists.take(b"\n", &mut found);
+    lists.feed(line, &mut found);
+    lists.feed(b"\n", &mut found);
     list::decode(&mut found[0]).expect("a line of the testbed decodes")
 }
 
--- a/crates/testbed/src/scale/simulated_ingress/ingress.rs
+++ b/crates/testbed/src/scale/simulated_ingress/ingress.rs
@@ -98,8 +98,8 @@
         self.traffic.list_bytes_in += line.len() as u64 + 1;
         let mut lists = list::ListSplitter::default();
         let mut found = Vec::new();
-        lists.take(line, &mut found);
-        lists.take(b"\n", &mut found);
+        lists.feed(line, &mut found);
+        lists.feed(b"\n", &mut found);
         for mut text in found {
             let message = list::decode(&mut text).expect("a line of the testbed decodes");
             self.apply_endpoint_list(&message, environment);
--- a/crates/testbed/src/scale/simulated_ingress/outputs.rs
+++ b/crates/testbed/src/scale/simulated_ingress/outputs.rs
@@ -120,7 +120,7 @@
     ) {
         self.counter_call.clear();
         let time_to_live_ms = time_to_live.as_millis().max(1) as u64;
-        http::put_increment(
+        http::put_increment_request(
             &mut self.counter_call,
             COUNTER_ADDRESS,
             key.0,
