--- a/crates/ingress/tests/common/config.rs
+++ b/crates/ingress/tests/common/config.rs
@@ -1,4 +1,4 @@
-//! Configurations of an ingress among fakes on loopback, and their limits.
+//! Configurations of an ingress whose peers are fakes on loopback, and the limits that result.
 
 use super::messages::endpoint_entry;
 use super::peer::Peer;
@@ -10,15 +10,16 @@
 use roseyard_platform_config::PlatformSettings;
 use std::net::SocketAddr;
 
+/// The platform's settings (JSON) that the tests start from.
 pub(crate) const PLATFORM_SETTINGS: &str = include_str!("../settings.json");
 
-/// The parsers' limits in an ingress of the usual size.
+/// Returns the parser limits of the only ingress of a tier, with 192 MB of memory.
 pub(crate) fn protocol_limits() -> ProtocolLimits {
     tier_limits(1, 2000).protocol
 }
 
-/// The limits in a tier of so many ingresses, with so many milliseconds of grace for requests to
-/// endpoints that drain.
+/// Returns the limits of an ingress in a tier of `ingresses`, where requests to a draining endpoint
+/// may take up to `drain_grace_ms`.
 pub(crate) fn tier_limits(ingresses: u32, drain_grace_ms: u32) -> Limits {
     let operator = OperatorSettings::new(&MachineLimits {
         platform_descriptors: 1024,
@@ -34,7 +35,8 @@
     Limits::new(&operator, 192, &settings)
 }
 
-/// A configuration of an ingress among these peers.
+/// Returns the platform's configuration (JSON) of an ingress with these peers. Its endpoint list of
+/// revision 41 holds all of `endpoints` as serving.
 pub(crate) fn config(
     counter: &Peer,
     discovery: &Peer,
@@ -44,7 +46,7 @@
     let known: Vec<String> = endpoints
         .iter()
         .enumerate()
-        .map(|(n, s)| endpoint_entry(n, s.address, "SERVING"))
+        .map(|(n, endpoint)| endpoint_entry(n, endpoint.address, "SERVING"))
         .collect();
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","counter":"{}","seed":"0123456789abcdef",
@@ -56,7 +58,7 @@
     )
 }
 
-/// A valid operator's file.
+/// Parses an operator's file that has to be valid.
 pub(crate) fn operator_file(text: &str) -> OperatorFile {
     OperatorFile::parse("roseyard.kdl", text).unwrap()
 }
--- a/crates/ingress/tests/common/harness.rs
+++ b/crates/ingress/tests/common/harness.rs
@@ -1,5 +1,5 @@
-//! An ingress in this process under a clock that the test moves, among fakes of everything that it
-//! is connected to.
+//! An ingress that runs inside the test process, under a clock that the test advances, connected to
+//! fakes of the counter, discovery and the endpoints.
 
 use super::config::{config, operator_file, parse_config};
 use super::connection::Connection;
@@ -12,22 +12,25 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Real time within which an awaited event must come.
+/// The real time within which an awaited event has to occur.
 const RUN_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An ingress and its peers.
+/// An ingress and the fakes that it is connected to.
 pub(crate) struct Harness {
     pub program: Program,
+    /// The time on the test's clock, which only the test advances.
     pub now: Duration,
     pub counter: FakeCounter,
     pub discovery: Peer,
     pub endpoints: Vec<Peer>,
-    /// First lines of the requests that discovery has received.
+    /// The request lines of all calls that discovery has received.
     pub watch_requests: Vec<String>,
+    /// Whether discovery replies to a call with an empty line, which says that nothing has changed.
     pub discovery_replies: bool,
 }
 
 impl Harness {
+    /// Starts an ingress with 1024 descriptors and 192 MB of memory.
     pub(crate) fn new(endpoints: usize) -> Harness {
         Harness::with_descriptors(endpoints, 1024)
     }
@@ -44,7 +47,7 @@
         Harness::with_operator_file(endpoints, platform_descriptors, memory_mb, "")
     }
 
-    /// Starts under an operator's file.
+    /// Starts an ingress with an operator's file, and waits for its call to discovery.
     pub(crate) fn with_operator_file(
         endpoints: usize,
         platform_descriptors: usize,
@@ -72,56 +75,64 @@
             watch_requests,
             discovery_replies: true,
         };
-        harness.run_until("the watch", |s| !s.watch_requests.is_empty());
+        harness.run_until("the watch", |h| !h.watch_requests.is_empty());
         harness
     }
 
-    /// Restarts the ingress among the same peers, with this configuration.
+    /// Restarts the ingress with the same peers and another configuration, and waits for its call
+    /// to discovery.
     pub(crate) fn restart_with_config(&mut self, text: String) {
         let clock = Clock::start();
         let config = Config::parse(text.into(), |_| None).unwrap();
         self.program = Program::start(&config, &operator_file(""), clock).unwrap();
         self.now = clock.now();
         let watch_requests = self.watch_requests.len();
-        self.run_until("the watch", |s| s.watch_requests.len() > watch_requests);
+        self.run_until("the watch", |h| h.watch_requests.len() > watch_requests);
     }
 
-    /// Restarts the ingress with parts of its configuration, each of which it must have, replaced.
-    pub(crate) fn restart_with_replacements(&mut self, words: &[(&str, &str)]) {
+    /// Restarts the ingress after replacing texts of its default configuration, each of which has
+    /// to occur in it.
+    pub(crate) fn restart_with_replacements(&mut self, replacements: &[(&str, &str)]) {
         let mut text = config(&self.counter.peer, &self.discovery, &self.endpoints, 1024);
-        for (was, is) in words {
-            assert!(text.contains(was), "the configuration has no {was}");
-            text = text.replace(was, is);
+        for (old, new) in replacements {
+            assert!(text.contains(old), "the configuration has no {old}");
+            text = text.replace(old, new);
         }
         self.restart_with_config(text);
     }
 
-    /// The same, with so many milliseconds of grace for requests to endpoints that drain.
-    pub(crate) fn restart_with_drain_grace(&mut self, ms: u64, words: &[(&str, &str)]) {
+    /// Restarts the ingress like `restart_with_replacements`, where in addition requests to a
+    /// draining endpoint may take up to `ms`.
+    pub(crate) fn restart_with_drain_grace(&mut self, ms: u64, replacements: &[(&str, &str)]) {
         let grace = format!("\"StopSendingWithinMs\":{ms}.0");
         self.restart_with_replacements(
-            &[&[("\"StopSendingWithinMs\":2000.0", grace.as_str())], words].concat(),
+            &[
+                &[("\"StopSendingWithinMs\":2000.0", grace.as_str())],
+                replacements,
+            ]
+            .concat(),
         );
     }
 
+    /// Connects a client to the ingress.
     pub(crate) fn connect(&self) -> Connection {
         Connection::connect(self.program.address().unwrap())
     }
 
-    /// One round of the ingress at the test's time, then one of its peers. False once the ingress has
-    /// ended.
+    /// Runs one round of the ingress's event loop at the time of the test's clock, then lets the
+    /// peers read and reply. Returns false once the ingress has shut down.
     pub(crate) fn run_round(&mut self) -> bool {
         let now = self.now;
-        let goes_on = self
+        let is_running = self
             .program
             .run_iteration(Some(Duration::from_millis(1)), || now)
             .unwrap();
         self.counter.serve();
         self.endpoints.iter_mut().for_each(Peer::read);
         self.discovery.read();
-        for end in &mut self.discovery.connections {
-            if let Some(at) = end.input.windows(4).position(|w| w == b"\r\n\r\n") {
-                let head: Vec<u8> = end.input.drain(..at + 4).collect();
+        for connection in &mut self.discovery.connections {
+            if let Some(head_end) = connection.input.windows(4).position(|w| w == b"\r\n\r\n") {
+                let head: Vec<u8> = connection.input.drain(..head_end + 4).collect();
                 self.watch_requests.push(
                     String::from_utf8(head)
                         .unwrap()
@@ -131,15 +142,17 @@
                         .to_owned(),
                 );
                 if self.discovery_replies {
-                    end.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+                    connection
+                        .send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
                 }
             }
         }
-        goes_on
+        is_running
     }
 
-    /// Runs until an endpoint, which reads nothing, meets the condition; its index.
-    pub(crate) fn run_until_contacted(&mut self, begun: impl Fn(&Peer) -> bool) -> usize {
+    /// Runs until an endpoint meets the condition, while endpoints accept connections and read
+    /// nothing. Returns the endpoint's index.
+    pub(crate) fn run_until_contacted(&mut self, condition: impl Fn(&Peer) -> bool) -> usize {
         let start = Instant::now();
         loop {
             let now = self.now;
@@ -148,27 +161,34 @@
                 .unwrap();
             self.counter.serve();
             self.endpoints.iter_mut().for_each(Peer::accept);
-            if let Some(s) = self.endpoints.iter().position(&begun) {
-                return s;
+            if let Some(endpoint) = self.endpoints.iter().position(&condition) {
+                return endpoint;
             }
-            assert!(start.elapsed() < RUN_TIMEOUT, "no endpoint was contacted");
+            assert!(
+                start.elapsed() < RUN_TIMEOUT,
+                "no endpoint met the condition in time"
+            );
         }
     }
 
-    /// Runs until the event has come.
-    pub(crate) fn run_until(&mut self, what: &str, mut come: impl FnMut(&mut Harness) -> bool) {
+    /// Runs rounds until the condition holds; `what` names it in the failure message.
+    pub(crate) fn run_until(
+        &mut self,
+        what: &str,
+        mut condition: impl FnMut(&mut Harness) -> bool,
+    ) {
         let start = Instant::now();
         loop {
             self.run_round();
-            if come(self) {
+            if condition(self) {
                 return;
             }
-            assert!(start.elapsed() < RUN_TIMEOUT, "never came: {what}");
+            assert!(start.elapsed() < RUN_TIMEOUT, "timed out: {what}");
         }
     }
 
-    /// Discovery and counter move to new addresses, and the ingress reloads its configuration. The
-    /// old counter is returned, and no longer served.
+    /// Replaces discovery and the counter by new ones at other addresses, and reloads the ingress
+    /// with these. Returns the old counter, which no longer replies.
     pub(crate) fn reload_with_new_peers(&mut self) -> FakeCounter {
         let old = std::mem::replace(&mut self.counter, FakeCounter::new());
         self.discovery = Peer::new();
@@ -178,13 +198,13 @@
         old
     }
 
-    /// Moves the clock, and runs a round.
+    /// Advances the clock and runs one round.
     pub(crate) fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
         self.run_round();
     }
 
-    /// Discovery sends these states of endpoints.
+    /// Lets discovery send a partial list with the states of these endpoints.
     pub(crate) fn send_endpoint_states(&mut self, rev: u64, states: &[(usize, &str)]) {
         let targets: Vec<String> = states
             .iter()
@@ -194,15 +214,16 @@
             "{{\"rev\":{rev},\"all\":false,\"targets\":[{}]}}\n",
             targets.join(",")
         );
-        let end = self.discovery.connections.last_mut().unwrap();
-        end.send(format!("{:x}\r\n{line}\r\n", line.len()));
+        let watch = self.discovery.connections.last_mut().unwrap();
+        watch.send(format!("{:x}\r\n{line}\r\n", line.len()));
     }
 
-    /// Runs until a command has come at any endpoint: endpoint, connection, words.
+    /// Runs until an endpoint has received a command. Returns the endpoint's index, the
+    /// connection's index and the words of the command.
     pub(crate) fn next_request(&mut self) -> (usize, usize, Vec<String>) {
         let mut found = None;
-        self.run_until("a command at an endpoint", |s| {
-            found = s
+        self.run_until("a command at an endpoint", |h| {
+            found = h
                 .endpoints
                 .iter_mut()
                 .enumerate()
@@ -212,17 +233,18 @@
         found.unwrap()
     }
 
-    /// Runs until a client has been sent exactly this.
-    pub(crate) fn expect_reply(&mut self, client: &mut Connection, text: &str) {
-        self.run_until(text, |_| {
+    /// Runs until the client has received as many bytes as `reply` has, and checks that they are
+    /// equal.
+    pub(crate) fn expect_reply(&mut self, client: &mut Connection, reply: &str) {
+        self.run_until(reply, |_| {
             client.read();
-            client.input.len() >= text.len()
+            client.input.len() >= reply.len()
         });
-        assert_eq!(client.received_text(), text);
+        assert_eq!(client.received_text(), reply);
         client.input.clear();
     }
 
-    /// Runs until a client has been sent a line, and takes it.
+    /// Runs until the client has received a line. Removes the line from its input and returns it.
     pub(crate) fn read_line(&mut self, client: &mut Connection) -> String {
         self.run_until("a line", |_| {
             client.read();
@@ -232,9 +254,9 @@
         String::from_utf8(client.input.drain(..end).collect()).unwrap()
     }
 
-    /// Runs until a client's connection has been closed.
+    /// Runs until the ingress has closed the client's connection.
     pub(crate) fn run_until_closed(&mut self, client: &mut Connection) {
-        self.run_until("the connection's end", |_| {
+        self.run_until("the connection is closed", |_| {
             client.read();
             !client.is_open
         });
--- a/crates/ingress/tests/common/ingress_process.rs
+++ b/crates/ingress/tests/common/ingress_process.rs
@@ -1,4 +1,4 @@
-//! The program as a process of its own.
+//! The ingress as a process of its own.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -6,31 +6,37 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-/// The running program; killed when it is dropped.
+/// A running ingress, which is killed when this value is dropped.
 pub(crate) struct IngressProcess {
     pub child: Child,
+    /// The log, after the line that was read last.
     pub log: BufReader<std::process::ChildStderr>,
+    /// The address that clients connect to.
     pub address: SocketAddr,
+    /// The path of the configuration file, which is removed with the process.
     pub config: std::path::PathBuf,
 }
 
 impl IngressProcess {
+    /// Starts the ingress with this configuration, and waits until it listens. The name
+    /// distinguishes the configuration files of the tests in one file.
     pub(crate) fn start(name: &str, text: &str) -> IngressProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"));
         command.env_remove("LB_DISCOVERY");
         IngressProcess::start_command(name, text, command)
     }
 
+    /// Starts the ingress by a command that the test has prepared, and waits until it listens.
     pub(crate) fn start_command(name: &str, text: &str, command: Command) -> IngressProcess {
         IngressProcess::start_after_reading_log(name, text, command, |_| ())
     }
 
-    /// Runs `first` on the log before the listening line is awaited.
+    /// Starts the ingress and passes its log to `read_log` before waiting until it listens.
     pub(crate) fn start_after_reading_log(
         name: &str,
         text: &str,
         mut command: Command,
-        first: impl FnOnce(&mut BufReader<std::process::ChildStderr>),
+        read_log: impl FnOnce(&mut BufReader<std::process::ChildStderr>),
     ) -> IngressProcess {
         let config =
             std::env::temp_dir().join(format!("roseyard-{}-{name}.json", std::process::id()));
@@ -43,7 +49,7 @@
             .spawn()
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        first(&mut log);
+        read_log(&mut log);
         let line = next_line_containing(&mut log, "info: listening name=");
         let address = line.rsplit('=').next().unwrap().trim().parse().unwrap();
         IngressProcess {
@@ -54,6 +60,7 @@
         }
     }
 
+    /// Connects a client, whose reads time out after 20 s.
     pub(crate) fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         stream
@@ -66,6 +73,7 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
+    /// Sends SIGTERM and waits until the process has ended.
     pub(crate) fn terminate(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         self.child.wait().unwrap()
@@ -80,7 +88,7 @@
     }
 }
 
-/// The next line of the log with this text.
+/// Reads the log up to the next line that contains this text, and returns the line.
 pub(crate) fn next_line_containing(log: &mut impl BufRead, text: &str) -> String {
     loop {
         let mut line = String::new();
@@ -94,23 +102,23 @@
     }
 }
 
-/// Replies with this text to each message that ends with these bytes, on a thread for each
-/// connection.
+/// Accepts connections on a thread, and replies on each with `reply` whenever the received bytes
+/// end with `request_end`.
 pub(crate) fn serve_fixed_reply(
     listener: TcpListener,
-    ends_with: &'static [u8],
-    text: &'static str,
+    request_end: &'static [u8],
+    reply: &'static str,
 ) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             std::thread::spawn(move || {
-                let (mut seen, mut buf) = (Vec::new(), [0; 4096]);
+                let (mut received, mut buf) = (Vec::new(), [0; 4096]);
                 while let Ok(n @ 1..) = stream.read(&mut buf) {
-                    seen.extend_from_slice(&buf[..n]);
-                    if seen.ends_with(ends_with) {
-                        seen.clear();
-                        if stream.write_all(text.as_bytes()).is_err() {
+                    received.extend_from_slice(&buf[..n]);
+                    if received.ends_with(request_end) {
+                        received.clear();
+                        if stream.write_all(reply.as_bytes()).is_err() {
                             return;
                         }
                     }
--- a/crates/ingress/tests/common/mod.rs
+++ b/crates/ingress/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The harness of the socket tests: an ingress in this process under a clock that the test moves,
-//! among fakes on loopback.
+//! Fixtures of the socket tests: an ingress that runs in the test process or as a process of its
+//! own, and fakes of its peers on loopback.
 #![allow(dead_code, unused_imports)]
 
 mod config;
--- a/crates/ingress/tests/common/pending_change.rs
+++ b/crates/ingress/tests/common/pending_change.rs
@@ -1,4 +1,4 @@
-//! A change of the endpoint list that discovery cannot send yet.
+//! A change of the endpoint list that a fault of discovery keeps from the ingress.
 
 use super::connection::Connection;
 use super::harness::Harness;
@@ -6,23 +6,28 @@
 use super::peer::Peer;
 use std::time::Duration;
 
-/// What becomes of calls to discovery.
+/// How calls to discovery fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum DiscoveryFault {
+    /// Connections are refused.
     Refuses,
     /// Connections are never established.
     NeverAccepts,
+    /// Calls get no reply.
     Silent,
-    /// The head of a reply, and nothing behind it.
+    /// Calls get the head of a reply and nothing after it.
     HeadOnly,
-    /// Half of a list, and nothing behind it.
+    /// Calls get half of a list and nothing after it.
     HalfList,
+    /// Connections are reset.
     Resets,
+    /// Calls get status 503.
     Rejects,
-    /// The watch ends without a line.
+    /// The reply ends without a line.
     EndsAtOnce,
 }
 
+/// All faults.
 pub(crate) const DISCOVERY_FAULTS: [DiscoveryFault; 8] = [
     DiscoveryFault::Refuses,
     DiscoveryFault::NeverAccepts,
@@ -34,24 +39,28 @@
     DiscoveryFault::EndsAtOnce,
 ];
 
-/// A change counts as notified this long after discovery has it and can be reached.
+/// The longest time until a change is applied, from when discovery has it and can be reached.
 pub(crate) const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
-/// And this long after SIGHUP where the new address has it by then.
+/// The longest time until a change is applied, from a SIGHUP that sets a new address of discovery,
+/// where discovery has the change by then.
 pub(crate) const MAX_NOTIFICATION_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
 
+/// The time by which [`PendingChange::step`] advances the clock.
 pub(crate) const STEP_MS: u64 = 100;
 
-/// How an ingress uses discovery.
+/// Settings of the ingress that decide how soon it calls discovery again.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DiscoveryMode {
-    /// Are lists pushed, or polled by calls that may wait?
+    /// Whether discovery pushes changes over an open watch; otherwise the ingress polls.
     pub(crate) is_pushed: bool,
+    /// The size of the tier.
     pub(crate) ingresses: u32,
-    /// Milliseconds within which requests to a drained endpoint must end.
+    /// The time that requests to a draining endpoint may take.
     pub(crate) drain_grace_ms: u64,
 }
 
+/// The modes under which each fault is tested.
 pub(crate) const DISCOVERY_MODES: [DiscoveryMode; 4] = [
     DiscoveryMode {
         is_pushed: true,
@@ -75,23 +84,27 @@
     },
 ];
 
-/// An ingress whose discovery has a change to send, once it can be reached.
+/// An ingress at list revision 41, whose discovery has revision 42 and cannot be reached yet.
 pub(crate) struct PendingChange {
     pub(crate) harness: Harness,
     pub(crate) mode: DiscoveryMode,
-    /// Connections to discovery that have been replied to.
+    /// The number of connections to discovery that the test has already handled.
     pub(crate) handled_connections: usize,
-    /// The old address of discovery, which keeps sending that nothing has changed.
+    /// Discovery at its old address, which keeps sending that nothing has changed.
     pub(crate) old_discovery: Option<Peer>,
 }
 
 impl PendingChange {
+    /// Starts the ingress; the watch is open and no fault has occurred.
     pub(crate) fn new(mode: DiscoveryMode) -> PendingChange {
         PendingChange::with_replacements(mode, &[])
     }
 
-    /// The same with parts of its configuration replaced.
-    pub(crate) fn with_replacements(mode: DiscoveryMode, words: &[(&str, &str)]) -> PendingChange {
+    /// Starts the ingress like `new`, after replacing texts of its configuration.
+    pub(crate) fn with_replacements(
+        mode: DiscoveryMode,
+        replacements: &[(&str, &str)],
+    ) -> PendingChange {
         let mut harness = Harness::new(2);
         let ingresses = format!("\"Balancers\":{},", mode.ingresses);
         let discovery = if mode.is_pushed {
@@ -103,7 +116,7 @@
             ("\"Balancers\":1,", &*ingresses),
             ("\"Discovery\":\"automatic\"", discovery),
         ];
-        harness.restart_with_drain_grace(mode.drain_grace_ms, &[&tier, words].concat());
+        harness.restart_with_drain_grace(mode.drain_grace_ms, &[&tier, replacements].concat());
         harness.discovery_replies = false;
         let handled_connections = harness.discovery.connections.len();
         PendingChange {
@@ -114,6 +127,7 @@
         }
     }
 
+    /// Returns the pending change: revision 42, in which the first endpoint drains.
     pub(crate) fn update_line(&self) -> String {
         endpoint_list(
             42,
@@ -126,7 +140,7 @@
         )
     }
 
-    /// Calls fail like this from now on; the open watch falls silent, or breaks.
+    /// Starts a fault: calls fail from now on, and the open watch falls silent or is closed.
     pub(crate) fn fail(&mut self, fault: DiscoveryFault) {
         match fault {
             DiscoveryFault::Refuses => self.harness.discovery.stop(),
@@ -143,7 +157,7 @@
         self.handled_connections = self.harness.discovery.connections.len();
     }
 
-    /// Calls from now on can reach discovery; those from before never get a reply.
+    /// Ends a fault: new calls reach discovery, while earlier ones never get a reply.
     pub(crate) fn recover(&mut self, fault: DiscoveryFault) {
         match fault {
             DiscoveryFault::Refuses => self.harness.discovery.restart(),
@@ -156,7 +170,7 @@
         self.handled_connections = self.harness.discovery.connections.len();
     }
 
-    /// Lets time pass while calls fail like this; how many calls there were.
+    /// Advances the clock by one step while calls fail. Returns the number of calls.
     pub(crate) fn step(&mut self, fault: DiscoveryFault) -> usize {
         self.harness.advance(STEP_MS);
         let update = self.update_line();
@@ -182,30 +196,36 @@
                 DiscoveryFault::EndsAtOnce => call.send(format!("{WATCH_HEAD}0\r\n\r\n")),
             }
         }
-        let made = calls.len();
-        self.handled_connections += made;
-        for _ in 0..made {
+        let call_count = calls.len();
+        self.handled_connections += call_count;
+        for _ in 0..call_count {
             self.harness.run_round();
         }
-        made
+        call_count
     }
 
-    pub(crate) fn fail_for(&mut self, fault: DiscoveryFault, time: Duration) {
-        let end = self.harness.now + time;
+    /// Lets calls fail for this long.
+    pub(crate) fn fail_for(&mut self, fault: DiscoveryFault, duration: Duration) {
+        let end = self.harness.now + duration;
         while self.harness.now < end {
             self.step(fault);
         }
     }
 
-    /// Calls are replied to with the change; it must be applied this long after `since` at the
-    /// latest.
-    pub(crate) fn assert_applied_within(&mut self, most: Duration, since: Duration, what: &str) {
+    /// Replies to calls with the change, and checks that the ingress applies it within `max_delay`
+    /// of `since`.
+    pub(crate) fn assert_applied_within(
+        &mut self,
+        max_delay: Duration,
+        since: Duration,
+        what: &str,
+    ) {
         let update = format!("{WATCH_HEAD}{}", chunk(&self.update_line()));
         while self.harness.program.list_revision() == 41 {
-            let late = self.harness.now - since;
+            let delay = self.harness.now - since;
             assert!(
-                late <= most,
-                "{what}, {:?}: not applied after {late:?}",
+                delay <= max_delay,
+                "{what}, {:?}: not applied after {delay:?}, limit {max_delay:?}",
                 self.mode
             );
             self.harness.advance(STEP_MS);
@@ -214,7 +234,7 @@
                 old_discovery
                     .connections
                     .iter_mut()
-                    .for_each(|end| end.send(chunk("\n")));
+                    .for_each(|c| c.send(chunk("\n")));
             }
             for call in &mut self.harness.discovery.connections[self.handled_connections..] {
                 call.send(&update);
@@ -222,12 +242,13 @@
             if self.harness.discovery.connections.len() > self.handled_connections {
                 self.handled_connections = self.harness.discovery.connections.len();
                 self.harness
-                    .run_until("the list", |s| s.program.list_revision() == 42);
+                    .run_until("the list", |h| h.program.list_revision() == 42);
             }
         }
     }
 
-    /// A reload migrates discovery to a new address; the old one stays as it is.
+    /// Reloads the ingress with a new address of discovery. Returns the peer at the old address,
+    /// which stays as it is.
     pub(crate) fn migrate_discovery(&mut self) -> Peer {
         let old = std::mem::replace(&mut self.harness.discovery, Peer::new());
         drop(self.harness.reload_with_new_peers());
