--- a/crates/ingress/tests/change_notification.rs
+++ b/crates/ingress/tests/change_notification.rs
@@ -142,7 +142,7 @@
             let text = &complete_list[n * part..complete_list.len().min((n + 1) * part)];
             change.harness.discovery.connections[before].send(chunk(text));
             for _ in 0..5 {
-                change.harness.run_round();
+                change.harness.run_iteration();
             }
             change.harness.advance(BETWEEN_MS);
         }
--- a/crates/ingress/tests/client_commands.rs
+++ b/crates/ingress/tests/client_commands.rs
@@ -90,7 +90,7 @@
     client.send("*5\r\n");
     for _ in 0..2 {
         client.send(&word);
-        harness.run_round();
+        harness.run_iteration();
     }
     assert_eq!(
         harness.read_line(&mut client),
@@ -148,7 +148,7 @@
     });
     let held = harness.program.client_usage().buffered_bytes;
     for _ in 0..20 {
-        harness.run_round();
+        harness.run_iteration();
     }
     assert!(
         harness.program.client_usage().buffered_bytes <= held,
--- a/crates/ingress/tests/client_connections.rs
+++ b/crates/ingress/tests/client_connections.rs
@@ -16,7 +16,7 @@
         s.program.open().clients == 3 && s.program.client_usage().buffered_bytes > 0
     });
     harness.advance(2100);
-    harness.run_round();
+    harness.run_iteration();
     assert_eq!(harness.program.open().clients, 3);
     harness.advance(101);
     harness.run_until_closed(&mut silent);
@@ -26,7 +26,7 @@
     );
     harness.run_until_closed(&mut incomplete);
     harness.advance(3700);
-    harness.run_round();
+    harness.run_iteration();
     active.read();
     assert!(active.is_open, "between requests for 5.9 s");
     harness.advance(101);
@@ -106,7 +106,7 @@
     for client in &mut clients {
         client.send(&part);
         for _ in 0..3 {
-            harness.run_round();
+            harness.run_iteration();
         }
         assert!(harness.program.client_usage().buffered_bytes <= 4 << 20);
     }
--- a/crates/ingress/tests/client_disconnects.rs
+++ b/crates/ingress/tests/client_disconnects.rs
@@ -20,7 +20,7 @@
         }
         assert_nothing_forwarded(&mut harness, "counter");
         harness.counter.mode = CounterMode::Replies;
-        harness.run_round();
+        harness.run_iteration();
         assert_eq!(
             harness.program.open(),
             OpenCounts::default(),
@@ -98,11 +98,11 @@
     }
     harness.run_until("reading is paused", |s| s.program.open().requests == 1024);
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     drop(client);
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     // Now the totals come, all within their quotas.
     harness.counter.mode = CounterMode::Replies;
@@ -120,7 +120,7 @@
     client.send("*1\r\n$4\r\nPING\r\n".repeat(1100));
     client.send(read_request_of_customer(7, 2));
     for _ in 0..40 {
-        harness.run_round();
+        harness.run_iteration();
     }
     assert_eq!(
         harness.program.open().requests,
--- a/crates/ingress/tests/common/harness.rs
+++ b/crates/ingress/tests/common/harness.rs
@@ -119,9 +119,9 @@
         Connection::connect(self.program.address().unwrap())
     }
 
-    /// Runs one round of the ingress's event loop at the time of the test's clock, then lets the
-    /// peers read and reply. Returns false once the ingress has shut down.
-    pub(crate) fn run_round(&mut self) -> bool {
+    /// Runs one iteration of the ingress's event loop at the time of the test's clock, then lets
+    /// the peers read and reply. Returns false once the ingress has shut down.
+    pub(crate) fn run_iteration(&mut self) -> bool {
         let now = self.now;
         let is_running = self
             .program
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Runs rounds until the condition holds; `what` names it in the failure message.
+    /// Runs iterations until the condition holds; `what` names it in the failure message.
     pub(crate) fn run_until(
         &mut self,
         what: &str,
@@ -179,7 +179,7 @@
     ) {
         let start = Instant::now();
         loop {
-            self.run_round();
+            self.run_iteration();
             if condition(self) {
                 return;
             }
@@ -198,10 +198,10 @@
         old
     }
 
-    /// Advances the clock and runs one round.
+    /// Advances the clock and runs one iteration.
     pub(crate) fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
-        self.run_round();
+        self.run_iteration();
     }
 
     /// Lets discovery send a partial list with the states of these endpoints.
--- a/crates/ingress/tests/common/pending_change.rs
+++ b/crates/ingress/tests/common/pending_change.rs
@@ -199,7 +199,7 @@
         let call_count = calls.len();
         self.handled_connections += call_count;
         for _ in 0..call_count {
-            self.harness.run_round();
+            self.harness.run_iteration();
         }
         call_count
     }
--- a/crates/ingress/tests/common/steps.rs
+++ b/crates/ingress/tests/common/steps.rs
@@ -36,7 +36,7 @@
     for _ in 0..10 {
         harness.advance(50);
         for _ in 0..3 {
-            harness.run_round();
+            harness.run_iteration();
         }
         let command = harness.endpoints.iter_mut().find_map(Peer::next_command);
         assert_eq!(
--- a/crates/ingress/tests/counter_calls.rs
+++ b/crates/ingress/tests/counter_calls.rs
@@ -51,7 +51,7 @@
     let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     for _ in 0..3 {
-        harness.run_round();
+        harness.run_iteration();
     }
     // The quota knows at once, without another reply of the counter.
     client.send(read_request(2));
@@ -81,7 +81,7 @@
     let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
     for _ in 0..3 {
-        harness.run_round();
+        harness.run_iteration();
     }
     assert_eq!(
         harness.endpoints[0].next_command(),
@@ -110,7 +110,7 @@
         harness.run_until("the call", |s| has_unanswered_call(s));
         let end = harness.counter.connection_with_pending_call();
         end.send(malformed);
-        harness.run_round();
+        harness.run_iteration();
         harness.advance(26);
         harness.run_until("the connection is closed", |s| {
             s.counter.peer.connections.iter().all(|e| !e.is_open)
--- a/crates/ingress/tests/disconnect_before_attempt.rs
+++ b/crates/ingress/tests/disconnect_before_attempt.rs
@@ -131,7 +131,7 @@
         // What the system does not take at once it takes while the ingress reads.
         for _ in 0..100 {
             remaining = &remaining[self.client.send_some(remaining)..];
-            self.harness.run_round();
+            self.harness.run_iteration();
         }
         assert!(
             remaining.is_empty(),
@@ -157,7 +157,7 @@
         });
         self.client.send(read_request_of_customer(5000, 5000));
         for _ in 0..5 {
-            self.harness.run_round();
+            self.harness.run_iteration();
         }
         assert_eq!(
             self.harness.program.open().requests,
--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -37,7 +37,7 @@
     harness.discovery.connections.clear();
     harness.run_until("the loss", |s| s.program.next_deadline().is_some());
     for _ in 0..3 {
-        harness.run_round();
+        harness.run_iteration();
     }
     harness.advance(201);
     harness.run_until("a second call", |s| s.watch_requests.len() == 2);
@@ -144,7 +144,7 @@
     harness.send_endpoint_states(42, &[(0, "DRAINING")]);
     harness.reload_with_new_peers();
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     assert_eq!(harness.program.list_revision(), 42);
     harness.run_until("a call from that revision on", |s| {
@@ -176,7 +176,7 @@
     let mut calls = vec![None; harness.discovery.connections.len()];
     while harness.program.list_revision() == 41 {
         harness.advance(50);
-        harness.run_round();
+        harness.run_iteration();
         while calls.len() < harness.discovery.connections.len() {
             if head_first {
                 harness.discovery.connections[calls.len()].send(WATCH_HEAD);
@@ -191,7 +191,7 @@
             }
         }
         for _ in 0..5 {
-            harness.run_round();
+            harness.run_iteration();
         }
         assert!(
             harness.now < sent_at + Duration::from_millis(6000),
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -39,7 +39,7 @@
                     .last_mut()
                     .unwrap()
                     .send(chunk(part));
-                harness.run_round();
+                harness.run_iteration();
             }
         }
     }
@@ -80,7 +80,7 @@
             .unwrap()
             .send(chunk(torn));
         for _ in 0..5 {
-            harness.run_round();
+            harness.run_iteration();
         }
         harness.advance(201);
         harness.run_until("a second call", |s| s.watch_requests.len() == 2);
@@ -118,10 +118,10 @@
     );
     let end = harness.discovery.connections.last_mut().unwrap();
     end.send(chunk(&update[..update.len() / 2]));
-    harness.run_round();
+    harness.run_iteration();
     harness.discovery.connections.last_mut().unwrap().close();
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     harness.advance(201);
     harness.run_until("a second call", |s| s.watch_requests.len() == 2);
@@ -157,13 +157,13 @@
     };
     // The watch breaks, and every later reply has neither chunks nor a length.
     harness.discovery.connections.last_mut().unwrap().close();
-    harness.run_round();
+    harness.run_iteration();
     harness.advance(201);
     harness.run_until("a second call", |s| s.watch_requests.len() == 2);
     let update = drains(&harness, 42);
     let end = harness.discovery.connections.last_mut().unwrap();
     end.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &update[..30]));
-    harness.run_round();
+    harness.run_iteration();
     harness
         .discovery
         .connections
@@ -178,10 +178,10 @@
         .last_mut()
         .unwrap()
         .send(&later[..later.len() - 2]);
-    harness.run_round();
+    harness.run_iteration();
     harness.discovery.connections.last_mut().unwrap().reset();
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     harness.advance(201);
     harness.run_until("a third call", |s| s.watch_requests.len() == 3);
@@ -330,7 +330,7 @@
             client.send(read_request_of_customer(5 + id, id));
         }
         harness.send_endpoint_states(42, &[(0, "DRAINING")]);
-        harness.run_round();
+        harness.run_iteration();
         for _ in 2..4 {
             let (s, c, _) = harness.next_request();
             assert_eq!(s, 1);
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -207,7 +207,7 @@
             ("\"Group\":\"cell\"", "\"Group\":\"all\""),
             ("\"WindowMs\":8000.0", "\"WindowMs\":300.0"),
         ]);
-        harness.run_round();
+        harness.run_iteration();
         let mut client = harness.connect();
         client.send(request("API.WRITE", 1, WRITE_FIELDS));
         let (s, c, _) = harness.next_request();
--- a/crates/ingress/tests/reload.rs
+++ b/crates/ingress/tests/reload.rs
@@ -28,7 +28,7 @@
     // The same customer's next call must not overtake the one in flight.
     client.send(read_request(2));
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     assert_eq!((calls(&first), calls(&harness.counter)), (1, 0));
     first.mode = CounterMode::Replies;
@@ -65,7 +65,7 @@
     harness.advance(200);
     client.send(read_request(2));
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     harness.advance(51);
     harness.run_until("the call at the new address", |s| {
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -14,7 +14,7 @@
 fn run_until_ended(harness: &mut Harness) {
     let mut goes_on = true;
     harness.run_until("the end", |s| {
-        goes_on = goes_on && s.run_round();
+        goes_on = goes_on && s.run_iteration();
         !goes_on
     });
 }
@@ -44,7 +44,7 @@
     drop((held, idle, late));
     let mut goes_on = true;
     harness.run_until("the end", |s| {
-        goes_on = goes_on && s.run_round();
+        goes_on = goes_on && s.run_iteration();
         !goes_on
     });
 }
@@ -79,7 +79,7 @@
     begin_drain(&mut harness);
     client.send(read_request(2));
     for _ in 0..5 {
-        harness.run_round();
+        harness.run_iteration();
     }
     client.send(read_request(3));
     harness.endpoints[s].connections[c].send(served_reply("v"));
@@ -149,7 +149,7 @@
                     s.program.open().upstream_connections == 1
                 });
                 harness.program.shut_down();
-                harness.run_round();
+                harness.run_iteration();
                 harness
                     .endpoints
                     .iter_mut()
@@ -192,7 +192,7 @@
     harness.next_request();
     let mut half = harness.connect();
     half.send(&read_request(3)[..40]);
-    harness.run_round();
+    harness.run_iteration();
     begin_drain(&mut harness);
     client.read();
     assert_eq!(client.received_text(), "");
@@ -216,7 +216,7 @@
         harness.endpoints[s].connections[c].send(served_reply(&value));
         harness.run_until("the reply is read", |s| s.program.open().requests == 0);
         for _ in 0..5 {
-            harness.run_round();
+            harness.run_iteration();
         }
         assert!(
             harness.program.client_usage().buffered_bytes > 0,
