--- a/crates/ingress/src/clock.rs
+++ b/crates/ingress/src/clock.rs
@@ -1,13 +1,14 @@
-//! The one clock: monotonic, and comparable with the platform's Unix times.
+//! The monotonic clock of the process, to which the platform's Unix times can be converted.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Times are counted from a day before the start: the module keeps them in seconds as
-/// floating-point numbers, whose grain is finest for small ones, and holds no time beyond 10^9 s,
-/// which Unix times are.
+/// The clock's value when it is started. Unix times cannot be used, because the decision crate
+/// stores times as floating-point seconds, whose resolution is finest for small values, and cannot
+/// represent times above 10^9 s. An offset of one day leaves room for times before the start.
 const START_OFFSET: Duration = Duration::from_secs(24 * 3600);
 
-/// Time since an epoch a day before the start. The Unix clock is read once, so it never steps back.
+/// Measures the time since an epoch that lies one day before the start. Reads the Unix clock only
+/// once, so adjustments of that clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -15,7 +16,7 @@
 }
 
 impl Clock {
-    /// Anchors the clock to the Unix time of this moment.
+    /// Starts a clock at the current Unix time.
     pub fn start() -> Clock {
         Clock::at_unix_time(
             SystemTime::now()
@@ -24,7 +25,7 @@
         )
     }
 
-    /// A clock whose present moment is this Unix time.
+    /// Starts a clock for which the current Unix time is `unix`, so that tests can choose it.
     pub fn at_unix_time(unix: Duration) -> Clock {
         Clock {
             start: Instant::now(),
@@ -32,13 +33,13 @@
         }
     }
 
-    /// The present time.
+    /// Returns the time since the clock's epoch.
     pub fn now(&self) -> Duration {
         START_OFFSET + self.start.elapsed()
     }
 
-    /// A Unix time in milliseconds on this clock; what lies over a day before the start is long
-    /// ago.
+    /// Converts a Unix time in milliseconds to this clock. Returns `None` for times that are not
+    /// later than the clock's epoch, one day before the start.
     pub fn from_unix_ms(&self, unix_ms: f64) -> Option<Duration> {
         let unix = Duration::try_from_secs_f64(unix_ms / 1000.0).ok()?;
         unix.checked_sub(self.epoch_unix_time)
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,9 +1,10 @@
-//! The ingress: sockets, event loop and configuration around the decisions.
+//! The ingress process: sockets, event loop and configuration around the request engine.
 //!
-//! Four layers, each knowing only those before it: [`transport`] (epoll, sockets, buffers, tables,
-//! deadlines), [`protocol`] (parsers and encoders), [`routing`] (clients, requests and their
-//! attempts, the counter, discovery, membership) and [`program`] (configuration, start, event loop,
-//! signals, log). Bounds stand next to what they bound; [`limits`] computes them all at start.
+//! The code has four layers, each of which uses only the preceding ones: [`transport`] (epoll,
+//! sockets, buffers, deadlines), [`protocol`] (parsers and encoders), [`routing`] (clients, requests
+//! and their attempts, the counter, discovery, membership) and [`program`] (configuration, startup,
+//! event loop, signals, log). Each component defines its own limits; [`limits`] computes all of them
+//! at startup.
 
 pub mod clock;
 pub mod limits;
--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -1,4 +1,4 @@
-//! All limits of the ingress, computed once at start and handed to their users.
+//! All limits of the ingress. They are computed once at startup and passed to the components.
 
 use crate::protocol::ProtocolLimits;
 use crate::routing::{
@@ -14,31 +14,32 @@
 const MEMORY_TO_REQUEST_BYTES_RATIO: usize = 4;
 const DEFAULT_MAX_REQUESTS: usize = 20_000;
 
-/// Limits by their users.
+/// The limits of all components.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Of the parsers.
+    /// Message size limits of the parsers.
     pub protocol: ProtocolLimits,
-    /// Of client connections.
+    /// Limits of client connections.
     pub frontend: FrontendLimits,
-    /// Of requests, endpoints, counter and discovery.
+    /// Limits of requests, endpoint connections, the counter and discovery.
     pub driver: DriverLimits,
-    /// Of a graceful shutdown.
+    /// Durations of the phases of a graceful shutdown.
     pub shutdown: ShutdownLimits,
-    /// Of start and event loop.
+    /// Limits of startup and the event loop.
     pub event_loop: EventLoopLimits,
 }
 
-/// Limits of start and event loop.
+/// Limits of startup and the event loop.
 #[derive(Clone, Copy, Debug)]
 pub struct EventLoopLimits {
-    /// Readiness events taken at once.
+    /// Maximum number of readiness events per wait.
     pub max_events_per_wait: usize,
-    /// A listen address that another process still uses is waited for this long.
+    /// How long startup waits for a listen address that another process still uses.
     pub address_timeout: Duration,
-    /// And tried again after this.
+    /// Interval between attempts to listen on that address.
     pub address_retry_interval: Duration,
-    /// `PING` is answered after this even if discovery has sent nothing.
+    /// Time after startup when the ingress becomes ready (and answers `PING`) even if discovery has
+    /// not yet replied.
     pub ready_timeout: Duration,
 }
 
@@ -54,7 +55,8 @@
 }
 
 impl Limits {
-    /// The limits under the operator's settings, this much memory, and the platform's settings.
+    /// Computes the limits from the operator's settings, the memory available to the process and the
+    /// platform's settings.
     #[must_use]
     pub fn new(
         operator: &OperatorSettings,
--- a/crates/ingress/src/main.rs
+++ b/crates/ingress/src/main.rs
@@ -1,4 +1,4 @@
-//! `roseyard-ingress`: one ingress process.
+//! The `roseyard-ingress` executable, which runs one ingress or an operator's command.
 
 use clap::Parser;
 use roseyard_ingress::program::cli::{self, Cli};
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -1,63 +1,65 @@
-//! The platform's requests: `API.READ` and `API.WRITE`.
+//! Decodes the platform's request commands, `API.READ` and `API.WRITE`.
 //!
-//! The platform's field names (`c`, `t`, `d`, `units`, `spread`, `first`, `k`, `r`) are mapped
-//! here, and nowhere else.
+//! This module alone knows the platform's field names (`c`, `t`, `d`, `units`, `spread`, `first`,
+//! `k`, `r`).
 
 use super::resp::{decimal, put_array, put_bulk, put_bulk_parts};
 use roseyard_request_engine::MAX_NAME_BYTES;
 
-/// Customers have numbers below this.
+/// Customer numbers are below this limit.
 const MAX_CUSTOMERS: u64 = 1 << 33;
-/// Most words of a request.
+/// Maximum number of arguments of a request, including the command name.
 const MAX_ARGUMENTS: usize = 5;
-/// The word that holds the list of names and values.
+/// Index of the argument that holds the `name=value` list.
 const FIELD_LIST_INDEX: usize = 3;
 
-/// A request as a client sends it; every required field is there and readable.
+/// A decoded request from a client. All required fields are present and valid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request<'a> {
-    /// The customer's number.
+    /// Customer number, below 2^33.
     pub customer: u64,
-    /// The request's number, chosen by the client.
+    /// Request number, chosen by the client.
     pub id: u64,
     /// Name of the class (`c`).
     pub class: &'a str,
     /// Name of the customer's plan (`t`).
     pub plan: &'a str,
-    /// How long the client waits, in milliseconds (`d`).
+    /// How long the client waits for the reply, in milliseconds (`d`).
     pub wait_ms: f64,
-    /// Units that it takes from the quota (`units`).
+    /// Units that the request takes from the customer's quota (`units`).
     pub units: f64,
-    /// Number of ingresses through which the customer's requests come (`spread`).
+    /// Number of ingresses over which the customer's requests are spread (`spread`).
     pub ingress_count: u32,
-    /// Number of the first of them (`first`).
+    /// Number of the first of these ingresses (`first`).
     pub first_ingress: u32,
-    /// The idempotency key (`k`).
+    /// Idempotency key (`k`), if the client sends one.
     pub idempotency_key: Option<u64>,
-    /// The client says that it sends the request again (`r=1`).
+    /// Whether the client marks the request as a retry (`r=1`).
     pub is_retry: bool,
-    /// Its route, where the operator names a field for it.
+    /// Value of the route field; `None` if the operator configures no route field or the request
+    /// does not contain it.
     pub route: Option<&'a str>,
-    /// Where the value of `d` stands in the list, to be replaced for the endpoint.
+    /// Position of the value of `d` in the list. It is replaced in the command for the endpoint.
     wait_value_span: Span,
 }
 
-/// What is wrong with a command whose framing is intact. The text goes to the client.
+/// Error in a command whose framing is valid. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidCommand(pub &'static str);
 
-/// Is this word the name of a request's command?
+/// Returns whether this command name is that of a request.
 pub fn is_request_command(argument: &[u8]) -> bool {
     is_read_command(argument) || argument.eq_ignore_ascii_case(b"API.WRITE")
 }
 
-/// Is it the one for classes that are idempotent?
+/// Returns whether this command name is that of requests of idempotent classes.
 pub fn is_read_command(argument: &[u8]) -> bool {
     argument.eq_ignore_ascii_case(b"API.READ")
 }
 
-/// 16 hex digits. The standard parser alone would take a sign or fewer digits too.
+/// Parses exactly 16 hex digits. The standard parser alone would also accept a sign or fewer
+/// digits.
 fn parse_hex(argument: &[u8]) -> Option<u64> {
     if argument.len() != 16 || !argument.iter().all(u8::is_ascii_hexdigit) {
         return None;
@@ -65,15 +67,16 @@
     u64::from_str_radix(std::str::from_utf8(argument).ok()?, 16).ok()
 }
 
-/// A plain decimal number. The standard parser alone would take signs, exponents, `nan` and `inf`
-/// too, which must not reach a customer's count.
+/// Parses an unsigned decimal number without exponent. The standard parser alone would also accept
+/// signs, exponents, `nan` and `inf`, which must not enter a customer's counter.
 fn parse_decimal(text: &str) -> Option<f64> {
     let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |t: &str| (1..=12).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| digits(whole) && digits(part))
 }
 
-/// Sets a field's value; an error if it is missing, unreadable or set already.
+/// Sets a field to a parsed value. Returns `error` if the value is invalid (`None`) or the field is
+/// already set.
 fn set_once<T>(
     field: &mut Option<T>,
     value: Option<T>,
@@ -86,20 +89,20 @@
     Ok(())
 }
 
-/// A plain decimal number without a sign.
+/// Parses a decimal integer without a sign.
 fn parse_unsigned(text: &str) -> Option<u32> {
     let number = text.parse().ok();
     number.filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()))
 }
 
-/// Where a value stands in the list of names and values, in bytes.
+/// Byte range of a value in the `name=value` list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Span {
     start: usize,
     end: usize,
 }
 
-/// The fields of the list of names and values that were read so far.
+/// Fields parsed so far from the `name=value` list.
 #[derive(Default)]
 struct Fields<'a> {
     class: Option<&'a str>,
@@ -115,7 +118,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Reads `name=value` items; unknown names are skipped.
+    /// Parses comma-separated `name=value` items. Skips unknown names.
     fn from_list(list: &'a str, route_field: Option<&str>) -> Result<Fields<'a>, InvalidCommand> {
         let mut fields = Fields::default();
         let mut start = 0;
@@ -171,8 +174,8 @@
     }
 }
 
-/// Reads a request's words; `route_field` is the name whose value is the request's route, as it
-/// stands.
+/// Decodes a request from its arguments. The value of the field named `route_field` becomes the
+/// route without further parsing.
 pub fn decode_request<'a>(
     arguments: &[&'a [u8]],
     route_field: Option<&str>,
@@ -204,18 +207,18 @@
     })
 }
 
-/// The words of a request, kept for its attempts.
+/// The arguments of a request, stored to send the command with each attempt.
 #[derive(Clone, Debug)]
 pub struct RequestCommand {
     bytes: Box<[u8]>,
-    /// Where each word ends.
+    /// End offset of each argument in `bytes`.
     ends: [u32; MAX_ARGUMENTS],
     argument_count: usize,
     wait_value_span: Span,
 }
 
 impl RequestCommand {
-    /// Keeps the words of a request that was read.
+    /// Copies the arguments from which `request` was decoded.
     pub fn new(arguments: &[&[u8]], request: &Request) -> RequestCommand {
         let mut bytes = Vec::with_capacity(arguments.iter().map(|argument| argument.len()).sum());
         let mut ends = [0; MAX_ARGUMENTS];
@@ -231,18 +234,18 @@
         }
     }
 
-    /// Bytes kept.
+    /// Total length of the arguments, in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Are no bytes kept? Never for a request that was read.
+    /// Returns whether no bytes are stored, which is never so for a decoded request.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Appends the command for an endpoint: unchanged, except that `d` says how long this ingress
-    /// waits, in milliseconds.
+    /// Appends the command for an endpoint. Only the value of `d` changes: it becomes `wait_ms`, the
+    /// time that this ingress waits for the reply.
     pub fn put(&self, wait_ms: u64, out: &mut Vec<u8>) {
         put_array(out, self.argument_count);
         let mut start = 0;
--- a/crates/ingress/src/protocol/http.rs
+++ b/crates/ingress/src/protocol/http.rs
@@ -1,40 +1,41 @@
-//! HTTP/1.1 as a client of the counter and of discovery: replies parsed, calls written.
+//! The HTTP/1.1 client protocol for the counter and discovery: parses replies, encodes requests.
 
 use super::{Malformed, Parsed, ProtocolLimits};
 use std::io::Write;
 
-/// How a reply's body is framed.
+/// How the end of a reply's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// This many bytes.
+    /// The body has this many bytes.
     Length(usize),
-    /// In chunks.
+    /// The body is sent in chunks (`transfer-encoding: chunked`).
     Chunked,
-    /// All until the connection ends.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// A reply's head.
+/// Status line and headers of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyHead {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body's framing.
+    /// How the body is framed.
     pub body: Framing,
-    /// The peer closes the connection after this reply.
+    /// Whether the peer closes the connection after this reply.
     pub closes_connection: bool,
 }
 
-/// The head of a reply and its length.
+/// Parses the head of a reply, including the empty line after the headers.
 pub fn parse_reply_head(input: &[u8], limits: &ProtocolLimits) -> Parsed<ReplyHead> {
-    let seen = &input[..input.len().min(limits.max_line_bytes)];
-    let Some(end) = seen.windows(4).position(|w| w == b"\r\n\r\n") else {
+    let searched = &input[..input.len().min(limits.max_line_bytes)];
+    let Some(end) = searched.windows(4).position(|w| w == b"\r\n\r\n") else {
         return match input.len() >= limits.max_line_bytes {
-            true => Err(Malformed("head too long")),
+            true => Err(Malformed("response head too long")),
             false => Ok(None),
         };
     };
-    let text = std::str::from_utf8(&input[..end]).map_err(|_| Malformed("head is not a text"))?;
+    let text = std::str::from_utf8(&input[..end])
+        .map_err(|_| Malformed("response head is not valid UTF-8"))?;
     let mut lines = text.split("\r\n");
     let first = lines.next().unwrap_or_default();
     let status = first
@@ -42,49 +43,50 @@
         .and_then(|rest| rest.split(' ').nth(1));
     let status = status
         .and_then(|s| s.parse().ok())
-        .ok_or(Malformed("no status line"))?;
-    let mut found = ReplyHead {
+        .ok_or(Malformed("invalid status line"))?;
+    let mut head = ReplyHead {
         status,
         body: Framing::UntilClose,
         closes_connection: first.starts_with("HTTP/1.0"),
     };
-    // These never have a body, whatever their headers say.
+    // Replies with these status codes never have a body, even if a header announces one.
     let has_no_body = matches!(status, 100..=199 | 204 | 304);
     if has_no_body {
-        found.body = Framing::Length(0);
+        head.body = Framing::Length(0);
     }
     for line in lines {
         let (name, value) = line
             .split_once(':')
-            .ok_or(Malformed("header without a colon"))?;
+            .ok_or(Malformed("response header without a colon"))?;
         let value = value.trim();
-        if name.eq_ignore_ascii_case("content-length") && found.body == Framing::UntilClose {
+        if name.eq_ignore_ascii_case("content-length") && head.body == Framing::UntilClose {
             let length = value.parse().ok().filter(|n| *n <= limits.max_value_bytes);
-            found.body = Framing::Length(length.ok_or(Malformed("invalid content-length"))?);
+            head.body = Framing::Length(length.ok_or(Malformed("invalid content-length"))?);
         } else if name.eq_ignore_ascii_case("transfer-encoding") && !has_no_body {
             if !value.eq_ignore_ascii_case("chunked") {
-                return Err(Malformed("unknown transfer-encoding"));
+                return Err(Malformed("unsupported transfer-encoding, expected chunked"));
             }
-            found.body = Framing::Chunked;
+            head.body = Framing::Chunked;
         } else if name.eq_ignore_ascii_case("connection") {
-            found.closes_connection |= value.eq_ignore_ascii_case("close");
+            head.closes_connection |= value.eq_ignore_ascii_case("close");
         }
     }
-    Ok(Some((found, end + 4)))
+    Ok(Some((head, end + 4)))
 }
 
-/// One chunk of a chunked body and its length with its frame; an empty one is the last.
+/// Parses one chunk of a chunked body. The returned offset includes the chunk header and the
+/// trailing line end. An empty chunk is the last one.
 pub fn chunk<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<&'a [u8]> {
     let seen = &input[..input.len().min(64)];
     let Some(end) = seen.iter().position(|b| *b == b'\n') else {
         return match seen.len() >= 64 {
-            true => Err(Malformed("chunk head too long")),
+            true => Err(Malformed("chunk header too long")),
             false => Ok(None),
         };
     };
     let size = seen[..end]
         .strip_suffix(b"\r")
-        .ok_or(Malformed("line without CR"))?;
+        .ok_or(Malformed("chunk header without CR"))?;
     let size = size.split(|b| *b == b';').next().unwrap_or_default();
     let size = std::str::from_utf8(size)
         .ok()
@@ -94,49 +96,50 @@
         .filter(|n| *n <= limits.max_list_bytes)
         .ok_or(Malformed("invalid chunk size"))?;
     let start = end + 1;
-    let Some(found) = input.get(start..start + size + 2) else {
+    let Some(framed) = input.get(start..start + size + 2) else {
         return Ok(None);
     };
-    if &found[size..] != b"\r\n" {
-        return Err(Malformed("chunk without its end"));
+    if &framed[size..] != b"\r\n" {
+        return Err(Malformed("chunk data without trailing CRLF"));
     }
-    Ok(Some((&found[..size], start + size + 2)))
+    Ok(Some((&framed[..size], start + size + 2)))
 }
 
-/// A complete reply with its body, as the counter sends it. `ended`: the peer has ended its
-/// sending, which alone ends a body without a length; a reset does not.
+/// Parses a complete reply of the counter with its body. `at_eof` says that the peer has closed its
+/// sending side, which completes a body without a length; a connection reset does not.
 pub fn reply<'a>(
     input: &'a [u8],
     at_eof: bool,
     limits: &ProtocolLimits,
 ) -> Parsed<(ReplyHead, &'a [u8])> {
-    let Some((found, at)) = parse_reply_head(input, limits)? else {
+    let Some((head, at)) = parse_reply_head(input, limits)? else {
         return Ok(None);
     };
-    match found.body {
-        Framing::Length(n) => Ok(input.get(at..at + n).map(|body| ((found, body), at + n))),
+    match head.body {
+        Framing::Length(n) => Ok(input.get(at..at + n).map(|body| ((head, body), at + n))),
         Framing::Chunked => {
-            // The counter's totals are short: a body of one chunk and the last.
+            // The counter's totals are short: one chunk holds the body, and an empty one ends it.
             let Some((body, used)) = chunk(&input[at..], limits)? else {
                 return Ok(None);
             };
             let end = at + used;
             if body.is_empty() {
-                return Ok(Some(((found, body), end)));
+                return Ok(Some(((head, body), end)));
             }
             let Some((last, used)) = chunk(&input[end..], limits)? else {
                 return Ok(None);
             };
             match last.is_empty() {
-                true => Ok(Some(((found, body), end + used))),
-                false => Err(Malformed("a total in several chunks")),
+                true => Ok(Some(((head, body), end + used))),
+                false => Err(Malformed("counter total in more than one chunk")),
             }
         }
-        Framing::UntilClose => Ok(at_eof.then(|| ((found, &input[at..]), input.len()))),
+        Framing::UntilClose => Ok(at_eof.then(|| ((head, &input[at..]), input.len()))),
     }
 }
 
-/// Appends a call to the counter.
+/// Appends a request that adds `add` to the counter `name` and makes the counter keep it for
+/// `keep_ms`. The reply contains the new total.
 pub fn put_increment_request(out: &mut Vec<u8>, host: &str, name: u64, add: f64, keep_ms: u64) {
     let _ = write!(
         out,
@@ -144,7 +147,7 @@
     );
 }
 
-/// Appends the call that opens a watch after this version of the list.
+/// Appends the request for a watch that reports the endpoint lists after revision `after`.
 pub fn put_watch_request(out: &mut Vec<u8>, host: &str, after: u64) {
     let _ = write!(
         out,
--- a/crates/ingress/src/protocol/limits.rs
+++ b/crates/ingress/src/protocol/limits.rs
@@ -1,30 +1,31 @@
-//! Bounds on the messages that the parsers take.
+//! Size limits for the messages that the parsers accept.
 
 const MAX_VALUE_BYTES: usize = 64 << 10;
 const MAX_LINE_BYTES: usize = 8 << 10;
 const MAX_ELEMENTS: usize = 32;
 const MAX_DEPTH: usize = 4;
-/// The endpoint list is held more than once while it is applied, hence a part of the memory.
+/// The endpoint list is limited to a fraction of the memory, because several copies of it exist
+/// while it is applied.
 const MEMORY_TO_ENDPOINT_LIST_RATIO: usize = 12;
 const MIN_ENDPOINT_LIST_BYTES: usize = 4 << 20;
 
-/// Bounds on one message; what exceeds them is malformed.
+/// Limits for one message. A message that exceeds them is malformed.
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolLimits {
-    /// Longest bulk string or HTTP body, in bytes.
+    /// Maximum length of a bulk string or an HTTP body, in bytes.
     pub max_value_bytes: usize,
-    /// Longest header line, status line or chunk head, in bytes.
+    /// Maximum length of a RESP line or of an HTTP reply head, in bytes.
     pub max_line_bytes: usize,
-    /// Most words of a command and most values of an array.
+    /// Maximum number of arguments of a command and of elements of an array.
     pub max_elements: usize,
-    /// Deepest nesting of arrays in a reply.
+    /// Maximum nesting depth of arrays in a reply.
     pub max_depth: usize,
-    /// Longest line of the endpoint list, in bytes.
+    /// Maximum size of an endpoint list and of an HTTP chunk, in bytes.
     pub max_list_bytes: usize,
 }
 
 impl ProtocolLimits {
-    /// The bounds for a process with this much memory, in bytes.
+    /// Returns the limits for a process that may use `memory_bytes` of memory.
     #[must_use]
     pub fn new(memory_bytes: usize) -> ProtocolLimits {
         ProtocolLimits {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Bytes to hold for one value with its line.
+    /// Maximum size of one value with its header line, in bytes.
     #[must_use]
     pub fn max_message_bytes(&self) -> usize {
         self.max_value_bytes + self.max_line_bytes
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -1,28 +1,28 @@
-//! The endpoint lists that discovery's watch brings.
+//! Splits and decodes the endpoint lists that arrive on the discovery watch.
 
 use roseyard_platform_config::PlatformConfigError;
 pub use roseyard_request_engine::{EndpointListMessage, EndpointRecord};
 
-/// Splits the bytes of a watch into lists. Each is one JSON object, on one line or indented over
-/// several; an empty line says that nothing has changed.
+/// Splits the byte stream of a watch into lists. Each list is a JSON object on one line or, if it
+/// is indented, on several. Discovery sends an empty line when nothing has changed.
 #[derive(Default)]
 pub struct ListSplitter {
     buffer: Vec<u8>,
-    /// Braces and brackets that are open.
+    /// Number of open braces and brackets.
     depth: usize,
-    /// The last byte stands in a string.
+    /// Whether the last byte is inside a JSON string.
     in_string: bool,
-    /// The last byte is a backslash in a string.
+    /// Whether the last byte is a backslash that escapes the next one.
     is_escaped: bool,
 }
 
 impl ListSplitter {
-    /// Bytes of a list whose rest is still to come.
+    /// Number of buffered bytes, which belong to an incomplete list.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes bytes; complete lists, empty lines and lines that can be neither go to `found`.
+    /// Processes received bytes. Appends complete lists, empty lines and malformed lines to `found`.
     pub fn feed(&mut self, bytes: &[u8], found: &mut Vec<Vec<u8>>) {
         for byte in bytes {
             if *byte == b'\n' && self.is_complete() {
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Does the end of a line complete what is held? So it does for a whole list, for an empty
-    /// line, and for one that was cut: no string goes over a line end, and no list has an empty
-    /// line.
+    /// Returns whether a line end completes the buffered bytes: they are a whole list, an empty line
+    /// or a truncated list. A list is truncated if the line ends inside a string or is empty, since
+    /// a valid list contains neither.
     fn is_complete(&self) -> bool {
         let line = self.buffer.rsplit(|byte| *byte == b'\n').next();
         let is_empty = line.unwrap_or_default().trim_ascii().is_empty();
@@ -55,7 +55,7 @@
     }
 }
 
-/// Decodes one list of a watch, in place.
+/// Decodes one list that a [`ListSplitter`] has returned. Overwrites `line` while parsing.
 pub fn decode(line: &mut [u8]) -> Result<EndpointListMessage, PlatformConfigError> {
     roseyard_platform_config::decode(line)
 }
--- a/crates/ingress/src/protocol/mod.rs
+++ b/crates/ingress/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Incremental parsers and encoders, pure on bytes: each takes what has come so far and says what
-//! it holds, or that more is needed, or that it is malformed.
+//! Incremental parsers and encoders that work on byte slices and do no I/O. Each parser takes the
+//! bytes received so far and returns a message, that more bytes are needed, or an error.
 
 pub mod command;
 pub mod http;
@@ -10,9 +10,9 @@
 
 pub use limits::ProtocolLimits;
 
-/// Input that no further bytes can make good.
+/// Error for input that stays invalid whatever bytes follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-/// A whole message and its length in bytes; none while more is needed.
+/// A parsed message and the offset at which it ends in the input; `None` if more bytes are needed.
 pub type Parsed<T> = Result<Option<(T, usize)>, Malformed>;
--- a/crates/ingress/src/protocol/report.rs
+++ b/crates/ingress/src/protocol/report.rs
@@ -1,12 +1,13 @@
-//! Load reports, `inflight=7,queue=2,util=0.61`, and usage figures, `used=37,cost=4`.
+//! Parses load reports such as `inflight=7,queue=2,util=0.61` and usage figures such as
+//! `used=37,cost=4`.
 //!
-//! The platform's field names are mapped here, and nowhere else.
+//! This module alone knows the platform's names of these fields.
 
 use roseyard_decision::LoadReport;
 use std::time::Duration;
 
-/// Reads a load report. Unknown fields, and values that are no number of 0 or above, are skipped;
-/// none if nothing is left.
+/// Parses a load report. Skips unknown fields and values that are not finite numbers of at least 0.
+/// Returns `None` if no field remains.
 pub fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let text = std::str::from_utf8(text).ok()?;
     let mut load = LoadReport::default();
@@ -35,8 +36,9 @@
     (number.is_finite() && number >= 0.0).then_some(number)
 }
 
-/// Reads the true units of a request (`cost`) from a reply's usage figures. None if they are
-/// missing, stand there twice, or are not above 0 and at most `max_units`: the estimate then holds.
+/// Parses the units that a request actually used (`cost`) from a reply's usage figures. Returns
+/// `None` if `cost` is missing, occurs twice, or is not above 0 and at most `max_units`; the caller
+/// then uses the estimate.
 pub fn parse_true_units(figures: &[u8], max_units: f64) -> Option<f64> {
     let text = std::str::from_utf8(figures).ok()?;
     let mut costs = text
--- a/crates/ingress/src/protocol/resp.rs
+++ b/crates/ingress/src/protocol/resp.rs
@@ -1,8 +1,8 @@
-//! RESP2: commands of clients, answers of servers.
+//! The RESP2 protocol: parses commands from clients and replies from endpoints, and encodes both.
 
 use super::{Malformed, Parsed, ProtocolLimits};
 
-/// A value of an answer; text borrows from the input.
+/// A value of a reply. Text is borrowed from the input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value<'a> {
     /// `+text`
@@ -17,34 +17,37 @@
     Array(Option<Vec<Value<'a>>>),
 }
 
-/// A line from `at`, without its end, and where the next one begins.
-fn line(input: &[u8], at: usize, most: usize) -> Parsed<&[u8]> {
+/// Parses the line at `at`, of up to `max_bytes`. Returns it without its end, and the start of the
+/// next line.
+fn line(input: &[u8], at: usize, max_bytes: usize) -> Parsed<&[u8]> {
     let rest = &input[at..];
-    let head = &rest[..rest.len().min(most + 2)];
+    let head = &rest[..rest.len().min(max_bytes + 2)];
     match head.iter().position(|b| *b == b'\n') {
         Some(end) if end > 0 && rest[end - 1] == b'\r' => {
             Ok(Some((&rest[..end - 1], at + end + 1)))
         }
         Some(_) => Err(Malformed("line without CR")),
-        None if rest.len() > most => Err(Malformed("line too long")),
+        None if rest.len() > max_bytes => Err(Malformed("line too long")),
         None => Ok(None),
     }
 }
 
-/// A decimal number; a leading minus is taken for -1 alone, which stands for null.
+/// Parses the length of a bulk string or array. `-1`, which stands for null, returns `None`; other
+/// negative numbers are malformed.
 fn length(digits: &[u8]) -> Result<Option<usize>, Malformed> {
     if digits == b"-1" {
         return Ok(None);
     }
-    let good = !digits.is_empty() && digits.len() <= 9 && digits.iter().all(u8::is_ascii_digit);
+    let is_valid = !digits.is_empty() && digits.len() <= 9 && digits.iter().all(u8::is_ascii_digit);
     let number = || std::str::from_utf8(digits).ok()?.parse().ok();
-    good.then(number)
+    is_valid
+        .then(number)
         .flatten()
         .map(Some)
         .ok_or(Malformed("invalid length"))
 }
 
-/// The bulk string of this length that begins at `at`.
+/// Parses the content of a bulk string that has length `len` and begins at `at`.
 fn bulk(input: &[u8], at: usize, len: usize) -> Parsed<&[u8]> {
     let Some(found) = input.get(at..at + len + 2) else {
         return Ok(None);
@@ -55,10 +58,10 @@
     Ok(Some((&found[..len], at + len + 2)))
 }
 
-/// Arguments that are kept of a command; no command that is served here has more.
+/// Number of arguments stored per command. No supported command has more.
 const MAX_STORED_ARGUMENTS: usize = 8;
 
-/// The first words of a command.
+/// The first arguments of a command, beginning with its name, and the total number of arguments.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CommandArguments<'a> {
     stored: [&'a [u8]; MAX_STORED_ARGUMENTS],
@@ -66,13 +69,13 @@
 }
 
 impl<'a> CommandArguments<'a> {
-    /// The words, up to the most that are kept.
+    /// Returns the stored arguments, at most `MAX_STORED_ARGUMENTS`.
     pub fn as_slice(&self) -> &[&'a [u8]] {
         &self.stored[..self.count.min(MAX_STORED_ARGUMENTS)]
     }
 }
 
-/// A command: an array of bulk strings.
+/// Parses a command, which is an array of bulk strings.
 pub fn command<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<CommandArguments<'a>> {
     let mut arguments = CommandArguments::default();
     match input.first() {
@@ -103,8 +106,8 @@
         let Some((argument, next)) = bulk(input, next, len)? else {
             return Ok(None);
         };
-        if let Some(place) = arguments.stored.get_mut(arguments.count) {
-            *place = argument;
+        if let Some(slot) = arguments.stored.get_mut(arguments.count) {
+            *slot = argument;
         }
         arguments.count += 1;
         at = next;
@@ -112,7 +115,7 @@
     Ok(Some((arguments, at)))
 }
 
-/// An answer.
+/// Parses a reply.
 pub fn value<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<Value<'a>> {
     nested(input, 0, limits, limits.max_depth)
 }
@@ -127,14 +130,14 @@
         return Ok(None);
     };
     if !b"+-:$*".contains(kind) {
-        return Err(Malformed("unknown kind of value"));
+        return Err(Malformed("unknown RESP type, expected one of +-:$*"));
     }
-    let most = if matches!(kind, b'+' | b'-') {
+    let max_bytes = if matches!(kind, b'+' | b'-') {
         limits.max_line_bytes
     } else {
         32
     };
-    let Some((head, mut at)) = line(input, at, most)? else {
+    let Some((head, mut at)) = line(input, at, max_bytes)? else {
         return Ok(None);
     };
     let text = &head[1..];
@@ -143,7 +146,7 @@
         b'-' => Value::Error(text),
         b':' => {
             let number = std::str::from_utf8(text).ok().and_then(|t| t.parse().ok());
-            Value::Integer(number.ok_or(Malformed("invalid number"))?)
+            Value::Integer(number.ok_or(Malformed("invalid integer"))?)
         }
         b'$' => match length(text)? {
             None => Value::Bulk(None),
@@ -158,8 +161,8 @@
         },
         _ => match length(text)? {
             None => Value::Array(None),
-            Some(count) if count > limits.max_elements => return Err(Malformed("too many values")),
-            Some(_) if depth == 0 => return Err(Malformed("nested too deep")),
+            Some(count) if count > limits.max_elements => return Err(Malformed("array too long")),
+            Some(_) if depth == 0 => return Err(Malformed("arrays are nested too deeply")),
             Some(count) => {
                 let mut values = Vec::with_capacity(count);
                 for _ in 0..count {
@@ -176,7 +179,7 @@
     Ok(Some((found, at)))
 }
 
-/// Appends the head of an array.
+/// Appends the header of an array of `count` elements.
 pub fn put_array(out: &mut Vec<u8>, count: usize) {
     put_head(out, b'*', count);
 }
@@ -186,7 +189,7 @@
     put_bulk_parts(out, &[text]);
 }
 
-/// Appends a bulk string made of these parts.
+/// Appends a bulk string that consists of `parts`.
 pub fn put_bulk_parts(out: &mut Vec<u8>, parts: &[&[u8]]) {
     put_head(out, b'$', parts.iter().map(|p| p.len()).sum());
     parts.iter().for_each(|part| out.extend_from_slice(part));
@@ -199,7 +202,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The number's digits, without the formatter's cost on every message.
+/// Writes the decimal digits of `number` at the end of `digits` and returns them. Avoids the cost
+/// of the standard formatter for each message.
 pub fn decimal(mut number: u64, digits: &mut [u8; 20]) -> &[u8] {
     let mut at = digits.len();
     loop {
--- a/crates/ingress/src/transport/deadlines.rs
+++ b/crates/ingress/src/transport/deadlines.rs
@@ -1,9 +1,9 @@
-//! All deadlines of the program in one ordered structure.
+//! An ordered set of deadlines, used for all deadlines of the program.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Deadlines in order of time, each with what it is for.
+/// Deadlines in order of time. `D` identifies the timer to which a deadline belongs.
 pub struct Deadlines<D> {
     entries: BTreeSet<(Duration, D)>,
 }
@@ -17,26 +17,27 @@
 }
 
 impl<D: Ord + Copy> Deadlines<D> {
-    /// Moves the deadline of `purpose` from where `slot` says to `at`, or cancels it. The owner
-    /// keeps the slot, so that a deadline can be moved without a search.
-    pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, purpose: D) {
+    /// Moves the deadline of `timer` to `at`, or cancels it if `at` is `None`. The owner stores the
+    /// current deadline in `slot`, so that it is found in the set without a linear search.
+    pub fn set(&mut self, slot: &mut Option<Duration>, at: Option<Duration>, timer: D) {
         if let Some(old) = slot.take() {
-            self.entries.remove(&(old, purpose));
+            self.entries.remove(&(old, timer));
         }
         if let Some(at) = at {
-            self.entries.insert((at, purpose));
+            self.entries.insert((at, timer));
         }
         *slot = at;
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline; `None` if there are none.
     pub fn next(&self) -> Option<Duration> {
         self.entries.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the earliest deadline if it is due. Its owner's slot still shows it.
+    /// Removes the earliest deadline if it has been reached at `now`, and returns its timer. The
+    /// owner's slot is not cleared.
     pub fn pop_expired(&mut self, now: Duration) -> Option<D> {
         self.entries.first().filter(|(at, _)| *at <= now)?;
-        self.entries.pop_first().map(|(_, purpose)| purpose)
+        self.entries.pop_first().map(|(_, timer)| timer)
     }
 }
--- a/crates/ingress/src/transport/mod.rs
+++ b/crates/ingress/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets, readiness and buffers. Knows bytes and connections, not what they mean.
+//! Sockets, readiness notification, buffers and deadlines. This layer does not interpret the bytes
+//! that it transfers.
 
 pub mod datagrams;
 pub mod deadlines;
--- a/crates/ingress/src/transport/poller.rs
+++ b/crates/ingress/src/transport/poller.rs
@@ -1,4 +1,5 @@
-//! Readiness by epoll, edge-triggered: a socket is registered once and for all of its life.
+//! Readiness notification by epoll. Connections are registered edge-triggered, once for their
+//! lifetime.
 
 use rustix::event::epoll;
 use rustix::fd::{AsFd, OwnedFd};
@@ -6,36 +7,36 @@
 use rustix::time::Timespec;
 use std::time::Duration;
 
-/// What a socket is ready for.
+/// A readiness event of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// The token that it was registered with.
+    /// Token with which the socket was registered.
     pub token: u64,
-    /// Bytes, an end or an error wait to be read.
+    /// Whether data, the end of the stream or an error can be read.
     pub readable: bool,
-    /// Writing may go on, or a connection has come up or failed.
+    /// Whether the socket accepts more data, or a connection attempt has succeeded or failed.
     pub writable: bool,
-    /// The other side has ended its sending or the connection.
+    /// Whether the peer has closed its sending side or the connection, or an error has occurred.
     pub peer_closed: bool,
 }
 
-/// The epoll instance.
+/// An epoll instance with its event buffer.
 pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
 }
 
 impl Poller {
-    /// A poller that returns up to `batch` events a wait.
-    pub fn new(batch: usize) -> io::Result<Poller> {
+    /// Creates a poller that returns up to `max_events` events per wait.
+    pub fn new(max_events: usize) -> io::Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Poller {
             epoll,
-            events: Vec::with_capacity(batch.max(1)),
+            events: Vec::with_capacity(max_events.max(1)),
         })
     }
 
-    /// Registers a socket, edge-triggered; closing it removes it.
+    /// Registers a socket edge-triggered for reading and writing. Closing the socket removes it.
     pub fn add(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         use epoll::EventFlags as F;
         epoll::add(
@@ -46,7 +47,8 @@
         )
     }
 
-    /// Registers a listener or pipe, level-triggered: an event a wait while something is there.
+    /// Registers a listener, pipe or datagram socket level-triggered for reading: every wait reports
+    /// it while input is available.
     pub fn add_level_triggered(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         epoll::add(
             &self.epoll,
@@ -56,12 +58,13 @@
         )
     }
 
-    /// Removes a source that stays open.
+    /// Unregisters a source without closing it.
     pub fn remove(&self, source: impl AsFd) -> io::Result<()> {
         epoll::delete(&self.epoll, source)
     }
 
-    /// Waits until something is ready or the timeout is over; none: without a limit.
+    /// Waits until a socket is ready or the timeout expires, and appends the events to `ready`.
+    /// Without a timeout, waits indefinitely.
     pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<Ready>) -> io::Result<()> {
         use epoll::EventFlags as F;
         let timeout = timeout.map(|d| Timespec {
--- a/crates/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -1,4 +1,4 @@
-//! Non-blocking TCP sockets with their buffers.
+//! Non-blocking TCP listeners and connections with their buffers, and descriptor limits.
 
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::{self, Errno};
@@ -7,20 +7,20 @@
 };
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// How reading ended.
+/// Why a read operation stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Everything that had arrived was read.
+    /// All available data was read.
     Drained,
-    /// The limit was reached; more may wait.
+    /// The limit was reached; more data may be available.
     LimitReached,
-    /// The other side has ended its sending.
+    /// The peer has closed its sending side.
     EndOfStream,
-    /// The connection is broken.
+    /// The connection was reset or has failed.
     Failed,
 }
 
-/// A connection with what was read and not yet taken, and what is to be written.
+/// A TCP connection with its read buffer and write buffer.
 pub struct Stream {
     fd: OwnedFd,
     input: Vec<u8>,
@@ -29,13 +29,14 @@
     written: usize,
 }
 
-/// A descriptor without a use, to be closed when the system has none left.
+/// Opens a descriptor that is only held in reserve, to be closed when the system has none left.
+/// Returns `None` if the system cannot provide one.
 pub fn open_spare_descriptor() -> Option<OwnedFd> {
     use rustix::event::{eventfd, EventfdFlags};
     eventfd(0, EventfdFlags::CLOEXEC).ok()
 }
 
-/// Descriptors that the system allows this process.
+/// Returns the number of descriptors that this process may open (the soft limit `RLIMIT_NOFILE`).
 pub fn max_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit
@@ -43,7 +44,7 @@
         .map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
 }
 
-/// Did this call fail because the system has no descriptor or memory left?
+/// Returns whether a system call failed because no descriptor or socket memory is available.
 pub fn is_fd_shortage(error: Errno) -> bool {
     matches!(
         error,
@@ -65,7 +66,7 @@
     )
 }
 
-/// Listens on this address alone.
+/// Opens a non-blocking listener on this address.
 pub fn listen(at: &SocketAddr, backlog: i32) -> io::Result<OwnedFd> {
     let fd = socket(at)?;
     sockopt::set_socket_reuseaddr(&fd, true)?;
@@ -74,12 +75,14 @@
     Ok(fd)
 }
 
-/// The address that a listener was given.
+/// Returns the local address of a listener, with the port that the system chose if port 0 was
+/// requested.
 pub fn listener_address(listener: impl AsFd) -> Option<SocketAddr> {
     net::getsockname(listener).ok()?.try_into().ok()
 }
 
-/// Accepts the next connection that waits at a listener, with its peer address.
+/// Accepts the next pending connection of a listener. Returns it with the peer's IP address, which
+/// is `0.0.0.0` if the system does not report one. `chunk` is the initial size of the read buffer.
 pub fn accept(listener: impl AsFd, chunk: usize) -> io::Result<(Stream, IpAddr)> {
     let (fd, peer) = net::acceptfrom_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
     let peer = peer
@@ -91,7 +94,8 @@
     ))
 }
 
-/// Starts a connection; it is established, or has failed, once it is writable.
+/// Starts to connect. Once the socket becomes writable, [`Stream::connect_result`] tells whether the
+/// connection is established. `chunk` is the initial size of the read buffer.
 pub fn connect(to: &SocketAddr, chunk: usize) -> io::Result<Stream> {
     let fd = socket(to)?;
     match net::connect(&fd, to) {
@@ -112,22 +116,22 @@
         })
     }
 
-    /// The socket.
+    /// Returns the socket's descriptor, for example to register it with the poller.
     pub fn fd(&self) -> BorrowedFd<'_> {
         self.fd.as_fd()
     }
 
-    /// The result of a connection that was started.
+    /// Returns the result of a finished connection attempt, which is the pending error of the socket.
     pub fn connect_result(&self) -> Result<(), Errno> {
         sockopt::socket_error(&self.fd)?
     }
 
-    /// What was read and not yet taken.
+    /// Returns the bytes that were read and not yet consumed.
     pub fn input(&self) -> &[u8] {
         &self.input[self.consumed..]
     }
 
-    /// Takes this many bytes of the input.
+    /// Removes this many bytes from the start of the input.
     pub fn consume(&mut self, bytes: usize) {
         self.consumed = (self.consumed + bytes).min(self.input.len());
         if self.consumed == self.input.len() {
@@ -136,9 +140,10 @@
         }
     }
 
-    /// Reads until nothing waits or `limit` bytes are held. `ended` says that the poller has
-    /// reported an end: only then is a short read followed by another, as an event comes for later
-    /// bytes.
+    /// Reads until no more data is available or the input holds `limit` bytes. `chunk` is the size by
+    /// which the read buffer grows. `peer_closed` says that the poller has reported the peer's close:
+    /// only then is a short read followed by another one, because data that arrives later causes a
+    /// new event.
     pub fn read_available(&mut self, limit: usize, chunk: usize, peer_closed: bool) -> ReadOutcome {
         loop {
             if self.input.len() - self.consumed >= limit {
@@ -162,15 +167,17 @@
         }
     }
 
-    /// Is there nothing to read, not even an end? Sees what has come since the last event too.
+    /// Returns whether the connection is open and neither data nor the end of the stream can be read.
+    /// Queries the socket, and so detects also what has arrived since the last event.
     pub fn is_open_without_input(&self) -> bool {
         let mut byte = [0; 1];
         let seen = net::recv(&self.fd, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
         self.input().is_empty() && matches!(seen, Err(Errno::AGAIN))
     }
 
-    /// Discards what waits, up to `limit` bytes, and returns how many were discarded. TCP drops
-    /// what is read with TRUNC inside the kernel, so a large value costs neither memory nor copies.
+    /// Discards the input and up to about `limit` bytes that can be read, and returns the number of
+    /// bytes discarded from the socket. For TCP, the kernel drops data that is read with `MSG_TRUNC`
+    /// without copying it, so a large value costs neither memory nor copies.
     pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (ReadOutcome, usize) {
         self.input = Vec::new();
         self.consumed = 0;
@@ -191,17 +198,18 @@
         (ReadOutcome::LimitReached, discarded)
     }
 
-    /// Bytes are appended here and go out with the next `flush`.
+    /// Returns the write buffer. Bytes appended to it are sent by [`Stream::flush`].
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Bytes still to be written.
+    /// Returns the number of bytes in the write buffer that are not yet sent.
     pub fn unwritten(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Writes what the socket takes; how many bytes are still to be written.
+    /// Sends as much of the write buffer as the socket accepts. Returns the number of bytes that
+    /// remain.
     pub fn flush(&mut self) -> io::Result<usize> {
         while self.written < self.output.len() {
             match net::send(&self.fd, &self.output[self.written..], SendFlags::NOSIGNAL) {
@@ -216,7 +224,7 @@
         Ok(0)
     }
 
-    /// Gives back what a large message made the buffers grow to, once they are empty.
+    /// Releases the memory of empty buffers that a large message has made grow beyond `max_bytes`.
     pub fn release_large_buffers(&mut self, max_bytes: usize) {
         if self.output.is_empty() && self.output.capacity() > max_bytes {
             self.output = Vec::new();
@@ -226,7 +234,7 @@
         }
     }
 
-    /// Ends the sending; what was written still arrives.
+    /// Closes the sending side of the connection. Data already sent is still delivered.
     pub fn shut_down_write(&self) -> io::Result<()> {
         net::shutdown(&self.fd, Shutdown::Write)
     }
