--- a/crates/ingress/src/limits.rs
+++ b/crates/ingress/src/limits.rs
@@ -55,8 +55,8 @@
 }
 
 impl Limits {
-    /// Computes the limits from the operator's settings, the memory available to the process and the
-    /// platform's settings.
+    /// Computes the limits from the operator's settings, the memory available to the process and
+    /// the platform's settings.
     #[must_use]
     pub fn new(
         operator: &OperatorSettings,
--- a/crates/ingress/src/program/cli.rs
+++ b/crates/ingress/src/program/cli.rs
@@ -1,4 +1,4 @@
-//! The command line and its commands.
+//! The command line: its options, commands and their execution.
 
 use super::config::Config;
 use super::status_file::{self, StatusError};
@@ -10,17 +10,17 @@
 };
 use std::path::{Path, PathBuf};
 
-/// Descriptors that are assumed where neither the command line nor a configuration says how many.
+/// Number of descriptors that is assumed if neither the command line nor a configuration sets it.
 const DEFAULT_SOCKETS: usize = 1024;
 
-/// Shared quotas, routing and repeated attempts for services sold by plan.
+/// Gateway with shared quotas, load balancing, retries and load shedding for services sold by plan.
 #[derive(Debug, Parser)]
 #[command(name = "roseyard-ingress", version, disable_help_subcommand = true)]
 pub struct Cli {
-    /// The command; without one, an ingress is run.
+    /// The command. Without one, an ingress is run.
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// The options of a run without a command.
+    /// The options that apply if no command is given.
     #[command(flatten)]
     pub run: RunOptions,
 }
@@ -28,27 +28,28 @@
 /// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run an ingress (what is done without a subcommand too).
+    /// Run an ingress (the default without a command).
     Run(RunOptions),
-    /// Check an operator's file; says every mistake with its place.
+    /// Check an operator's file and report every error with its location.
     Check {
-        /// The file.
+        /// The operator's file (KDL).
         file: PathBuf,
         /// The machine that the file is checked for.
         #[command(flatten)]
         machine: MachineArgs,
     },
-    /// Show how an ingress sees the others, from the file that its 'membership { status }' names.
+    /// Show how an ingress sees the other ingresses, from the status file that its setting
+    /// 'membership { status }' names.
     Status {
-        /// The file.
+        /// The status file (JSON).
         file: PathBuf,
-        /// As it stands there.
+        /// Print the file's JSON unchanged.
         #[arg(long)]
         json: bool,
     },
-    /// Show every setting as it would hold, and where it comes from.
+    /// Show the value and the source of every setting.
     Explain {
-        /// The file; without one, the defaults.
+        /// The operator's file (KDL); without one, the defaults are shown.
         file: Option<PathBuf>,
         /// The machine that the file is checked for.
         #[command(flatten)]
@@ -59,16 +60,16 @@
 /// How an ingress is run.
 #[derive(Clone, Debug, clap::Args)]
 pub struct RunOptions {
-    /// The operator's file (KDL); without one, defaults hold. Read again on SIGHUP.
+    /// The operator's file (KDL); without one, the defaults apply. Reloaded on SIGHUP.
     #[arg(long, value_name = "FILE", env = "ROSEYARD_SETTINGS")]
     pub settings: Option<PathBuf>,
-    /// The form of log lines; goes before the file's.
+    /// The format of log lines; overrides the one in the operator's file.
     #[arg(long, value_enum)]
     pub log: Option<LogForm>,
 }
 
-/// The form of log lines, as an argument: lines of text, or one JSON object a line.
-// Doc comments on the values would turn up in the help text.
+/// The format of log lines, as an argument: text, or one JSON object per line.
+// The values have no doc comments, because clap would show them in the help text.
 #[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogForm {
@@ -76,19 +77,19 @@
     Json,
 }
 
-/// The machine that an operator's file is checked for.
+/// Options that describe the machine for which an operator's file is checked.
 #[derive(Clone, Debug, clap::Args)]
 pub struct MachineArgs {
-    /// Descriptors that the platform gives; by default those of the configuration that LB_CONFIG
-    /// names, or 1024.
+    /// Number of descriptors that the platform provides; by default, that of the configuration file
+    /// named by LB_CONFIG, or 1024.
     #[arg(long, value_name = "N")]
     pub sockets: Option<usize>,
 }
 
-/// A command that could not be carried out. Its text goes to the operator as it is.
+/// Error of a command. The text is shown to the operator unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The ingress could not be run.
+    /// The ingress could not be started or kept running.
     #[error(transparent)]
     Program(#[from] ProgramError),
     /// The status file cannot be shown.
@@ -97,20 +98,20 @@
     /// The operator's file cannot be read.
     #[error(transparent)]
     Unreadable(OperatorFileError),
-    /// The operator's file has errors: their number and a report that shows each in its line.
-    #[error("{file}: {count} mistakes\n{report}")]
+    /// The operator's file has errors.
+    #[error("{file}: {count} errors\n{report}")]
     Invalid {
-        /// The file, or what stands for it.
+        /// Path of the file, or `defaults` if none is given.
         file: String,
         /// Number of errors.
         count: usize,
-        /// The report.
+        /// Report that shows each error with the line in which it occurs.
         report: String,
     },
 }
 
 impl MachineArgs {
-    fn machine(&self) -> MachineLimits {
+    fn to_limits(&self) -> MachineLimits {
         let configured = || Config::read().ok().map(|config| config.limits.sockets);
         MachineLimits {
             platform_descriptors: self.sockets.or_else(configured).unwrap_or(DEFAULT_SOCKETS),
@@ -120,7 +121,7 @@
 }
 
 impl RunOptions {
-    /// Reads the operator's file; without one, the defaults.
+    /// Loads the operator's file. Without one, returns the defaults.
     pub fn operator_file(&self) -> Result<OperatorFile, ProgramError> {
         match &self.settings {
             Some(path) => Ok(OperatorFile::load(path)?),
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Sets up the log. The command line goes before the operator's file.
+    /// Initializes the log. A format on the command line overrides that of the operator's file.
     pub fn start_log(&self, settings: &OperatorSettings) {
         let format = match self.log {
             Some(LogForm::Json) => LogFormat::Json,
@@ -139,25 +140,21 @@
     }
 }
 
-/// Carries out a command.
+/// Runs the command that the command line names.
 pub fn main(cli: Cli) -> Result<(), CommandError> {
     match cli.command {
         None => super::run(&cli.run)?,
         Some(Command::Run(options)) => super::run(&options)?,
         Some(Command::Status { file, json }) => print!("{}", status_file::show(&file, json)?),
-        Some(Command::Check { file, machine }) => check(&file, &machine.machine())?,
-        Some(Command::Explain { file, machine }) => explain(file.as_deref(), &machine.machine())?,
+        Some(Command::Check { file, machine }) => check(&file, &machine.to_limits())?,
+        Some(Command::Explain { file, machine }) => explain(file.as_deref(), &machine.to_limits())?,
     }
     Ok(())
 }
 
 fn check(path: &Path, machine: &MachineLimits) -> Result<(), CommandError> {
     let checked = CheckedFile::load(Some(path), machine)?;
-    println!(
-        "{}: in order, {} settings hold",
-        path.display(),
-        checked.rows.len()
-    );
+    println!("{}: valid, {} settings", path.display(), checked.rows.len());
     println!("{}", checked.file.services());
     Ok(())
 }
@@ -166,20 +163,20 @@
     let checked = CheckedFile::load(path, machine)?;
     print!("{}", table(&checked.rows));
     println!(
-        "sockets of the platform {}, allowed by the system {}",
+        "descriptors: {} provided by the platform, {} allowed by the system",
         machine.platform_descriptors, machine.system_descriptors
     );
     Ok(())
 }
 
-/// An operator's file without errors, and the settings that it results in.
+/// A valid operator's file and the resulting settings.
 struct CheckedFile {
     file: OperatorFile,
     rows: Vec<SettingRow>,
 }
 
 impl CheckedFile {
-    /// Loads and checks a file; without a path, the defaults.
+    /// Loads and checks a file. Without a path, uses the defaults.
     fn load(path: Option<&Path>, machine: &MachineLimits) -> Result<CheckedFile, CommandError> {
         let name = path.map_or_else(|| "defaults".to_owned(), |path| path.display().to_string());
         let invalid = |errors: ConfigErrors| CommandError::Invalid {
--- a/crates/ingress/src/program/config.rs
+++ b/crates/ingress/src/program/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, which `LB_CONFIG` names.
+//! The platform's configuration file, whose path is in `LB_CONFIG`.
 
 use crate::protocol::list::EndpointListMessage;
 use roseyard_platform_config::{PlatformConfigError, PlatformSettings};
@@ -7,56 +7,57 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Variables of the environment that are read.
+/// Names of the environment variables. `LB_CONFIG` is required, the others override the file.
 const FILE_VARIABLE: &str = "LB_CONFIG";
 const NAME_VARIABLE: &str = "LB_NAME";
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
 const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 
-/// A configuration that cannot be used.
+/// Error in reading the configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// No file is named.
-    #[error("LB_CONFIG is not set")]
+    /// The environment does not name a file.
+    #[error("LB_CONFIG is not set, expected the path of the configuration file")]
     NoFile,
     /// The file cannot be read.
     #[error("{}: {error}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The system's answer.
+        /// The error that the system returned.
         error: io::Error,
     },
-    /// The file's content is wrong.
+    /// The file's content is invalid.
     #[error("{}: {error}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in the content.
         error: InvalidConfiguration,
     },
 }
 
-/// What is wrong with the text of a configuration.
+/// Error in the content of a configuration file, or in a variable that overrides it.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidConfiguration {
-    /// It is no JSON of the expected form; the text names the field.
+    /// The text is not JSON, or a field is missing or has the wrong type. The message names the
+    /// field.
     #[error(transparent)]
     Json(#[from] PlatformConfigError),
-    /// A field or variable holds no address.
-    #[error("{field}: '{text}' is not an address")]
+    /// A field, or the variable that overrides it, is not an address.
+    #[error("{field}: '{text}' is not an address, expected IP:PORT")]
     Address {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The invalid value.
         text: String,
     },
     /// The seed is not a hexadecimal number of 64 bits.
-    #[error("seed: '{0}' is not hex")]
+    #[error("seed: '{0}' is not a hexadecimal number of up to 16 digits")]
     Seed(String),
 }
 
-/// The file as the platform writes it.
+/// The file's fields, as the platform writes them.
 #[derive(Deserialize)]
 struct RawConfig {
     name: String,
@@ -71,13 +72,13 @@
     settings: PlatformSettings,
 }
 
-/// What the platform gives one ingress.
+/// Resources that the platform provides to one ingress.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// Memory in MB over which the process is killed; 192 by default.
+    /// Memory limit in MB, above which the process is killed; 192 by default.
     pub memory_mb: usize,
-    /// Descriptors that the process may hold; 1024 by default.
+    /// Maximum number of open descriptors; 1024 by default.
     pub sockets: usize,
 }
 
@@ -90,34 +91,35 @@
     }
 }
 
-/// The configuration, checked.
+/// A valid configuration.
 pub struct Config {
-    /// This ingress's name.
+    /// Name of this ingress.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the ingress listens for clients.
     pub listen: SocketAddr,
-    /// Discovery's address.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The counter's address; none where the platform has no counter.
+    /// Address of the counter; `None` if the platform has no counter.
     pub counter: Option<SocketAddr>,
-    /// Seed of all random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// What the process may use.
+    /// Resources that the process may use.
     pub limits: ResourceLimits,
-    /// The endpoint list that this ingress held last; always a full one.
+    /// The last endpoint list that the platform knows for this ingress; always a full list.
     pub initial_endpoints: EndpointListMessage,
     /// The platform's settings.
     pub settings: PlatformSettings,
 }
 
 impl Config {
-    /// Reads the file. `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` override it.
+    /// Reads the file. `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` override its fields.
     pub fn read() -> Result<Config, ConfigurationError> {
         Config::read_with(|name| std::env::var(name).ok())
     }
 
-    /// Reads the file again after a reload. `LB_DISCOVERY` dates from the start and no longer
-    /// overrides the file; the caller ignores name and listener.
+    /// Reads the file again for a reload. `LB_DISCOVERY` does not override the file here, because
+    /// its value dates from the start of the process. The caller ignores the name and listen
+    /// address.
     pub fn reread() -> Result<Config, ConfigurationError> {
         Config::read_with(|name| {
             std::env::var(name)
@@ -136,7 +138,8 @@
         Config::parse(text, variable).map_err(|error| ConfigurationError::Invalid { path, error })
     }
 
-    /// Decodes a configuration; values that `variable` returns override it.
+    /// Decodes a configuration. Environment variables for which `variable` returns a value override
+    /// its fields.
     pub fn parse(
         mut text: Vec<u8>,
         variable: impl Fn(&str) -> Option<String>,
--- a/crates/ingress/src/program/error.rs
+++ b/crates/ingress/src/program/error.rs
@@ -1,39 +1,40 @@
-//! What can keep the program from starting, running or answering a command.
+//! Errors that prevent the ingress from starting or running.
 
 use rustix::io::Errno;
 use std::io;
 use std::net::SocketAddr;
 
-/// An ingress that could not be started or kept running. Its text goes to the operator as it is.
+/// Error that prevents the ingress from starting, running or reloading. The text is shown to the
+/// operator unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
     /// The signal handlers could not be installed.
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The signals could not be registered with the poller.
-    #[error("signals: {0}")]
+    #[error("cannot register signals with epoll: {0}")]
     SignalRegistration(#[source] Errno),
-    /// The poller could not be made, or waiting on it failed.
-    #[error("epoll: {0}")]
+    /// The poller could not be created, or waiting for events failed.
+    #[error("epoll failed: {0}")]
     Poller(#[source] Errno),
-    /// The guaranteed descriptors of all uses are more than there are.
+    /// The descriptors guaranteed to all uses exceed the total number.
     #[error("descriptors: {0}")]
     Descriptors(#[source] roseyard_admission::InsufficientDescriptors),
-    /// The address could not be listened on.
-    #[error("listen on {address}: {error}")]
+    /// Listening on the configured address failed.
+    #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address of the configuration.
+        /// The address from the configuration.
         address: SocketAddr,
-        /// The system's answer.
+        /// The error that the system returned.
         error: Errno,
     },
     /// The listener could not be registered with the poller.
-    #[error("listen: {0}")]
+    #[error("cannot register the listener with epoll: {0}")]
     ListenerRegistration(#[source] Errno),
-    /// The platform's settings cannot be served.
-    #[error("settings: {0}")]
+    /// The platform's settings are incomplete or out of range.
+    #[error("platform settings: {0}")]
     Settings(#[source] roseyard_decision::SettingsError),
-    /// The platform's configuration could not be read.
+    /// The platform's configuration cannot be read or is invalid.
     #[error(transparent)]
     Configuration(#[from] super::config::ConfigurationError),
     /// The operator's file cannot be read, or has errors.
@@ -42,7 +43,7 @@
     /// The operator's settings do not fit this machine.
     #[error(transparent)]
     OperatorSettings(roseyard_operator_config::ConfigErrors),
-    /// The platform's settings hold a value that is not known.
+    /// The platform's settings contain a value that is not supported.
     #[error(transparent)]
     PlatformSettings(#[from] roseyard_platform_config::PlatformConfigError),
     /// The membership's socket or keys could not be set up.
--- a/crates/ingress/src/program/event_loop.rs
+++ b/crates/ingress/src/program/event_loop.rs
@@ -1,4 +1,4 @@
-//! One round of the event loop: wait, read, let time pass, decide, write.
+//! One iteration of the event loop: waits for events, reads, handles deadlines, decides, writes.
 
 use super::cli::RunOptions;
 use super::signals::{PendingSignals, Signals};
@@ -7,11 +7,12 @@
 use crate::transport::Ready;
 use std::time::Duration;
 
-/// The status file is written this often.
+/// Interval at which the status file is written.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Program {
-    /// Answers signals from now on: SIGHUP reloads both files, SIGTERM and SIGINT shut down.
+    /// Starts to handle signals: SIGHUP reloads both files, SIGTERM and SIGINT start the shutdown.
+    /// `run_options` names the operator's file that is reloaded.
     pub fn handle_signals(
         &mut self,
         signals: Signals,
@@ -27,8 +28,9 @@
         Ok(())
     }
 
-    /// Runs one round; waits for up to `wait` (none: until something happens) and reads `now` after
-    /// that. False once the shutdown is complete.
+    /// Runs one iteration. Waits for events for up to `wait`, or without limit if it is `None`, and
+    /// calls `now` for the current time after the wait. Returns false once the shutdown is
+    /// complete.
     pub fn run_iteration(
         &mut self,
         wait: Option<Duration>,
@@ -45,25 +47,27 @@
             .wait(wait, &mut events)
             .map_err(ProgramError::Poller)?;
         self.io.now = now();
-        self.read_events(&mut events);
+        self.handle_events(&mut events);
         self.ready_events = events;
-        // Replies that have arrived count before the timeouts that they beat.
+        // Deadlines are handled after input, so that a reply that has arrived in time is not
+        // treated as timed out.
         while let Some(source) = self.io.deadlines.pop_expired(self.io.now) {
             self.on_deadline(source);
         }
-        self.serve_once_synced();
-        self.decide_and_write();
+        self.set_ready_once_synced();
+        self.process_and_write();
         self.frontend.restore_spare_descriptor(&mut self.io);
         self.accept_connections();
-        Ok(!self.is_over())
+        Ok(!self.is_finished())
     }
 
-    /// Handles readiness, discovery first: requests of this round are decided by the latest list.
-    fn read_events(&mut self, events: &mut Vec<Ready>) {
+    /// Handles readiness events. Those of discovery come first, so that requests read in this
+    /// iteration are decided by the latest endpoint list.
+    fn handle_events(&mut self, events: &mut Vec<Ready>) {
         for event in events.iter().filter(|event| is_discovery(event)) {
             self.on_ready(*event);
         }
-        self.serve_once_synced();
+        self.set_ready_once_synced();
         self.frontend
             .read_scheduled_clients(&mut self.driver, &mut self.io);
         for event in events.drain(..).filter(|event| !is_discovery(event)) {
@@ -71,8 +75,9 @@
         }
     }
 
-    /// Decides all that has happened, and writes what comes of it, until nothing more follows.
-    fn decide_and_write(&mut self) {
+    /// Processes pending events in the engine and writes the resulting replies and commands, until
+    /// no events are left.
+    fn process_and_write(&mut self) {
         let mut responses = std::mem::take(&mut self.responses);
         loop {
             self.driver.run(&mut self.io);
@@ -89,16 +94,16 @@
         self.responses = responses;
     }
 
-    /// Accepts last: new clients must not take the descriptors that this round's attempts gave back
-    /// and that retries of open requests need.
+    /// Accepts new clients. Called last in an iteration, because new clients must not take the
+    /// descriptors that finished attempts have released and that retries of open requests need.
     fn accept_connections(&mut self) {
         if std::mem::take(&mut self.accept_pending) {
             self.frontend.accept(&mut self.driver, &mut self.io);
         }
     }
 
-    /// Becomes ready once discovery has answered, or the time for that is over.
-    fn serve_once_synced(&mut self) {
+    /// Makes the ingress ready once discovery has replied or the ready timeout has expired.
+    fn set_ready_once_synced(&mut self) {
         if self.frontend.is_ready() || !(self.driver.is_synced() || self.ready_deadline.is_none()) {
             return;
         }
@@ -168,8 +173,8 @@
         }
     }
 
-    /// Both may have come at once; a reload counts also during the shutdown, since what is still
-    /// open is counted and forwarded by the new addresses.
+    /// Handles the signals received, of which both kinds may be pending. A reload also takes effect
+    /// during the shutdown, because open requests still use the counter and discovery.
     fn on_signal(&mut self) {
         let Some(signals) = &mut self.signals else {
             return;
--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -1,11 +1,12 @@
-//! The program: configuration, start, event loop, reload and shutdown.
+//! The ingress program: configuration, startup, event loop, reload and shutdown.
 //!
 //! - [`cli`]: the command line and its commands.
 //! - [`config`]: the platform's configuration file.
-//! - `start`: builds an [`Program`] from both files.
-//! - `event_loop`: one round: wait, read, decide, write.
-//! - `reload`: SIGHUP. `shutdown`: SIGTERM and SIGINT, in four phases.
-//! - `snapshot_store`, `status_file`: files that are written while the program runs.
+//! - `start`: creates a [`Program`] from the platform's configuration and the operator's file.
+//! - `event_loop`: one iteration of the event loop: wait, read, decide, write.
+//! - `reload`: reads both files again on SIGHUP.
+//! - `shutdown`: the phases of a graceful shutdown after SIGTERM or SIGINT.
+//! - `snapshot_store`, [`status_file`]: files that are written while the program runs.
 
 pub mod cli;
 pub mod config;
@@ -37,49 +38,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An ingress between two rounds of its event loop.
+/// The state of a running ingress. [`Program::run_iteration`] drives it.
 pub struct Program {
     io: Io,
     driver: Driver,
     frontend: Frontend,
-    /// None until [`Program::handle_signals`]; tests run without.
+    /// `None` until [`Program::handle_signals`], which most tests do not call.
     signals: Option<Signals>,
     shutdown_limits: ShutdownLimits,
     shutdown: ShutdownPhase,
-    /// When the next phase of the shutdown is due.
+    /// When the current shutdown phase ends.
     shutdown_deadline: Option<Duration>,
-    /// When requests are served even if discovery has said nothing.
+    /// When the ingress becomes ready even if discovery has not replied. `None` once this has
+    /// passed or the ingress is ready.
     ready_deadline: Option<Duration>,
-    /// The machine's limits at the start, which hold until the process ends.
+    /// Limits of the machine, determined at startup. Reloads do not change them.
     machine: MachineLimits,
     snapshots: SnapshotStore,
     snapshot_deadline: Option<Duration>,
-    /// The other ingresses, where membership is on.
+    /// The membership protocol with the other ingresses; `None` if it is not configured.
     membership: Option<MembershipDriver>,
-    /// The file that shows how they are seen, where the operator wants one.
+    /// Writes the status of the membership; `None` if no status file is configured.
     status_file: Option<StatusFile>,
     status_deadline: Option<Duration>,
-    /// How the program was started; its file is read again on SIGHUP.
+    /// Options that name the operator's file to reload on SIGHUP.
     run_options: Option<RunOptions>,
-    /// Connections wait at the listener.
+    /// Whether the listener may have connections to accept.
     accept_pending: bool,
-    /// Buffers of a round, kept for their capacity.
+    /// Buffers of an iteration, reused to avoid allocations.
     ready_events: Vec<Ready>,
     responses: Vec<CommandResponse>,
 }
 
-/// What a program holds, for tests and for the last log line.
+/// Numbers of open requests and connections, for tests and the log line at the end of a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCounts {
     /// Requests without a final response or with an attempt in flight.
     pub requests: usize,
-    /// Connections to endpoints.
+    /// Connections to endpoints, including idle ones.
     pub upstream_connections: usize,
     /// Connections of clients.
     pub clients: usize,
 }
 
-/// Runs an ingress until SIGTERM or SIGINT has been served.
+/// Runs an ingress until the shutdown after SIGTERM or SIGINT is complete.
 pub fn run(options: &RunOptions) -> Result<(), ProgramError> {
     let signals = Signals::watch().map_err(ProgramError::Signals)?;
     let clock = Clock::start();
@@ -103,27 +105,28 @@
 }
 
 impl Program {
-    /// Where clients connect; none once the listener is closed.
+    /// Returns the address on which clients connect; `None` once the listener is closed.
     pub fn address(&self) -> Option<SocketAddr> {
         self.frontend.address()
     }
 
-    /// Revision of the endpoint list in force.
+    /// Returns the revision of the endpoint list in force.
     pub fn list_revision(&self) -> u64 {
         self.driver.list_revision()
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline; `None` if none is set.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.io.deadlines.next()
     }
 
-    /// How long the event loop may wait at this time; none: until something happens.
+    /// Returns how long the event loop may wait for events; `None` if no deadline is set.
     fn wait_timeout(&self, now: Duration) -> Option<Duration> {
-        self.next_deadline().map(|due| due.saturating_sub(now))
+        self.next_deadline()
+            .map(|deadline| deadline.saturating_sub(now))
     }
 
-    /// What is open now.
+    /// Returns the numbers of open requests and connections.
     pub fn open(&self) -> OpenCounts {
         OpenCounts {
             requests: self.driver.open_requests(),
@@ -132,13 +135,13 @@
         }
     }
 
-    /// What the connections of clients hold.
+    /// Returns the memory and other resources that client connections use.
     pub fn client_usage(&self) -> FrontendUsage {
         self.frontend.usage()
     }
 
-    /// Logs what was rejected last, and writes the snapshot of clients for the next start. Call once,
-    /// after the last round.
+    /// Logs the last rejected requests and writes the snapshot of client reputations for the next
+    /// start. Called once, after the last iteration.
     pub fn finalize(&mut self) {
         self.driver.log_rejections();
         self.snapshots
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -1,14 +1,14 @@
-//! Reload: SIGHUP reads both files again.
+//! Reload of the platform's configuration and the operator's file on SIGHUP.
 //!
-//! Discovery and the counter move to the new addresses at once; admission, membership keys,
-//! services and routes follow the operator's file; all else stays as it was started. If either file
-//! cannot be read or does not fit, nothing changes.
+//! A reload changes the addresses of discovery and the counter, descriptor limits, the admission
+//! policy, the snapshot settings, membership keys, services and routes. All other settings keep
+//! their values from startup. If either file cannot be read or is invalid, nothing changes.
 
 use super::config::Config;
 use super::{cli::RunOptions, Program, ProgramError};
 use roseyard_operator_config::{OperatorFile, OperatorSettings};
 
-/// Both files, checked against each other and the machine.
+/// The content of both files, checked against the machine's limits.
 struct NewConfiguration {
     config: Config,
     operator: OperatorSettings,
@@ -29,9 +29,9 @@
         );
     }
 
-    /// Applies a configuration that was read, or logs why it is rejected.
-    pub fn reload(&mut self, read: Result<(Config, OperatorFile), ProgramError>) {
-        match read.and_then(|(config, file)| self.check(config, file)) {
+    /// Applies a configuration, or logs the error because of which it is rejected.
+    pub fn reload(&mut self, loaded: Result<(Config, OperatorFile), ProgramError>) {
+        match loaded.and_then(|(config, file)| self.check(config, file)) {
             Ok(new) => self.apply(new),
             Err(error) => tracing::warn!(
                 event = "reload.rejected",
@@ -59,7 +59,7 @@
             file,
         } = new;
         let io = &mut self.io;
-        // Cannot fail: the shares were checked against the total just now.
+        // Cannot fail: `check` has compared the guaranteed descriptors with the total.
         let limits = operator.descriptor_limits;
         if let Err(error) = io
             .descriptor_budget
--- a/crates/ingress/src/program/shutdown.rs
+++ b/crates/ingress/src/program/shutdown.rs
@@ -2,12 +2,13 @@
 //!
 //! | phase | begins | what happens |
 //! | --- | --- | --- |
-//! | [`ShutdownPhase::Accepting`] | with the signal | connections and requests are still taken |
-//! | [`ShutdownPhase::Draining`] | [`ShutdownLimits::accept_period`] later | the listener is closed, new requests are rejected, open ones are finished |
-//! | [`ShutdownPhase::Stopping`] | [`ShutdownLimits::drain_timeout`] later | every open request gets its final response at once |
-//! | [`ShutdownPhase::Over`] | [`ShutdownLimits::linger_timeout`] later | connections that are still open are dropped |
+//! | [`ShutdownPhase::Accepting`] | with the signal | connections and requests are still accepted |
+//! | [`ShutdownPhase::Draining`] | [`ShutdownLimits::accept_period`] later | the listener is closed, new requests are rejected, open ones are completed |
+//! | [`ShutdownPhase::Stopping`] | [`ShutdownLimits::drain_timeout`] later | every open request gets its final response immediately |
+//! | [`ShutdownPhase::Finished`] | [`ShutdownLimits::linger_timeout`] later | connections that are still open are dropped |
 //!
-//! The program ends earlier once a phase has nothing left to do.
+//! The shutdown ends earlier if no connection and no request is left while draining, or no
+//! connection while stopping.
 //!
 //! [`ShutdownLimits::accept_period`]: crate::routing::ShutdownLimits::accept_period
 //! [`ShutdownLimits::drain_timeout`]: crate::routing::ShutdownLimits::drain_timeout
@@ -17,23 +18,23 @@
 use crate::routing::EventSource;
 use std::time::Duration;
 
-/// How far the shutdown has come.
+/// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownPhase {
-    /// No signal has come.
+    /// The ingress is not shutting down.
     Serving,
-    /// A signal has come; connections are still accepted.
+    /// The shutdown has started; connections and requests are still accepted.
     Accepting,
-    /// Nothing new is accepted; what is open is finished.
+    /// No new connections or requests are accepted; open requests are completed.
     Draining,
-    /// Every request has its response; responses are being written.
+    /// Every request has its final response; remaining replies are being written.
     Stopping,
-    /// The time is over.
-    Over,
+    /// The last phase has timed out; the process exits.
+    Finished,
 }
 
 impl Program {
-    /// Begins the shutdown. Later calls do nothing.
+    /// Starts the shutdown. Does nothing if it has already started.
     pub fn shut_down(&mut self) {
         if self.shutdown != ShutdownPhase::Serving {
             return;
@@ -51,25 +52,25 @@
         }
     }
 
-    /// The present phase's time is over.
+    /// Called when the deadline of the current phase expires; starts the next phase.
     pub(super) fn on_shutdown_deadline(&mut self) {
         self.shutdown_deadline = None;
         match self.shutdown {
             ShutdownPhase::Accepting => self.start_draining(),
             ShutdownPhase::Draining => self.answer_open_requests(),
-            ShutdownPhase::Stopping => self.shutdown = ShutdownPhase::Over,
+            ShutdownPhase::Stopping => self.shutdown = ShutdownPhase::Finished,
             // No deadline is set in these phases.
-            ShutdownPhase::Serving | ShutdownPhase::Over => {}
+            ShutdownPhase::Serving | ShutdownPhase::Finished => {}
         }
     }
 
-    /// Has the program nothing left to do?
-    pub(super) fn is_over(&self) -> bool {
+    /// Returns whether the shutdown is complete.
+    pub(super) fn is_finished(&self) -> bool {
         match self.shutdown {
             ShutdownPhase::Serving | ShutdownPhase::Accepting => false,
             ShutdownPhase::Draining => self.frontend.is_empty() && self.driver.open_requests() == 0,
             ShutdownPhase::Stopping => self.frontend.is_empty(),
-            ShutdownPhase::Over => true,
+            ShutdownPhase::Finished => true,
         }
     }
 
@@ -85,7 +86,8 @@
         self.schedule_next_phase(self.shutdown_limits.drain_timeout);
     }
 
-    /// Prevents requests without a response when an endpoint hangs until SIGKILL.
+    /// Gives every open request its final response. Otherwise, requests to a hanging endpoint would
+    /// still have no response when SIGKILL ends the process.
     fn answer_open_requests(&mut self) {
         self.shutdown = ShutdownPhase::Stopping;
         let open_requests = self.driver.open_requests();
--- a/crates/ingress/src/program/signals.rs
+++ b/crates/ingress/src/program/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program answers: SIGHUP reloads, SIGTERM and SIGINT shut down.
+//! Signal handling: SIGHUP requests a reload, SIGTERM and SIGINT request a shutdown.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -7,20 +7,20 @@
 
 /// Signal handlers and the pipe that wakes the event loop.
 ///
-/// Handlers are in place from the first moment on, so that a signal that comes during the start
-/// waits in the pipe. A SIGHUP without a handler would end the process.
+/// The handlers are installed first at startup, because a SIGHUP without a handler would terminate
+/// the process. A signal that arrives during startup is handled once the event loop runs.
 pub struct Signals {
     pipe: UnixStream,
     reload: Arc<AtomicBool>,
     shut_down: Arc<AtomicBool>,
 }
 
-/// What signals have asked for since the last call.
+/// Actions requested by signals since the last call of [`Signals::take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PendingSignals {
-    /// SIGHUP has come.
+    /// Whether SIGHUP was received.
     pub(super) reload: bool,
-    /// SIGTERM or SIGINT has come.
+    /// Whether SIGTERM or SIGINT was received.
     pub(super) shut_down: bool,
 }
 
@@ -37,7 +37,8 @@
             (SIGTERM, &shut_down),
             (SIGINT, &shut_down),
         ] {
-            // Handlers run in the order of registration: the flag is up before the pipe wakes.
+            // Handlers run in the order of registration, so the flag is set before the pipe wakes
+            // the event loop.
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         }
@@ -48,12 +49,12 @@
         })
     }
 
-    /// The pipe that becomes readable with each signal.
+    /// Returns the pipe that becomes readable when a signal is received.
     pub(super) fn pipe(&self) -> &UnixStream {
         &self.pipe
     }
 
-    /// Empties the pipe and takes what has come.
+    /// Empties the pipe, and returns and clears the pending actions.
     pub(super) fn take(&mut self) -> PendingSignals {
         let mut bytes = [0; 16];
         while matches!(self.pipe.read(&mut bytes), Ok(count) if count > 0) {}
--- a/crates/ingress/src/program/snapshot_store.rs
+++ b/crates/ingress/src/program/snapshot_store.rs
@@ -1,5 +1,5 @@
-//! Keeps the reputation of clients over a restart: reads the snapshot file at the start, writes it
-//! on a schedule and at the end.
+//! Preserves client reputations across restarts: reads the snapshot file at startup, and writes it
+//! periodically and at the end of the shutdown.
 
 use super::file_writer::{unix_ms, FileWriter};
 use crate::routing::{EventSource, Io};
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The snapshot file and its writer. Without a file in the settings it does nothing.
+/// Reads and writes the snapshot file. Does nothing if the settings name no file.
 pub(super) struct SnapshotStore {
     settings: SnapshotSettings,
     writer: FileWriter,
@@ -22,7 +22,7 @@
     age: Duration,
 }
 
-/// Why a snapshot file is not used.
+/// Error because of which a snapshot file is not used.
 #[derive(Debug, thiserror::Error)]
 enum RestoreError {
     #[error(transparent)]
@@ -32,8 +32,8 @@
 }
 
 impl SnapshotStore {
-    /// Restores the controller's clients from the file. If there is none, or it is damaged, logs
-    /// why and starts without.
+    /// Restores the controller's client reputations from the file. If the file is missing or
+    /// invalid, logs the error and leaves the controller unchanged.
     pub(super) fn open(
         settings: SnapshotSettings,
         controller: &mut AdmissionController,
@@ -48,22 +48,22 @@
         }
     }
 
-    /// Applies other settings from now on.
+    /// Replaces the settings. They take effect with the next write.
     pub(super) fn set(&mut self, settings: SnapshotSettings) {
         self.settings = settings;
     }
 
-    /// Sets when the file is written next; never without a file.
-    pub(super) fn schedule(&self, due: &mut Option<Duration>, io: &mut Io) {
+    /// Sets the deadline of the next write; cancels it if the settings name no file.
+    pub(super) fn schedule(&self, deadline: &mut Option<Duration>, io: &mut Io) {
         let at = self
             .settings
             .file
             .as_ref()
             .map(|_| io.now + self.settings.interval);
-        io.deadlines.set(due, at, EventSource::Snapshot);
+        io.deadlines.set(deadline, at, EventSource::Snapshot);
     }
 
-    /// Starts writing the file, unless the last write is still running.
+    /// Starts to write the file, unless the last write is still running.
     pub(super) fn write(&mut self, controller: &AdmissionController, now: Duration) {
         let Some(path) = self.settings.file.clone() else {
             return;
@@ -75,7 +75,7 @@
         self.writer.start(path, bytes);
     }
 
-    /// Writes the file for the last time, and waits for it.
+    /// Waits for a running write, then writes the file a last time before returning.
     pub(super) fn finish(&mut self, controller: &AdmissionController, now: Duration) {
         self.writer.wait();
         if let Some(path) = &self.settings.file {
@@ -117,10 +117,10 @@
 }
 
 fn read(path: &Path) -> Result<AgedSnapshot, RestoreError> {
-    // One byte over the limit shows that a file is too long.
-    let most = roseyard_admission::MAX_SNAPSHOT_BYTES as u64 + 1;
+    // Reading one byte more than the limit lets the decoder detect a file that is too long.
+    let max_bytes = roseyard_admission::MAX_SNAPSHOT_BYTES as u64 + 1;
     let mut bytes = Vec::new();
-    File::open(path)?.take(most).read_to_end(&mut bytes)?;
+    File::open(path)?.take(max_bytes).read_to_end(&mut bytes)?;
     let stored = Snapshot::decode(&bytes)?;
     let age_ms = unix_ms().saturating_sub(stored.written_unix_ms);
     Ok(AgedSnapshot {
--- a/crates/ingress/src/program/start.rs
+++ b/crates/ingress/src/program/start.rs
@@ -1,4 +1,5 @@
-//! Start: from two files to a program that listens and watches discovery.
+//! Startup: creates the listener, the watch on discovery and all other components from the
+//! platform's configuration and the operator's file.
 
 use super::config::Config;
 use super::shutdown::ShutdownPhase;
@@ -18,7 +19,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The machine's limits by the platform's configuration and by the system.
+/// Returns the descriptor limits set by the platform's configuration and by the system.
 pub(super) fn machine_limits(config: &Config) -> MachineLimits {
     MachineLimits {
         platform_descriptors: config.limits.sockets,
@@ -27,7 +28,10 @@
 }
 
 impl Program {
-    /// Listens, and opens the watch on discovery.
+    /// Starts an ingress: listens for clients and opens the watch on discovery.
+    ///
+    /// # Errors
+    /// Returns an error if a setting is invalid or the listen address is not available.
     pub fn start(
         config: &Config,
         file: &OperatorFile,
@@ -96,11 +100,11 @@
     }
 }
 
-/// Keeps the membership's random numbers apart from the decisions'.
+/// Gives the membership protocol random numbers that differ from those of the request engine.
 const MEMBERSHIP_SEED_MASK: u64 = 0x5eed;
 
-/// Keeps the hash secret of client tables apart from the decisions' random numbers, which clients
-/// can see the effects of.
+/// Together with the rotation, makes the hash secret of the client tables differ from the seed of
+/// the request engine, whose random decisions clients can observe.
 const HASH_SECRET_MASK: u64 = 0x61c8_8646_80b5_83eb;
 const HASH_SECRET_ROTATION_BITS: u32 = 23;
 
@@ -118,11 +122,11 @@
     })
 }
 
-/// Sets a new deadline and returns its slot.
+/// Sets a deadline that was not set before, and returns the slot of its owner.
 fn schedule(io: &mut Io, at: Duration, source: EventSource) -> Option<Duration> {
-    let mut due = None;
-    io.deadlines.set(&mut due, Some(at), source);
-    due
+    let mut slot = None;
+    io.deadlines.set(&mut slot, Some(at), source);
+    slot
 }
 
 fn open_frontend(
@@ -164,8 +168,8 @@
     Driver::new(driver_config, &config.initial_endpoints, io).map_err(ProgramError::Settings)
 }
 
-/// Listens on the address. While another process holds it, retries for a while: a predecessor that
-/// is shutting down may not have closed its listener yet.
+/// Listens on the address. If the address is in use, retries until the timeout, because a previous
+/// ingress process that is shutting down may not have closed its listener yet.
 fn listen_with_retry(address: &SocketAddr, limits: &Limits) -> Result<OwnedFd, ProgramError> {
     let since = Instant::now();
     let mut logged = false;
--- a/crates/ingress/src/program/status_file.rs
+++ b/crates/ingress/src/program/status_file.rs
@@ -1,4 +1,5 @@
-//! The status file: how this ingress sees the others, for `roseyard-ingress status`.
+//! The status file, which shows how this ingress sees the other members. The command
+//! `roseyard-ingress status` prints it.
 
 use super::file_writer::{unix_ms, FileWriter};
 use super::status_table;
@@ -8,16 +9,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A longer file is not read.
+/// A status file above this size is not read.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Writes the status file.
+/// Writes the status file in the background.
 pub struct StatusFile {
     path: PathBuf,
     writer: FileWriter,
 }
 
-/// A status file that cannot be shown.
+/// Error in showing a status file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {reason}", path.display())]
 pub struct StatusError {
@@ -25,19 +26,19 @@
     reason: StatusErrorReason,
 }
 
-/// Why a status file cannot be shown.
+/// The reason why a status file cannot be shown.
 #[derive(Debug, thiserror::Error)]
 enum StatusErrorReason {
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    #[error("longer than 4 MiB")]
+    #[error("status file is longer than 4 MiB")]
     TooLong,
-    #[error("no status: {0}")]
+    #[error("invalid status: {0}")]
     Invalid(#[from] simd_json::Error),
 }
 
 impl StatusFile {
-    /// A writer of this file.
+    /// Creates a writer for the file at `path`.
     pub fn new(path: &Path) -> StatusFile {
         StatusFile {
             path: path.to_owned(),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Starts writing the present view, unless the last write is still running.
+    /// Starts to write the current status, unless the last write is still running.
     pub fn write(&mut self, membership: &MembershipDriver, now: Duration) {
         if self.writer.is_busy() {
             return;
@@ -56,7 +57,7 @@
     }
 }
 
-/// The content of a status file: its JSON as it stands, or a table.
+/// Reads a status file and returns it as a table, or as unchanged JSON if `json` is set.
 pub fn show(path: &Path, json: bool) -> Result<String, StatusError> {
     read(path, json).map_err(|reason| StatusError {
         path: path.to_owned(),
--- a/crates/ingress/src/program/status_table.rs
+++ b/crates/ingress/src/program/status_table.rs
@@ -1,4 +1,4 @@
-//! The status of the membership as a table for operators.
+//! Formats the membership status as a table for operators.
 
 use crate::routing::membership::{MemberStatus, Status};
 use std::fmt::Write;
@@ -8,7 +8,7 @@
     "member", "standing", "heard", "address", "zone", "stage", "life",
 ];
 
-/// The table, at this Unix time in milliseconds.
+/// Returns the status as text. Ages are relative to the Unix time `now_unix_ms`.
 pub(super) fn format(status: &Status, now_unix_ms: u64) -> String {
     let mut text = summary(status, now_unix_ms);
     let mut rows = vec![HEADINGS.map(String::from)];
@@ -34,13 +34,13 @@
         ..
     } = status;
     let age = seconds(now_unix_ms.saturating_sub(status.written));
-    let side = if status.quorum {
+    let majority = if status.quorum {
         "a majority"
     } else {
         "no majority"
     };
     let mut text = format!(
-        "{name} on {address}, written {age:.1} s ago: {seen} of {expected} answer ({side}), \
+        "{name} on {address}, written {age:.1} s ago: {seen} of {expected} answer ({majority}), \
          local health {health}\n"
     );
     if let Some(holder) = &status.held {
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -244,8 +244,8 @@
         self.bytes.is_empty()
     }
 
-    /// Appends the command for an endpoint. Only the value of `d` changes: it becomes `wait_ms`, the
-    /// time that this ingress waits for the reply.
+    /// Appends the command for an endpoint. Only the value of `d` changes: it becomes `wait_ms`,
+    /// the time that this ingress waits for the reply.
     pub fn put(&self, wait_ms: u64, out: &mut Vec<u8>) {
         put_array(out, self.argument_count);
         let mut start = 0;
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -22,7 +22,8 @@
         self.buffer.len()
     }
 
-    /// Processes received bytes. Appends complete lists, empty lines and malformed lines to `found`.
+    /// Processes received bytes. Appends complete lists, empty lines and malformed lines to
+    /// `found`.
     pub fn feed(&mut self, bytes: &[u8], found: &mut Vec<Vec<u8>>) {
         for byte in bytes {
             if *byte == b'\n' && self.is_complete() {
@@ -45,9 +46,9 @@
         }
     }
 
-    /// Returns whether a line end completes the buffered bytes: they are a whole list, an empty line
-    /// or a truncated list. A list is truncated if the line ends inside a string or is empty, since
-    /// a valid list contains neither.
+    /// Returns whether a line end completes the buffered bytes: they are a whole list, an empty
+    /// line or a truncated list. A list is truncated if the line ends inside a string or is empty,
+    /// since a valid list contains neither.
     fn is_complete(&self) -> bool {
         let line = self.buffer.rsplit(|byte| *byte == b'\n').next();
         let is_empty = line.unwrap_or_default().trim_ascii().is_empty();
--- a/crates/ingress/src/transport/datagrams.rs
+++ b/crates/ingress/src/transport/datagrams.rs
@@ -22,8 +22,8 @@
         self.socket.local_addr()
     }
 
-    /// Receives the next datagram. Returns the number of bytes stored in `buffer`, to which a longer
-    /// datagram is truncated, and the sender. Returns `None` if no datagram is available.
+    /// Receives the next datagram. Returns the number of bytes stored in `buffer`, to which a
+    /// longer datagram is truncated, and the sender. Returns `None` if no datagram is available.
     pub fn receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
             match self.socket.recv_from(buffer) {
--- a/crates/ingress/src/transport/poller.rs
+++ b/crates/ingress/src/transport/poller.rs
@@ -47,8 +47,8 @@
         )
     }
 
-    /// Registers a listener, pipe or datagram socket level-triggered for reading: every wait reports
-    /// it while input is available.
+    /// Registers a listener, pipe or datagram socket level-triggered for reading: every wait
+    /// reports it while input is available.
     pub fn add_level_triggered(&self, source: impl AsFd, token: u64) -> io::Result<()> {
         epoll::add(
             &self.epoll,
--- a/crates/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -94,8 +94,8 @@
     ))
 }
 
-/// Starts to connect. Once the socket becomes writable, [`Stream::connect_result`] tells whether the
-/// connection is established. `chunk` is the initial size of the read buffer.
+/// Starts to connect. Once the socket becomes writable, [`Stream::connect_result`] tells whether
+/// the connection is established. `chunk` is the initial size of the read buffer.
 pub fn connect(to: &SocketAddr, chunk: usize) -> io::Result<Stream> {
     let fd = socket(to)?;
     match net::connect(&fd, to) {
@@ -121,7 +121,8 @@
         self.fd.as_fd()
     }
 
-    /// Returns the result of a finished connection attempt, which is the pending error of the socket.
+    /// Returns the result of a finished connection attempt, which is the pending error of the
+    /// socket.
     pub fn connect_result(&self) -> Result<(), Errno> {
         sockopt::socket_error(&self.fd)?
     }
@@ -140,10 +141,10 @@
         }
     }
 
-    /// Reads until no more data is available or the input holds `limit` bytes. `chunk` is the size by
-    /// which the read buffer grows. `peer_closed` says that the poller has reported the peer's close:
-    /// only then is a short read followed by another one, because data that arrives later causes a
-    /// new event.
+    /// Reads until no more data is available or the input holds `limit` bytes. `chunk` is the size
+    /// by which the read buffer grows. `peer_closed` says that the poller has reported the peer's
+    /// close: only then is a short read followed by another one, because data that arrives later
+    /// causes a new event.
     pub fn read_available(&mut self, limit: usize, chunk: usize, peer_closed: bool) -> ReadOutcome {
         loop {
             if self.input.len() - self.consumed >= limit {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Returns whether the connection is open and neither data nor the end of the stream can be read.
-    /// Queries the socket, and so detects also what has arrived since the last event.
+    /// Returns whether the connection is open and neither data nor the end of the stream can be
+    /// read. Queries the socket, and so detects also what has arrived since the last event.
     pub fn is_open_without_input(&self) -> bool {
         let mut byte = [0; 1];
         let seen = net::recv(&self.fd, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
@@ -176,8 +177,8 @@
     }
 
     /// Discards the input and up to about `limit` bytes that can be read, and returns the number of
-    /// bytes discarded from the socket. For TCP, the kernel drops data that is read with `MSG_TRUNC`
-    /// without copying it, so a large value costs neither memory nor copies.
+    /// bytes discarded from the socket. For TCP, the kernel drops data that is read with
+    /// `MSG_TRUNC` without copying it, so a large value costs neither memory nor copies.
     pub fn discard(&mut self, limit: usize, scratch: &mut [u8]) -> (ReadOutcome, usize) {
         self.input = Vec::new();
         self.consumed = 0;
