--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Which clients are kept and which are closed when many connect: floods of every kind, restarts,
-//! lowered limits.
+//! Admission of clients: which connections are kept and which are closed during floods, after a
+//! restart and when limits are lowered.
 
 mod common;
 
@@ -9,17 +9,19 @@
 use roseyard_operator_config::OperatorFileError;
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
-const UNLIMITED_IDLE: &str = "admission { silent-room 1; once-room 1 }";
+/// An operator's file by which idle clients may fill the whole capacity, whether they have sent no
+/// command or one.
+const FULL_IDLE_SHARES: &str = "admission { silent-room 1; once-room 1 }";
 
-/// A client is served by whatever endpoint its request reaches.
+/// Sends a read, lets the endpoint that receives it serve it, and checks the client's reply.
 fn serve_read(harness: &mut Harness, client: &mut Connection, id: u64) {
     client.send(read_request(id));
-    let (s, c, _) = harness.next_request();
-    harness.endpoints[s].connections[c].send(served_reply("v"));
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
     harness.expect_reply(client, "$1\r\nv\r\n");
 }
 
-/// Restarts the ingress among the same peers, with this operator's file.
+/// Restarts the ingress with the same peers and this operator's file, and waits until it is ready.
 fn restart(harness: &mut Harness, file: &str) {
     let text = config(
         &harness.counter.peer,
@@ -32,54 +34,61 @@
     harness.program = Program::start(&config, &operator_file(file), clock).unwrap();
     harness.now = clock.now();
     let mut probe = harness.connect();
-    harness.run_until("it is ready", |_| {
+    harness.run_until("the ingress is ready", |_| {
         probe.send(PING);
         probe.read();
         probe.received_text().contains("+PONG")
     });
     probe.close();
-    harness.run_until("no client is connected", |s| s.program.open().clients == 0);
+    harness.run_until("no client is connected", |h| h.program.open().clients == 0);
 }
 
+/// What the connections of a flood do.
 #[derive(Clone, Copy, Debug)]
 enum FloodKind {
+    /// They send nothing.
     Silent,
+    /// They send the first byte of a command.
     OneByte,
+    /// They are closed at once.
     ConnectThenClose,
+    /// They send part of a request and are closed.
     HalfThenClose,
+    /// They send one command and stay open.
     OneCommand,
+    /// They send one command, and each that the ingress closes is replaced by the next one.
     Reconnect,
+    /// They send a request of the active client's customer, which has a quota.
     SameCustomer,
 }
 
-/// Makes one connection of a flood; returns it if it stays open.
-fn connect_once(
+/// Opens one connection of a flood. Returns it unless the client has closed it.
+fn open_flood_connection(
     harness: &mut Harness,
     kind: FloodKind,
     address: [u8; 4],
     n: u64,
 ) -> Option<Connection> {
-    let mut end = Connection::connect_from(address, harness.program.address().unwrap());
+    let mut client = Connection::connect_from(address, harness.program.address().unwrap());
     harness.advance(1);
     match kind {
         FloodKind::Silent => {}
-        FloodKind::OneByte => end.send("*"),
+        FloodKind::OneByte => client.send("*"),
         FloodKind::ConnectThenClose => return None,
         FloodKind::HalfThenClose => {
-            end.send(&read_request(n)[..30]);
+            client.send(&read_request(n)[..30]);
             return None;
         }
-        FloodKind::OneCommand | FloodKind::Reconnect => end.send(PING),
-        // The active client's own customer, which has a quota.
-        FloodKind::SameCustomer => end.send(read_request(n)),
+        FloodKind::OneCommand | FloodKind::Reconnect => client.send(PING),
+        FloodKind::SameCustomer => client.send(read_request(n)),
     }
-    Some(end)
+    Some(client)
 }
 
 #[test]
 fn a_returning_client_is_served_throughout_floods_of_every_kind_and_source() {
     use FloodKind::*;
-    for (kind, addresses) in [
+    for (kind, address_count) in [
         (Silent, 1),
         (OneByte, 1),
         (ConnectThenClose, 1),
@@ -95,25 +104,25 @@
         let mut active = harness.connect();
         serve_read(&mut harness, &mut active, 1);
         serve_read(&mut harness, &mut active, 2);
-        let mut held: Vec<Connection> = Vec::new();
+        let mut flood: Vec<Connection> = Vec::new();
         for n in 0..700u32 {
-            let address = (0x7f40_0001 + n % addresses).to_be_bytes();
-            held.extend(connect_once(
+            let address = (0x7f40_0001 + n % address_count).to_be_bytes();
+            flood.extend(open_flood_connection(
                 &mut harness,
                 kind,
                 address,
                 1000 + u64::from(n),
             ));
             if matches!(kind, Reconnect) {
-                // Those that were closed reconnect at once.
-                held.iter_mut().for_each(Connection::read);
-                held.retain(|end| end.is_open);
+                // Connections that the ingress has closed are dropped before the next one opens.
+                flood.iter_mut().for_each(Connection::read);
+                flood.retain(|client| client.is_open);
             }
             if n % 70 == 69 {
                 active.read();
                 assert!(
                     active.is_open,
-                    "{kind:?} from {addresses}: closed after {n}"
+                    "{kind:?}, {address_count} addresses: active client closed after {n} connections"
                 );
                 active.send(PING);
                 harness.expect_reply(&mut active, "+PONG\r\n");
@@ -122,7 +131,7 @@
         let clients = harness.program.open().clients;
         assert!(
             clients <= 30,
-            "{kind:?}: {clients} held under 64 descriptors"
+            "{kind:?}: {clients} clients are connected with 64 descriptors"
         );
     }
 }
@@ -135,21 +144,21 @@
     serve_read(&mut harness, &mut active, 1);
     let to = harness.program.address().unwrap();
     let mut rejected = 0;
-    let mut held = Vec::new();
+    let mut flood = Vec::new();
     for n in 0..10_000 {
-        held.push(Connection::connect_from([127, 64, 0, 1], to));
+        flood.push(Connection::connect_from([127, 64, 0, 1], to));
         if n % 50 == 49 {
             harness.advance(1);
-            for end in &mut held {
-                end.read();
-                rejected += usize::from(end.input.starts_with(b"-BUSY "));
+            for client in &mut flood {
+                client.read();
+                rejected += usize::from(client.input.starts_with(b"-BUSY "));
             }
-            held.retain(|end| end.is_open);
+            flood.retain(|client| client.is_open);
         }
     }
     assert!(
         rejected > 9_000,
-        "{rejected} were rejected with a retry time"
+        "only {rejected} of 10,000 were rejected with a retry time"
     );
     assert!(
         harness.program.open().clients <= 6,
@@ -162,57 +171,64 @@
 #[test]
 fn a_known_client_is_served_after_a_restart_at_capacity() {
     let path = std::env::temp_dir().join(format!("roseyard-{}-standing", std::process::id()));
-    let kept = format!("admission {{ by-address #true; silent-room 1; once-room 1; known-after 2 }}\nstanding {{ file \"{}\"; most 10 }}", path.display());
-    for (file, remembers) in [(kept.as_str(), true), (UNLIMITED_IDLE, false)] {
+    let file_with_snapshot = format!("admission {{ by-address #true; silent-room 1; once-room 1; known-after 2 }}\nstanding {{ file \"{}\"; most 10 }}", path.display());
+    for (file, has_snapshot) in [
+        (file_with_snapshot.as_str(), true),
+        (FULL_IDLE_SHARES, false),
+    ] {
         let mut harness = Harness::with_operator_file(1, 64, 192, file);
         let mut known =
             Connection::connect_from([127, 0, 0, 9], harness.program.address().unwrap());
         for id in 1..4 {
             serve_read(&mut harness, &mut known, id);
         }
-        // The process ends; only its snapshot outlasts it.
+        // The ingress ends, and keeps nothing but the snapshot file.
         harness.program.finalize();
         restart(&mut harness, file);
         let mut flood: Vec<Connection> = (0..30)
             .map(|n| Connection::connect_from([127, 64, 0, n], harness.program.address().unwrap()))
             .collect();
-        for end in &mut flood {
+        for client in &mut flood {
             harness.advance(1);
-            end.send(PING);
-            harness.expect_reply(end, "+PONG\r\n");
+            client.send(PING);
+            harness.expect_reply(client, "+PONG\r\n");
         }
-        assert_eq!(harness.program.open().clients, 30, "the limit is reached");
+        assert_eq!(
+            harness.program.open().clients,
+            30,
+            "the capacity is reached"
+        );
         let mut known =
             Connection::connect_from([127, 0, 0, 9], harness.program.address().unwrap());
         serve_read(&mut harness, &mut known, 9);
-        // Another hundred connect: with the snapshot it is known at once, without it after another
-        // request.
-        if !remembers {
+        // With the snapshot the client is known at once, without it only after a second request.
+        // Then it is kept while 100 more clients connect.
+        if !has_snapshot {
             serve_read(&mut harness, &mut known, 10);
         }
         for n in 0..100 {
             harness.advance(5);
-            let mut end =
+            let mut client =
                 Connection::connect_from([127, 65, 0, n], harness.program.address().unwrap());
-            end.send(PING);
-            harness.expect_reply(&mut end, "+PONG\r\n");
-            flood.push(end);
+            client.send(PING);
+            harness.expect_reply(&mut client, "+PONG\r\n");
+            flood.push(client);
         }
         known.read();
-        assert!(known.is_open, "remembers: {remembers}");
+        assert!(known.is_open, "has_snapshot: {has_snapshot}");
     }
-    // A cut file is ignored, and the ingress starts all the same.
+    // A truncated snapshot is ignored, and the ingress starts without it.
     let snapshot = std::fs::read(&path).unwrap();
     std::fs::write(&path, &snapshot[..snapshot.len() - 3]).unwrap();
-    let mut harness = Harness::with_operator_file(1, 64, 192, &kept);
+    let mut harness = Harness::with_operator_file(1, 64, 192, &file_with_snapshot);
     let mut client = harness.connect();
     serve_read(&mut harness, &mut client, 1);
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn the_reserve_is_lent_to_idle_new_clients_and_a_known_client_is_served_at_once() {
-    // A capacity of 30, of which 3 are reserved.
+fn new_clients_may_occupy_the_reserve_while_idle_and_a_known_client_is_served_at_once() {
+    // The capacity is 30 clients, of which 3 are reserved.
     let file =
         "admission { by-address #true; reserve 0.1; silent-room 1; once-room 1; known-after 2 }";
     let mut harness = Harness::with_operator_file(1, 64, 192, file);
@@ -222,34 +238,34 @@
         serve_read(&mut harness, &mut known, id);
     }
     known.close();
-    harness.run_until("its end", |s| s.program.open().clients == 0);
-    // Their requests wait for totals as long as the test's clock stands still.
+    harness.run_until("no client is connected", |h| h.program.open().clients == 0);
+    // Without the counter's totals, requests wait for as long as the test's clock stands still.
     harness.counter.mode = CounterMode::Silent;
     let mut new_clients: Vec<Connection> = (0..30)
         .map(|n| Connection::connect_from([127, 64, 0, n], to))
         .collect();
     let mut rejected = 0;
-    for (n, end) in new_clients.iter_mut().enumerate() {
-        // Customers of their own, so that each is within its quota.
-        end.send(request_of_customer(
+    for (n, client) in new_clients.iter_mut().enumerate() {
+        // Each has its own customer, so that all are within their quotas.
+        client.send(request_of_customer(
             500 + n as u64,
             "API.READ",
             100 + n as u64,
             READ_FIELDS,
         ));
-        let held = harness.program.open().requests;
-        harness.run_until("it is open or rejected", |s| {
-            end.read();
-            s.program.open().requests > held || !end.input.is_empty()
+        let open_before = harness.program.open().requests;
+        harness.run_until("the request is open or rejected", |h| {
+            client.read();
+            h.program.open().requests > open_before || !client.input.is_empty()
         });
-        rejected += usize::from(end.received_text() == "-BUSY 500\r\n");
+        rejected += usize::from(client.received_text() == "-BUSY 500\r\n");
     }
     assert_eq!(
         rejected, 3,
-        "that many may connect but have no request open"
+        "new clients may connect on the reserve but have no request open there"
     );
     assert_eq!(harness.program.open().clients, 30);
-    // The listener paused when all idle clients had just connected.
+    // The ingress has paused accepting because all idle clients have only just connected.
     harness.advance(10);
     let mut known = Connection::connect_from([127, 0, 0, 9], to);
     known.send(PING);
@@ -257,12 +273,12 @@
     assert_eq!(
         harness.program.open().clients,
         30,
-        "an idle client was closed for it"
+        "one idle client was closed for the known one"
     );
 }
 
 #[test]
-fn limits_hold_for_mapped_addresses_and_a_lowered_one_closes_idle_clients() {
+fn limits_hold_for_mapped_addresses_and_lowering_one_closes_idle_clients() {
     let mut harness = Harness::with_operator_file(
         1,
         64,
@@ -280,26 +296,26 @@
         "\"listen\":\"[::ffff:127.0.0.1]:0\"",
     );
     let parsed = || Config::parse(text.clone().into(), |_| None).unwrap();
-    let file = |most: usize| {
+    let file = |max_clients: usize| {
         operator_file(&format!(
-            "admission {{ by-address #true; per-neighbourhood {most} }}"
+            "admission {{ by-address #true; per-neighbourhood {max_clients} }}"
         ))
     };
     let clock = Clock::start();
     harness.program = Program::start(&parsed(), &file(8), clock).unwrap();
     harness.now = clock.now();
-    // A listener on the mapped address: IPv4 clients are seen with mapped addresses.
+    // The listener is on a mapped address, so the ingress sees IPv4 clients with mapped addresses.
     let to =
         std::net::SocketAddr::from(([127, 0, 0, 1], harness.program.address().unwrap().port()));
-    let mut ends: Vec<Connection> = (1..=9)
+    let mut clients: Vec<Connection> = (1..=9)
         .map(|n| Connection::connect_from([127, 0, 0, n], to))
         .collect();
-    let mut ninth = ends.pop().unwrap();
+    let mut ninth = clients.pop().unwrap();
     harness.expect_reply(&mut ninth, "-BUSY 500\r\n");
     harness.run_until_closed(&mut ninth);
-    // One has a request in flight, and an invalid file changes nothing.
-    ends[0].send(read_request(1));
-    let (s, c, _) = harness.next_request();
+    // One client has a request in flight. Reloading an invalid file changes nothing.
+    clients[0].send(read_request(1));
+    let (endpoint, connection, _) = harness.next_request();
     let error =
         roseyard_operator_config::OperatorFile::parse("roseyard.kdl", "admission { plcaes 3 }")
             .unwrap_err();
@@ -312,12 +328,12 @@
     assert_eq!(
         harness.program.open().clients,
         3,
-        "those that were idle longest are closed"
+        "the clients that were idle for longest are closed"
     );
-    harness.endpoints[s].connections[c].send(served_reply("v"));
-    harness.expect_reply(&mut ends[0], "$1\r\nv\r\n");
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
+    harness.expect_reply(&mut clients[0], "$1\r\nv\r\n");
     assert!(
-        ends[0].is_open,
-        "the one with a request in flight has its reply"
+        clients[0].is_open,
+        "the client with a request in flight is not closed"
     );
 }
--- a/crates/ingress/tests/change_notification.rs
+++ b/crates/ingress/tests/change_notification.rs
@@ -1,6 +1,6 @@
 //! A change of the endpoint list is applied within a bounded time once discovery has it and can be
-//! reached, whatever failed before, also while idle clients fill the descriptors. With no descriptor
-//! left at all it is `descriptor_shortage.rs`.
+//! reached, whichever fault came before, also while idle clients use up the descriptors.
+//! `descriptor_shortage.rs` tests the case in which no descriptor is left at all.
 
 mod common;
 
@@ -13,7 +13,7 @@
 fn a_change_is_applied_within_6_s_of_discovery_being_reachable_again() {
     for mode in DISCOVERY_MODES {
         for fault in DISCOVERY_FAULTS {
-            // Several lengths, as the backoff grows with them.
+            // The backoff grows with the length of the outage.
             let outages: &[u64] = match fault {
                 DiscoveryFault::NeverAccepts
                 | DiscoveryFault::Silent
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn a_change_missed_by_a_silent_watch_and_a_failed_call_is_applied_within_the_grace() {
+fn a_change_missed_by_a_silent_watch_and_a_failed_call_is_applied_within_6_s_and_the_drain_grace() {
     for mode in DISCOVERY_MODES {
         for fault in DISCOVERY_FAULTS {
             let mut change = PendingChange::new(mode);
             let since = change.harness.now;
-            // The watch has fallen silent; the call after it fails.
-            let waits = Duration::from_millis(2500);
-            change.fail_for(DiscoveryFault::Silent, waits);
+            // The watch falls silent, and the next call fails.
+            let silence = Duration::from_millis(2500);
+            change.fail_for(DiscoveryFault::Silent, silence);
             if matches!(
                 fault,
                 DiscoveryFault::Refuses | DiscoveryFault::NeverAccepts
@@ -57,14 +57,14 @@
             } else {
                 while change.step(fault) == 0 {}
             }
-            let most = MAX_NOTIFICATION_DELAY + Duration::from_millis(mode.drain_grace_ms);
-            change.assert_applied_within(most, since, &format!("silent, then {fault:?}"));
+            let max_delay = MAX_NOTIFICATION_DELAY + Duration::from_millis(mode.drain_grace_ms);
+            change.assert_applied_within(max_delay, since, &format!("silent, then {fault:?}"));
         }
     }
 }
 
 #[test]
-fn a_change_at_a_reloaded_address_is_applied_within_4_s_whatever_the_old_one_does() {
+fn a_change_at_a_reloaded_address_is_applied_within_4_s_whatever_the_old_address_does() {
     for mode in DISCOVERY_MODES {
         for fault in DISCOVERY_FAULTS {
             let mut change = PendingChange::new(mode);
@@ -75,7 +75,7 @@
             change.assert_applied_within(
                 MAX_NOTIFICATION_DELAY_AFTER_RELOAD,
                 since,
-                &format!("moved away from {fault:?}"),
+                &format!("reload with a new address after {fault:?}"),
             );
         }
         let mut change = PendingChange::new(mode);
@@ -84,40 +84,41 @@
         change.assert_applied_within(
             MAX_NOTIFICATION_DELAY_AFTER_RELOAD,
             since,
-            "moved away from an address that keeps sending",
+            "reload with a new address while the old one keeps sending",
         );
     }
 }
 
 #[test]
-fn a_change_is_applied_within_6_s_of_the_last_of_several_addresses_being_reachable() {
+fn a_change_is_applied_within_6_s_of_the_last_of_several_new_addresses_being_reachable() {
     for mode in DISCOVERY_MODES {
         for fault in DISCOVERY_FAULTS {
             let mut change = PendingChange::new(mode);
             change.fail(DiscoveryFault::Rejects);
             change.fail_for(DiscoveryFault::Rejects, Duration::from_millis(9050));
-            // Three migrations in a row, each to an address that fails for a while, the last longest.
-            let mut old = Vec::new();
-            for time in [100, 1500, 7050] {
-                old.push(change.migrate_discovery());
+            // Three reloads in a row, each with a new address that fails for a while, the last one
+            // for the longest time.
+            let mut old_peers = Vec::new();
+            for outage_ms in [100, 1500, 7050] {
+                old_peers.push(change.migrate_discovery());
                 change.fail(fault);
-                change.fail_for(fault, Duration::from_millis(time));
+                change.fail_for(fault, Duration::from_millis(outage_ms));
             }
             change.recover(fault);
             let since = change.harness.now;
             change.assert_applied_within(
                 MAX_NOTIFICATION_DELAY,
                 since,
-                &format!("moved thrice, {fault:?}"),
+                &format!("three reloads with new addresses, {fault:?}"),
             );
         }
     }
 }
 
 #[test]
-fn a_long_list_is_awaited_while_its_parts_arrive_and_not_when_it_trickles() {
+fn a_call_continues_while_parts_of_a_long_list_arrive_and_not_when_the_list_trickles() {
     const PARTS: usize = 15;
-    const BETWEEN_MS: u64 = 400;
+    const PART_INTERVAL_MS: u64 = 400;
     for trickles in [false, true] {
         let mut change = PendingChange::new(DISCOVERY_MODES[0]);
         change
@@ -130,25 +131,29 @@
         while change.harness.discovery.connections.len() == before {
             change.harness.advance(STEP_MS);
         }
-        // Takes longer than a call may stay silent.
+        // The whole list takes longer to arrive than a call may stay silent.
         let complete_list = endpoint_list(42, true, &many_endpoint_entries(600));
-        let part = if trickles {
+        let part_bytes = if trickles {
             1
         } else {
             complete_list.len().div_ceil(PARTS)
         };
         change.harness.discovery.connections[before].send(WATCH_HEAD);
         for n in 0..PARTS {
-            let text = &complete_list[n * part..complete_list.len().min((n + 1) * part)];
+            let text =
+                &complete_list[n * part_bytes..complete_list.len().min((n + 1) * part_bytes)];
             change.harness.discovery.connections[before].send(chunk(text));
             for _ in 0..5 {
                 change.harness.run_iteration();
             }
-            change.harness.advance(BETWEEN_MS);
+            change.harness.advance(PART_INTERVAL_MS);
         }
         let calls = change.harness.discovery.connections.len() - before;
         if trickles {
-            assert!(calls > 1, "one call was waited for without end");
+            assert!(
+                calls > 1,
+                "the ingress waited without limit for a list that trickles"
+            );
         } else {
             assert_eq!((calls, change.harness.program.list_revision()), (1, 42));
         }
@@ -181,7 +186,7 @@
                 client.send(PING);
             }
             idle.push(client);
-            // Faster than admission closes the silent ones.
+            // The clients connect faster than admission closes the silent ones.
             if n % 10 == 0 {
                 change.step(fault);
             }
@@ -195,12 +200,12 @@
         }
         assert!(
             change.harness.program.open().clients < 64,
-            "{fault:?}: no more clients than descriptors"
+            "{fault:?}: fewer clients than descriptors"
         );
         change.recover(fault);
         let since = change.harness.now;
-        let most = Duration::from_millis(1000 + STEP_MS);
-        change.assert_applied_within(most, since, &format!("{fault:?}, filled with idle clients"));
+        let max_delay = Duration::from_millis(1000 + STEP_MS);
+        change.assert_applied_within(max_delay, since, &format!("{fault:?}, with idle clients"));
         let counter_calls = change.harness.counter.calls.len();
         active.send(read_request_of_customer(900, 900));
         let (endpoint, connection, _) = change.harness.next_request();
--- a/crates/ingress/tests/client_commands.rs
+++ b/crates/ingress/tests/client_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of clients: how they are parsed, bounded and replied to.
+//! Commands of clients: parsing, limits, and the order of replies.
 
 mod common;
 
@@ -11,19 +11,20 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     client.send(request("API.WRITE", 7, WRITE_FIELDS));
-    let (s, c, words) = harness.next_request();
+    let (endpoint, connection, words) = harness.next_request();
     assert_eq!(
         words[..3],
         ["API.WRITE", "00000000b4d65521", "0000000000000007"]
     );
-    // Late replies of this class have no value: the wait ends at the latency objective.
+    // Replies of this class have no value after the latency objective of 1000 ms, which therefore
+    // replaces the longer deadline.
     assert_eq!(words[3], WRITE_FIELDS.replace("d=3000", "d=1000"));
-    harness.endpoints[s].connections[c].send(served_reply("kept"));
+    harness.endpoints[endpoint].connections[connection].send(served_reply("kept"));
     harness.expect_reply(&mut client, "$4\r\nkept\r\n");
     assert_eq!(
         harness.program.open().requests,
         0,
-        "nothing is held any more"
+        "the request is released"
     );
 }
 
@@ -41,10 +42,10 @@
     );
     let first = harness.next_request();
     let second = harness.next_request();
-    assert_ne!(first.1, second.1, "no attempt is written behind another");
+    assert_ne!(first.1, second.1, "each attempt has its own connection");
     assert_eq!((&first.2[2][15..], &second.2[2][15..]), ("1", "2"));
     harness.endpoints[0].connections[second.1].send(served_reply("two"));
-    harness.run_until("the second reply", |s| s.program.open().requests == 1);
+    harness.run_until("the second reply", |h| h.program.open().requests == 1);
     client.read();
     assert_eq!(
         client.received_text(),
@@ -57,7 +58,7 @@
 
 #[test]
 fn malformed_framing_is_a_protocol_error_after_the_replies_before_it() {
-    for bad in [
+    for malformed in [
         "hello\r\n",
         "*1\r\n$70000\r\n",
         "*1\r\n:1\r\n",
@@ -67,16 +68,16 @@
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
         client.send(read_request(1));
-        client.send(bad);
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(served_reply("v"));
+        client.send(malformed);
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection].send(served_reply("v"));
         assert_eq!(harness.read_line(&mut client), "$1\r\n");
         assert_eq!(harness.read_line(&mut client), "v\r\n");
         assert!(
             harness
                 .read_line(&mut client)
                 .starts_with("-ERR Protocol error"),
-            "{bad:?}"
+            "{malformed:?}"
         );
         harness.run_until_closed(&mut client);
     }
@@ -105,8 +106,8 @@
     let mut client = harness.connect();
     client.send(read_request(1));
     client.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
-    let (s, c, _) = harness.next_request();
-    harness.endpoints[s].connections[c].send(served_reply("v"));
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
     harness.expect_reply(
         &mut client,
         &format!("$1\r\nv\r\n{}", "+PONG\r\n".repeat(3000)),
@@ -119,13 +120,13 @@
     let (mut busy, mut active) = (harness.connect(), harness.connect());
     busy.send("*1\r\n$4\r\nPING\r\n".repeat(3000));
     active.send(read_request(1));
-    let (s, c, _) = harness.next_request();
-    harness.endpoints[s].connections[c].send(served_reply("v"));
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut active, "$1\r\nv\r\n");
     busy.read();
     assert!(
         busy.input.len() < 3000 * 7,
-        "it was served before the other had all its replies"
+        "the other client is served before the busy one has all its replies"
     );
     harness.expect_reply(&mut busy, &"+PONG\r\n".repeat(3000));
 }
@@ -135,27 +136,27 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     let pings = "*1\r\n$4\r\nPING\r\n".repeat(2000);
-    // Far more replies than socket buffers hold.
+    // Sends commands until their replies exceed by far what the socket buffers hold.
     let (mut sent, mut remaining) = (0, pings.as_bytes());
-    harness.run_until("the ingress stops reading", |s| {
+    harness.run_until("the ingress stops reading", |h| {
         let n = client.send_some(remaining);
         (sent, remaining) = (sent + n, &remaining[n..]);
         if remaining.is_empty() {
             remaining = pings.as_bytes();
         }
         assert!(sent < 256 << 20, "the ingress never stops reading");
-        n == 0 && s.program.client_usage().buffered_bytes > 256 << 10
+        n == 0 && h.program.client_usage().buffered_bytes > 256 << 10
     });
-    let held = harness.program.client_usage().buffered_bytes;
+    let buffered_before = harness.program.client_usage().buffered_bytes;
     for _ in 0..20 {
         harness.run_iteration();
     }
     assert!(
-        harness.program.client_usage().buffered_bytes <= held,
-        "nothing more is replied to"
+        harness.program.client_usage().buffered_bytes <= buffered_before,
+        "no further command is executed"
     );
     harness.advance(10_001);
-    harness.run_until("it is closed", |s| s.program.open().clients == 0);
+    harness.run_until("the client is closed", |h| h.program.open().clients == 0);
 }
 
 #[test]
@@ -168,16 +169,16 @@
     command.extend(&plain[4..]);
     command.extend(format!("${}\r\n{body}\r\n", body.len()).as_bytes());
     client.send(&command);
-    let (s, c, words) = harness.next_request();
+    let (endpoint, connection, words) = harness.next_request();
     assert_eq!(words[4], body);
-    harness.endpoints[s].connections[c].send(served_reply(&body));
+    harness.endpoints[endpoint].connections[connection].send(served_reply(&body));
     harness.expect_reply(&mut client, &format!("${}\r\n{body}\r\n", body.len()));
 }
 
-/// Commands that are well-formed and cannot be executed.
+/// Returns commands that are well-formed and cannot be executed.
 fn invalid_commands() -> Vec<Vec<u8>> {
     let with_field = |from: &str, to: &str| request("API.READ", 1, &READ_FIELDS.replace(from, to));
-    let word = |at: usize, text: &str| {
+    let with_word = |at: usize, text: &str| {
         let mut out = Vec::new();
         resp::put_array(&mut out, 4);
         let words = [
@@ -224,12 +225,12 @@
         with_field("spread=1", "spread=x"),
         with_field("first=0", "first=1"),
         with_field("first=0", "first=-1"),
-        word(1, "00000002b4d65521"),
-        word(1, "b4d65521"),
-        word(1, "+0000000b4d65521"),
-        word(2, ""),
-        word(2, "not a hex number"),
-        word(3, "\u{fffd},,="),
+        with_word(1, "00000002b4d65521"),
+        with_word(1, "b4d65521"),
+        with_word(1, "+0000000b4d65521"),
+        with_word(2, ""),
+        with_word(2, "not a hex number"),
+        with_word(3, "\u{fffd},,="),
         b"*1\r\n$8\r\nAPI.READ\r\n".to_vec(),
         b"*1\r\n$5\r\nHELLO\r\n".to_vec(),
         b"*0\r\n".to_vec(),
@@ -257,7 +258,7 @@
             harness.program.client_usage().open_requests
         ),
         (0, 0),
-        "nothing was counted"
+        "no call to the counter and no open request"
     );
 }
 
@@ -274,21 +275,24 @@
     let mut sent = 0;
     while sent < 60_000_000 {
         sent += part.len();
-        // What loopback does not take at once it takes after a round.
+        // The socket accepts the rest once the ingress has read.
         let mut remaining: &[u8] = &part;
-        harness.run_until("all is sent", |_| {
+        harness.run_until("the part is sent", |_| {
             remaining = &remaining[client.send_some(remaining)..];
             remaining.is_empty()
         });
         assert!(
             harness.program.client_usage().buffered_bytes < 1 << 20,
-            "nothing of it is buffered"
+            "the value is not buffered"
         );
     }
     client.half_close();
     harness.run_until_closed(&mut client);
-    assert!(!client.was_reset, "an end, no reset");
-    harness.run_until("it is closed", |s| s.program.open().clients == 0);
+    assert!(
+        !client.was_reset,
+        "the connection is closed without a reset"
+    );
+    harness.run_until("the client is closed", |h| h.program.open().clients == 0);
 }
 
 #[test]
@@ -304,22 +308,22 @@
 }
 
 #[test]
-fn a_request_id_in_use_is_an_error_and_the_first_request_goes_on() {
+fn a_request_id_in_use_is_an_error_and_the_first_request_continues() {
     let mut harness = Harness::new(1);
     let (mut first, mut other) = (harness.connect(), harness.connect());
     first.send(read_request(7));
-    let (_, c, _) = harness.next_request();
+    let (_, connection, _) = harness.next_request();
     other.send(read_request(7));
     assert_eq!(harness.read_line(&mut other), "-ERR request id in use\r\n");
     drop(other);
-    harness.run_until("the other is disconnected", |s| {
-        s.program.open().clients == 1
+    harness.run_until("the other client is disconnected", |h| {
+        h.program.open().clients == 1
     });
-    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.endpoints[0].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut first, "$1\r\nv\r\n");
     assert_eq!(
         harness.program.client_usage(),
         FrontendUsage::default(),
-        "the id is free again"
+        "the request and its id are released"
     );
 }
--- a/crates/ingress/tests/client_connections.rs
+++ b/crates/ingress/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: idle ones, silent ones, and more of them than there is capacity for.
+//! Time-outs of silent and idle client connections, and connections beyond the capacity.
 
 mod common;
 
@@ -12,8 +12,8 @@
     incomplete.send("*4\r\n$8\r\nAPI.");
     active.send("*1\r\n$4\r\nPING\r\n".repeat(2));
     harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
-    harness.run_until("all are read", |s| {
-        s.program.open().clients == 3 && s.program.client_usage().buffered_bytes > 0
+    harness.run_until("all clients are accepted and their bytes are read", |h| {
+        h.program.open().clients == 3 && h.program.client_usage().buffered_bytes > 0
     });
     harness.advance(2100);
     harness.run_iteration();
@@ -28,7 +28,10 @@
     harness.advance(3700);
     harness.run_iteration();
     active.read();
-    assert!(active.is_open, "between requests for 5.9 s");
+    assert!(
+        active.is_open,
+        "idle for 5.9 s of the 6 s allowed between commands"
+    );
     harness.advance(101);
     harness.run_until_closed(&mut active);
 }
@@ -42,11 +45,11 @@
         1,
         &READ_FIELDS.replace("d=3000", "d=60000"),
     ));
-    let (_, c, _) = harness.next_request();
+    let (_, connection, _) = harness.next_request();
     for _ in 0..10 {
         harness.advance(2000);
     }
-    harness.endpoints[0].connections[c].send(served_reply("v"));
+    harness.endpoints[0].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
 }
 
@@ -69,8 +72,8 @@
         harness.program.open()
     );
     active.send(read_request(1));
-    let (_, c, _) = harness.next_request();
-    harness.endpoints[0].connections[c].send(served_reply("v"));
+    let (_, connection, _) = harness.next_request();
+    harness.endpoints[0].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut active, "$1\r\nv\r\n");
     drop(silent);
 }
@@ -81,18 +84,21 @@
     let mut active = harness.connect();
     active.send("*1\r\n$4\r\nPING\r\n".repeat(2));
     harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
-    let mut stayed = Vec::new();
+    let mut others = Vec::new();
     for _ in 0..60 {
         let mut client = harness.connect();
         client.send("*1\r\n$4\r\nPING\r\n");
         harness.advance(1);
         harness.expect_reply(&mut client, "+PONG\r\n");
-        stayed.push(client);
+        others.push(client);
     }
     active.read();
-    assert!(active.is_open, "used before all of them, and kept");
+    assert!(
+        active.is_open,
+        "the returning client is kept although it was idle for longest"
+    );
     harness.advance(2201);
-    harness.run_until_closed(stayed.last_mut().unwrap());
+    harness.run_until_closed(others.last_mut().unwrap());
     active.read();
     assert!(active.is_open);
 }
@@ -112,11 +118,11 @@
     }
     assert!(
         harness.program.open().clients < 100,
-        "those with the most bytes were closed"
+        "the clients with the most buffered bytes are closed"
     );
     active.send(read_request(1));
-    let (_, c, _) = harness.next_request();
-    harness.endpoints[0].connections[c].send(served_reply("v"));
+    let (_, connection, _) = harness.next_request();
+    harness.endpoints[0].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut active, "$1\r\nv\r\n");
 }
 
@@ -130,7 +136,7 @@
         harness.expect_reply(&mut client, "+PONG\r\n");
         clients.push(client);
     }
-    let held = harness.program.open().clients;
-    assert!((1..40).contains(&held), "{held} held");
+    let connected = harness.program.open().clients;
+    assert!((1..40).contains(&connected), "{connected} clients");
     harness.run_until_closed(&mut clients[0]);
 }
--- a/crates/ingress/tests/client_disconnects.rs
+++ b/crates/ingress/tests/client_disconnects.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect while their requests wait: each test forces the order that matters.
+//! Clients that disconnect while their requests wait. Each test enforces the order of events that
+//! it is about.
 
 mod common;
 
@@ -7,13 +8,14 @@
 use roseyard_ingress::routing::frontend::FrontendUsage;
 
 #[test]
-fn a_client_that_disconnects_during_the_counter_call_has_nothing_forwarded_and_counts_once() {
+fn a_client_that_disconnects_during_the_counter_call_has_nothing_forwarded_and_its_units_returned()
+{
     for replied in [true, false] {
         let mut harness = Harness::new(1);
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
-        harness.run_until("the call", |s| has_unanswered_call(s));
+        harness.run_until("the call", |h| has_unanswered_call(h));
         disconnect_client(&mut harness, client);
         if replied {
             harness.counter.mode = CounterMode::Replies;
@@ -24,9 +26,9 @@
         assert_eq!(
             harness.program.open(),
             OpenCounts::default(),
-            "its requests are released"
+            "the request is released"
         );
-        // Its units are subtracted with the customer's next increment.
+        // The units of the cancelled request are subtracted with the customer's next call.
         assert_total_after_next_request(&mut harness, 1.0, &format!("replied: {replied}"));
     }
 }
@@ -37,8 +39,8 @@
     harness.endpoints[0].stop_accepting();
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the connection is begun", |s| {
-        s.program.open().upstream_connections == 1
+    harness.run_until("a connection to the endpoint is begun", |h| {
+        h.program.open().upstream_connections == 1
     });
     disconnect_client(&mut harness, client);
     harness.endpoints[0].resume_accepting();
@@ -46,29 +48,29 @@
     assert_eq!(
         harness.program.open(),
         OpenCounts::default(),
-        "its connection goes too"
+        "the connection to the endpoint is closed too"
     );
-    // Nothing has reached an endpoint: the customer's next request is the first that counts.
+    // The request has reached no endpoint, so the customer's next one is the first that counts.
     assert_total_after_next_request(&mut harness, 1.0, "no endpoint was reached");
 }
 
 #[test]
 fn a_client_that_disconnects_before_a_retry_has_none_made() {
-    for behind_link in [false, true] {
+    for during_connect in [false, true] {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
         client.send(read_request(1));
-        let (s, c, _) = harness.next_request();
-        if behind_link {
-            // The retry waits for its connection when the client disconnects.
-            harness.endpoints[1 - s].stop_accepting();
-            harness.endpoints[s].connections[c].send("-BUSY\r\n");
-            harness.run_until("the retry", |s| s.program.open().upstream_connections == 2);
+        let (endpoint, connection, _) = harness.next_request();
+        if during_connect {
+            // The client disconnects while the retry's connection is being established.
+            harness.endpoints[1 - endpoint].stop_accepting();
+            harness.endpoints[endpoint].connections[connection].send("-BUSY\r\n");
+            harness.run_until("the retry", |h| h.program.open().upstream_connections == 2);
             disconnect_client(&mut harness, client);
-            harness.endpoints[1 - s].resume_accepting();
+            harness.endpoints[1 - endpoint].resume_accepting();
         } else {
-            // Its end and the endpoint's reply come in one round.
-            harness.endpoints[s].connections[c].send("-BUSY\r\n");
+            // The disconnect and the endpoint's reply arrive in the same iteration.
+            harness.endpoints[endpoint].connections[connection].send("-BUSY\r\n");
             drop(client);
         }
         assert_nothing_forwarded(&mut harness, "retry");
@@ -82,7 +84,7 @@
         assert_total_after_next_request(
             &mut harness,
             2.0,
-            "the first attempt has reached an endpoint",
+            "the first attempt reached an endpoint and counts",
         );
     }
 }
@@ -92,11 +94,11 @@
     let mut harness = Harness::new(1);
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
-    // As many as may be pipelined on a connection, and more behind them.
+    // More requests than the 1024 that may be pipelined on a connection.
     for id in 0..1100 {
         client.send(read_request_of_customer(1000 + id, id));
     }
-    harness.run_until("reading is paused", |s| s.program.open().requests == 1024);
+    harness.run_until("reading is paused", |h| h.program.open().requests == 1024);
     for _ in 0..5 {
         harness.run_iteration();
     }
@@ -104,7 +106,7 @@
     for _ in 0..5 {
         harness.run_iteration();
     }
-    // Now the totals come, all within their quotas.
+    // The counter now replies with totals that are within all quotas.
     harness.counter.mode = CounterMode::Replies;
     assert_nothing_forwarded(&mut harness, "reading paused");
     assert_eq!(harness.program.open(), OpenCounts::default());
@@ -116,7 +118,7 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     client.send(read_request(1));
-    let (s, c, _) = harness.next_request();
+    let (endpoint, connection, _) = harness.next_request();
     client.send("*1\r\n$4\r\nPING\r\n".repeat(1100));
     client.send(read_request_of_customer(7, 2));
     for _ in 0..40 {
@@ -125,11 +127,11 @@
     assert_eq!(
         harness.program.open().requests,
         1,
-        "the second stays unread behind the first"
+        "the second request is not read while reading is paused"
     );
     drop(client);
-    harness.run_until("the first is cancelled", |harness| {
-        !harness.endpoints[s].connections[c].is_open
+    harness.run_until("the first request is cancelled", |h| {
+        !h.endpoints[endpoint].connections[connection].is_open
     });
     assert_nothing_forwarded(&mut harness, "pipeline");
     assert_eq!(harness.program.open(), OpenCounts::default());
@@ -140,8 +142,8 @@
     for requests in [3, 800] {
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
-        harness.run_until("it is accepted", |s| s.program.open().clients == 1);
-        // All of it and the end are there before the next round.
+        harness.run_until("the client is accepted", |h| h.program.open().clients == 1);
+        // The requests and the end of the connection arrive before the next iteration.
         client.send(
             (0..requests)
                 .flat_map(|id| read_request_of_customer(1000 + id, id))
@@ -154,7 +156,7 @@
         assert_eq!(
             harness.counter.calls.len(),
             0,
-            "{requests}: no quota is used"
+            "{requests} requests: no call to the counter"
         );
     }
 }
--- a/crates/ingress/tests/clock.rs
+++ b/crates/ingress/tests/clock.rs
@@ -1,23 +1,27 @@
-//! Unix times on the program's own clock.
+//! Conversion of Unix times to the program's clock.
 
 use roseyard_ingress::clock::Clock;
 use std::time::Duration;
 
 #[test]
-fn unix_times_compare_with_the_clock_and_stay_small() {
+fn unix_times_convert_to_the_clock_and_clock_times_stay_small() {
     let clock = Clock::at_unix_time(Duration::from_millis(1_800_000_000_000));
     let now = clock.now();
-    let five_s_ago = clock.from_unix_ms(1_799_999_995_000.0).unwrap();
-    let age = now - five_s_ago;
+    let five_seconds_ago = clock.from_unix_ms(1_799_999_995_000.0).unwrap();
+    let age = now - five_seconds_ago;
     assert!(
         age >= Duration::from_secs(5) && age < Duration::from_secs(65),
         "{age:?}"
     );
     assert!(
         now < Duration::from_secs(1_000_000),
-        "the module's seconds keep their grain"
+        "seconds as floating-point numbers stay precise"
+    );
+    assert_eq!(
+        clock.from_unix_ms(0.0),
+        None,
+        "times of over a day before the start have no value"
     );
-    assert_eq!(clock.from_unix_ms(0.0), None, "0 is long ago");
     assert_eq!(clock.from_unix_ms(1_799_000_000_000.0), None);
     assert_eq!(clock.from_unix_ms(f64::NAN), None);
 }
--- a/crates/ingress/tests/command_line.rs
+++ b/crates/ingress/tests/command_line.rs
@@ -1,27 +1,27 @@
-//! The command line: the deploy file's call, commands, and wrong words.
+//! The command line: running without a subcommand, subcommands, and errors for invalid arguments.
 
 use clap::{CommandFactory, Parser};
 use roseyard_ingress::program::cli::{Cli, Command, LogForm};
 use std::path::Path;
 
-fn parse(words: &[&str]) -> Result<Cli, clap::Error> {
-    Cli::try_parse_from([&["roseyard-ingress"], words].concat())
+fn parse(args: &[&str]) -> Result<Cli, clap::Error> {
+    Cli::try_parse_from([&["roseyard-ingress"], args].concat())
 }
 
 #[test]
-fn the_deploy_line_without_a_subcommand_runs_and_a_wrong_word_is_named() {
+fn no_subcommand_runs_an_ingress_and_an_error_names_the_valid_argument() {
     Cli::command().debug_assert();
     assert!(parse(&[]).unwrap().command.is_none());
     let cli = parse(&["run", "--settings", "a.kdl", "--log", "json"]).unwrap();
     let Some(Command::Run(run)) = cli.command else {
-        panic!("not run")
+        panic!("expected the command run")
     };
     assert_eq!(
         (run.settings.as_deref(), run.log),
         (Some(Path::new("a.kdl")), Some(LogForm::Json))
     );
-    let wrong_format = parse(&["--log", "xml"]).unwrap_err();
-    assert!(wrong_format.to_string().contains("text"));
-    let wrong_command = parse(&["chek", "a"]).unwrap_err();
-    assert!(wrong_command.to_string().contains("check"));
+    let invalid_format = parse(&["--log", "xml"]).unwrap_err();
+    assert!(invalid_format.to_string().contains("text"));
+    let unknown_command = parse(&["chek", "a"]).unwrap_err();
+    assert!(unknown_command.to_string().contains("check"));
 }
--- a/crates/ingress/tests/configuration.rs
+++ b/crates/ingress/tests/configuration.rs
@@ -1,8 +1,9 @@
-//! The platform's configuration file: what is read, what overrides it, what is wrong with it.
+//! The platform's configuration file: its fields, the variables that override them, and errors.
 
 use roseyard_ingress::program::config::Config;
 
-fn text(seed: &str, listen: &str) -> Vec<u8> {
+/// Returns a configuration file with this seed and this listening address.
+fn config_text(seed: &str, listen: &str) -> Vec<u8> {
     let settings = include_str!("settings.json");
     format!(
             r#"{{"name":"n3","listen":"{listen}","discovery":"127.0.0.1:8500","seed":"{seed}","peers":[],
@@ -13,8 +14,9 @@
 }
 
 #[test]
-fn a_configuration_is_read_and_the_environment_goes_before_it() {
-    let config = Config::parse(text("8c1f30d27a5be964", "127.0.0.1:6379"), |_| None).unwrap();
+fn a_configuration_is_read_and_the_environment_overrides_it() {
+    let config =
+        Config::parse(config_text("8c1f30d27a5be964", "127.0.0.1:6379"), |_| None).unwrap();
     assert_eq!(
         (config.name.as_str(), config.seed),
         ("n3", 0x8c1f_30d2_7a5b_e964)
@@ -22,18 +24,18 @@
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (128, 512));
     assert!(
         config.initial_endpoints.is_full,
-        "the list last held is a whole one"
+        "the initial endpoint list is a full one"
     );
     assert_eq!(config.settings.plan_names(), ["seedling"]);
     let env = |name: &str| (name == "LB_LISTEN").then(|| "127.0.0.2:1".to_owned());
-    let config = Config::parse(text("1", "127.0.0.1:6379"), env).unwrap();
+    let config = Config::parse(config_text("1", "127.0.0.1:6379"), env).unwrap();
     assert_eq!(config.listen.to_string(), "127.0.0.2:1");
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    let wrong = |text| Config::parse(text, |_| None).err().unwrap().to_string();
-    assert!(wrong(text("xyz", "127.0.0.1:1")).contains("seed"));
-    assert!(wrong(text("1", "localhost")).contains("listen: 'localhost'"));
-    assert!(wrong(b"{}".to_vec()).contains("name"));
+fn an_error_names_the_invalid_field() {
+    let error = |text| Config::parse(text, |_| None).err().unwrap().to_string();
+    assert!(error(config_text("xyz", "127.0.0.1:1")).contains("seed"));
+    assert!(error(config_text("1", "localhost")).contains("listen: 'localhost'"));
+    assert!(error(b"{}".to_vec()).contains("name"));
 }
--- a/crates/ingress/tests/counter_calls.rs
+++ b/crates/ingress/tests/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter: quotas, late and malformed replies, connections that break.
+//! Calls to the counter: quotas, late and malformed replies, and failing connections.
 
 mod common;
 
@@ -7,7 +7,7 @@
 #[test]
 fn a_request_over_quota_is_rejected_at_once_with_a_retry_after() {
     let mut harness = Harness::new(1);
-    // Other ingresses have used the customer's complete window.
+    // Other ingresses have used up the customer's quota of the window.
     harness
         .counter
         .totals
@@ -16,13 +16,13 @@
     let before = harness.now;
     client.send(read_request(1));
     let reply = harness.read_line(&mut client);
-    let after: u64 = reply
+    let retry_after_ms: u64 = reply
         .strip_prefix("-BUSY ")
         .expect("a rejection")
         .trim()
         .parse()
         .unwrap();
-    assert!((1..=1000).contains(&after), "{reply}");
+    assert!((1..=1000).contains(&retry_after_ms), "{reply}");
     assert_eq!(harness.now, before, "no time has passed");
     assert!(
         harness.endpoints[0].connections.is_empty(),
@@ -36,24 +36,24 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.run_until("the call", |h| has_unanswered_call(h));
     assert_eq!(
         harness.endpoints[0].next_command(),
         None,
-        "it waits for the total"
+        "the request waits for the total"
     );
     harness.advance(81);
-    let (_, c, _) = harness.next_request();
-    harness.endpoints[0].connections[c].send(served_reply("v"));
+    let (_, connection, _) = harness.next_request();
+    harness.endpoints[0].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
-    // Its total comes long after the settings' time-out: others have used the window.
+    // The total arrives long after the time-out. It says that others have used up the window.
     harness.advance(100);
     let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     for _ in 0..3 {
         harness.run_iteration();
     }
-    // The quota knows at once, without another reply of the counter.
+    // The late total counts at once, without another reply of the counter.
     client.send(read_request(2));
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
@@ -64,15 +64,15 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.run_until("the call", |h| has_unanswered_call(h));
     harness.advance(251);
-    let (_, c, _) = harness.next_request();
-    harness.endpoints[0].connections[c].send(served_reply("v"));
+    let (_, connection, _) = harness.next_request();
+    harness.endpoints[0].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
-    // The first reply comes late, with a total within the quota; the second total is beyond it.
+    // The first reply arrives late with a total within the quota; the second total exceeds it.
     client.send(read_request(2));
-    harness.run_until("the second call", |s| {
-        s.counter
+    harness.run_until("the second call", |h| {
+        h.counter
             .peer
             .connections
             .iter()
@@ -86,7 +86,7 @@
     assert_eq!(
         harness.endpoints[0].next_command(),
         None,
-        "the first reply decides nothing"
+        "the late reply is not taken for the second call"
     );
     let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
@@ -107,24 +107,25 @@
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
-        harness.run_until("the call", |s| has_unanswered_call(s));
+        harness.run_until("the call", |h| has_unanswered_call(h));
         let end = harness.counter.connection_with_pending_call();
         end.send(malformed);
         harness.run_iteration();
         harness.advance(26);
-        harness.run_until("the connection is closed", |s| {
-            s.counter.peer.connections.iter().all(|e| !e.is_open)
+        harness.run_until("the connection is closed", |h| {
+            h.counter.peer.connections.iter().all(|e| !e.is_open)
         });
-        // Decided without it, and the next call is replied to at once on a new connection.
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(served_reply("v"));
+        // The request is decided without a total, and the next call is made at once on a new
+        // connection.
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.counter.mode = CounterMode::Replies;
         harness.counter.peer.connections.clear();
         let before = harness.now;
         client.send(read_request(2));
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(served_reply("w"));
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection].send(served_reply("w"));
         harness.expect_reply(&mut client, "$1\r\nw\r\n");
         assert_eq!(
             (harness.counter.calls.len(), harness.now),
@@ -135,32 +136,32 @@
 }
 
 #[test]
-fn a_counter_connection_that_breaks_during_a_call_is_reopened_at_once() {
+fn a_counter_connection_that_is_closed_during_a_call_is_reopened_at_once() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    let mut served_one = |harness: &mut Harness, id| {
+    let mut serve_one = |harness: &mut Harness, id| {
         client.send(read_request(id));
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(served_reply("v"));
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
     };
-    served_one(&mut harness, 1);
+    serve_one(&mut harness, 1);
     assert_eq!(harness.counter.calls.len(), 1);
     harness.counter.mode = CounterMode::Silent;
     let mut other = harness.connect();
     other.send(read_request(2));
-    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.run_until("the call", |h| has_unanswered_call(h));
     harness.counter.peer.connections.clear();
-    let (_, c, _) = harness.next_request();
-    harness.endpoints[0].connections[c].send(served_reply("w"));
+    let (_, connection, _) = harness.next_request();
+    harness.endpoints[0].connections[connection].send(served_reply("w"));
     harness.expect_reply(&mut other, "$1\r\nw\r\n");
-    // The next call has its total in the same millisecond.
+    // The next call gets its total without any time passing on the clock.
     harness.counter.mode = CounterMode::Replies;
-    served_one(&mut harness, 3);
+    serve_one(&mut harness, 3);
     assert_eq!(
         harness.counter.calls.len(),
         2,
-        "no call fails for want of a connection"
+        "no call fails because a connection is missing"
     );
 }
 
@@ -176,8 +177,8 @@
         let before = harness.now;
         for id in 0..3 {
             client.send(read_request(id));
-            let (_, c, _) = harness.next_request();
-            harness.endpoints[0].connections[c].send(served_reply("v"));
+            let (_, connection, _) = harness.next_request();
+            harness.endpoints[0].connections[connection].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
         }
         assert_eq!(harness.now, before);
@@ -190,17 +191,17 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.run_until("the call", |h| has_unanswered_call(h));
     harness.advance(251);
     harness.advance(1100);
-    harness.run_until("the silent connection is closed", |s| {
-        s.counter.peer.connections.iter().all(|e| !e.is_open)
+    harness.run_until("the silent connection is closed", |h| {
+        h.counter.peer.connections.iter().all(|e| !e.is_open)
     });
     harness.counter.mode = CounterMode::Replies;
     let calls = harness.counter.calls.len();
     client.send(read_request(2));
-    harness.run_until("a call on a new connection", |s| {
-        s.counter.calls.len() > calls
+    harness.run_until("a call on a new connection", |h| {
+        h.counter.calls.len() > calls
     });
 }
 
@@ -210,7 +211,7 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |s| has_unanswered_call(s));
+    harness.run_until("the call", |h| has_unanswered_call(h));
     let end = harness.counter.connection_with_pending_call();
     end.send("HTTP/1.1 103 Early Hints\r\nContent-Length: 5\r\n\r\n");
     end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
@@ -219,12 +220,12 @@
     harness.discovery.connections.clear();
     harness.advance(300);
     harness.advance(201);
-    harness.run_until("a second watch", |s| s.watch_requests.len() == 2);
+    harness.run_until("a second watch", |h| h.watch_requests.len() == 2);
     let list = "{\"rev\":50,\"all\":false,\"targets\":[]}\n";
     let end = harness.discovery.connections.last_mut().unwrap();
     end.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     end.send(format!("{:x}\r\n{list}\r\n", list.len()));
-    harness.run_until("the list", |s| s.program.list_revision() == 50);
+    harness.run_until("the list", |h| h.program.list_revision() == 50);
 }
 
 #[test]
@@ -234,18 +235,18 @@
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
-        harness.run_until("the call", |s| has_unanswered_call(s));
+        harness.run_until("the call", |h| has_unanswered_call(h));
         let end = harness.counter.connection_with_pending_call();
-        // More than the allowance of 8.
+        // More than this ingress's allowance of 8 units.
         end.send("HTTP/1.1 200 OK\r\n\r\n9");
         match reset {
             true => end.reset(),
             false => end.close(),
         }
         if reset {
-            // There was no total: the request is decided without one.
-            let (s, c, _) = harness.next_request();
-            harness.endpoints[s].connections[c].send(served_reply("v"));
+            // The reply is incomplete, so the request is decided without a total.
+            let (endpoint, connection, _) = harness.next_request();
+            harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
         } else {
             assert!(harness.read_line(&mut client).starts_with("-BUSY"));
--- a/crates/ingress/tests/descriptor_exhaustion.rs
+++ b/crates/ingress/tests/descriptor_exhaustion.rs
@@ -1,4 +1,4 @@
-//! Writes in flight of a process that has no descriptor left.
+//! Writes in flight while the process has no descriptor left.
 
 mod common;
 
@@ -9,11 +9,11 @@
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 const CLIENTS: usize = 6;
-const FLOOD: usize = 40;
-/// After so many retries the process gets SIGTERM.
+const FLOOD_CONNECTIONS: usize = 40;
+/// The number of retries after which the process is sent SIGTERM.
 const RETRIES_BEFORE_SIGTERM: usize = 2;
 
-/// The peers of a process that runs by its own clock.
+/// The peers of an ingress that runs as a process of its own, in real time.
 struct Peers {
     counter: FakeCounter,
     discovery: Peer,
@@ -29,32 +29,35 @@
         }
     }
 
+    /// Lets the counter and discovery reply, and the endpoints read.
     fn serve(&mut self) {
         self.counter.serve();
         self.discovery.read();
-        for end in &mut self.discovery.connections {
-            if end.input.ends_with(b"\r\n\r\n") {
-                end.input.clear();
-                end.send(format!("{WATCH_HEAD}{}", chunk("\n")));
+        for connection in &mut self.discovery.connections {
+            if connection.input.ends_with(b"\r\n\r\n") {
+                connection.input.clear();
+                connection.send(format!("{WATCH_HEAD}{}", chunk("\n")));
             }
         }
         self.endpoints.iter_mut().for_each(Peer::read);
     }
 
-    fn run_until(&mut self, what: &str, mut come: impl FnMut(&mut Peers) -> bool) {
+    /// Serves until the condition holds; `what` names it in the failure message.
+    fn run_until(&mut self, what: &str, mut condition: impl FnMut(&mut Peers) -> bool) {
         let start = Instant::now();
-        while !come(self) {
+        while !condition(self) {
             self.serve();
             assert!(
                 start.elapsed() < Duration::from_secs(20),
-                "never came: {what}"
+                "timed out: {what}"
             );
             std::thread::yield_now();
         }
     }
 
-    /// The writes that have come since, by endpoint and connection.
-    fn writes(&mut self) -> Vec<(usize, usize)> {
+    /// Removes the writes that the endpoints have received. Returns the indices of the endpoint and
+    /// of the connection of each.
+    fn take_writes(&mut self) -> Vec<(usize, usize)> {
         let mut writes = Vec::new();
         for (endpoint, peer) in self.endpoints.iter_mut().enumerate() {
             while let Some((connection, words)) = peer.next_command() {
@@ -66,10 +69,10 @@
         writes
     }
 
-    /// Waits until the process is ready; requests before that are rejected.
+    /// Waits until the process is ready. Before that, requests are rejected.
     fn run_until_ready(&mut self, client: &mut Connection) {
         client.send(PING);
-        self.run_until("ready", |_| {
+        self.run_until("the process is ready", |_| {
             client.read();
             if client.input.starts_with(b"-LOADING") && client.input.ends_with(b"\n") {
                 client.input.clear();
@@ -80,7 +83,8 @@
         client.input.clear();
     }
 
-    /// Sends a write of each client; where they are in flight.
+    /// Sends a write from each client. Returns the indices of the endpoint and of the connection on
+    /// which each is in flight.
     fn send_writes(&mut self, clients: &mut [Connection]) -> Vec<(usize, usize)> {
         for (n, client) in clients.iter_mut().enumerate() {
             let n = n as u64;
@@ -92,24 +96,24 @@
             ));
         }
         let mut in_flight = Vec::new();
-        self.run_until("a write of each client", |peers| {
-            in_flight.extend(peers.writes());
+        self.run_until("a write of each client at an endpoint", |peers| {
+            in_flight.extend(peers.take_writes());
             in_flight.len() == clients.len()
         });
         in_flight
     }
 
-    /// Serves retries until each client has a reply, and sends SIGTERM meanwhile; how many retries
-    /// there were.
+    /// Serves retries until each client has a reply, and sends SIGTERM after some of them. Returns
+    /// the number of retries.
     fn serve_retries(&mut self, clients: &mut [Connection], process: Pid) -> usize {
         let mut retries = 0;
-        let mut is_terminated = false;
+        let mut is_term_sent = false;
         self.run_until("a reply to each write", |peers| {
-            for (endpoint, connection) in peers.writes() {
+            for (endpoint, connection) in peers.take_writes() {
                 retries += 1;
                 peers.endpoints[endpoint].connections[connection].send(served_reply("v"));
             }
-            if retries >= RETRIES_BEFORE_SIGTERM && !std::mem::replace(&mut is_terminated, true) {
+            if retries >= RETRIES_BEFORE_SIGTERM && !std::mem::replace(&mut is_term_sent, true) {
                 kill_process(process, Signal::TERM).unwrap();
             }
             clients.iter_mut().for_each(Connection::read);
@@ -119,7 +123,7 @@
     }
 }
 
-/// The process gets no descriptor beyond those that it has open.
+/// Limits the process to the number of descriptors that it has open.
 fn limit_descriptors(process: Pid) {
     let open = std::fs::read_dir(format!("/proc/{}/fd", process.as_raw_nonzero()))
         .unwrap()
@@ -133,14 +137,14 @@
 
 fn assert_one_reply(client: &Connection) {
     let text = client.received_text();
-    let is_one = ["$1\r\nv\r\n", "-ERR failed\r\n"].contains(&text)
+    let is_valid = ["$1\r\nv\r\n", "-ERR failed\r\n"].contains(&text)
         || text.starts_with("-BUSY") && text.matches("\r\n").count() == 1;
-    assert!(is_one, "exactly one reply: {text:?}");
+    assert!(is_valid, "expected exactly one reply, got {text:?}");
 }
 
-/// Writes are in flight; then the process has no descriptor left, connections flood in, and the
-/// endpoints reject every write, so that each needs a connection to another. All get one reply,
-/// through SIGHUP and SIGTERM.
+/// While writes are in flight, the process runs out of descriptors, a flood of clients connects,
+/// and the endpoints reject every write, so that each retry needs a connection to another endpoint.
+/// Each write gets exactly one reply, also across SIGHUP and SIGTERM.
 #[test]
 fn writes_in_flight_get_one_reply_each_when_descriptors_run_out() {
     let mut peers = Peers::new(3);
@@ -157,19 +161,19 @@
     peers.run_until_ready(&mut clients[0]);
     let in_flight = peers.send_writes(&mut clients);
     limit_descriptors(pid);
-    let mut flood: Vec<Connection> = (0..FLOOD).map(connect).collect();
-    peers.run_until("some of the flood to be rejected", |_| {
+    let mut flood: Vec<Connection> = (0..FLOOD_CONNECTIONS).map(connect).collect();
+    peers.run_until("a client of the flood is rejected", |_| {
         flood.iter_mut().for_each(Connection::read);
         flood
             .iter()
-            .any(|end| end.input.starts_with(b"-BUSY ") || !end.is_open)
+            .any(|c| c.input.starts_with(b"-BUSY ") || !c.is_open)
     });
     kill_process(pid, Signal::HUP).unwrap();
     for (endpoint, connection) in in_flight {
         peers.endpoints[endpoint].connections[connection].send("-BUSY\r\n");
     }
     let retries = peers.serve_retries(&mut clients, pid);
-    peers.run_until("the end of each connection", |_| {
+    peers.run_until("each connection is closed", |_| {
         clients.iter_mut().for_each(Connection::read);
         clients.iter().all(|client| !client.is_open)
     });
@@ -178,7 +182,7 @@
     let served = clients.iter().filter(is_served).count();
     assert!(
         served >= 2 && retries >= served,
-        "connections were still opened: {served} served, {retries} retries"
+        "retries found connections: {served} served, {retries} retries"
     );
     peers.run_until("the end", |_| process.child.try_wait().unwrap().is_some());
     assert_eq!(process.child.wait().unwrap().code(), Some(0));
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -1,5 +1,6 @@
-//! Idle clients hold the system's last descriptor while discovery is down. This test limits its own
-//! process's descriptors, which the ingress shares: it must be the only one of its file.
+//! Idle clients hold the last descriptor of the process while discovery cannot be reached. The test
+//! limits the descriptors of its own process, which the ingress shares, so it has to be the only
+//! test of its file.
 
 mod common;
 
@@ -8,22 +9,24 @@
 use std::fs::File;
 use std::time::Duration;
 
-/// Descriptors kept for the test itself, which needs one for each connection that it accepts.
-const LENT: usize = 8;
+/// The number of descriptors reserved for the test, which needs one for each connection it accepts.
+const RESERVED_DESCRIPTORS: usize = 8;
 
-/// While this lives, the process has no descriptor left but those that are lent.
-struct Shortage {
-    before: Rlimit,
+/// Leaves the process without free descriptors until it is dropped. The reserved ones are open
+/// files, which the test closes to use their descriptors.
+struct DescriptorShortage {
+    limit_before: Rlimit,
     held: Vec<File>,
 }
 
-impl Shortage {
-    fn new() -> Shortage {
-        let before = getrlimit(Resource::Nofile);
+impl DescriptorShortage {
+    fn new() -> DescriptorShortage {
+        let limit_before = getrlimit(Resource::Nofile);
         let open = std::fs::read_dir("/proc/self/fd").unwrap();
         let highest = open
-            .map(|e| {
-                e.unwrap()
+            .map(|entry| {
+                entry
+                    .unwrap()
                     .file_name()
                     .to_str()
                     .unwrap()
@@ -31,43 +34,45 @@
                     .unwrap()
             })
             .max();
-        // However many gaps there are below the highest descriptor.
-        let current = Some(highest.unwrap() + 1 + LENT as u64);
+        // The limit bounds the numbers of descriptors. `held` fills the unused numbers below it.
+        let current = Some(highest.unwrap() + 1 + RESERVED_DESCRIPTORS as u64);
         setrlimit(
             Resource::Nofile,
             Rlimit {
                 current,
-                maximum: before.maximum,
+                maximum: limit_before.maximum,
             },
         )
         .unwrap();
         let held: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
         assert!(
-            held.len() >= LENT,
-            "only {} descriptors to lend",
+            held.len() >= RESERVED_DESCRIPTORS,
+            "only {} descriptors reserved for the test",
             held.len()
         );
-        Shortage { before, held }
+        DescriptorShortage { limit_before, held }
     }
 
-    /// One descriptor is free for the test itself; the ingress never gets it.
-    fn lend<T>(&mut self, work: impl FnOnce() -> T) -> T {
-        self.held.pop().expect("descriptors to lend");
-        let done = work();
-        // Unless the work has kept it.
+    /// Frees one descriptor while the test does `work`. The ingress does not run meanwhile, so it
+    /// cannot take the descriptor.
+    fn with_free_descriptor<T>(&mut self, work: impl FnOnce() -> T) -> T {
+        self.held.pop().expect("a reserved descriptor is left");
+        let result = work();
+        // Opens nothing if `work` has kept the descriptor.
         self.held.extend(File::open("/dev/null").ok());
-        done
+        result
     }
 }
 
-impl Drop for Shortage {
+impl Drop for DescriptorShortage {
     fn drop(&mut self) {
         self.held.clear();
-        setrlimit(Resource::Nofile, self.before).unwrap();
+        setrlimit(Resource::Nofile, self.limit_before).unwrap();
     }
 }
 
-fn round(harness: &mut Harness) {
+/// Runs one iteration of the ingress, while its peers do nothing.
+fn run_iteration_alone(harness: &mut Harness) {
     let now = harness.now;
     harness
         .program
@@ -75,33 +80,33 @@
         .unwrap();
 }
 
-/// Runs rounds until the peer has another connection, which must come within this time of the test's
-/// clock.
-fn until_connected(
+/// Runs the ingress until the peer has accepted another connection, which has to happen within
+/// `max_delay` on the test's clock.
+fn run_until_connected(
     harness: &mut Harness,
-    shortage: &mut Shortage,
+    shortage: &mut DescriptorShortage,
     (what, peer): (&str, fn(&mut Harness) -> &mut Peer),
-    most: Duration,
+    max_delay: Duration,
 ) {
-    let (before, since) = (peer(harness).connections.len(), harness.now);
+    let (connections_before, since) = (peer(harness).connections.len(), harness.now);
     loop {
         for _ in 0..5 {
-            round(harness);
-            shortage.lend(|| peer(harness).accept());
+            run_iteration_alone(harness);
+            shortage.with_free_descriptor(|| peer(harness).accept());
         }
-        if peer(harness).connections.len() > before {
+        if peer(harness).connections.len() > connections_before {
             return;
         }
         let open = harness.program.open();
         assert!(
-            harness.now - since < most,
-            "no connection to {what} within {most:?}; open: {open:?}"
+            harness.now - since < max_delay,
+            "no connection to {what} within {max_delay:?}; open: {open:?}"
         );
         harness.now += Duration::from_millis(50);
     }
 }
 
-/// Discovery sends that the first endpoint drains, which is applied.
+/// Lets discovery send that the first endpoint drains, and waits until the ingress has applied it.
 fn apply_drain(harness: &mut Harness) {
     let update = endpoint_list(
         42,
@@ -115,11 +120,11 @@
         .unwrap()
         .send(format!("{WATCH_HEAD}{}", chunk(&update)));
     while harness.program.list_revision() == 41 {
-        round(harness);
+        run_iteration_alone(harness);
     }
 }
 
-const IDLE: usize = 30;
+const IDLE_CLIENTS: usize = 30;
 const NEW_CLIENTS: usize = 12;
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 
@@ -130,49 +135,49 @@
     let mut active = harness.connect();
     active.send(PING.repeat(2));
     harness.expect_reply(&mut active, "+PONG\r\n+PONG\r\n");
-    let mut idle: Vec<Connection> = (0..IDLE).map(|_| harness.connect()).collect();
+    let mut idle: Vec<Connection> = (0..IDLE_CLIENTS).map(|_| harness.connect()).collect();
     for client in &mut idle {
         client.send(PING);
         harness.expect_reply(client, "+PONG\r\n");
     }
-    // The connections of counter and discovery are closed, and new clients wait for their
-    // descriptors.
+    // The connections to the counter and discovery are closed, and new clients wait to be accepted
+    // with the descriptors that this frees.
     harness.discovery.stop();
     harness.counter.peer.connections.clear();
     idle.extend((0..NEW_CLIENTS).map(|_| harness.connect()));
-    let mut shortage = Shortage::new();
+    let mut shortage = DescriptorShortage::new();
     for _ in 0..10 {
         harness.now += Duration::from_millis(50);
-        round(&mut harness);
+        run_iteration_alone(&mut harness);
     }
     assert!(
-        harness.program.open().clients < IDLE + NEW_CLIENTS,
-        "there were more clients than descriptors"
+        harness.program.open().clients < IDLE_CLIENTS + NEW_CLIENTS,
+        "not all clients found a descriptor"
     );
-    shortage.lend(|| harness.discovery.restart());
-    // A call that broke is repeated within half of the grace, 1 s at most.
-    until_connected(
+    shortage.with_free_descriptor(|| harness.discovery.restart());
+    // A call that failed is repeated within half of the drain grace, at most 1 s.
+    run_until_connected(
         &mut harness,
         &mut shortage,
-        ("discovery", |s| &mut s.discovery),
+        ("discovery", |h| &mut h.discovery),
         Duration::from_millis(1050),
     );
     apply_drain(&mut harness);
     active.send(read_request(1));
-    until_connected(
+    run_until_connected(
         &mut harness,
         &mut shortage,
-        ("the counter", |s| &mut s.counter.peer),
+        ("the counter", |h| &mut h.counter.peer),
         Duration::ZERO,
     );
     while harness.counter.calls.is_empty() {
-        round(&mut harness);
+        run_iteration_alone(&mut harness);
         harness.counter.serve();
     }
-    until_connected(
+    run_until_connected(
         &mut harness,
         &mut shortage,
-        ("the endpoint", |s| &mut s.endpoints[1]),
+        ("the endpoint", |h| &mut h.endpoints[1]),
         Duration::ZERO,
     );
     let (endpoint, connection, _) = harness.next_request();
--- a/crates/ingress/tests/descriptors.rs
+++ b/crates/ingress/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Retries while the system has no descriptor left. This test limits its own process's descriptors,
-//! which the ingress shares: it must be the only one of its file.
+//! Retries while the process has no descriptor left. The test limits the descriptors of its own
+//! process, which the ingress shares, so it has to be the only test of its file.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::fs::{self, File};
 use std::time::Duration;
 
-/// Leaves this process without a descriptor until it is dropped.
+/// Leaves this process without free descriptors until it is dropped.
 struct ExhaustedDescriptors {
     limit_before: Rlimit,
     _held: Vec<File>,
@@ -35,6 +35,7 @@
     }
 }
 
+/// Returns the highest descriptor that this process has open.
 fn highest_descriptor() -> u64 {
     let open = fs::read_dir("/proc/self/fd").unwrap();
     let numbers = open.map(|entry| {
@@ -44,8 +45,9 @@
     numbers.max().unwrap()
 }
 
-/// In one round endpoints reject writes and new clients wait at the listener. The descriptors of the
-/// connections that are closed belong to the retries, not to the new clients.
+/// In one iteration of the event loop, endpoints reject writes while new clients wait to be
+/// accepted. The descriptors of the endpoint connections that are closed have to go to the retries
+/// and not to the new clients.
 #[test]
 fn new_clients_do_not_take_the_descriptors_of_retries() {
     let mut harness = Harness::new(3);
@@ -61,10 +63,10 @@
         ));
         in_flight.push(harness.next_request());
     }
-    // In this order the ingress sees the replies first.
+    // The replies are sent before the clients connect, so the ingress reads them first.
     in_flight
         .iter()
-        .for_each(|(s, c, _)| harness.endpoints[*s].connections[*c].send("-BUSY\r\n"));
+        .for_each(|(e, c, _)| harness.endpoints[*e].connections[*c].send("-BUSY\r\n"));
     let flood: Vec<Connection> = (0..12).map(|_| Connection::connect(to)).collect();
     let exhausted = ExhaustedDescriptors::new();
     let now = harness.now;
@@ -73,11 +75,11 @@
         .run_iteration(Some(Duration::from_millis(1)), || now)
         .unwrap();
     drop(exhausted);
-    // As many as the retry budget allows after six requests.
+    // The retry budget allows two retries after six requests.
     for n in 0..2 {
-        let (s, c, words) = harness.next_request();
+        let (endpoint, connection, words) = harness.next_request();
         assert_eq!(words[0], "API.WRITE", "retry {n}");
-        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
     }
     harness.run_until("a reply to each write", |_| {
         clients.iter_mut().for_each(Connection::read);
--- a/crates/ingress/tests/disconnect_before_attempt.rs
+++ b/crates/ingress/tests/disconnect_before_attempt.rs
@@ -1,4 +1,5 @@
-//! A client that disconnects, in any way, has no attempt begun for it, whatever the attempt waits for.
+//! After a client has disconnected, no attempt of its requests is begun, whatever way it
+//! disconnects and whatever the attempt waits for.
 
 mod common;
 
@@ -8,70 +9,77 @@
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Disconnect {
-    /// It does not: the control, in which the attempt must be made.
+    /// It stays connected: the control case, in which the attempt has to be made.
     Stays,
     Closes,
-    EndsSending,
+    /// It closes its sending direction only.
+    HalfCloses,
     Resets,
 }
 
-/// What the next attempt of its request waits for.
+/// What the next attempt of the client's request waits for.
 #[derive(Clone, Copy, Debug)]
 enum Awaited {
+    /// The counter's reply.
     Counter,
+    /// The connection to the endpoint.
     Connect,
-    /// The rejection of the first attempt, after which it is retried.
+    /// The rejection of the first attempt, after which the request is retried.
     Rejection,
 }
 
-/// What else is on its connection.
+/// What the client's connection carries besides the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ClientState {
+    /// Nothing else.
     Single,
-    /// More requests wait behind the first.
+    /// More requests after the first.
     Pipelined,
-    /// As many commands wait as may, and more bytes than the system's buffers take are sent behind
-    /// them.
+    /// Commands up to the pipeline limit, at which the ingress pauses reading, and after them more
+    /// bytes than the system's buffers hold.
     PausedByCommands,
-    /// It reads no replies, and requests are sent behind them.
-    PausedByAnswers,
+    /// Replies that the client does not read, for which the ingress pauses reading, and after that
+    /// another request.
+    PausedByReplies,
 }
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 
 const ENDPOINTS: usize = 4;
 
-/// More than the ingress reads at once and the system buffers behind that, and less than the
-/// ingress buffers of one client.
-const UNREAD_BEHIND: usize = 300_000;
+/// More than the ingress reads at once and the system buffers in addition, but less than the
+/// ingress buffers for one client.
+const UNREAD_BYTES: usize = 300_000;
 
-/// More than may be pipelined on a connection.
-const PINGS: usize = 1100;
+/// More commands than may be pipelined on a connection.
+const PING_COUNT: usize = 1100;
 
 /// A request whose next attempt is about to be made.
 struct PendingAttempt {
     harness: Harness,
     client: Connection,
     awaited: Awaited,
-    /// Endpoint and connection of the attempts in flight, in the order of the requests.
-    out: Vec<(usize, usize)>,
+    /// The indices of the endpoint and of the connection of each attempt in flight, in the order of
+    /// the requests; empty unless a rejection is awaited.
+    in_flight: Vec<(usize, usize)>,
 }
 
 impl PendingAttempt {
-    fn new(awaited: Awaited, connection: ClientState) -> PendingAttempt {
+    /// Brings the client's requests to the point where they wait for what is awaited.
+    fn new(awaited: Awaited, state: ClientState) -> PendingAttempt {
         let mut harness = Harness::new(ENDPOINTS);
-        let client = match connection {
-            ClientState::PausedByAnswers => {
+        let client = match state {
+            ClientState::PausedByReplies => {
                 Connection::with_small_buffers(harness.program.address().unwrap())
             }
             _ => harness.connect(),
         };
-        harness.run_until("the client is accepted", |s| s.program.open().clients == 1);
+        harness.run_until("the client is accepted", |h| h.program.open().clients == 1);
         let mut case = PendingAttempt {
             harness,
             client,
             awaited,
-            out: Vec::new(),
+            in_flight: Vec::new(),
         };
         match awaited {
             Awaited::Counter => case.harness.counter.mode = CounterMode::Silent,
@@ -82,38 +90,38 @@
                 .for_each(Peer::stop_accepting),
             Awaited::Rejection => {}
         }
-        let requests = match connection {
+        let requests = match state {
             ClientState::Single | ClientState::PausedByCommands => 1,
             ClientState::Pipelined => 3,
-            ClientState::PausedByAnswers => 7,
+            ClientState::PausedByReplies => 7,
         };
         case.client.send(
             (0..requests)
                 .flat_map(|id| read_request_of_customer(100 + id, id))
                 .collect::<Vec<u8>>(),
         );
-        case.wait(requests as usize);
-        match connection {
+        case.wait_until_pending(requests as usize);
+        match state {
             ClientState::Single | ClientState::Pipelined => {}
             ClientState::PausedByCommands => case.pause_by_commands(),
-            ClientState::PausedByAnswers => case.pause_by_answers(),
+            ClientState::PausedByReplies => case.pause_by_replies(),
         }
         case
     }
 
     /// Runs until all requests wait for what is awaited.
-    fn wait(&mut self, requests: usize) {
+    fn wait_until_pending(&mut self, requests: usize) {
         let harness = &mut self.harness;
-        harness.run_until("the requests", |s| s.program.open().requests == requests);
+        harness.run_until("the requests", |h| h.program.open().requests == requests);
         match self.awaited {
-            Awaited::Counter => harness.run_until("the calls", |s| has_unanswered_call(s)),
-            Awaited::Connect => harness.run_until("the connections are begun", |s| {
-                s.program.open().upstream_connections == requests
+            Awaited::Counter => harness.run_until("the calls", |h| has_unanswered_call(h)),
+            Awaited::Connect => harness.run_until("connections to endpoints are begun", |h| {
+                h.program.open().upstream_connections == requests
             }),
             Awaited::Rejection => {
-                let mut out: Vec<_> = (0..requests).map(|_| harness.next_request()).collect();
-                out.sort_by_key(|(_, _, words)| words[2].clone());
-                self.out = out
+                let mut in_flight: Vec<_> = (0..requests).map(|_| harness.next_request()).collect();
+                in_flight.sort_by_key(|(_, _, words)| words[2].clone());
+                self.in_flight = in_flight
                     .into_iter()
                     .map(|(endpoint, connection, _)| (endpoint, connection))
                     .collect();
@@ -121,14 +129,15 @@
         }
     }
 
+    /// Sends commands beyond the pipeline limit, and more bytes than the system buffers.
     fn pause_by_commands(&mut self) {
-        self.client.send(PING.repeat(PINGS));
-        let behind: Vec<u8> = (0..)
+        self.client.send(PING.repeat(PING_COUNT));
+        let unread: Vec<u8> = (0..)
             .flat_map(|id| read_request_of_customer(5000 + id, 5000 + id))
-            .take(UNREAD_BEHIND)
+            .take(UNREAD_BYTES)
             .collect();
-        let mut remaining = &behind[..];
-        // What the system does not take at once it takes while the ingress reads.
+        let mut remaining = &unread[..];
+        // The system accepts the rest while the ingress reads into its own buffer.
         for _ in 0..100 {
             remaining = &remaining[self.client.send_some(remaining)..];
             self.harness.run_iteration();
@@ -141,19 +150,19 @@
         assert_eq!(
             self.harness.program.open().requests,
             1,
-            "nothing behind the pause is read"
+            "no request is read after the pause"
         );
     }
 
-    /// All but the last request have replies, which the client does not read.
-    fn pause_by_answers(&mut self) {
-        let last = self.out.len() - 1;
-        for (endpoint, connection) in self.out.drain(..last) {
+    /// Lets the endpoints reply to all requests but the last one, while the client does not read.
+    fn pause_by_replies(&mut self) {
+        let last = self.in_flight.len() - 1;
+        for (endpoint, connection) in self.in_flight.drain(..last) {
             self.harness.endpoints[endpoint].connections[connection]
                 .send(served_reply(&"v".repeat(60_000)));
         }
-        self.harness.run_until("replies are not read", |s| {
-            s.program.client_usage().buffered_bytes > 256 << 10
+        self.harness.run_until("unread replies are buffered", |h| {
+            h.program.client_usage().buffered_bytes > 256 << 10
         });
         self.client.send(read_request_of_customer(5000, 5000));
         for _ in 0..5 {
@@ -162,27 +171,28 @@
         assert_eq!(
             self.harness.program.open().requests,
             1,
-            "nothing behind the pause is read"
+            "no request is read after the pause"
         );
     }
 
+    /// Disconnects the client, and waits until the ingress has noticed.
     fn disconnect(&mut self, disconnect: Disconnect) {
         match disconnect {
             Disconnect::Stays => return,
             Disconnect::Closes => {
-                let elsewhere = Connection::connect(self.harness.discovery.address);
-                drop(std::mem::replace(&mut self.client, elsewhere));
+                let replacement = Connection::connect(self.harness.discovery.address);
+                drop(std::mem::replace(&mut self.client, replacement));
             }
-            Disconnect::EndsSending => self.client.half_close(),
+            Disconnect::HalfCloses => self.client.half_close(),
             Disconnect::Resets => self.client.reset(),
         }
-        // No time passes until then.
-        self.harness.run_until("the client is disconnected", |s| {
-            s.program.open().clients == 0
+        // The clock stands still until then.
+        self.harness.run_until("the client is disconnected", |h| {
+            h.program.open().clients == 0
         });
     }
 
-    /// What was awaited comes.
+    /// Lets the event that is awaited occur.
     fn release(&mut self) {
         match self.awaited {
             Awaited::Counter => self.harness.counter.mode = CounterMode::Replies,
@@ -192,7 +202,7 @@
                 .iter_mut()
                 .for_each(Peer::resume_accepting),
             Awaited::Rejection => {
-                for (endpoint, connection) in &self.out {
+                for (endpoint, connection) in &self.in_flight {
                     self.harness.endpoints[*endpoint].connections[*connection].send("-BUSY\r\n");
                 }
             }
@@ -200,18 +210,19 @@
     }
 }
 
-/// A client disconnects in each way while an attempt is awaited: none is begun.
-fn assert_no_attempt_after_disconnect(awaited: Awaited, connection: ClientState) {
+/// Disconnects a client in each way while the next attempt is pending, and checks that no attempt
+/// is begun.
+fn assert_no_attempt_after_disconnect(awaited: Awaited, state: ClientState) {
     for disconnect in [
         Disconnect::Stays,
         Disconnect::Closes,
-        Disconnect::EndsSending,
+        Disconnect::HalfCloses,
         Disconnect::Resets,
     ] {
-        let mut case = PendingAttempt::new(awaited, connection);
+        let mut case = PendingAttempt::new(awaited, state);
         case.disconnect(disconnect);
         case.release();
-        let what = format!("{awaited:?}, {connection:?}, {disconnect:?}");
+        let what = format!("{awaited:?}, {state:?}, {disconnect:?}");
         if disconnect == Disconnect::Stays {
             case.harness.next_request();
             continue;
@@ -233,21 +244,21 @@
 
 #[test]
 fn a_disconnected_client_has_no_first_attempt_begun() {
-    for connection in [ClientState::Single, ClientState::Pipelined] {
-        assert_no_attempt_after_disconnect(Awaited::Counter, connection);
-        assert_no_attempt_after_disconnect(Awaited::Connect, connection);
+    for state in [ClientState::Single, ClientState::Pipelined] {
+        assert_no_attempt_after_disconnect(Awaited::Counter, state);
+        assert_no_attempt_after_disconnect(Awaited::Connect, state);
     }
 }
 
 #[test]
 fn a_disconnected_client_has_no_retry_begun() {
-    for connection in [ClientState::Single, ClientState::Pipelined] {
-        assert_no_attempt_after_disconnect(Awaited::Rejection, connection);
+    for state in [ClientState::Single, ClientState::Pipelined] {
+        assert_no_attempt_after_disconnect(Awaited::Rejection, state);
     }
 }
 
 #[test]
-fn a_client_that_disconnects_while_its_commands_are_paused_has_no_attempt_begun() {
+fn a_client_that_disconnects_while_reading_is_paused_has_no_attempt_begun() {
     for awaited in [Awaited::Counter, Awaited::Connect, Awaited::Rejection] {
         assert_no_attempt_after_disconnect(awaited, ClientState::PausedByCommands);
     }
@@ -255,5 +266,5 @@
 
 #[test]
 fn a_client_that_disconnects_without_reading_its_replies_has_no_retry_begun() {
-    assert_no_attempt_after_disconnect(Awaited::Rejection, ClientState::PausedByAnswers);
+    assert_no_attempt_after_disconnect(Awaited::Rejection, ClientState::PausedByReplies);
 }
