--- a/crates/ingress/tests/discovery_backoff.rs
+++ b/crates/ingress/tests/discovery_backoff.rs
@@ -1,4 +1,5 @@
-//! How often discovery is called, and how soon after a call has failed.
+//! The backoff of calls to discovery: how soon a failed call is repeated, and how many calls many
+//! ingresses make together.
 
 mod common;
 
@@ -6,9 +7,9 @@
 use roseyard_ingress::routing::discovery::{Backoff, CallFailure};
 use std::time::Duration;
 
-/// Calls that `ingresses` make in ten seconds to a discovery that rejects each at once, and how
-/// many of them fall into the fullest 20 ms of the last half of a second.
-fn calls(ingresses: u32) -> (usize, usize) {
+/// Returns the number of calls that `ingresses` make in ten seconds to a discovery that rejects
+/// each at once, and the largest number of calls within one of the 20 ms slots of the last second.
+fn count_calls(ingresses: u32) -> (usize, usize) {
     let limits = tier_limits(ingresses, 2000).driver.discovery;
     let mut slots = Vec::new();
     for seed in 0..ingresses {
@@ -19,19 +20,19 @@
             let delay = backoff.next_delay(CallFailure::Rejected);
             assert!(
                 delay <= Duration::from_secs(3),
-                "no longer than a change may stay unreceived"
+                "the next call is delayed by {delay:?}, more than 3 s"
             );
             now += delay;
         }
     }
-    let fullest = (450..500)
+    let max_per_slot = (450..500)
         .map(|slot| slots.iter().filter(|other| **other == slot).count())
         .max();
-    (slots.len(), fullest.unwrap())
+    (slots.len(), max_per_slot.unwrap())
 }
 
 #[test]
-fn a_watch_that_dies_silently_is_replaced_before_a_change_counts_as_notified() {
+fn a_silent_watch_is_replaced_before_a_change_counts_as_notified() {
     for (ingresses, grace) in [
         (2, 0),
         (2, 1000),
@@ -46,31 +47,34 @@
             true => CallFailure::Rejected,
             false => CallFailure::Closed,
         };
-        let longest = (0..1000)
+        let max_delay = (0..1000)
             .map(|n| backoff.next_delay(failure(n)))
             .max()
             .unwrap();
-        let received = limits.silence_timeout + limits.first_line_timeout + longest;
-        let notified = Duration::from_millis(6000 + u64::from(grace));
+        let max_receive_delay = limits.silence_timeout + limits.first_line_timeout + max_delay;
+        let notification_time = Duration::from_millis(6000 + u64::from(grace));
         let margin = Duration::from_millis(200);
         assert!(
-            received + margin <= notified,
-            "{ingresses} ingresses, grace {grace} ms: received after {received:?}"
+            max_receive_delay + margin <= notification_time,
+            "{ingresses} ingresses, grace {grace} ms: a change is received up to {max_receive_delay:?} late"
         );
     }
 }
 
 #[test]
-fn a_hundred_ingresses_do_not_keep_an_overbooked_discovery_overbooked() {
-    let (all, fullest) = calls(100);
+fn the_retries_of_a_hundred_ingresses_do_not_keep_discovery_overloaded() {
+    let (calls_of_hundred, max_per_slot) = count_calls(100);
     assert!(
-        all <= 900,
-        "{all} calls in 10 s; at a fixed 200 ms it is 5,000"
+        calls_of_hundred <= 900,
+        "{calls_of_hundred} calls in 10 s; a fixed delay of 200 ms would make 5,000"
     );
-    assert!(fullest <= 10, "{fullest} calls within 20 ms: in step");
-    let (few, _) = calls(2);
     assert!(
-        few >= 100,
-        "{few} calls of two ingresses, which recover soon after a short loss"
+        max_per_slot <= 10,
+        "{max_per_slot} calls within 20 ms: the retries are synchronized"
+    );
+    let (calls_of_two, _) = count_calls(2);
+    assert!(
+        calls_of_two >= 100,
+        "{calls_of_two} calls in 10 s: two ingresses would notice late that discovery is back"
     );
 }
--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -1,4 +1,5 @@
-//! The watch on discovery: reopened when it falls silent, breaks or is migrated.
+//! The watch on discovery, which is reopened when it stays silent or breaks, or when discovery
+//! moves to another address.
 
 mod common;
 
@@ -19,7 +20,7 @@
     assert_eq!(
         harness.watch_requests.len(),
         1,
-        "a line may be a little late"
+        "the watch was reopened before its silence time-out"
     );
     harness.advance(200);
     harness.run_until("a second call", |s| s.watch_requests.len() == 2);
@@ -62,92 +63,95 @@
     harness.expect_reply(&mut client, "+PONG\r\n");
 }
 
-/// What becomes of a watch while discovery has a drain to send.
+/// What happens to the watch when discovery sends a drain.
 #[derive(Clone, Copy, Debug)]
 enum WatchFault {
     Silent,
-    Torn,
+    Broken,
     Moved,
 }
 
 #[test]
 fn a_drain_missed_by_a_silent_broken_or_migrated_watch_takes_effect_within_the_grace() {
-    for (grace, what) in [1000, 2000]
+    for (grace, fault) in [1000, 2000]
         .into_iter()
-        .flat_map(|g| [WatchFault::Silent, WatchFault::Torn, WatchFault::Moved].map(|w| (g, w)))
+        .flat_map(|g| [WatchFault::Silent, WatchFault::Broken, WatchFault::Moved].map(|w| (g, w)))
     {
         let mut harness = Harness::new(2);
         harness.restart_with_drain_grace(grace, &[]);
         harness.advance(10);
-        // From here on discovery has sent a drain, received or not.
+        // Discovery sends the drain now; the ingress receives it only over a new watch.
         let sent_at = harness.now;
         harness.discovery_replies = false;
-        let before = harness.watch_requests.len();
-        match what {
+        let calls_before = harness.watch_requests.len();
+        match fault {
             WatchFault::Silent => {}
-            WatchFault::Torn => harness
+            WatchFault::Broken => harness
                 .discovery
                 .connections
                 .iter_mut()
                 .for_each(Connection::close),
             WatchFault::Moved => drop(harness.reload_with_new_peers()),
         }
-        // Two more calls are accepted and get no reply, except after a migration.
-        let silent = if matches!(what, WatchFault::Moved) {
+        // The next two calls are accepted and get no reply, except after a migration.
+        let unanswered_calls = if matches!(fault, WatchFault::Moved) {
             0
         } else {
             2
         };
         let mut client = harness.connect();
-        let (mut id, mut last) = (1, sent_at);
+        let (mut id, mut last_request_at) = (1, sent_at);
         while harness.now < sent_at + Duration::from_secs(10) {
             if harness.program.list_revision() == 41
-                && harness.watch_requests.len() > before + silent
+                && harness.watch_requests.len() > calls_before + unanswered_calls
             {
                 let drain = format!(
                     "{{\"rev\":42,\"all\":false,\"targets\":[{}]}}\n",
                     endpoint_entry(0, harness.endpoints[0].address, "DRAINING")
                 );
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let end = harness.discovery.connections.last_mut().unwrap();
-                end.send(format!("{head}{:x}\r\n{drain}\r\n", drain.len()));
+                let watch = harness.discovery.connections.last_mut().unwrap();
+                watch.send(format!("{head}{:x}\r\n{drain}\r\n", drain.len()));
                 harness.run_until("the list", |s| s.program.list_revision() == 42);
             }
             client.send(request_of_customer(700 + id, "API.READ", id, READ_FIELDS));
             let (s, c, _) = harness.next_request();
-            last = if s == 0 { harness.now } else { last };
+            last_request_at = if s == 0 { harness.now } else { last_request_at };
             harness.endpoints[s].connections[c].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
             id += 1;
             harness.advance(50);
         }
-        let after = last - sent_at;
+        let elapsed = last_request_at - sent_at;
         assert_eq!(
             harness.program.list_revision(),
             42,
-            "{what:?}: the list came"
+            "{fault:?}: the list was not received"
         );
-        // It counts as notified 6 s later, received or not.
-        let most = Duration::from_millis(if silent > 0 { 6000 } else { 0 } + grace);
+        // A change counts as notified after 6 s, whether or not it was received. After a migration
+        // only the grace is allowed.
+        let max_elapsed =
+            Duration::from_millis(if unanswered_calls > 0 { 6000 } else { 0 } + grace);
         assert!(
-            after <= most,
-            "{what:?}, grace {grace} ms: last request {after:?} after it was sent"
+            elapsed <= max_elapsed,
+            "{fault:?}, grace {grace} ms: last request {elapsed:?} after the drain was sent"
         );
     }
 }
 
 #[test]
-fn a_list_that_crosses_a_migration_of_discovery_is_applied() {
+fn a_list_that_arrives_during_a_migration_of_discovery_is_applied() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
-    // Written to the ingress, but not read when SIGHUP is handled; the new address stays silent.
+    // The list is sent, but the ingress has not read it when the reload begins. Discovery does not
+    // reply at its new address.
     harness.send_endpoint_states(42, &[(0, "DRAINING")]);
     harness.reload_with_new_peers();
     for _ in 0..5 {
         harness.run_iteration();
     }
     assert_eq!(harness.program.list_revision(), 42);
-    harness.run_until("a call from that revision on", |s| {
+    harness.run_until("a call that names that revision", |s| {
         s.watch_requests.iter().any(|w| w.contains("after=42 "))
     });
 }
@@ -155,13 +159,13 @@
 #[test]
 fn the_list_of_a_slow_discovery_is_applied_before_it_counts_as_notified() {
     for grace in [2000, 400] {
-        // The complete reply late, or its first line late behind its head.
-        apply_from_slow_discovery(grace, 1200, false);
-        apply_from_slow_discovery(grace, 2100, true);
+        // Discovery delays its whole reply, or sends the head at once and delays the first line.
+        assert_list_of_slow_discovery_is_applied(grace, 1200, false);
+        assert_list_of_slow_discovery_is_applied(grace, 2100, true);
     }
 }
 
-fn apply_from_slow_discovery(grace: u64, late: u64, head_first: bool) {
+fn assert_list_of_slow_discovery_is_applied(grace: u64, delay_ms: u64, head_first: bool) {
     let mut harness = Harness::new(2);
     harness.restart_with_drain_grace(grace, &[]);
     harness.advance(10);
@@ -172,7 +176,7 @@
         false,
         &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
     );
-    // Each call is replied to this long after it was made; the first watch has fallen silent.
+    // Each call is replied to `delay_ms` after it was made; the watch that is open stays silent.
     let mut calls = vec![None; harness.discovery.connections.len()];
     while harness.program.list_revision() == 41 {
         harness.advance(50);
@@ -181,13 +185,13 @@
             if head_first {
                 harness.discovery.connections[calls.len()].send(WATCH_HEAD);
             }
-            calls.push(Some(harness.now + Duration::from_millis(late)));
+            calls.push(Some(harness.now + Duration::from_millis(delay_ms)));
         }
-        for (n, at) in calls.iter_mut().enumerate() {
-            if at.is_some_and(|at| at <= harness.now) {
+        for (n, reply_at) in calls.iter_mut().enumerate() {
+            if reply_at.is_some_and(|reply_at| reply_at <= harness.now) {
                 let head = if head_first { "" } else { WATCH_HEAD };
                 harness.discovery.connections[n].send(format!("{head}{}", chunk(&update)));
-                *at = None;
+                *reply_at = None;
             }
         }
         for _ in 0..5 {
@@ -195,15 +199,21 @@
         }
         assert!(
             harness.now < sent_at + Duration::from_millis(6000),
-            "never received: {} calls",
+            "the list was not received within 6 s, after {} calls",
             calls.len()
         );
     }
-    // It is the watch from here on; the calls after it are closed.
+    // The connection that delivered the list stays open as the watch; those of the other calls are
+    // closed.
     let open: Vec<usize> = (0..calls.len())
         .filter(|n| harness.discovery.connections[*n].is_open)
         .collect();
-    assert_eq!(open.len(), 1, "{open:?} of {}", calls.len());
+    assert_eq!(
+        open.len(),
+        1,
+        "connections {open:?} of {} are open",
+        calls.len()
+    );
     let later = endpoint_list(
         43,
         false,
@@ -215,29 +225,29 @@
 
 #[test]
 fn the_list_of_a_recovered_discovery_is_applied_within_the_grace() {
-    // A change counts as notified at its return; calls from before get no reply.
-    for (grace, refuses) in [
+    // A change counts as notified when discovery is back; calls made before get no reply.
+    for (grace, refuses_connections) in [
         (500, false),
         (500, true),
         (1000, false),
         (1000, true),
         (2000, true),
     ] {
-        for at in (4000..6000).step_by(150) {
+        for outage_ms in (4000..6000).step_by(150) {
             let mut harness = Harness::new(2);
             harness.restart_with_drain_grace(grace, &[("\"Balancers\":1,", "\"Balancers\":300,")]);
             harness.discovery_replies = false;
-            if refuses {
+            if refuses_connections {
                 harness.discovery.stop();
             }
-            let back = harness.now + Duration::from_millis(at);
-            while harness.now < back {
+            let recovers_at = harness.now + Duration::from_millis(outage_ms);
+            while harness.now < recovers_at {
                 harness.advance(50);
             }
-            if refuses {
+            if refuses_connections {
                 harness.discovery.restart();
             }
-            let (before, update) = (
+            let (calls_before, update) = (
                 harness.discovery.connections.len(),
                 endpoint_list(
                     42,
@@ -247,15 +257,15 @@
             );
             while harness.program.list_revision() == 41 {
                 harness.advance(10);
-                if harness.discovery.connections.len() > before {
-                    harness.discovery.connections[before]
+                if harness.discovery.connections.len() > calls_before {
+                    harness.discovery.connections[calls_before]
                         .send(format!("{WATCH_HEAD}{}", chunk(&update)));
                     harness.run_until("the list", |s| s.program.list_revision() == 42);
                 }
-                let late = harness.now - back;
+                let late = harness.now - recovers_at;
                 assert!(
                     late < Duration::from_millis(grace),
-                    "grace {grace} ms, back after {at} ms: {late:?}"
+                    "grace {grace} ms, outage of {outage_ms} ms: no list {late:?} after its end"
                 );
             }
         }
@@ -270,12 +280,12 @@
         harness.restart_with_drain_grace(500, &[("\"Discovery\":\"automatic\"", mode)]);
         harness.discovery_replies = false;
         harness.advance(10);
-        let before = harness.watch_requests.len();
+        let calls_before = harness.watch_requests.len();
         for _ in 0..200 {
             harness.advance(50);
         }
-        calls.push(harness.watch_requests.len() - before);
+        calls.push(harness.watch_requests.len() - calls_before);
     }
-    // Silent for 10 s: the first 3 s belong to the watch that was open.
+    // Discovery is silent for 10 s. During the first 3 s the open watch has not timed out yet.
     assert!(calls[0] > 20 && calls[1] <= 8, "{calls:?}");
 }
--- a/crates/ingress/tests/endpoint_attempts.rs
+++ b/crates/ingress/tests/endpoint_attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts on connections to endpoints: connect failures, time-outs, drains, moves.
+//! Attempts on connections to endpoints: connect failures, time-outs, drains and changes of
+//! address.
 
 mod common;
 
@@ -12,7 +13,7 @@
     for id in 0..3 {
         client.send(read_request(id));
         let (_, c, _) = harness.next_request();
-        assert_eq!(c, 0, "the pooled connection");
+        assert_eq!(c, 0, "the pooled connection is reused");
         harness.endpoints[0].connections[c].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.advance(20);
@@ -30,7 +31,7 @@
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
     let (s, _, _) = harness.next_request();
     harness.endpoints[s].connections.clear();
-    // The other endpoint is in another pod, which does not know the key.
+    // The other endpoint belongs to another pod group, which does not know the idempotency key.
     harness.expect_reply(&mut client, "-ERR failed\r\n");
     assert_eq!(harness.endpoints[1 - s].next_command(), None);
 }
@@ -41,7 +42,7 @@
     harness.endpoints[0].stop();
     let mut client = harness.connect();
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
-    // If it might have been executed, a keyed request would get no retry time.
+    // A keyed request that might have been executed would get an error without a retry time.
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
 
@@ -51,7 +52,7 @@
     harness.endpoints[0].stop_accepting();
     let mut client = harness.connect();
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
-    harness.run_until("the connection is begun", |s| {
+    harness.run_until("the ingress begins to connect", |s| {
         s.program.open().upstream_connections == 1
     });
     harness.advance(251);
@@ -65,12 +66,12 @@
     harness.endpoints[0].stop_accepting();
     let mut client = harness.connect();
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
-    harness.run_until("the connection is begun", |s| {
+    harness.run_until("the ingress begins to connect", |s| {
         s.program.open().upstream_connections == 1
     });
     harness.send_endpoint_states(42, &[(0, "DRAINING")]);
     harness.run_until("the list", |s| s.program.list_revision() == 42);
-    // The connection is established.
+    // The connection is established only after the list has been applied.
     harness.endpoints[0].resume_accepting();
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
     harness.endpoints[0].read();
@@ -83,13 +84,13 @@
     harness.endpoints[0].stop_accepting();
     let (mut client, mut other) = (harness.connect(), harness.connect());
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
-    harness.run_until("the connection is begun", |s| {
+    harness.run_until("the ingress begins to connect", |s| {
         s.program.open().upstream_connections == 1
     });
     let mut old = std::mem::replace(&mut harness.endpoints[0], Peer::new());
     harness.send_endpoint_states(42, &[(0, "SERVING")]);
     harness.run_until("the list", |s| s.program.list_revision() == 42);
-    // Now it is established at the old address.
+    // The connection to the old address is established only after the list has been applied.
     old.resume_accepting();
     harness.run_until("the reply", |_| {
         old.read();
@@ -101,15 +102,16 @@
     let (_, c, _) = harness.next_request();
     old.read();
     assert_eq!(old.next_command(), None);
-    // A reply from before the next move is forwarded, its connection not reused.
-    let mut before = std::mem::replace(&mut harness.endpoints[0], Peer::new());
+    // After a second change of address, the reply on a connection to the previous address is still
+    // forwarded, but the connection is not reused.
+    let mut previous = std::mem::replace(&mut harness.endpoints[0], Peer::new());
     harness.send_endpoint_states(43, &[(0, "SERVING")]);
     harness.run_until("the list", |s| s.program.list_revision() == 43);
-    before.connections[c].send(served_reply("v"));
+    previous.connections[c].send(served_reply("v"));
     harness.expect_reply(&mut other, "$1\r\nv\r\n");
     harness.run_until("its connection is closed", |_| {
-        before.read();
-        !before.connections[c].is_open
+        previous.read();
+        !previous.connections[c].is_open
     });
 }
 
@@ -121,7 +123,7 @@
     let (_, c, _) = harness.next_request();
     harness.advance(1001);
     harness.expect_reply(&mut client, "-ERR failed\r\n");
-    harness.run_until("the attempt is given up", |s| {
+    harness.run_until("the connection of the attempt is closed", |s| {
         !s.endpoints[0].connections[c].is_open
     });
     let open = OpenCounts {
@@ -138,14 +140,14 @@
     client.send(read_request(1));
     let (_, c, _) = harness.next_request();
     drop(client);
-    harness.run_until("the attempt is given up", |s| {
+    harness.run_until("the connection of the attempt is closed", |s| {
         !s.endpoints[0].connections[c].is_open
     });
     assert_eq!(harness.program.open(), OpenCounts::default());
 }
 
 #[test]
-fn a_draining_endpoint_gets_no_new_request_and_finishes_its_own() {
+fn a_draining_endpoint_gets_no_new_request_and_completes_those_it_has() {
     let mut harness = Harness::new(2);
     let mut client = harness.connect();
     client.send(read_request(1));
@@ -167,23 +169,23 @@
     });
 }
 
-/// An endpoint keeps a connection for 100 ms, and its end is seen only once the next request has
-/// been written there. How many of the requests of the second half, each 200 ms after the one
-/// before, were lost to that.
-fn lost_to_dead_connections(kind: &str, list: &str) -> usize {
+/// Sends 60 requests, each 200 ms after the previous one, to an endpoint that keeps an idle
+/// connection for only 100 ms. The ingress notices the end of a connection only after it has
+/// written another request to it. Returns how many of the last 30 requests were lost in this way.
+fn requests_lost_on_dead_connections(command: &str, fields: &str) -> usize {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    let mut lost = 0;
+    let mut lost_requests = 0;
     for id in 0..60 {
-        client.send(request_of_customer(id + 1, kind, id, list));
+        client.send(request_of_customer(id + 1, command, id, fields));
         let (s, c, _) = harness.next_request();
-        let end = &mut harness.endpoints[s].connections[c];
-        if end.has_carried_request {
-            lost += usize::from(id >= 30);
+        let pooled = &mut harness.endpoints[s].connections[c];
+        if pooled.has_carried_request {
+            lost_requests += usize::from(id >= 30);
             harness.endpoints[s].connections.remove(c);
         } else {
-            end.has_carried_request = true;
-            end.send(served_reply("v"));
+            pooled.has_carried_request = true;
+            pooled.send(served_reply("v"));
         }
         harness.run_until("the reply", |_| {
             client.read();
@@ -192,23 +194,26 @@
         client.input.clear();
         harness.advance(200);
     }
-    lost
+    lost_requests
 }
 
 #[test]
-fn idle_connections_that_die_unseen_are_learned_and_not_reused() {
-    let once = lost_to_dead_connections("API.WRITE", WRITE_FIELDS);
-    assert!(once <= 3, "{once} of 30 were lost");
-    let twice = lost_to_dead_connections("API.READ", READ_FIELDS);
-    assert!(twice <= 3, "{twice} of 30 were sent on dead connections");
+fn the_ingress_learns_not_to_reuse_idle_connections_that_die_unnoticed() {
+    let lost_writes = requests_lost_on_dead_connections("API.WRITE", WRITE_FIELDS);
+    assert!(lost_writes <= 3, "{lost_writes} of 30 writes were lost");
+    let lost_reads = requests_lost_on_dead_connections("API.READ", READ_FIELDS);
+    assert!(
+        lost_reads <= 3,
+        "{lost_reads} of 30 reads were sent on dead connections"
+    );
 }
 
 #[test]
 fn a_non_idempotent_request_is_sent_once_and_replied_to_once_however_its_attempt_ends() {
-    const COMMIT: &str = "c=submit,t=seedling,d=3000,units=1,spread=1,first=0";
-    for end in [
+    const NON_IDEMPOTENT_FIELDS: &str = "c=submit,t=seedling,d=3000,units=1,spread=1,first=0";
+    for outcome in [
         "reset",
-        "half a reply",
+        "truncated reply",
         "malformed",
         "error",
         "silence",
@@ -220,11 +225,11 @@
             "\"Effect\":\"non_idempotent\"",
         )]);
         let mut client = harness.connect();
-        client.send(request("API.WRITE", 1, COMMIT));
+        client.send(request("API.WRITE", 1, NON_IDEMPOTENT_FIELDS));
         let (s, c, _) = harness.next_request();
-        match end {
+        match outcome {
             "reset" => harness.endpoints[s].connections.clear(),
-            "half a reply" => {
+            "truncated reply" => {
                 harness.endpoints[s].connections[c].send("*3\r\n$1\r\n");
                 harness.endpoints[s].connections[c].close();
             }
@@ -235,7 +240,7 @@
                 harness.advance(10);
                 harness.endpoints[s].connections.clear();
             }
-            // Its objective and its deadline pass.
+            // The endpoint stays silent until the latency objective and the deadline have passed.
             _ => {}
         }
         for _ in 0..40 {
@@ -244,18 +249,18 @@
             assert_eq!(
                 harness.endpoints[1 - s].next_command(),
                 None,
-                "{end}: sent again"
+                "{outcome}: the request was sent again"
             );
         }
         assert_eq!(
             client.received_text(),
             "-ERR failed\r\n",
-            "{end}: one final reply, without a retry time"
+            "{outcome}: one final reply, without a retry time"
         );
         assert_eq!(
             harness.endpoints[s].next_command(),
             None,
-            "{end}: sent again"
+            "{outcome}: the request was sent again"
         );
     }
 }
--- a/crates/ingress/tests/endpoint_list_parsing.rs
+++ b/crates/ingress/tests/endpoint_list_parsing.rs
@@ -1,32 +1,38 @@
-//! Endpoint lists of a watch: split in any way, with any value in any field.
+//! Parsing of the endpoint lists of a watch, which may arrive split at any byte and with any value
+//! in any field.
 
 use proptest::prelude::*;
 use roseyard_ingress::protocol::list::{decode, EndpointListMessage, ListSplitter};
 use roseyard_request_engine::EndpointRecordState;
 
-const GOOD: &str = r#"{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}"#;
+const VALID_ENTRY: &str = r#"{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}"#;
 
-fn line(entry: &str) -> EndpointListMessage {
-    let text = format!(r#"{{"rev":43,"all":false,"new":[1],"targets":[{GOOD},{entry},{GOOD}]}}"#);
+/// Decodes a list in which `entry` stands between two valid entries.
+fn decode_with_entry(entry: &str) -> EndpointListMessage {
+    let text = format!(
+        r#"{{"rev":43,"all":false,"new":[1],"targets":[{VALID_ENTRY},{entry},{VALID_ENTRY}]}}"#
+    );
     decode(&mut text.into_bytes()).unwrap()
 }
 
 #[test]
-fn an_entry_with_an_odd_field_leaves_the_others_and_word_of_a_drain() {
-    for odd in [
+fn an_entry_with_an_invalid_field_affects_neither_the_other_entries_nor_a_drain() {
+    for invalid in [
         "null",
         "3",
         r#"{"uid":5}"#,
         r#"{"uid":"s","endpoint":"x","state":"SERVING","boot_ms":"y"}"#,
     ] {
-        let list = line(odd);
+        let list = decode_with_entry(invalid);
         assert_eq!(
             (list.endpoints.len(), list.unreadable_count),
             (2, 1),
-            "{odd}"
+            "{invalid}"
         );
     }
-    let list = line(r#"{"uid":"s-2","state":"DRAINING","capacity_hint":"big","pod_group":-1}"#);
+    let list = decode_with_entry(
+        r#"{"uid":"s-2","state":"DRAINING","capacity_hint":"big","pod_group":-1}"#,
+    );
     assert_eq!((list.endpoints.len(), list.unreadable_count), (3, 0));
     assert_eq!(
         (list.endpoints[1].uid.as_str(), list.endpoints[1].state),
@@ -34,11 +40,12 @@
     );
 }
 
-fn found(parts: &[&str]) -> Vec<String> {
-    let (mut lists, mut found) = (ListSplitter::default(), Vec::new());
+/// Returns the lists that are found in a text that arrives in these parts.
+fn split_lines(parts: &[&str]) -> Vec<String> {
+    let (mut splitter, mut found) = (ListSplitter::default(), Vec::new());
     parts
         .iter()
-        .for_each(|part| lists.feed(part.as_bytes(), &mut found));
+        .for_each(|part| splitter.feed(part.as_bytes(), &mut found));
     found
         .into_iter()
         .map(|f| String::from_utf8(f).unwrap())
@@ -46,7 +53,7 @@
 }
 
 #[test]
-fn what_was_cut_is_handed_over_as_it_is_and_takes_no_list_with_it() {
+fn a_truncated_list_is_returned_unchanged_and_the_next_list_is_not_lost() {
     for cut in [
         "{\"rev\":4,\"all\"\n\n",
         "{\"rev\":4,\n  \"all\"\n  \n",
@@ -55,7 +62,7 @@
         "}\n",
         "]]\n",
     ] {
-        let all = found(&[cut, "{\"rev\":1}\n", "\n"]);
+        let all = split_lines(&[cut, "{\"rev\":1}\n", "\n"]);
         assert_eq!(all.len(), 3, "{cut:?}: {all:?}");
         assert_eq!(all[1..], ["{\"rev\":1}", ""], "{cut:?}");
     }
@@ -63,7 +70,7 @@
 
 proptest! {
     #[test]
-    fn lists_are_found_however_they_are_indented_and_their_bytes_come(
+    fn lists_are_found_regardless_of_indentation_and_of_how_the_bytes_are_split(
         names in proptest::collection::vec("[a-z{}\\[\\]\\\\\"\n ]{0,6}", 0..6),
         indented in proptest::collection::vec(any::<bool>(), 6),
         cuts in proptest::collection::vec(1usize..9, 1..60),
@@ -76,11 +83,11 @@
         }
         let (mut rest, mut parts, mut cuts) = (&text[..], Vec::new(), cuts.iter().cycle());
         while !rest.is_empty() {
-            let (part, after) = rest.split_at(rest.len().min(*cuts.next().unwrap()));
+            let (part, remainder) = rest.split_at(rest.len().min(*cuts.next().unwrap()));
             parts.push(part);
-            rest = after;
+            rest = remainder;
         }
-        let all = found(&parts);
+        let all = split_lines(&parts);
         prop_assert_eq!(all.len(), 2 * names.len());
         for (pair, name) in all.chunks(2).zip(&names) {
             let value: serde_json::Value = serde_json::from_str(&pair[0]).unwrap();
@@ -99,10 +106,10 @@
         ],
     ) {
         let name = ["uid", "endpoint", "az", "pod_group", "state", "capacity_hint", "boot_ms"][field];
-        let mut entry: Vec<String> = GOOD.trim_matches(['{', '}']).split(',').map(str::to_owned).collect();
-        let at = entry.iter().position(|e| e.starts_with(&format!("\"{name}\""))).unwrap();
-        entry[at] = format!("\"{name}\":{value}");
-        let list = line(&format!("{{{}}}", entry.join(",")));
+        let mut entry: Vec<String> = VALID_ENTRY.trim_matches(['{', '}']).split(',').map(str::to_owned).collect();
+        let index = entry.iter().position(|e| e.starts_with(&format!("\"{name}\""))).unwrap();
+        entry[index] = format!("\"{name}\":{value}");
+        let list = decode_with_entry(&format!("{{{}}}", entry.join(",")));
         prop_assert_eq!(list.endpoints.len() + list.unreadable_count, 3);
         prop_assert!(list.endpoints.len() >= 2);
     }
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -1,10 +1,11 @@
-//! Endpoint lists: split, indented, unreadable, cut, older; and what a new process does before the first.
+//! Endpoint lists that are indented, split, unreadable, truncated or outdated, and what a new
+//! process does before it has received its first list.
 
 mod common;
 
 use common::*;
 
-/// The list of two endpoints of which the first drains, over many lines.
+/// Returns an indented list of two endpoints, of which the first is draining.
 fn indented_list(harness: &Harness, rev: u64) -> String {
     let entry = |n: usize, state: &str| {
         let text = endpoint_entry(n, harness.endpoints[n].address, state);
@@ -25,7 +26,7 @@
     let text = indented_list(&harness, 42);
     assert!(text.lines().count() > 15);
     for (n, line) in text.split_inclusive('\n').enumerate() {
-        // Complete lines, and lines in two parts.
+        // Lines are sent alternately whole and in two parts.
         let cut = if n % 2 == 0 {
             line.len()
         } else {
@@ -44,7 +45,7 @@
         }
     }
     harness.run_until("the list", |s| s.program.list_revision() == 42);
-    assert_eq!(harness.watch_requests.len(), 1, "the watch goes on");
+    assert_eq!(harness.watch_requests.len(), 1, "the watch stays open");
     harness
         .discovery
         .connections
@@ -57,15 +58,15 @@
     for id in 0..6 {
         client.send(read_request_of_customer(50 + id, id));
         let (s, c, _) = harness.next_request();
-        assert_eq!(s, 1, "the first one drains");
+        assert_eq!(s, 1, "the first endpoint is draining");
         harness.endpoints[s].connections[c].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
     }
 }
 
 #[test]
-fn an_unreadable_line_is_fetched_again_and_skipped_only_the_second_time() {
-    for torn in [
+fn an_unreadable_line_is_requested_again_and_skipped_only_the_second_time() {
+    for unreadable in [
         "{\"rev\":42,\"all\":fal\n\n",
         "no list\n",
         "{\"rev\":42,\"all\":3}\n",
@@ -78,7 +79,7 @@
             .connections
             .last_mut()
             .unwrap()
-            .send(chunk(torn));
+            .send(chunk(unreadable));
         for _ in 0..5 {
             harness.run_iteration();
         }
@@ -95,20 +96,24 @@
             false,
             &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
         );
-        // What can never be read must not keep back the lines behind it.
+        // A line that remains unreadable must not block the lines after it.
         harness
             .discovery
             .connections
             .last_mut()
             .unwrap()
-            .send(format!("{WATCH_HEAD}{}{}", chunk(torn), chunk(&update)));
-        harness.run_until("the list behind it", |s| s.program.list_revision() == 43);
+            .send(format!(
+                "{WATCH_HEAD}{}{}",
+                chunk(unreadable),
+                chunk(&update)
+            ));
+        harness.run_until("the list after it", |s| s.program.list_revision() == 43);
         assert_eq!(harness.watch_requests.len(), 2);
     }
 }
 
 #[test]
-fn a_watch_cut_within_a_line_keeps_the_list_held_and_nothing_of_the_line() {
+fn a_watch_that_ends_within_a_line_keeps_the_current_list_and_discards_the_line() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
     let update = endpoint_list(
@@ -116,8 +121,8 @@
         false,
         &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
     );
-    let end = harness.discovery.connections.last_mut().unwrap();
-    end.send(chunk(&update[..update.len() / 2]));
+    let watch = harness.discovery.connections.last_mut().unwrap();
+    watch.send(chunk(&update[..update.len() / 2]));
     harness.run_iteration();
     harness.discovery.connections.last_mut().unwrap().close();
     for _ in 0..5 {
@@ -145,24 +150,24 @@
 }
 
 #[test]
-fn a_watch_without_a_length_is_read_and_a_reset_completes_no_list() {
+fn a_watch_without_a_content_length_is_read_and_a_reset_completes_no_list() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
-    let drains = |harness: &Harness, rev| {
+    let draining_list = |harness: &Harness, rev| {
         endpoint_list(
             rev,
             false,
             &[endpoint_entry(0, harness.endpoints[0].address, "DRAINING")],
         )
     };
-    // The watch breaks, and every later reply has neither chunks nor a length.
+    // The watch breaks, and later replies have neither chunked encoding nor a content length.
     harness.discovery.connections.last_mut().unwrap().close();
     harness.run_iteration();
     harness.advance(201);
     harness.run_until("a second call", |s| s.watch_requests.len() == 2);
-    let update = drains(&harness, 42);
-    let end = harness.discovery.connections.last_mut().unwrap();
-    end.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &update[..30]));
+    let update = draining_list(&harness, 42);
+    let watch = harness.discovery.connections.last_mut().unwrap();
+    watch.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &update[..30]));
     harness.run_iteration();
     harness
         .discovery
@@ -171,7 +176,7 @@
         .unwrap()
         .send(&update[30..]);
     harness.run_until("the list", |s| s.program.list_revision() == 42);
-    let later = drains(&harness, 43);
+    let later = draining_list(&harness, 43);
     harness
         .discovery
         .connections
@@ -197,11 +202,11 @@
     );
 }
 
-/// Sends 20 pairs of requests and serves them; how many each endpoint got.
+/// Sends 20 pairs of requests and replies to them. Returns how many requests each endpoint got.
 fn requests_by_endpoint(harness: &mut Harness, client: &mut Connection) -> [usize; 3] {
-    let mut seen = [0; 3];
+    let mut counts = [0; 3];
     for id in 0..20 {
-        // Two at a time: the second goes to another endpoint.
+        // While the first request of a pair is open, the second goes to another endpoint.
         client.send(
             [
                 read_request_of_customer(50 + id, id),
@@ -209,15 +214,15 @@
             ]
             .concat(),
         );
-        let out = [harness.next_request(), harness.next_request()];
-        for (s, c, _) in out {
-            seen[s] += 1;
+        let arrived = [harness.next_request(), harness.next_request()];
+        for (s, c, _) in arrived {
+            counts[s] += 1;
             harness.endpoints[s].connections[c].send(served_reply("v"));
         }
         harness.expect_reply(client, &"$1\r\nv\r\n".repeat(2));
         harness.advance(21);
     }
-    seen
+    counts
 }
 
 #[test]
@@ -229,8 +234,8 @@
             all.map(|(n, s)| endpoint_entry(n, harness.endpoints[n].address, s))
                 .collect()
         };
-        // The third is new, the first drains and the second is unchanged.
-        let now = endpoint_list(
+        // The first endpoint is draining, the second is unchanged and the third is new.
+        let current = endpoint_list(
             44,
             true,
             &entries(&harness, ["DRAINING", "SERVING", "SERVING"]),
@@ -240,9 +245,10 @@
             .connections
             .last_mut()
             .unwrap()
-            .send(chunk(&now));
+            .send(chunk(&current));
         harness.run_until("the list", |s| s.program.list_revision() == 44);
-        // An agent that is behind sends an earlier list.
+        // A discovery agent that lags sends an earlier list; one that was restarted sends an empty
+        // list of revision 0.
         let rev = if restarted { 0 } else { 42 };
         let states = if restarted {
             ["", "", ""]
@@ -258,13 +264,16 @@
             .send(chunk(&older));
         harness.run_until("the older list", |s| s.program.list_revision() == rev);
         let mut client = harness.connect();
-        let seen = requests_by_endpoint(&mut harness, &mut client);
-        assert_eq!(seen[0], 0, "the draining endpoint still drains: {seen:?}");
+        let counts = requests_by_endpoint(&mut harness, &mut client);
+        assert_eq!(
+            counts[0], 0,
+            "the draining endpoint gets no request: {counts:?}"
+        );
         assert!(
-            seen[1] > 0 && seen[2] > 0,
-            "the last good list is in force: {seen:?}"
+            counts[1] > 0 && counts[2] > 0,
+            "the newest list stays in force: {counts:?}"
         );
-        // A later revision is applied again.
+        // A list of a later revision is applied.
         let later = endpoint_list(45, true, &entries(&harness, ["SERVING", "", ""]));
         harness
             .discovery
@@ -279,7 +288,7 @@
 }
 
 #[test]
-fn a_new_process_forwards_nothing_by_its_old_list_before_discovery_has_replied() {
+fn a_new_process_forwards_nothing_by_its_configured_list_before_discovery_has_replied() {
     let mut harness = Harness::new(2);
     harness.discovery_replies = false;
     harness.restart_with_replacements(&[]);
@@ -287,9 +296,9 @@
     client.send(read_request(1));
     assert!(
         harness.read_line(&mut client).starts_with("-BUSY"),
-        "the list of the configuration may be old"
+        "the endpoint list of the configuration may be outdated"
     );
-    // Discovery's reply and the next request are there in one round.
+    // Discovery's reply and the next request arrive in the same round.
     let update = endpoint_list(
         42,
         false,
@@ -303,13 +312,16 @@
         .send(format!("{WATCH_HEAD}{}", chunk(&update)));
     client.send(read_request(2));
     let (s, c, _) = harness.next_request();
-    assert_eq!(s, 1, "the other drains since before the start");
+    assert_eq!(
+        s, 1,
+        "the other endpoint was draining before the process started"
+    );
     harness.endpoints[s].connections[c].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
 }
 
 #[test]
-fn a_new_process_with_silent_discovery_serves_by_its_list_after_the_ready_timeout() {
+fn a_new_process_with_silent_discovery_serves_by_its_configured_list_after_the_ready_timeout() {
     let mut harness = Harness::new(1);
     harness.discovery_replies = false;
     harness.restart_with_replacements(&[]);
@@ -325,7 +337,7 @@
         let mut client = harness.connect();
         serve_request(&mut harness, &mut client, read_request_of_customer(5, 1));
         harness.advance(30);
-        // The requests are there first; the drain is applied before they are decided all the same.
+        // The requests arrive before the drain, which is applied before their endpoints are chosen.
         for id in 2..4 {
             client.send(read_request_of_customer(5 + id, id));
         }
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -1,4 +1,4 @@
-//! Events that cross on connections to endpoints: each test forces the order that matters.
+//! Races between events on connections to endpoints. Each test forces the order that matters.
 
 mod common;
 
@@ -6,16 +6,17 @@
 use roseyard_ingress::program::OpenCounts;
 use std::time::Duration;
 
-const BODY: usize = 60_000;
+const BODY_BYTES: usize = 60_000;
 
-/// Two endpoints of different cells, and a client's write of which a part is written to one, which
-/// reads nothing.
+/// Starts an ingress with two endpoints in different cells and sends it a write that is larger than
+/// the socket buffers. Returns when a part of the write has been sent to an endpoint, which has
+/// read nothing yet, with the index of that endpoint.
 fn partly_written_request() -> (Harness, Connection, usize) {
     let mut harness = Harness::new(2);
     harness.endpoints = vec![Peer::with_small_buffers(), Peer::with_small_buffers()];
     harness.restart_with_replacements(&[]);
     let mut client = harness.connect();
-    client.send(write_with_body(1, BODY));
+    client.send(write_with_body(1, BODY_BYTES));
     let s = harness.run_until_contacted(|peer| {
         peer.connections
             .first()
@@ -25,52 +26,53 @@
 }
 
 #[test]
-fn an_endpoint_that_closes_or_replies_amid_the_write_did_not_execute_the_request() {
-    for what in ["end", "reset", "served", "busy", "half"] {
-        for read in [0, 1, 700, 4000] {
+fn an_endpoint_that_closes_or_replies_during_the_write_did_not_execute_the_request() {
+    for fault in ["end", "reset", "served", "busy", "partial"] {
+        for bytes_read in [0, 1, 700, 4000] {
             let (mut harness, mut client, s) = partly_written_request();
             let mut broken = harness.endpoints[s].connections.remove(0);
-            while broken.input.len() < read {
-                broken.read_some(read - broken.input.len());
+            while broken.input.len() < bytes_read {
+                broken.read_some(bytes_read - broken.input.len());
             }
-            match what {
+            match fault {
                 "end" => broken.close(),
                 "reset" => broken.reset(),
                 "served" => broken.send(served_reply("x")),
                 "busy" => broken.send("-BUSY\r\n"),
                 _ => broken.send("*3\r\n$1\r\n"),
             }
-            // In another cell: only what is provably not executed may go there.
+            // The other endpoint is in another cell, where the request may be sent only because it
+            // was provably not executed.
             let (other, c, words) = harness.next_request();
             assert_eq!(
                 (other, words[4].len()),
-                (1 - s, BODY),
-                "{what} after {read} bytes"
+                (1 - s, BODY_BYTES),
+                "{fault} after {bytes_read} bytes"
             );
             harness.endpoints[other].connections[c].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
             broken.read();
             assert!(
-                broken.input.len() < BODY,
-                "{what}: it has the complete command"
+                broken.input.len() < BODY_BYTES,
+                "{fault}: the endpoint received the complete command"
             );
         }
     }
 }
 
 #[test]
-fn a_client_that_disconnects_amid_the_write_has_nothing_executed_or_counted() {
+fn a_client_that_disconnects_during_the_write_has_nothing_executed_or_counted() {
     let (mut harness, client, s) = partly_written_request();
     disconnect_client(&mut harness, client);
-    assert_nothing_forwarded(&mut harness, "amid the write");
+    assert_nothing_forwarded(&mut harness, "during the write");
     assert_eq!(
         harness.program.open(),
         OpenCounts::default(),
-        "its connection goes too"
+        "the connection to the endpoint is closed too"
     );
     assert!(
         !harness.endpoints[s].connections[0].is_open
-            && harness.endpoints[s].connections[0].input.len() < BODY
+            && harness.endpoints[s].connections[0].input.len() < BODY_BYTES
     );
     assert_total_after_next_request(
         &mut harness,
@@ -81,8 +83,8 @@
 
 #[test]
 fn bytes_before_the_first_request_are_not_taken_for_a_reply() {
-    // A complete value, half a line, an end: there before the new connection's first request is
-    // written.
+    // A complete value, a rejection, a partial value or the end of the stream arrives before the
+    // first request is written to the new connection.
     for early in [
         served_reply("x"),
         "-BUSY\r\n".to_owned(),
@@ -92,7 +94,8 @@
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
         client.send(request("API.WRITE", 1, WRITE_FIELDS));
-        // The connection is begun in one round and taken as established in the next.
+        // The ingress begins to connect in one round and sees the connection established in the
+        // next.
         let early_endpoint = harness.run_until_contacted(|peer| !peer.connections.is_empty());
         match early.as_str() {
             "" => harness.endpoints[early_endpoint].connections[0].half_close(),
@@ -101,7 +104,7 @@
         let (s, c, _) = harness.next_request();
         assert_ne!(
             s, early_endpoint,
-            "{early:?}: that connection is out of step"
+            "{early:?}: the connection was used although its replies cannot be matched to requests"
         );
         harness.endpoints[s].connections[c].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
@@ -120,13 +123,13 @@
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
     let (s, c, _) = harness.next_request();
     harness.endpoints[s].connections[c].send("*3\r\n$60000\r\n");
-    let begun = harness.now;
+    let started_at = harness.now;
     while harness.program.open().requests > 0 {
         harness.endpoints[s].connections[c].send("x");
         harness.advance(100);
         assert!(
-            harness.now <= begun + Duration::from_millis(1100),
-            "the reply has no end"
+            harness.now <= started_at + Duration::from_millis(1100),
+            "the attempt with an endless reply did not time out"
         );
     }
     harness.expect_reply(&mut client, "-ERR failed\r\n");
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn a_request_present_when_its_idle_connection_times_out_is_served() {
+fn a_request_that_arrives_as_its_idle_client_connection_times_out_is_served() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     serve_request(&mut harness, &mut client, read_request(1));
@@ -152,35 +155,36 @@
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_provably_not_executed() {
-    // Read or write, under any name: the settings alone decide.
-    for (name, end, again) in [
+    // Whether a request may be repeated depends on the settings of its class alone, not on the
+    // command or on the name of the class.
+    for (class, reply, is_retried) in [
         ("kart-les", "-BUSY\r\n", true),
         ("kart-les", "-ERR failed\r\n", false),
         ("form-load", "-BUSY inflight=1\r\n", true),
         ("form-load", "*3\r\n$1\r\nv", false),
         ("form-load", "", false),
         ("a", "-BUSYBODY\r\n", false),
-        // More behind it: the rejection cannot be matched to a request.
+        // More bytes follow the rejection, which can therefore not be matched to a request.
         ("a", "-BUSY\r\n-BUSY\r\n", false),
         ("a", "-BUSY\r\n*3\r\n", false),
     ] {
         let mut harness = Harness::new(3);
         harness.restart_with_replacements(&[
             ("\"read_like\"", "\"non_idempotent\""),
-            ("\"form-load\"", &format!("{name:?}")),
+            ("\"form-load\"", &format!("{class:?}")),
         ]);
         let mut client = harness.connect();
         client.send(request(
             "API.WRITE",
             1,
-            &READ_FIELDS.replace("form-load", name),
+            &READ_FIELDS.replace("form-load", class),
         ));
         let (s, c, _) = harness.next_request();
-        harness.endpoints[s].connections[c].send(end);
-        if end.is_empty() || !end.ends_with('\n') {
+        harness.endpoints[s].connections[c].send(reply);
+        if reply.is_empty() || !reply.ends_with('\n') {
             harness.endpoints[s].connections[c].close();
         }
-        if again {
+        if is_retried {
             let (other, c, words) = harness.next_request();
             assert!(other != s && words[2].ends_with('1'));
             harness.endpoints[other].connections[c].send(served_reply("v"));
@@ -193,7 +197,7 @@
             assert_eq!(
                 harness.endpoints.iter_mut().find_map(Peer::next_command),
                 None,
-                "{name} {end:?}"
+                "{class} {reply:?}"
             );
         }
     }
@@ -201,7 +205,7 @@
 
 #[test]
 fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
-    for late in [false, true] {
+    for after_window in [false, true] {
         let mut harness = Harness::new(2);
         harness.restart_with_replacements(&[
             ("\"Group\":\"cell\"", "\"Group\":\"all\""),
@@ -213,19 +217,19 @@
         let (s, c, _) = harness.next_request();
         harness.endpoints[1 - s].stop_accepting();
         harness.advance(250);
-        // It may have been executed: the retry is decided within the window, and its connection
-        // established later.
+        // The request may have been executed. Its retry is decided within the window, and the
+        // connection for it is established within the window or after it.
         harness.endpoints[s].connections[c].send("-ERR failed\r\n");
         harness.run_until("the retry", |s| s.program.open().upstream_connections == 2);
-        harness.now += Duration::from_millis(if late { 60 } else { 20 });
+        harness.now += Duration::from_millis(if after_window { 60 } else { 20 });
         harness.endpoints[1 - s].resume_accepting();
-        if late {
+        if after_window {
             let line = harness.read_line(&mut client);
             assert!(
                 line.starts_with("-BUSY") || line.starts_with("-ERR failed"),
                 "{line}"
             );
-            assert_nothing_forwarded(&mut harness, "window");
+            assert_nothing_forwarded(&mut harness, "after the deduplication window");
         } else {
             assert_eq!(harness.next_request().0, 1 - s);
         }
--- a/crates/ingress/tests/endpoint_replies.rs
+++ b/crates/ingress/tests/endpoint_replies.rs
@@ -33,7 +33,7 @@
 ];
 
 #[test]
-fn a_malformed_reply_may_mean_executed_and_closes_its_connection() {
+fn a_malformed_reply_counts_as_possibly_executed_and_closes_its_connection() {
     for malformed in MALFORMED_REPLIES {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn bytes_behind_a_reply_are_never_taken_for_the_next_one() {
-    for (more, wait) in [
+fn bytes_after_a_reply_are_never_taken_for_the_next_reply() {
+    for (extra_bytes, wait_ms) in [
         (served_reply("old"), 0),
         ("noise".into(), 0),
         (served_reply("old"), 10),
@@ -81,11 +81,11 @@
         let (_, c, _) = harness.next_request();
         harness.endpoints[0].connections[c].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
-        // The next request is there before the bytes behind the reply.
-        harness.advance(wait);
+        // The next request arrives before the bytes after the reply.
+        harness.advance(wait_ms);
         client.send(read_request(2));
         let (_, next, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(&more);
+        harness.endpoints[0].connections[c].send(&extra_bytes);
         harness.run_until("the first connection is closed", |s| {
             !s.endpoints[0].connections[c].is_open
         });
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn an_idle_connection_with_an_end_or_unsolicited_bytes_is_not_reused() {
+fn an_idle_connection_that_has_ended_or_sent_unsolicited_bytes_is_not_reused() {
     for bytes in ["", "+\r\n"] {
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
@@ -105,7 +105,7 @@
         harness.endpoints[0].connections[c].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.now += Duration::from_millis(50);
-        // Both are there before the next round.
+        // The request and the end or the bytes arrive before the next round.
         client.send(read_request(2));
         match bytes {
             "" => harness.endpoints[0].connections[c].close(),
@@ -134,8 +134,8 @@
 
 #[test]
 fn true_units_of_a_reply_correct_the_next_increment_where_units_are_post_paid() {
-    // Usage figures of a reply, and the units that the estimate of 2 is corrected to: at most 4
-    // units a request here.
+    // Usage figures of a reply, and the units that are counted in the end. Figures that are not
+    // between 0 and `MostUnits`, which is 4 here, leave the estimate of 2 units as it is.
     let corrections = [
         ("used=37,cost=4", 4.0),
         ("cost=1", 1.0),
@@ -155,12 +155,12 @@
                 (2, 2.0),
                 (1, if post_paid { true_units + 1.0 } else { 3.0 }),
             ] {
-                let list = READ_FIELDS.replace("units=1", &format!("units={units}"));
+                let fields = READ_FIELDS.replace("units=1", &format!("units={units}"));
                 client.send(request_of_customer(
                     500 + n as u64,
                     "API.READ",
                     10 + 2 * n as u64 + units,
-                    &list,
+                    &fields,
                 ));
                 let (s, c, _) = harness.next_request();
                 assert_eq!(
--- a/crates/ingress/tests/http_replies.rs
+++ b/crates/ingress/tests/http_replies.rs
@@ -1,4 +1,4 @@
-//! HTTP replies of counter and discovery, and the calls that are written to them.
+//! Parsing of the HTTP replies of the counter and discovery, and the text of calls to the counter.
 
 use roseyard_ingress::protocol::http::{put_increment_request, reply, Framing};
 use roseyard_ingress::protocol::{Malformed, ProtocolLimits};
@@ -7,6 +7,7 @@
     ProtocolLimits::new(192 << 20)
 }
 
+/// Parses a reply: its status, its body, whether it closes the connection, and its length in bytes.
 fn parsed(text: &str) -> Result<Option<(u16, String, bool, usize)>, Malformed> {
     let found = reply(text.as_bytes(), false, &limits())?;
     Ok(found.map(|((h, body), used)| {
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_total_comes_with_its_length_or_in_a_chunk() {
+fn a_total_is_read_from_a_body_with_a_content_length_or_in_chunks() {
     let plain = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\nX: y\r\n\r\n12.5HTTP";
     assert_eq!(
         parsed(plain),
@@ -37,24 +38,24 @@
 }
 
 #[test]
-fn a_refusal_may_close_and_an_odd_answer_is_malformed() {
-    let refusal = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+fn a_rejection_may_close_the_connection_and_an_invalid_reply_is_malformed() {
+    let rejection = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(
-        parsed(refusal),
-        Ok(Some((503, String::new(), true, refusal.len())))
+        parsed(rejection),
+        Ok(Some((503, String::new(), true, rejection.len())))
     );
-    for bad in [
+    for invalid in [
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
         "SMTP 200\r\n\r\n",
     ] {
-        assert!(parsed(bad).is_err(), "{bad:?}");
+        assert!(parsed(invalid).is_err(), "{invalid:?}");
     }
 }
 
 #[test]
-fn a_body_without_a_length_is_whole_when_the_sending_has_ended() {
+fn a_body_without_a_length_is_complete_at_the_end_of_the_stream() {
     let text = b"HTTP/1.1 200 OK\r\n\r\n12";
     assert_eq!(reply(text, false, &limits()), Ok(None), "more may follow");
     let (found, used) = reply(text, true, &limits()).unwrap().unwrap();
@@ -65,12 +66,12 @@
     assert_eq!(
         reply(&text[..18], true, &limits()),
         Ok(None),
-        "its head is not whole"
+        "its head is incomplete"
     );
 }
 
 #[test]
-fn a_call_is_worded_as_the_counter_takes_it() {
+fn a_call_has_the_request_line_that_the_counter_expects() {
     let mut out = Vec::new();
     put_increment_request(&mut out, "127.0.0.1:6400", 0xb4d65521, 2.5, 4000);
     let text = String::from_utf8(out).unwrap();
--- a/crates/ingress/tests/load_report.rs
+++ b/crates/ingress/tests/load_report.rs
@@ -1,13 +1,13 @@
-//! Load reports and usage figures: what is read, and what is skipped.
+//! Parsing of load reports and usage figures: what is read and what is ignored.
 
 use proptest::prelude::*;
 use roseyard_ingress::protocol::report::{parse_load_report, parse_true_units};
 
 #[test]
-fn true_units_are_read_where_they_are_a_count_that_a_request_may_have() {
+fn true_units_are_read_only_if_a_request_may_have_that_many() {
     assert_eq!(parse_true_units(b"used=37,cost=4", 8.0), Some(4.0));
     assert_eq!(parse_true_units(b"cost=0.5", 8.0), Some(0.5));
-    for odd in [
+    for invalid in [
         "used=37",
         "",
         "cost=",
@@ -19,14 +19,14 @@
         "cost=1,cost=2",
         "xcost=3",
     ] {
-        assert_eq!(parse_true_units(odd.as_bytes(), 8.0), None, "{odd}");
+        assert_eq!(parse_true_units(invalid.as_bytes(), 8.0), None, "{invalid}");
     }
     assert_eq!(parse_true_units(b"cost=1\xff", 8.0), None);
 }
 
 proptest! {
     #[test]
-    fn any_figures_give_no_units_or_some_that_a_request_may_have(
+    fn any_figures_give_either_no_units_or_as_many_as_a_request_may_have(
         noise in proptest::collection::vec(any::<u8>(), 0..24), cost in any::<f64>(), at in 0usize..24,
     ) {
         let mut text = noise;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn known_fields_are_read_and_the_rest_is_passed_over() {
+fn known_fields_are_read_and_the_others_are_ignored() {
     let load = parse_load_report(b"inflight=7,queue=2,util=0.61,eps=3,odd").unwrap();
     assert_eq!(
         (load.in_flight, load.queued, load.utilisation),
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Models against which random steps are checked: a client's connection as its answers in order,
-//! and each connection to a server as one attempt at a time.
+//! Property tests: random sequences of steps are compared with models, and parsers are given random
+//! input. The model of a client's connection is its replies in order; that of a connection to an
+//! endpoint is one attempt at a time.
 
 mod common;
 
@@ -13,92 +14,94 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The client writes so many bytes of what it has to say.
+    /// The client writes up to this number of its remaining bytes.
     Write(usize),
-    /// The server answers, turns away, or breaks off the attempt of this number.
+    /// An endpoint serves the open attempt with this index.
     Serve(usize),
-    TurnAway(usize),
-    Break(usize),
+    /// An endpoint replies to the attempt with an error.
+    Fail(usize),
+    /// An endpoint closes the connection of the attempt.
+    Close(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (1usize..90).prop_map(Step::Write),
         3 => (0usize..4).prop_map(Step::Serve),
-        1 => (0usize..4).prop_map(Step::TurnAway),
-        1 => (0usize..4).prop_map(Step::Break),
+        1 => (0usize..4).prop_map(Step::Fail),
+        1 => (0usize..4).prop_map(Step::Close),
     ]
 }
 
-/// What the client is to read for each command: the text, once it is decided.
-fn front(model: &[Option<String>]) -> String {
+/// Returns the replies that the client reads: those of the commands before the first undecided one.
+fn expected_replies(model: &[Option<String>]) -> String {
     model.iter().map_while(Clone::clone).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
-    /// Keyed requests, each server a pod of its own: each ends as its only attempt does, and the
-    /// answers keep their order.
+    /// The requests have idempotency keys and each endpoint is a pod group of its own, so that each
+    /// request has a single attempt. It ends as this attempt does, and replies keep their order.
     #[test]
-    fn a_client_reads_its_answers_in_order_whatever_the_endpoints_do(
+    fn a_client_reads_its_replies_in_order_whatever_the_endpoints_do(
         kinds in prop::collection::vec(any::<bool>(), 1..7),
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        // Enough servers that none of the few requests is refused for load.
+        // With four endpoints none of the few requests is rejected for load.
         let mut harness = Harness::new(4);
         let mut client = harness.connect();
-        let mut said = Vec::new();
+        let mut client_bytes = Vec::new();
         let mut ends = Vec::new();
         let mut model = Vec::new();
         for (id, ping) in kinds.iter().enumerate() {
             match ping {
-                true => said.extend(b"*1\r\n$4\r\nPING\r\n"),
-                false => said.extend(request("API.WRITE", id as u64, WRITE_FIELDS)),
+                true => client_bytes.extend(b"*1\r\n$4\r\nPING\r\n"),
+                false => client_bytes.extend(request("API.WRITE", id as u64, WRITE_FIELDS)),
             }
-            ends.push(said.len());
+            ends.push(client_bytes.len());
             model.push(ping.then(|| "+PONG\r\n".to_owned()));
         }
         let mut written = 0usize;
-        // Attempts out: connection to command. The connection must be free when another arrives on
-        // it.
-        let mut out: BTreeMap<(usize, usize), usize> = BTreeMap::new();
+        // The command of each open attempt by endpoint and connection. A connection must have no
+        // open attempt when another one arrives on it.
+        let mut open_attempts: BTreeMap<(usize, usize), usize> = BTreeMap::new();
         let all = steps.into_iter().chain([Step::Write(usize::MAX)]).chain((0..8).map(|_| Step::Serve(0)));
         for step in all {
             if let Step::Write(n) = step {
-                let end = written.saturating_add(n).min(said.len());
-                client.send(&said[written..end]);
+                let end = written.saturating_add(n).min(client_bytes.len());
+                client.send(&client_bytes[written..end]);
                 written = end;
             }
-            // Every request that is whole reaches the server.
-            let whole = ends.iter().zip(&kinds).filter(|(end, ping)| **end <= written && !**ping).count();
-            while out.len() + decided(&model, &kinds) < whole {
+            // Every completely written request reaches an endpoint.
+            let complete = ends.iter().zip(&kinds).filter(|(end, ping)| **end <= written && !**ping).count();
+            while open_attempts.len() + count_replied(&model, &kinds) < complete {
                 let (s, c, words) = harness.next_request();
                 let id = usize::from_str_radix(&words[2], 16).unwrap();
-                prop_assert!(out.insert((s, c), id).is_none(), "two attempts on one connection");
+                prop_assert!(open_attempts.insert((s, c), id).is_none(), "two attempts on one connection");
             }
-            let pick = |n: usize| out.iter().nth(n).map(|(c, id)| (*c, *id));
+            let nth_attempt = |n: usize| open_attempts.iter().nth(n).map(|(c, id)| (*c, *id));
             match step {
-                Step::Serve(n) => if let Some(((s, c), id)) = pick(n) {
+                Step::Serve(n) => if let Some(((s, c), id)) = nth_attempt(n) {
                     harness.endpoints[s].connections[c].send(served_reply(&id.to_string()));
                     model[id] = Some(format!("$1\r\n{id}\r\n"));
-                    out.remove(&(s, c));
+                    open_attempts.remove(&(s, c));
                 },
-                Step::TurnAway(n) => if let Some(((s, c), id)) = pick(n) {
+                Step::Fail(n) => if let Some(((s, c), id)) = nth_attempt(n) {
                     harness.endpoints[s].connections[c].send("-ERR failed\r\n");
                     model[id] = Some("-ERR failed\r\n".to_owned());
-                    out.remove(&(s, c));
+                    open_attempts.remove(&(s, c));
                 },
-                Step::Break(n) => if let Some(((s, c), id)) = pick(n) {
+                Step::Close(n) => if let Some(((s, c), id)) = nth_attempt(n) {
                     harness.endpoints[s].connections[c].close();
                     model[id] = Some("-ERR failed\r\n".to_owned());
-                    out.remove(&(s, c));
+                    open_attempts.remove(&(s, c));
                 },
                 Step::Write(_) => {}
             }
-            let whole = ends.iter().filter(|end| **end <= written).count();
-            let text = front(&model[..whole]);
-            harness.run_until("the answers", |_| {
+            let complete = ends.iter().filter(|end| **end <= written).count();
+            let text = expected_replies(&model[..complete]);
+            harness.run_until("the replies", |_| {
                 client.read();
                 client.input.len() >= text.len()
             });
@@ -109,16 +112,16 @@
     }
 }
 
-/// Requests of the model that have their answer.
-fn decided(model: &[Option<String>], kinds: &[bool]) -> usize {
+/// Returns the number of requests of the model that have their reply.
+fn count_replied(model: &[Option<String>], kinds: &[bool]) -> usize {
     model
         .iter()
         .zip(kinds)
-        .filter(|(answer, ping)| answer.is_some() && !**ping)
+        .filter(|(known_reply, ping)| known_reply.is_some() && !**ping)
         .count()
 }
 
-fn words(bytes: &[u8]) -> Vec<Vec<u8>> {
+fn parse_words(bytes: &[u8]) -> Vec<Vec<u8>> {
     let (words, used) = resp::command(bytes, &protocol_limits()).unwrap().unwrap();
     assert_eq!(used, bytes.len());
     words.as_slice().iter().map(|w| w.to_vec()).collect()
@@ -126,41 +129,41 @@
 
 proptest! {
     #[test]
-    fn a_command_is_whole_at_its_last_byte_and_not_before(
-        said in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..8),
+    fn a_command_is_complete_at_its_last_byte_and_not_before(
+        command_words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 1..8),
     ) {
         let mut bytes = Vec::new();
-        resp::put_array(&mut bytes, said.len());
-        said.iter().for_each(|word| resp::put_bulk(&mut bytes, word));
+        resp::put_array(&mut bytes, command_words.len());
+        command_words.iter().for_each(|word| resp::put_bulk(&mut bytes, word));
         for end in 0..bytes.len() {
             prop_assert_eq!(resp::command(&bytes[..end], &protocol_limits()), Ok(None));
         }
-        prop_assert_eq!(words(&bytes), said);
+        prop_assert_eq!(parse_words(&bytes), command_words);
     }
 
     #[test]
-    fn an_endpoint_gets_what_the_client_said_but_for_the_deadline(
+    fn an_endpoint_gets_the_command_of_the_client_except_for_the_deadline(
         before in "([ab]=[0-9a-f]{0,8},){0,3}",
         after in "(,[e-z]x=[0-9a-f]{0,8}){0,3}",
-        (wait, said) in (1u64..100_000, 0u32..100_000),
+        (deadline_ms, client_deadline_ms) in (1u64..100_000, 0u32..100_000),
         body in prop::option::of(prop::collection::vec(any::<u8>(), 0..40)),
     ) {
         let rest = "c=x,t=y,units=1,spread=1,first=0";
         let list = |d: &str| format!("{before}d={d}{after},{rest}").into_bytes();
         let (customer, id) = (b"00000000b4d65521".to_vec(), b"9b1f03aa5c7e2d41".to_vec());
-        let sent = [vec![b"API.WRITE".to_vec(), customer, id, list(&said.to_string())], Vec::from_iter(body)];
+        let sent = [vec![b"API.WRITE".to_vec(), customer, id, list(&client_deadline_ms.to_string())], Vec::from_iter(body)];
         let mut sent = sent.concat();
         let words: Vec<&[u8]> = sent.iter().map(Vec::as_slice).collect();
         let request = command::decode_request(&words, None).unwrap();
-        prop_assert_eq!((request.customer, request.wait_ms), (0xb4d6_5521, f64::from(said)));
+        prop_assert_eq!((request.customer, request.wait_ms), (0xb4d6_5521, f64::from(client_deadline_ms)));
         let mut bytes = Vec::new();
-        RequestCommand::new(&words, &request).put(wait, &mut bytes);
-        sent[3] = list(&wait.to_string());
-        prop_assert_eq!(self::words(&bytes), sent);
+        RequestCommand::new(&words, &request).put(deadline_ms, &mut bytes);
+        sent[3] = list(&deadline_ms.to_string());
+        prop_assert_eq!(self::parse_words(&bytes), sent);
     }
 
     #[test]
-    fn a_chunk_is_whole_at_its_last_byte_and_not_before(body in prop::collection::vec(any::<u8>(), 0..60)) {
+    fn a_chunk_is_complete_at_its_last_byte_and_not_before(body in prop::collection::vec(any::<u8>(), 0..60)) {
         let mut bytes = format!("{:x}\r\n", body.len()).into_bytes();
         bytes.extend(&body);
         bytes.extend(b"\r\n");
@@ -171,7 +174,7 @@
     }
 
     #[test]
-    fn no_input_makes_a_parser_fail_or_take_more_than_there_is(
+    fn no_input_makes_a_parser_panic_or_consume_more_bytes_than_there_are(
         kind in prop::sample::select(vec![&b""[..], b"*", b"*2\r\n$", b"$3\r\n", b"HTTP/1.1 200 OK\r\n", b"5\r\n"]),
         rest in prop::collection::vec(prop::sample::select(b"*$+-:0123456789abc\r\n \xff={}\"".to_vec()), 0..60),
     ) {
@@ -192,15 +195,16 @@
 }
 
 proptest! {
-    /// Against a map that forgets nothing: a key finds its own entry or none, never a successor's.
+    /// Compares the slots with a model that keeps removed entries: a key finds its own entry or
+    /// none, never the entry that has since taken its slot.
     #[test]
-    fn a_stale_number_finds_nothing(steps in prop::collection::vec((any::<bool>(), 0usize..40), 1..120)) {
+    fn a_stale_key_finds_nothing(steps in prop::collection::vec((any::<bool>(), 0usize..40), 1..120)) {
         let mut slots = Slots::default();
         let mut model: Vec<(Key, Option<usize>)> = Vec::new();
-        for (n, (insert, pick)) in steps.into_iter().enumerate() {
+        for (n, (insert, index)) in steps.into_iter().enumerate() {
             if insert {
                 model.push((slots.insert_with(|_| n), Some(n)));
-            } else if let Some((key, value)) = model.get_mut(pick) {
+            } else if let Some((key, value)) = model.get_mut(index) {
                 prop_assert_eq!(slots.remove(*key), value.take());
             }
             for (key, value) in &model {
@@ -211,17 +215,17 @@
         }
     }
 
-    /// Against one time an owner: each fires once, in order, at its last setting and only while it
-    /// is set.
+    /// Compares the deadlines with a model of one time for each owner: each deadline fires once, in
+    /// order, at the time that was set last, and not after it was cleared.
     #[test]
-    fn deadlines_fire_in_order_and_as_last_set(
+    fn deadlines_fire_in_order_at_the_time_set_last(
         steps in prop::collection::vec((0usize..6, prop::option::of(0u64..50), 0u64..4), 1..100),
     ) {
         let mut deadlines = Deadlines::default();
         let mut owners: [Option<Duration>; 6] = [None; 6];
         let mut model: BTreeMap<usize, Duration> = BTreeMap::new();
         let mut now = 0;
-        for (owner, at, pass) in steps {
+        for (owner, at, elapsed) in steps {
             let at = at.map(Duration::from_millis);
             deadlines.set(&mut owners[owner], at, owner);
             match at {
@@ -229,10 +233,10 @@
                 None => model.remove(&owner),
             };
             prop_assert_eq!(deadlines.next(), model.values().min().copied());
-            now += pass;
-            while let Some(fired) = deadlines.pop_expired(Duration::from_millis(now)) {
-                owners[fired] = None;
-                let at = model.remove(&fired).expect("set");
+            now += elapsed;
+            while let Some(fired_owner) = deadlines.pop_expired(Duration::from_millis(now)) {
+                owners[fired_owner] = None;
+                let at = model.remove(&fired_owner).expect("set");
                 prop_assert!(at <= Duration::from_millis(now) && model.values().all(|other| *other >= at));
             }
             prop_assert!(model.values().all(|at| *at > Duration::from_millis(now)));
--- a/crates/ingress/tests/quotas.rs
+++ b/crates/ingress/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! What several real ingresses forward beyond quotas on a quiet day: three of them, a counter that
-//! forgets keys, endpoints that reply at once, and a clock that the test moves.
+//! How many units several ingresses forward beyond quotas under moderate demand. The test has three
+//! ingresses, a counter whose keys expire, endpoints that reply at once, and a clock that it moves.
 
 mod common;
 
@@ -11,36 +11,37 @@
 
 const INGRESSES: usize = 3;
 const CUSTOMERS: u64 = 24;
-/// As in the tests' settings.
-const RATE: f64 = 2.0;
-const BURST: f64 = 8.0;
+/// Units per second of a customer's quota, as in `settings.json`.
+const UNITS_PER_SECOND: f64 = 2.0;
+/// Units that a customer may use at once, as in `settings.json`.
+const BURST_UNITS: f64 = 8.0;
 const STEP: Duration = Duration::from_millis(20);
-const DAY: Duration = Duration::from_secs(40);
-/// Discovery sends an empty line this often.
+const DURATION: Duration = Duration::from_secs(40);
+/// How often discovery sends an empty line, which keeps the watch open.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 const FIELDS: &str = "c=form-load,t=seedling,d=3000,units=1,spread=3,first=0";
 
-/// A customer's true quota: a token bucket.
+/// The quota of a customer as a single ingress would enforce it: a token bucket.
 #[derive(Clone)]
-struct TrueQuota {
+struct ExactQuota {
     available_units: f64,
     at: Duration,
 }
 
-impl TrueQuota {
-    fn new() -> TrueQuota {
-        TrueQuota {
-            available_units: BURST,
+impl ExactQuota {
+    fn new() -> ExactQuota {
+        ExactQuota {
+            available_units: BURST_UNITS,
             at: Duration::ZERO,
         }
     }
 
     fn available_units(&self, now: Duration) -> f64 {
-        let refilled = RATE * now.saturating_sub(self.at).as_secs_f64();
-        (self.available_units + refilled).min(BURST)
+        let refilled = UNITS_PER_SECOND * now.saturating_sub(self.at).as_secs_f64();
+        (self.available_units + refilled).min(BURST_UNITS)
     }
 
-    /// Takes a unit; false if there was none, and nothing is taken.
+    /// Takes a unit if one is available, and returns whether it was.
     fn take(&mut self, now: Duration) -> bool {
         self.available_units = self.available_units(now);
         self.at = now;
@@ -51,22 +52,23 @@
 }
 
 /// The true quotas of all customers.
-struct TrueQuotas(BTreeMap<u64, TrueQuota>);
+struct ExactQuotas(BTreeMap<u64, ExactQuota>);
 
-impl TrueQuotas {
-    fn new() -> TrueQuotas {
-        let quotas = (0..CUSTOMERS).map(|customer| (customer, TrueQuota::new()));
-        TrueQuotas(quotas.collect())
+impl ExactQuotas {
+    fn new() -> ExactQuotas {
+        let quotas = (0..CUSTOMERS).map(|customer| (customer, ExactQuota::new()));
+        ExactQuotas(quotas.collect())
     }
 
-    /// Takes a unit of a customer; 1 if it was within the quota, or 0.
+    /// Takes a unit of a customer. Returns 1 if it was within the quota, and otherwise 0.
     fn take(&mut self, customer: u64, now: Duration) -> f64 {
         let is_within = self.0.get_mut(&customer).unwrap().take(now);
         f64::from(u8::from(is_within))
     }
 }
 
-/// Units offered within quotas, forwarded, and forwarded beyond quotas.
+/// Units that clients offered within quotas, that were forwarded, and that were forwarded beyond
+/// quotas.
 #[derive(Clone, Copy, Debug, Default)]
 struct Totals {
     offered: f64,
@@ -75,8 +77,8 @@
 }
 
 impl Totals {
-    /// What is forwarded beyond quotas, per unit offered within them.
-    fn cost(self) -> f64 {
+    /// The ratio of units forwarded beyond quotas to units offered within them.
+    fn beyond_ratio(self) -> f64 {
         self.beyond / self.offered
     }
 }
@@ -85,7 +87,7 @@
     programs: Vec<Program>,
     clients: Vec<Connection>,
     counter: FakeCounter,
-    /// When the counter's keys were created.
+    /// The time at which each key of the counter was created.
     created_at: BTreeMap<String, Duration>,
     discovery: Peer,
     endpoints: Vec<Peer>,
@@ -130,13 +132,14 @@
         Program::start(&config, &operator_file(""), self.clock).unwrap()
     }
 
-    /// An ingress ends, and restarts with nothing but its endpoint list.
+    /// Restarts an ingress, which keeps nothing but its endpoint list.
     fn restart(&mut self, n: usize) {
         self.programs[n] = self.start(n, 1);
         self.clients[n] = Connection::connect(self.programs[n].address().unwrap());
     }
 
-    /// One round of all ingresses and peers; customers whose requests reached an endpoint.
+    /// Runs one round of all ingresses and peers, and adds the customers whose requests reached an
+    /// endpoint to `reached`.
     fn round(&mut self, reached: &mut Vec<u64>) {
         let now = self.now;
         for program in &mut self.programs {
@@ -161,11 +164,12 @@
         self.clients.iter_mut().for_each(Connection::read);
     }
 
-    /// The counter forgets keys whose time to live is over.
+    /// Removes the counter's keys whose time to live has expired.
     fn expire_counter_keys(&mut self) {
         let now = self.now;
         self.created_at.retain(|key, created_at| {
-            let is_alive = now < *created_at + Duration::from_secs_f64(BURST / RATE);
+            let is_alive =
+                now < *created_at + Duration::from_secs_f64(BURST_UNITS / UNITS_PER_SECOND);
             if !is_alive {
                 self.counter.totals.remove(key);
             }
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Discovery sends a line that nothing has changed.
+    /// Sends an empty line on each watch: nothing has changed.
     fn send_empty_lines(&mut self) {
         let open = self.discovery.connections.iter_mut();
         open.filter(|end| end.is_open)
@@ -192,23 +196,23 @@
 }
 
 impl Fault {
-    /// Begins or ends the fault, if this is the time for it.
-    fn play(self, fleet: &mut Fleet, elapsed: Duration) {
-        let is = |second: u64| {
+    /// Begins or ends the fault if `elapsed` is the time for it.
+    fn apply(self, fleet: &mut Fleet, elapsed: Duration) {
+        let is_at = |second: u64| {
             let at = Duration::from_secs(second);
             elapsed >= at && elapsed < at + STEP
         };
         match self {
-            Fault::Restart if is(12) || is(26) => fleet.restart(usize::from(is(26))),
-            Fault::SilentCounter if is(15) => fleet.counter.mode = CounterMode::Silent,
-            Fault::SilentCounter if is(18) => fleet.counter.mode = CounterMode::Replies,
+            Fault::Restart if is_at(12) || is_at(26) => fleet.restart(usize::from(is_at(26))),
+            Fault::SilentCounter if is_at(15) => fleet.counter.mode = CounterMode::Silent,
+            Fault::SilentCounter if is_at(18) => fleet.counter.mode = CounterMode::Replies,
             _ => {}
         }
     }
 }
 
-/// The part of its quota that a customer uses: most a part, some nearly all, some three times as
-/// much; all through three ingresses.
+/// The demand of a customer as a ratio of its quota. Most customers use about a third of their
+/// quota, some nearly all of it, and some demand three times as much.
 fn demand_ratio(customer: u64) -> f64 {
     match customer % 8 {
         0 => 3.0,
@@ -217,7 +221,7 @@
     }
 }
 
-/// An ingress, unevenly.
+/// Chooses the ingress of a request at random; the first one gets most requests.
 fn choose_ingress(rng: &mut fastrand::Rng) -> usize {
     if rng.f64() < 0.6 {
         0
@@ -226,28 +230,28 @@
     }
 }
 
-/// Plays a day, and counts what the ingresses did.
-fn play_day(fault: Fault) -> Totals {
+/// Simulates a period of `DURATION` with this fault and returns the units counted.
+fn simulate(fault: Fault) -> Totals {
     let mut rng = fastrand::Rng::with_seed(11);
     let mut fleet = Fleet::new();
     let mut warm_up = Vec::new();
     (0..20).for_each(|_| fleet.round(&mut warm_up));
     let begin = fleet.now;
-    let mut offered = TrueQuotas::new();
-    let mut forwarded = TrueQuotas::new();
+    let mut offered = ExactQuotas::new();
+    let mut forwarded = ExactQuotas::new();
     let mut totals = Totals::default();
     let mut id = 1;
     let mut last_line_at = begin;
-    while fleet.now < begin + DAY {
+    while fleet.now < begin + DURATION {
         fleet.now += STEP;
         let elapsed = fleet.now - begin;
-        fault.play(&mut fleet, elapsed);
+        fault.apply(&mut fleet, elapsed);
         if fleet.now >= last_line_at + EMPTY_LINE_INTERVAL {
             last_line_at = fleet.now;
             fleet.send_empty_lines();
         }
         for customer in 0..CUSTOMERS {
-            if rng.f64() >= RATE * demand_ratio(customer) * STEP.as_secs_f64() {
+            if rng.f64() >= UNITS_PER_SECOND * demand_ratio(customer) * STEP.as_secs_f64() {
                 continue;
             }
             let ingress = choose_ingress(&mut rng);
@@ -267,14 +271,14 @@
 }
 
 #[test]
-fn units_forwarded_beyond_quotas_on_a_quiet_day_cost_at_most_a_twentieth_of_those_offered_within() {
+fn units_forwarded_beyond_quotas_are_at_most_a_twentieth_of_those_offered_within() {
     for fault in [Fault::None, Fault::Restart, Fault::SilentCounter] {
-        let totals = play_day(fault);
-        println!("{fault:?}: {totals:?} costs {:.3}", totals.cost());
+        let totals = simulate(fault);
+        println!("{fault:?}: {totals:?}, ratio {:.3}", totals.beyond_ratio());
         assert!(
             totals.offered > 500.0 && totals.forwarded > 0.8 * totals.offered,
             "{fault:?}: {totals:?}"
         );
-        assert!(totals.cost() <= 0.05, "{fault:?}: {totals:?}");
+        assert!(totals.beyond_ratio() <= 0.05, "{fault:?}: {totals:?}");
     }
 }
--- a/crates/ingress/tests/reload.rs
+++ b/crates/ingress/tests/reload.rs
@@ -11,32 +11,38 @@
     let mut client = harness.connect();
     harness.counter.mode = CounterMode::Silent;
     client.send(read_request(1));
-    let calls = |c: &FakeCounter| {
+    let unanswered_calls = |c: &FakeCounter| {
         c.peer
             .connections
             .iter()
             .filter(|e| !e.input.is_empty())
             .count()
     };
-    harness.run_until("the call", |s| calls(&s.counter) == 1);
-    // Twice in a row: a call on the first counter is still awaited there.
-    let mut first = harness.reload_with_new_peers();
+    harness.run_until("the call", |s| unanswered_calls(&s.counter) == 1);
+    // Two reloads in a row; the reply to the call at the first counter is still awaited.
+    let mut first_counter = harness.reload_with_new_peers();
     harness.reload_with_new_peers();
     harness.run_until("the watch at the last address", |s| {
         s.watch_requests.len() >= 2 && s.discovery.connections.len() == 1
     });
-    // The same customer's next call must not overtake the one in flight.
+    // The next call for the same customer must not overtake the one in flight.
     client.send(read_request(2));
     for _ in 0..5 {
         harness.run_iteration();
     }
-    assert_eq!((calls(&first), calls(&harness.counter)), (1, 0));
-    first.mode = CounterMode::Replies;
-    first.serve();
+    assert_eq!(
+        (
+            unanswered_calls(&first_counter),
+            unanswered_calls(&harness.counter)
+        ),
+        (1, 0)
+    );
+    first_counter.mode = CounterMode::Replies;
+    first_counter.serve();
     let (_, c, words) = harness.next_request();
     assert!(
         words[2].ends_with('1'),
-        "decided by the old counter's total: {words:?}"
+        "the first request is decided by the total of the old counter: {words:?}"
     );
     harness.endpoints[0].connections[c].send(served_reply("one"));
     let (_, c, words) = harness.next_request();
@@ -48,9 +54,9 @@
     );
     harness.endpoints[0].connections[c].send(served_reply("two"));
     harness.expect_reply(&mut client, "$3\r\none\r\n$3\r\ntwo\r\n");
-    harness.run_until("the old connection's end", |_| {
-        first.peer.read();
-        first.peer.connections.iter().all(|e| !e.is_open)
+    harness.run_until("the end of the connections to the old counter", |_| {
+        first_counter.peer.read();
+        first_counter.peer.connections.iter().all(|e| !e.is_open)
     });
 }
 
@@ -78,7 +84,7 @@
     let mut harness = Harness::new(1);
     harness
         .program
-        .reload(parse_config("half a file").map(|config| (config, OperatorFile::empty())));
+        .reload(parse_config("not a configuration").map(|config| (config, OperatorFile::empty())));
     let mut client = harness.connect();
     client.send(read_request(1));
     let (_, c, _) = harness.next_request();
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! How soon a process is ready: restarted under load, and with a large endpoint list.
+//! How long a process takes to be ready after a restart under load, or with a large endpoint list.
 
 mod common;
 
@@ -14,18 +14,18 @@
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
 
-/// A restarted process must be ready by then.
+/// The time within which a restarted process must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// Replies to each call to discovery with this text, so late.
-fn serve_discovery(listener: TcpListener, late: Duration, text: String) {
+/// Replies to each call to discovery with this text after a delay.
+fn serve_discovery(listener: TcpListener, delay: Duration, text: String) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let (mut stream, text) = (stream.unwrap(), text.clone());
             std::thread::spawn(move || {
                 let mut head = [0; 4096];
                 if matches!(stream.read(&mut head), Ok(n) if n > 0) {
-                    std::thread::sleep(late);
+                    std::thread::sleep(delay);
                     let _ = stream.write_all(text.as_bytes());
                     // The watch stays open until the other side closes it.
                     let _ = stream.read(&mut head);
@@ -35,15 +35,16 @@
     });
 }
 
-/// Sends requests to this address, over restarts; counts those that were served.
+/// Sends requests to this address until `ended` is set, and connects again after each restart.
+/// Counts the requests that were served.
 fn send_requests(
     address: SocketAddr,
     first_id: u64,
-    ends: Arc<AtomicBool>,
+    ended: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
 ) {
     let mut id = first_id;
-    while !ends.load(Ordering::Relaxed) {
+    while !ended.load(Ordering::Relaxed) {
         let Ok(mut stream) = TcpStream::connect(address) else {
             std::thread::yield_now();
             continue;
@@ -51,8 +52,8 @@
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
-        let mut answer = [0; 512];
-        while !ends.load(Ordering::Relaxed) {
+        let mut reply = [0; 512];
+        while !ended.load(Ordering::Relaxed) {
             id += 1;
             if stream
                 .write_all(&read_request_of_customer(id % 1000, id))
@@ -60,9 +61,9 @@
             {
                 break;
             }
-            match stream.read(&mut answer) {
+            match stream.read(&mut reply) {
                 Ok(n @ 1..) => {
-                    served.fetch_add(u64::from(answer[..n].starts_with(b"$")), Ordering::Relaxed)
+                    served.fetch_add(u64::from(reply[..n].starts_with(b"$")), Ordering::Relaxed)
                 }
                 _ => break,
             };
@@ -71,24 +72,24 @@
 }
 
 /// Waits until `PING` is answered.
-fn wait_until_ready(running: &IngressProcess) {
-    let mut stream = running.connect();
-    // Far beyond the bound, so that the failure says how late a start was.
+fn wait_until_ready(ingress: &IngressProcess) {
+    let mut stream = ingress.connect();
+    // Far beyond `READY_WITHIN`, so that a failing test reports how long a start took.
     stream
         .set_read_timeout(Some(Duration::from_secs(300)))
         .unwrap();
     loop {
         stream.write_all(PING.as_bytes()).unwrap();
-        let mut answer = [0; 256];
-        let n = stream.read(&mut answer).unwrap();
-        if answer[..n].starts_with(b"+PONG") {
+        let mut reply = [0; 256];
+        let n = stream.read(&mut reply).unwrap();
+        if reply[..n].starts_with(b"+PONG") {
             return;
         }
     }
 }
 
-/// Restarts an ingress so many times at its address while clients send requests; how long each took
-/// to be ready.
+/// Restarts an ingress repeatedly at the same address while clients send requests. Returns how long
+/// each restart took until the new process was ready.
 fn restarts_under_load(name: &str, discovery: &Peer, restarts: usize) -> Vec<Duration> {
     const CLIENTS: u64 = 3;
     let (endpoint, counter) = (Peer::new(), Peer::new());
@@ -103,47 +104,47 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
     );
     let text = config(&counter, discovery, std::slice::from_ref(&endpoint), 1024);
-    let mut running = IngressProcess::start(name, &text);
-    let address = running.address;
+    let mut ingress = IngressProcess::start(name, &text);
+    let address = ingress.address;
     let text = text.replace(
         "\"listen\":\"127.0.0.1:0\"",
         &format!("\"listen\":\"{address}\""),
     );
-    wait_until_ready(&running);
-    let (ends, served) = (
+    wait_until_ready(&ingress);
+    let (ended, served) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
-            let (ends, served) = (ends.clone(), served.clone());
-            std::thread::spawn(move || send_requests(address, n << 32, ends, served))
+            let (ended, served) = (ended.clone(), served.clone());
+            std::thread::spawn(move || send_requests(address, n << 32, ended, served))
         })
         .collect();
-    let mut took = Vec::new();
+    let mut restart_times = Vec::new();
     for n in 0..restarts {
         let before = served.load(Ordering::Relaxed);
-        running.signal(Signal::TERM);
-        let begun = Instant::now();
-        // It waits for the address while the previous one still listens.
+        ingress.signal(Signal::TERM);
+        let started_at = Instant::now();
+        // The new process waits for the address while the previous one still listens there.
         let next = IngressProcess::start(&format!("{name}-{n}"), &text);
         wait_until_ready(&next);
-        took.push(begun.elapsed());
-        let mut old = std::mem::replace(&mut running, next);
+        restart_times.push(started_at.elapsed());
+        let mut old = std::mem::replace(&mut ingress, next);
         assert!(
             old.child.wait().unwrap().success(),
-            "the previous one exits with success"
+            "the previous process exits with success"
         );
         assert!(
             served.load(Ordering::Relaxed) > before,
-            "clients are served meanwhile"
+            "clients are served during the restart"
         );
     }
-    ends.store(true, Ordering::Relaxed);
+    ended.store(true, Ordering::Relaxed);
     clients
         .into_iter()
         .for_each(|client| client.join().unwrap());
-    took
+    restart_times
 }
 
 #[test]
@@ -155,18 +156,18 @@
         ("slow", Some(1500)),
         ("silent", None),
     ]
-    .map(|(name, late)| {
+    .map(|(name, delay)| {
         let discovery = Peer::new();
-        if let Some(late) = late {
+        if let Some(delay) = delay {
             serve_discovery(
                 discovery.blocking_listener(),
-                Duration::from_millis(late),
+                Duration::from_millis(delay),
                 empty_line.clone(),
             );
         }
         (name, discovery)
     });
-    let mut took: Vec<Duration> = std::thread::scope(|scope| {
+    let mut restart_times: Vec<Duration> = std::thread::scope(|scope| {
         let chains = discoveries.each_ref().map(|(name, discovery)| {
             scope.spawn(move || restarts_under_load(&format!("ready-{name}"), discovery, 5))
         });
@@ -175,17 +176,17 @@
             .flat_map(|chain| chain.join().unwrap())
             .collect()
     });
-    took.sort();
-    println!("ready after: {took:?}");
+    restart_times.sort();
+    println!("ready after: {restart_times:?}");
     assert!(
-        took[17] <= READY_WITHIN,
-        "nine in ten of 20 restarts were ready after {:?}: {took:?}",
-        took[17]
+        restart_times[17] <= READY_WITHIN,
+        "nine in ten of 20 restarts took up to {:?}: {restart_times:?}",
+        restart_times[17]
     );
 }
 
-/// Peak resident memory of a process, in MB.
-fn peak_mb(process: u32) -> usize {
+/// Returns the peak resident memory of a process in MB.
+fn peak_memory_mb(process: u32) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = status.lines().find(|l| l.starts_with("VmHWM:")).unwrap();
     line.split_whitespace()
@@ -213,16 +214,16 @@
         many_endpoint_entries(ENDPOINTS).join(",")
     );
     let text = text.replace("\"targets\":[]", &known);
-    let begun = Instant::now();
-    let mut running = IngressProcess::start_command(
+    let started_at = Instant::now();
+    let mut ingress = IngressProcess::start_command(
         "54000",
         &text,
         Command::new(env!("CARGO_BIN_EXE_roseyard-ingress")),
     );
-    wait_until_ready(&running);
-    let ready = begun.elapsed();
+    wait_until_ready(&ingress);
+    let ready = started_at.elapsed();
     loop {
-        let line = next_line_containing(&mut running.log, "");
+        let line = next_line_containing(&mut ingress.log, "");
         assert!(
             !line.contains("invalid chunk size"),
             "the list is rejected: {line}"
@@ -231,7 +232,7 @@
             break;
         }
     }
-    let (held, peak) = (begun.elapsed(), peak_mb(running.child.id()));
+    let (held, peak) = (started_at.elapsed(), peak_memory_mb(ingress.child.id()));
     println!(
         "{ENDPOINTS} endpoints: ready after {ready:?}, list applied after {held:?}, peak {peak} MB"
     );
--- a/crates/ingress/tests/scale.rs
+++ b/crates/ingress/tests/scale.rs
@@ -1,14 +1,16 @@
-//! The real daemon at two sizes, and under faults of one service: a small form of `roseyard-testbed
-//! scale`.
+//! Short runs of `roseyard-testbed scale`: the real ingress process at two sizes, and under faults
+//! of one service.
 
 use roseyard_testbed::scale::daemon::faults::Fault;
 use roseyard_testbed::scale::daemon::{self, DaemonOptions};
 use roseyard_testbed::scale::RunOptions;
 
-/// A request may cost so many times as much with 200 times the servers in 200 times the services.
-const GROWTH: f64 = 2.0;
-const SMALL: usize = 17;
-const LARGE: usize = 200 * SMALL;
+/// The maximum ratio of the cost of a request with `LARGE_SERVERS` to that with `SMALL_SERVERS`.
+const MAX_COST_RATIO: f64 = 2.0;
+/// The smaller number of servers.
+const SMALL_SERVERS: usize = 17;
+/// The larger number of servers, in 200 times as many services.
+const LARGE_SERVERS: usize = 200 * SMALL_SERVERS;
 
 fn options(sizes: &[usize], seconds: u64, repeats: usize) -> DaemonOptions {
     DaemonOptions {
@@ -33,18 +35,23 @@
 
 #[test]
 fn request_cost_is_independent_of_the_number_of_services() {
-    let reports = daemon::run(&options(&[SMALL, LARGE], 2, 1)).unwrap();
-    let divided = reports
+    let reports = daemon::run(&options(&[SMALL_SERVERS, LARGE_SERVERS], 2, 1)).unwrap();
+    let divided_report = reports
         .iter()
         .find(|report| report.role.contains("in the mean"))
         .unwrap();
-    let figure = divided.figure("processor time of a request").unwrap();
-    let (small, large) = (figure.at(SMALL).unwrap(), figure.at(LARGE).unwrap());
+    let figure = divided_report
+        .figure("processor time of a request")
+        .unwrap();
+    let (small, large) = (
+        figure.at(SMALL_SERVERS).unwrap(),
+        figure.at(LARGE_SERVERS).unwrap(),
+    );
     assert!(
-        large <= GROWTH * small,
-        "{small:.0} us with {SMALL} servers, {large:.0} us with {LARGE}"
+        large <= MAX_COST_RATIO * small,
+        "{small:.0} us with {SMALL_SERVERS} servers, {large:.0} us with {LARGE_SERVERS}"
     );
-    let refused = divided.figure("refused").unwrap();
+    let refused = divided_report.figure("refused").unwrap();
     assert!(
         refused.points.iter().all(|point| point.high == 0.0),
         "{refused:?}"
--- a/crates/ingress/tests/services.rs
+++ b/crates/ingress/tests/services.rs
@@ -1,13 +1,14 @@
-//! Services on real connections: routes, endpoints, and what a reload moves while requests are in
-//! flight.
+//! Services on real connections: their routes and endpoints, and reloads that move routes or
+//! endpoints to other services while requests are in flight.
 
 mod common;
 
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Two services with an endpoint each and no default: a request needs its route.
-const TWO: &str = "services {
+/// Two services with one endpoint each. There is no default service, so each request must have a
+/// route.
+const TWO_SERVICES: &str = "services {
     route-field \"route\"
     service \"forms\" { servers \"s-0\" }
     service \"orders\" { servers \"s-1\" }
@@ -20,28 +21,29 @@
     Harness::with_operator_file(2, 1024, 192, file)
 }
 
-/// A request with these fields, of a customer of its own: it is within its quota.
-fn unlimited_request(id: u64, list: &str) -> Vec<u8> {
-    let name = if list.starts_with("c=submit") {
+/// Returns a request with these fields. Each id has a customer of its own, so that no request
+/// exceeds a quota.
+fn request_of_own_customer(id: u64, fields: &str) -> Vec<u8> {
+    let name = if fields.starts_with("c=submit") {
         "API.WRITE"
     } else {
         "API.READ"
     };
-    request_of_customer(0x1000 + id, name, id, list)
+    request_of_customer(0x1000 + id, name, id, fields)
 }
 
-/// An idempotent request with this route.
-fn routed(id: u64, route: &str) -> Vec<u8> {
-    unlimited_request(id, &format!("{READ_FIELDS},route={route}"))
+/// Returns an idempotent request with this route.
+fn routed_request(id: u64, route: &str) -> Vec<u8> {
+    request_of_own_customer(id, &format!("{READ_FIELDS},route={route}"))
 }
 
-/// The id of a request that has come to an endpoint.
+/// Returns the id of a request that an endpoint has received.
 fn request_id(words: &[String]) -> u64 {
     u64::from_str_radix(&words[2], 16).unwrap()
 }
 
-/// The ingress reloads with this operator's file.
-fn reload(harness: &mut Harness, file: &str) {
+/// Reloads the ingress with this text as the operator's file.
+fn reload_operator_file(harness: &mut Harness, file: &str) {
     let text = config(
         &harness.counter.peer,
         &harness.discovery,
@@ -55,7 +57,7 @@
         .reload(config.and_then(|config| Ok((config, file?))));
 }
 
-/// Sends a request and replies to it; the endpoint that it came to.
+/// Sends a request and replies to it. Returns the endpoint that received it.
 fn endpoint_of(harness: &mut Harness, client: &mut Connection, command: Vec<u8>) -> usize {
     client.send(command);
     let (endpoint, connection, _) = harness.next_request();
@@ -66,12 +68,12 @@
 
 #[test]
 fn each_service_gets_only_the_requests_of_its_routes() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let mut client = harness.connect();
     for id in 0..40 {
         let (route, endpoint) = if id % 3 == 0 { ("a", 0) } else { ("eu/b", 1) };
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, routed(id, route)),
+            endpoint_of(&mut harness, &mut client, routed_request(id, route)),
             endpoint,
             "request {id}"
         );
@@ -80,24 +82,24 @@
 
 #[test]
 fn the_route_is_forwarded_with_the_other_fields() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let mut client = harness.connect();
-    client.send(routed(1, "eu/b"));
+    client.send(routed_request(1, "eu/b"));
     let (_, _, words) = harness.next_request();
     assert!(words[3].ends_with(",route=eu/b"), "{}", words[3]);
 }
 
 #[test]
 fn a_request_of_an_unknown_service_is_an_error_and_is_not_counted() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let long = "x".repeat(129);
     let mut client = harness.connect();
     for (command, error) in [
-        (routed(1, "odd"), "-ERR unknown route\r\n"),
-        (routed(2, "A"), "-ERR unknown route\r\n"),
+        (routed_request(1, "odd"), "-ERR unknown route\r\n"),
+        (routed_request(2, "A"), "-ERR unknown route\r\n"),
         (read_request(3), "-ERR route is missing\r\n"),
-        (routed(4, ""), "-ERR invalid route\r\n"),
-        (routed(5, &long), "-ERR invalid route\r\n"),
+        (routed_request(4, ""), "-ERR invalid route\r\n"),
+        (routed_request(5, &long), "-ERR invalid route\r\n"),
         (
             request("API.READ", 6, &format!("route=a,{READ_FIELDS},route=a")),
             "-ERR invalid route\r\n",
@@ -117,7 +119,7 @@
         .iter_mut()
         .all(|endpoint| endpoint.next_command().is_none()));
     assert_eq!(
-        endpoint_of(&mut harness, &mut client, routed(7, "a")),
+        endpoint_of(&mut harness, &mut client, routed_request(7, "a")),
         0,
         "the connection stays open"
     );
@@ -125,7 +127,7 @@
 
 #[test]
 fn requests_without_a_route_and_unselected_endpoints_belong_to_the_default_service() {
-    let mut harness = harness(&TWO.replace(
+    let mut harness = harness(&TWO_SERVICES.replace(
         "service \"forms\" { servers \"s-0\" }",
         "default \"forms\"; service \"forms\"",
     ));
@@ -135,28 +137,31 @@
             endpoint_of(
                 &mut harness,
                 &mut client,
-                unlimited_request(id, READ_FIELDS)
+                request_of_own_customer(id, READ_FIELDS)
             ),
             0
         );
     }
     assert_eq!(
-        endpoint_of(&mut harness, &mut client, routed(10, "eu/b")),
+        endpoint_of(&mut harness, &mut client, routed_request(10, "eu/b")),
         1
     );
-    client.send(routed(11, "odd"));
+    client.send(routed_request(11, "odd"));
     harness.expect_reply(&mut client, "-ERR unknown route\r\n");
 }
 
 #[test]
 fn a_service_without_endpoints_does_not_affect_the_others() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let (mut client, mut other) = (harness.connect(), harness.connect());
     harness.send_endpoint_states(42, &[(0, "DELETED")]);
     harness.run_until("the list", |s| s.program.list_revision() == 42);
-    client.send(routed(1, "a"));
+    client.send(routed_request(1, "a"));
     for id in 2..12 {
-        assert_eq!(endpoint_of(&mut harness, &mut other, routed(id, "eu/b")), 1);
+        assert_eq!(
+            endpoint_of(&mut harness, &mut other, routed_request(id, "eu/b")),
+            1
+        );
     }
     client.read();
     assert!(
@@ -167,7 +172,8 @@
     assert!(harness.endpoints[0].next_command().is_none());
 }
 
-/// Runs until a command has come at any endpoint; the client must not have a reply before.
+/// Runs until an endpoint has received a command, and checks that the client has no reply before.
+/// Returns the endpoint, the connection and the words of the command.
 fn next_request_of(harness: &mut Harness, client: &mut Connection) -> (usize, usize, Vec<String>) {
     let mut found = None;
     harness.run_until("a command at an endpoint", |s| {
@@ -179,7 +185,7 @@
         client.read();
         assert!(
             found.is_some() || client.received_text().is_empty(),
-            "replied to without an endpoint: {}",
+            "the client has a reply although no endpoint received its request: {}",
             client.received_text()
         );
         found.is_some()
@@ -187,8 +193,8 @@
     found.unwrap()
 }
 
-/// Requests in flight, few enough for the load limit of endpoints that have not replied yet: their
-/// clients, and where they arrived.
+/// The clients of requests in flight, and the endpoint and connection of each request by its id.
+/// Tests keep the requests few: endpoints that have not replied yet have a low load limit.
 #[derive(Default)]
 struct InFlight {
     clients: BTreeMap<u64, Connection>,
@@ -196,31 +202,32 @@
 }
 
 impl InFlight {
-    /// Sends each from a client of its own, one after the other; the endpoints that they came to.
+    /// Sends requests with these ids one after the other, each from a client of its own. Returns
+    /// the endpoints that received them.
     fn send(
         &mut self,
         harness: &mut Harness,
         ids: std::ops::Range<u64>,
-        list: &str,
+        fields: &str,
     ) -> BTreeSet<usize> {
         let mut endpoints = BTreeSet::new();
         for id in ids {
             let mut client = harness.connect();
-            client.send(unlimited_request(id, list));
+            client.send(request_of_own_customer(id, fields));
             let (endpoint, connection, words) = next_request_of(harness, &mut client);
             self.clients.insert(id, client);
             assert_eq!(request_id(&words), id);
             assert_eq!(
                 self.arrived.insert(id, (endpoint, connection)),
                 None,
-                "request {id} came twice"
+                "request {id} arrived twice"
             );
             endpoints.insert(endpoint);
         }
         endpoints
     }
 
-    /// Replies to all; each client gets its own reply, once.
+    /// Replies to all requests, and checks that each client gets its own reply exactly once.
     fn reply_to_all(mut self, harness: &mut Harness) {
         for (id, (endpoint, connection)) in &self.arrived {
             harness.endpoints[*endpoint].connections[*connection]
@@ -232,7 +239,7 @@
         assert_eq!(
             harness.program.open().requests,
             0,
-            "no request is open any more"
+            "no request is still open"
         );
         harness.advance(5000);
         assert!(
@@ -240,26 +247,30 @@
                 .endpoints
                 .iter_mut()
                 .all(|endpoint| endpoint.next_command().is_none()),
-            "none was retried"
+            "no request was retried"
         );
         for (id, client) in &mut self.clients {
             client.read();
-            assert_eq!(client.received_text(), "", "request {id} had one reply");
+            assert_eq!(
+                client.received_text(),
+                "",
+                "request {id} got a second reply"
+            );
         }
     }
 }
 
 #[test]
 fn moving_a_route_loses_and_repeats_no_request_in_flight() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let read = format!("{READ_FIELDS},route=a");
     let write = format!("{WRITE_FIELDS},route=a");
     let mut in_flight = InFlight::default();
     assert_eq!(in_flight.send(&mut harness, 0..2, &read), [0].into());
     assert_eq!(in_flight.send(&mut harness, 2..3, &write), [0].into());
-    reload(
+    reload_operator_file(
         &mut harness,
-        &TWO.replace(
+        &TWO_SERVICES.replace(
             "route \"a\" service=\"forms\"",
             "route \"a\" service=\"orders\"",
         ),
@@ -267,7 +278,7 @@
     assert_eq!(
         in_flight.send(&mut harness, 3..5, &read),
         [1].into(),
-        "new requests go by the new file"
+        "new requests are routed by the new file"
     );
     assert_eq!(in_flight.send(&mut harness, 5..6, &write), [1].into());
     in_flight.reply_to_all(&mut harness);
@@ -275,7 +286,7 @@
 
 #[test]
 fn moving_endpoints_loses_and_repeats_no_request_in_flight() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let (a, b) = (
         format!("{READ_FIELDS},route=a"),
         format!("{READ_FIELDS},route=eu/b"),
@@ -283,11 +294,11 @@
     let mut in_flight = InFlight::default();
     assert_eq!(in_flight.send(&mut harness, 0..2, &a), [0].into());
     assert_eq!(in_flight.send(&mut harness, 2..4, &b), [1].into());
-    let exchanged = TWO
+    let exchanged = TWO_SERVICES
         .replace("s-0", "s-x")
         .replace("s-1", "s-0")
         .replace("s-x", "s-1");
-    reload(&mut harness, &exchanged);
+    reload_operator_file(&mut harness, &exchanged);
     assert_eq!(in_flight.send(&mut harness, 4..5, &a), [1].into());
     assert_eq!(in_flight.send(&mut harness, 5..6, &b), [0].into());
     in_flight.reply_to_all(&mut harness);
@@ -297,41 +308,41 @@
 fn reloads_add_and_remove_services_while_requests_are_in_flight() {
     let mut harness = harness("");
     let mut in_flight = InFlight::default();
-    // Without the section a route is an unknown field, which is ignored.
+    // Without the `services` section, a route is an unknown field and is ignored.
     in_flight.send(&mut harness, 0..1, &format!("{READ_FIELDS},route=odd"));
-    reload(&mut harness, TWO);
+    reload_operator_file(&mut harness, TWO_SERVICES);
     assert_eq!(
         in_flight.send(&mut harness, 1..3, &format!("{READ_FIELDS},route=eu/b")),
         [1].into()
     );
-    reload(&mut harness, "");
+    reload_operator_file(&mut harness, "");
     in_flight.send(&mut harness, 3..4, &format!("{READ_FIELDS},route=odd"));
     in_flight.reply_to_all(&mut harness);
 }
 
 #[test]
 fn a_reload_with_an_error_keeps_the_services_in_force() {
-    let mut harness = harness(TWO);
+    let mut harness = harness(TWO_SERVICES);
     let mut client = harness.connect();
     let invalid_files = [
-        TWO.replace(
+        TWO_SERVICES.replace(
             "route \"a\" service=\"forms\"",
             "route \"a\" service=\"ordrs\"",
         ),
-        TWO.replace("route \"a\"", "route \"eu/b\""),
-        TWO.replace("{ servers \"s-0\" }", ""),
-        TWO.replace("s-0", "s-1"),
-        TWO.replace("services {", "services {\nmost 1"),
+        TWO_SERVICES.replace("route \"a\"", "route \"eu/b\""),
+        TWO_SERVICES.replace("{ servers \"s-0\" }", ""),
+        TWO_SERVICES.replace("s-0", "s-1"),
+        TWO_SERVICES.replace("services {", "services {\nmost 1"),
     ];
     for (invalid, id) in invalid_files.iter().zip((0..).step_by(2)) {
-        reload(&mut harness, invalid);
+        reload_operator_file(&mut harness, invalid);
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, routed(id, "a")),
+            endpoint_of(&mut harness, &mut client, routed_request(id, "a")),
             0,
             "{invalid}"
         );
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, routed(id + 1, "eu/b")),
+            endpoint_of(&mut harness, &mut client, routed_request(id + 1, "eu/b")),
             1,
             "{invalid}"
         );
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -1,26 +1,27 @@
-//! Graceful shutdown: what is accepted, finished and rejected after SIGTERM.
+//! Graceful shutdown: which connections are accepted and which requests are completed or rejected
+//! after SIGTERM.
 
 mod common;
 
 use common::*;
 use std::time::Duration;
 
-/// SIGTERM, and the time in which new connections are accepted is over.
+/// Begins the shutdown, and advances past the time in which new connections are still accepted.
 fn begin_drain(harness: &mut Harness) {
     harness.program.shut_down();
     harness.advance(601);
 }
 
-fn run_until_ended(harness: &mut Harness) {
-    let mut goes_on = true;
-    harness.run_until("the end", |s| {
-        goes_on = goes_on && s.run_iteration();
-        !goes_on
+fn run_until_exit(harness: &mut Harness) {
+    let mut is_running = true;
+    harness.run_until("the exit", |s| {
+        is_running = is_running && s.run_iteration();
+        !is_running
     });
 }
 
 #[test]
-fn shutdown_accepts_for_a_while_finishes_open_requests_and_ends() {
+fn shutdown_accepts_connections_for_a_while_completes_open_requests_and_exits() {
     let mut harness = Harness::new(1);
     let mut held = harness.connect();
     held.send(read_request(1));
@@ -34,7 +35,7 @@
     let (_, c2, _) = harness.next_request();
     harness.advance(601);
     harness.run_until_closed(&mut idle);
-    assert_eq!(harness.program.address(), None, "nothing new is accepted");
+    assert_eq!(harness.program.address(), None, "the listener is closed");
     assert!(held.is_open && late.is_open);
     for (client, c) in [(&mut held, c), (&mut late, c2)] {
         harness.endpoints[0].connections[c].send(served_reply("v"));
@@ -42,15 +43,15 @@
         harness.run_until_closed(client);
     }
     drop((held, idle, late));
-    let mut goes_on = true;
-    harness.run_until("the end", |s| {
-        goes_on = goes_on && s.run_iteration();
-        !goes_on
+    let mut is_running = true;
+    harness.run_until("the exit", |s| {
+        is_running = is_running && s.run_iteration();
+        !is_running
     });
 }
 
 #[test]
-fn a_command_half_read_at_the_drain_is_rejected_at_once() {
+fn a_command_read_in_part_when_the_drain_begins_is_rejected_at_once() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     let command = read_request(1);
@@ -64,7 +65,7 @@
         client.is_open
     });
     client.send(&command[40..]);
-    // If forwarded, it might reach an endpoint that hangs past SIGKILL.
+    // If it were forwarded to an endpoint that hangs, SIGKILL could come before its reply.
     assert_eq!(harness.read_line(&mut client), "-BUSY\r\n");
     harness.run_until_closed(&mut client);
     assert_eq!(harness.endpoints[0].next_command(), None);
@@ -89,27 +90,30 @@
 }
 
 #[test]
-fn a_new_client_in_the_backlog_at_the_drain_is_read_before_its_connection_ends() {
+fn a_new_client_in_the_backlog_when_the_drain_begins_is_read_before_its_connection_is_closed() {
     let mut harness = Harness::new(1);
     harness.program.shut_down();
     let (mut requesting, mut silent) = (harness.connect(), harness.connect());
-    // Both are still in the listener's queue.
+    // Both connections are still in the listener's backlog.
     harness.advance(601);
     requesting.send(read_request(1));
     assert_eq!(harness.read_line(&mut requesting), "-BUSY\r\n");
     harness.run_until_closed(&mut requesting);
     silent.read();
-    assert!(silent.is_open, "its first request may be on its way");
+    assert!(
+        silent.is_open,
+        "the first request of the silent client may still arrive"
+    );
     harness.advance(201);
     harness.run_until_closed(&mut silent);
     drop((requesting, silent));
-    run_until_ended(&mut harness);
+    run_until_exit(&mut harness);
 }
 
 #[test]
 fn new_clients_without_a_descriptor_are_rejected_before_the_listener_closes() {
     let mut harness = Harness::with_descriptors(1, 48);
-    // Every client waits for an endpoint.
+    // The clients hold all descriptors while their requests wait for an endpoint.
     let mut held = Vec::new();
     for id in 0..60 {
         let mut client = harness.connect();
@@ -130,11 +134,11 @@
 }
 
 #[test]
-fn requests_awaiting_counter_connect_or_retry_at_sigterm_are_served_before_the_end() {
-    for waits_for in ["counter", "connect", "retry"] {
+fn requests_awaiting_counter_connect_or_retry_at_sigterm_are_served_before_the_exit() {
+    for awaited in ["counter", "connect", "retry"] {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
-        match waits_for {
+        match awaited {
             "counter" => {
                 harness.counter.mode = CounterMode::Silent;
                 client.send(read_request(1));
@@ -145,7 +149,7 @@
             "connect" => {
                 harness.endpoints.iter_mut().for_each(Peer::stop_accepting);
                 client.send(read_request(1));
-                harness.run_until("the connection is begun", |s| {
+                harness.run_until("the ingress begins to connect", |s| {
                     s.program.open().upstream_connections == 1
                 });
                 harness.program.shut_down();
@@ -168,15 +172,15 @@
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.run_until_closed(&mut client);
         drop(client);
-        run_until_ended(&mut harness);
+        run_until_exit(&mut harness);
     }
 }
 
 #[test]
-fn requests_on_a_hung_endpoint_are_replied_to_before_the_end() {
+fn requests_on_a_hung_endpoint_are_replied_to_before_the_exit() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    // Two are pending, longer than the process will run.
+    // Two requests are open whose deadlines are later than the end of the process.
     client.send(request(
         "API.READ",
         1,
@@ -190,8 +194,8 @@
         &READ_FIELDS.replace("d=3000", "d=60000"),
     ));
     harness.next_request();
-    let mut half = harness.connect();
-    half.send(&read_request(3)[..40]);
+    let mut incomplete = harness.connect();
+    incomplete.send(&read_request(3)[..40]);
     harness.run_iteration();
     begin_drain(&mut harness);
     client.read();
@@ -202,11 +206,11 @@
     harness.run_until_closed(&mut client);
     let _hangs = &harness.endpoints[s];
     harness.now += Duration::from_millis(501);
-    run_until_ended(&mut harness);
+    run_until_exit(&mut harness);
 }
 
 #[test]
-fn a_reply_half_written_at_the_end_continues_for_a_reading_client_and_delays_no_end() {
+fn a_partly_written_reply_is_completed_for_a_reading_client_and_does_not_delay_the_exit() {
     for reads in [true, false] {
         let mut harness = Harness::new(1);
         let mut client = Connection::with_small_buffers(harness.program.address().unwrap());
@@ -231,12 +235,12 @@
         } else {
             harness.now += Duration::from_millis(501);
         }
-        run_until_ended(&mut harness);
+        run_until_exit(&mut harness);
     }
 }
 
 #[test]
-fn sighup_beside_sigterm_migrates_open_requests_and_the_process_still_ends() {
+fn sighup_around_sigterm_loses_no_open_request_and_the_process_still_exits() {
     for first in ["hup", "term"] {
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
@@ -256,6 +260,6 @@
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.run_until_closed(&mut client);
         drop(client);
-        run_until_ended(&mut harness);
+        run_until_exit(&mut harness);
     }
 }
--- a/crates/ingress/tests/soak.rs
+++ b/crates/ingress/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short soaks of real daemons. `roseyard-testbed soak --seeds 50` plays longer ones.
+//! Short soak tests of real ingress processes. `roseyard-testbed soak --seeds 50` runs longer ones.
 
 use roseyard_testbed::soak::{run, SoakOptions};
 use std::time::Duration;
--- a/crates/ingress/tests/stored_status.rs
+++ b/crates/ingress/tests/stored_status.rs
@@ -26,9 +26,9 @@
 
 #[test]
 fn a_stored_status_is_shown_as_a_table() {
-    let shown = status(&[]);
-    assert!(shown.status.success());
-    let text = String::from_utf8(shown.stdout).expect("the table is text");
+    let output = status(&[]);
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("the table is text");
     let (head, table) = text.split_once('\n').expect("a head line and a table");
     assert!(
         head.starts_with("n0 on 127.0.0.1:46363, written "),
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn a_stored_status_is_passed_on_as_json() {
-    let shown = status(&["--json"]);
-    assert!(shown.status.success());
-    let text = String::from_utf8(shown.stdout).expect("JSON is text");
+fn a_stored_status_is_printed_unchanged_as_json() {
+    let output = status(&["--json"]);
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("JSON is text");
     assert_eq!(text.trim_end(), STORED.trim_end());
 }
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -1,23 +1,25 @@
-//! The literal bytes that an ingress writes to endpoints, counter, discovery and clients.
+//! The exact bytes that an ingress writes to endpoints, the counter, discovery and clients.
 
 mod common;
 
 use common::*;
 use std::time::Duration;
 
-/// The commands of clients, byte by byte as they stand on the wire.
-const READ: &str = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
+/// The commands of clients, byte for byte as they are sent.
+const READ_COMMAND: &str =
+    "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
                     $54\r\nc=form-load,t=seedling,d=3000,units=1,spread=1,first=0\r\n";
-const WRITE: &str = "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
+const WRITE_COMMAND: &str = "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
                      $70\r\nc=submit,t=seedling,d=3000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0\r\n\
                      $4\r\nbody\r\n";
 
-/// Waits until an endpoint has been sent something that ends like this; connection and bytes.
+/// Runs until the endpoint has received bytes that end with `end`. Returns the connection and the
+/// bytes.
 fn bytes_at_endpoint(harness: &mut Harness, end: &str) -> (usize, String) {
     let mut found = None;
     harness.run_until("bytes at the endpoint", |s| {
-        let ends = s.endpoints[0].connections.iter_mut().enumerate();
-        found = ends
+        let connections = s.endpoints[0].connections.iter_mut().enumerate();
+        found = connections
             .filter(|(_, e)| e.received_text().ends_with(end))
             .map(|(n, e)| (n, String::from_utf8(std::mem::take(&mut e.input)).unwrap()))
             .next();
@@ -30,7 +32,7 @@
 fn a_read_is_forwarded_with_its_deadline_replaced() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(READ);
+    client.send(READ_COMMAND);
     let (connection, bytes) = bytes_at_endpoint(&mut harness, "first=0\r\n");
     assert_eq!(
         bytes,
@@ -45,7 +47,7 @@
 fn a_write_is_forwarded_with_its_body_and_its_deadline_replaced() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(WRITE);
+    client.send(WRITE_COMMAND);
     let (connection, bytes) = bytes_at_endpoint(&mut harness, "body\r\n");
     assert_eq!(
         bytes,
@@ -62,13 +64,13 @@
     let mut harness = Harness::new(1);
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
-    client.send(READ);
+    client.send(READ_COMMAND);
     harness.run_until("a counter call", |s| {
-        let ends = &s.counter.peer.connections;
-        ends.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
+        let connections = &s.counter.peer.connections;
+        connections.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
     });
-    let ends = &harness.counter.peer.connections;
-    let call = ends
+    let connections = &harness.counter.peer.connections;
+    let call = connections
         .iter()
         .map(Connection::received_text)
         .find(|t| !t.is_empty());
@@ -90,10 +92,11 @@
         1024,
     );
     let clock = roseyard_ingress::clock::Clock::start();
-    let read = roseyard_ingress::program::config::Config::parse(text.into(), |_| None).unwrap();
+    let new_config =
+        roseyard_ingress::program::config::Config::parse(text.into(), |_| None).unwrap();
     drop(old);
     harness.program =
-        roseyard_ingress::program::Program::start(&read, &operator_file(""), clock).unwrap();
+        roseyard_ingress::program::Program::start(&new_config, &operator_file(""), clock).unwrap();
     harness.now = clock.now();
     let start = std::time::Instant::now();
     let mut request = String::new();
@@ -125,13 +128,13 @@
     let mut harness = Harness::new(1);
     harness.restart_with_replacements(&[("\"Probes\":false", "\"Probes\":true")]);
     let mut client = harness.connect();
-    client.send(READ);
+    client.send(READ_COMMAND);
     bytes_at_endpoint(&mut harness, "first=0\r\n");
     let mut sent = None;
     for _ in 0..200 {
         harness.advance(10);
-        let mut ends = harness.endpoints[0].connections.iter();
-        sent = ends
+        let mut connections = harness.endpoints[0].connections.iter();
+        sent = connections
             .find(|e| !e.input.is_empty())
             .map(|e| e.received_text().to_owned());
         if sent.as_ref().is_some_and(|t| t.ends_with("load\r\n")) {
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn clients_are_sent_the_reply_of_each_kind_in_full() {
+fn clients_are_sent_the_exact_reply_to_each_command() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     for (command, reply) in [
@@ -168,22 +171,22 @@
 }
 
 #[test]
-fn a_client_is_sent_loading_until_discovery_has_answered() {
+fn a_client_is_sent_loading_until_discovery_has_replied() {
     let mut harness = Harness::new(1);
     harness.discovery_replies = false;
     harness.restart_with_replacements(&[]);
     let mut client = harness.connect();
     client.send("*1\r\n$4\r\nPING\r\n");
     harness.expect_reply(&mut client, "-LOADING waiting for discovery\r\n");
-    client.send(READ);
+    client.send(READ_COMMAND);
     harness.expect_reply(&mut client, "-BUSY\r\n");
 }
 
 #[test]
-fn a_client_is_sent_failed_when_the_endpoint_answers_with_an_error() {
+fn a_client_is_sent_failed_when_the_endpoint_replies_with_an_error() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(WRITE);
+    client.send(WRITE_COMMAND);
     let (connection, _) = bytes_at_endpoint(&mut harness, "body\r\n");
     harness.endpoints[0].connections[connection].send("-ERR failed\r\n");
     harness.expect_reply(&mut client, "-ERR failed\r\n");
@@ -193,11 +196,11 @@
 fn during_shutdown_a_request_is_rejected_and_one_without_a_reply_fails() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(READ);
+    client.send(READ_COMMAND);
     bytes_at_endpoint(&mut harness, "first=0\r\n");
     harness.program.shut_down();
     harness.advance(600);
-    client.send(READ.replace("0000000000000007", "0000000000000009"));
+    client.send(READ_COMMAND.replace("0000000000000007", "0000000000000009"));
     harness.advance(50);
     harness.advance(5_000);
     harness.run_until_closed(&mut client);
