--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors of the operator's file. Each has its position in the file and, where possible, a help text
-//! with the allowed values.
+//! Errors of the operator's file. Each has its position in the file and, where possible, a help
+//! text with the allowed values.
 
 use miette::{
     Diagnostic, GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, SourceSpan,
@@ -145,7 +145,7 @@
         self.iter().map(ConfigError::to_string).collect()
     }
 
-    /// Returns a report for a terminal, which shows each error with the line of the file that it is in.
+    /// Returns a report for a terminal, which shows each error with its line of the file.
     #[must_use]
     pub fn report(&self) -> String {
         let handler = GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor());
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -13,8 +13,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Maximum size of a file. It is sufficient for the services of a large platform with a uid for each
-/// server.
+/// Maximum size of a file. It is sufficient for the services of a large platform with a uid for
+/// each server.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
 /// An operator's file without errors.
@@ -40,7 +40,8 @@
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, is larger than 4 MiB, or [`OperatorFile::parse`] finds errors in it.
+    /// Returns an error if the file cannot be read, is larger than 4 MiB, or
+    /// [`OperatorFile::parse`] finds errors in it.
     pub fn load(path: &Path) -> Result<OperatorFile, OperatorFileError> {
         let io_error = |source| OperatorFileError::Io {
             path: path.to_owned(),
@@ -56,12 +57,13 @@
         Ok(OperatorFile::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Parses and checks the text of a file. Errors and the sources of settings refer to the file as
-    /// `name`.
+    /// Parses and checks the text of a file. Errors and the sources of settings refer to the file
+    /// as `name`.
     ///
     /// # Errors
     ///
-    /// All errors in the file, in the order of their positions; only the syntax errors if there are any.
+    /// Returns all errors in the file, in the order of their positions. If there are syntax errors,
+    /// returns only these.
     pub fn parse(name: &str, text: &str) -> Result<OperatorFile, ConfigErrors> {
         let source = Arc::new(NamedSource::new(name, text.to_owned()));
         let document = KdlDocument::parse_v2(text).map_err(|error| {
@@ -80,7 +82,8 @@
     ///
     /// # Errors
     ///
-    /// If settings contradict one another, or guarantee more descriptors than the process may have.
+    /// Returns an error if settings contradict each other or guarantee more descriptors than the
+    /// process may have.
     pub fn resolve(&self, machine: &MachineLimits) -> Result<OperatorSettings, ConfigErrors> {
         let mut effective = OperatorSettings::new(machine);
         self.given.apply_to(&mut effective);
@@ -93,9 +96,9 @@
         Ok(effective)
     }
 
-    /// Returns an error if the timeout of direct probes is longer than half of the probe interval. Such
-    /// a timeout would leave too little time for the answers to indirect probes, which are sent after
-    /// it within the same interval.
+    /// Returns an error if the timeout of direct probes is longer than half of the probe interval.
+    /// Such a timeout would leave too little time for the answers to indirect probes, which are
+    /// sent after it within the same interval.
     fn check_probe_timeout(&self, effective: &OperatorSettings) -> Result<(), ConfigErrors> {
         let membership = &effective.membership;
         if membership.probe_timeout * 2 <= membership.probe_interval {
@@ -118,8 +121,8 @@
         Err(self.error(span, insufficient, help))
     }
 
-    /// Returns an error at this position; at the beginning of the file if there is none, as the file
-    /// does not set any of the settings concerned.
+    /// Returns an error at this position; at the beginning of the file if there is none, as the
+    /// file does not set any of the settings concerned.
     fn error(&self, span: Option<SourceSpan>, message: impl ToString, help: &str) -> ConfigErrors {
         let span = span.unwrap_or((0, 0).into());
         let error = ConfigError::new(&self.source, span, message.to_string());
@@ -132,12 +135,12 @@
         &self.services
     }
 
-    /// Returns a row for each setting, with its effective value on such a machine and its source, by
-    /// section.
+    /// Returns a row for each setting, with its source and its effective value on a machine with
+    /// these limits. The rows are ordered by section.
     ///
     /// # Errors
     ///
-    /// The same as those of [`OperatorFile::resolve`].
+    /// Returns the same errors as [`OperatorFile::resolve`].
     pub fn setting_rows(&self, machine: &MachineLimits) -> Result<Vec<SettingRow>, ConfigErrors> {
         let effective = self.resolve(machine)?;
         let defaults = OperatorSettings::new(machine);
--- a/crates/operator-config/src/given_settings.rs
+++ b/crates/operator-config/src/given_settings.rs
@@ -14,7 +14,8 @@
     span: SourceSpan,
 }
 
-/// The settings that a file sets, by section and name. Settings without an entry have their default.
+/// The settings that a file sets, by section and name. Settings without an entry have their
+/// default.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GivenSettings {
     settings: BTreeMap<(&'static str, &'static str), GivenSetting>,
@@ -32,16 +33,16 @@
         Some(given.span)
     }
 
-    /// Returns the position of the setting of a section whose name is the first in alphabetical order;
-    /// `None` if the file sets nothing in the section.
+    /// Returns the position of the setting of a section whose name is the first in alphabetical
+    /// order; `None` if the file sets nothing in the section.
     pub(crate) fn first_span_of(&self, section: &str) -> Option<SourceSpan> {
         let mut settings = self.settings.iter();
         let (_, first) = settings.find(|((given, _), _)| *given == section)?;
         Some(first.span)
     }
 
-    /// Returns the dependencies that are not met, as the required setting is missing or `#false`, with
-    /// the position of the setting that has no effect for this reason.
+    /// Returns the dependencies that are not met, as the required setting is missing or `#false`,
+    /// with the position of the setting that has no effect for this reason.
     pub(crate) fn unmet_dependencies(
         &self,
     ) -> impl Iterator<Item = (&'static Dependency, SourceSpan)> + '_ {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operator's configuration file, written in KDL (version 2), and the set-up of logging.
 //!
 //! [`OperatorFile`] is a parsed and checked file. [`OperatorFile::resolve`] returns the effective
-//! [`OperatorSettings`], and [`OperatorFile::setting_rows`] returns each of them with its source and
-//! description. [`ConfigErrors`] contains all errors of a file, with their positions and the allowed
-//! values.
+//! [`OperatorSettings`], and [`OperatorFile::setting_rows`] returns each of them with its source
+//! and description. [`ConfigErrors`] contains all errors of a file, with their positions and the
+//! allowed values.
 //!
 //! ```
 //! use roseyard_operator_config::{MachineLimits, OperatorFile};
--- a/crates/operator-config/src/log/mod.rs
+++ b/crates/operator-config/src/log/mod.rs
@@ -13,7 +13,8 @@
 pub use rate_limited_writer::{LineWriter, RateLimitedWriter};
 
 /// Installs the subscriber of the process, which writes events of the level info and above to
-/// standard error, up to `max_lines_per_second`. Has no effect if a subscriber is already installed.
+/// standard error, up to `max_lines_per_second`. Has no effect if a subscriber is already
+/// installed.
 pub fn init(format: LogFormat, max_lines_per_second: u32) {
     let start = Instant::now();
     let now_s = move || start.elapsed().as_secs();
--- a/crates/operator-config/src/log/rate_limited_writer.rs
+++ b/crates/operator-config/src/log/rate_limited_writer.rs
@@ -5,8 +5,8 @@
 use std::sync::{Mutex, PoisonError};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Provides a writer for each log line. Lines that exceed the limit within one second are dropped; a
-/// line with their number is written before the first line of a later second.
+/// Provides a writer for each log line. Lines that exceed the limit within one second are dropped;
+/// a line with their number is written before the first line of a later second.
 pub struct RateLimitedWriter<W, C> {
     make_writer: W,
     format: LogFormat,
@@ -25,8 +25,8 @@
 }
 
 impl<W, C: Fn() -> u64> RateLimitedWriter<W, C> {
-    /// Returns a writer that writes each line to a writer from `make_writer`. `now_s` is the clock: it
-    /// returns whole seconds since any fixed time.
+    /// Returns a writer that writes each line to a writer from `make_writer`. `now_s` is the clock:
+    /// it returns whole seconds since any fixed time.
     pub fn new(
         make_writer: W,
         format: LogFormat,
--- a/crates/operator-config/src/schema/admission.rs
+++ b/crates/operator-config/src/schema/admission.rs
@@ -27,7 +27,7 @@
         section: "admission",
         name: "reserve",
         kind: ValueKind::Ratio,
-        description: "ratio of 'places' on which new clients may hold idle connections, but no connections with open requests",
+        description: "part of 'places', as a ratio, that new clients may use for idle connections but not for connections with open requests",
         apply: |settings, value| {
             settings.policy.reserve = connections_from_ratio(settings.policy.capacity, value.number());
         },
@@ -37,7 +37,7 @@
         section: "admission",
         name: "silent-room",
         kind: ValueKind::Ratio,
-        description: "maximum of idle connections that have sent no command, as a ratio of 'places'; beyond it the one idle for longest is closed",
+        description: "maximum number of idle connections that have sent no command, as a ratio of 'places'; beyond it, the connection that has been idle for longest is closed",
         apply: |settings, value| {
             let connections = connections_from_ratio(settings.policy.capacity, value.number());
             settings.policy.max_idle_without_request = connections.max(1);
@@ -48,7 +48,7 @@
         section: "admission",
         name: "once-room",
         kind: ValueKind::Ratio,
-        description: "maximum of idle connections that have sent one command, as a ratio of 'places'; beyond it the one idle for longest is closed",
+        description: "maximum number of idle connections that have sent one command, as a ratio of 'places'; beyond it, the connection that has been idle for longest is closed",
         apply: |settings, value| {
             let connections = connections_from_ratio(settings.policy.capacity, value.number());
             settings.policy.max_idle_after_one_request = connections.max(1);
@@ -67,7 +67,7 @@
         section: "admission",
         name: "per-client",
         kind: ValueKind::Count(1, 1 << 20),
-        description: "maximum number of open connections of one client address (requires by-address)",
+        description: "maximum number of open connections of one client address; requires by-address",
         apply: |settings, value| settings.policy.max_per_client = Some(value.count() as u32),
         format: |settings| optional(settings.policy.max_per_client),
     },
@@ -75,7 +75,7 @@
         section: "admission",
         name: "per-neighbourhood",
         kind: ValueKind::Count(1, 1 << 20),
-        description: "maximum number of open connections of one network, as defined by 'prefixes' (requires by-address)",
+        description: "maximum number of open connections of one network, as defined by 'prefixes'; requires by-address",
         apply: |settings, value| settings.policy.max_per_network = Some(value.count() as u32),
         format: |settings| optional(settings.policy.max_per_network),
     },
@@ -83,7 +83,7 @@
         section: "admission",
         name: "rate-client",
         kind: ValueKind::Rate,
-        description: "maximum rate of new connections of one client address, per second (requires by-address)",
+        description: "maximum rate of new connections of one client address, per second; requires by-address",
         apply: |settings, value| settings.policy.client_connect_rate = value.rate(),
         format: |settings| rate(settings.policy.client_connect_rate),
     },
@@ -91,7 +91,7 @@
         section: "admission",
         name: "rate-neighbourhood",
         kind: ValueKind::Rate,
-        description: "maximum rate of new connections of one network, as defined by 'prefixes', per second (requires by-address)",
+        description: "maximum rate of new connections of one network, as defined by 'prefixes', per second; requires by-address",
         apply: |settings, value| settings.policy.network_connect_rate = value.rate(),
         format: |settings| rate(settings.policy.network_connect_rate),
     },
@@ -99,7 +99,7 @@
         section: "admission",
         name: "pace-newcomers",
         kind: ValueKind::Rate,
-        description: "maximum rate of requests of all new clients together, per second; excess requests are rejected with a time to retry after",
+        description: "maximum rate of requests of all new clients together, per second; excess requests are rejected with a retry time",
         apply: |settings, value| settings.policy.new_client_request_rate = value.rate(),
         format: |settings| rate(settings.policy.new_client_request_rate),
     },
@@ -107,7 +107,7 @@
         section: "admission",
         name: "prefixes",
         kind: ValueKind::PrefixLengths,
-        description: "number of address bits that identify a network (v4, v6) and an IPv6 client (v6-client) (requires by-address)",
+        description: "number of address bits that identify a network (v4, v6) and an IPv6 client (v6-client); requires by-address",
         apply: |settings, value| {
             let lengths = &mut settings.policy.prefix_lengths;
             let given = |name, default: u8| value.property(name).map_or(default, |bits| bits as u8);
@@ -172,7 +172,7 @@
         section: "admission",
         name: "vouched",
         kind: ValueKind::Count(0, 1 << 16),
-        description: "maximum number of open connections of one known customer that rank, before their second command, like connections that have sent several; 0 trusts no customer",
+        description: "maximum number of open connections per known customer that are evicted only after other connections that have sent one command; 0 trusts no customer",
         apply: |settings, value| {
             settings.policy.customer_trusted_connections = value.count() as u32;
         },
--- a/crates/operator-config/src/schema/descriptors.rs
+++ b/crates/operator-config/src/schema/descriptors.rs
@@ -40,7 +40,7 @@
         section: "descriptors",
         name: "clients",
         kind: ValueKind::Limits(1 << 20),
-        description: "file descriptors for client connections: guaranteed minimum (least) and maximum (most)",
+        description: "file descriptors for client connections: guaranteed minimum (least) and maximum (most); those above the minimum are available while other uses leave them unused",
         apply: |settings, value| {
             set_limits(settings, DescriptorUse::Clients, value);
             let max_clients = settings.descriptor_limits_of(DescriptorUse::Clients).max;
@@ -52,7 +52,7 @@
         section: "descriptors",
         name: "links",
         kind: ValueKind::Limits(1 << 20),
-        description: "file descriptors for connections to servers: guaranteed minimum (least) and maximum (most); those above the minimum are borrowed from unused ones",
+        description: "file descriptors for connections to servers: guaranteed minimum (least) and maximum (most); those above the minimum are available while other uses leave them unused",
         apply: |settings, value| set_limits(settings, DescriptorUse::Upstream, value),
         format: |settings| limits(settings.descriptor_limits_of(DescriptorUse::Upstream)),
     },
--- a/crates/operator-config/src/schema/log.rs
+++ b/crates/operator-config/src/schema/log.rs
@@ -11,7 +11,7 @@
         name: "lines",
         kind: ValueKind::Count(1, 100_000),
         description:
-            "maximum number of log lines per second; excess lines are dropped and counted (takes effect after a restart)",
+            "maximum number of log lines per second; excess lines are dropped and counted; takes effect after a restart",
         apply: |settings, value| settings.max_log_lines_per_second = value.count() as u32,
         format: |settings| settings.max_log_lines_per_second.to_string(),
     },
@@ -19,7 +19,7 @@
         section: "log",
         name: "format",
         kind: ValueKind::OneOf(&["text", "json"]),
-        description: "format of log lines; the option --log takes precedence (takes effect after a restart)",
+        description: "format of log lines; the option --log takes precedence; takes effect after a restart",
         apply: |settings, value| {
             settings.log_format = if value.text() == "json" {
                 LogFormat::Json
--- a/crates/operator-config/src/services/build_directory.rs
+++ b/crates/operator-config/src/services/build_directory.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Adds errors for a section without services, for routes without a route field, and for a section
-    /// in which no request would have a service.
+    /// Adds errors for a section without services, for routes without a route field, and for a
+    /// section in which no request would have a service.
     fn check_section(&mut self, section: SourceSpan) {
         if self.services.is_empty() {
             self.errors.add_with_help(
@@ -86,8 +86,8 @@
                     self.errors.add_duplicate(span, &message, first);
                 }
             }
-            // The default service needs no servers of its own, since servers that no service declares
-            // belong to it.
+            // The default service needs no servers of its own, since servers that no service
+            // declares belong to it.
             if !line.has_servers_line && default.as_ref() != Some(name) {
                 self.errors.add_with_help(
                     span,
--- a/crates/operator-config/src/services/reader.rs
+++ b/crates/operator-config/src/services/reader.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Records the position of a line that may occur only once. Adds an error and returns false if it
-    /// has occurred before.
+    /// Records the position of a line that may occur only once. Adds an error and returns false if
+    /// it has occurred before.
     fn record_first_line(&mut self, name: &'static str, node: &KdlNode) -> bool {
         let span = node.name().span();
         let Some(first) = self.first_line_spans.get(name).copied() else {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Returns the only value of a line that has no properties. Adds an error and returns `None` for
-    /// any other line.
+    /// Returns the only value of a line that has no properties. Adds an error and returns `None`
+    /// for any other line.
     fn single_value<'n>(&mut self, node: &'n KdlNode) -> Option<&'n KdlEntry> {
         let name = node.name().value();
         let mut entries = node.entries().iter();
@@ -258,17 +258,17 @@
         let (Some(route), Some(service)) = (route, service) else {
             return;
         };
-        // Requests contain the route in a list that is separated by commas.
+        // The route is one field of a request, and commas separate the fields.
         if route.text.contains(',') {
             return self.errors.add_message(route.span, || {
-                "a route must not contain ','; no request could name it".to_owned()
+                "a route must not contain ',', which separates the fields of a request".to_owned()
             });
         }
         self.routes.push(RouteLine { route, service });
     }
 
-    /// Returns the name and the property `service=` of a line `route`. Adds an error and returns `None`
-    /// if one of them is missing or repeated, or if the line has any other property.
+    /// Returns the name and the property `service=` of a line `route`. Adds an error and returns
+    /// `None` if one of them is missing or repeated, or if the line has any other property.
     fn route_entries<'n>(&mut self, node: &'n KdlNode) -> Option<(&'n KdlEntry, &'n KdlEntry)> {
         let mut names = Vec::new();
         let mut services = Vec::new();
--- a/crates/operator-config/src/services/section.rs
+++ b/crates/operator-config/src/services/section.rs
@@ -93,8 +93,8 @@
             ),
             row(
                 SERVICE,
-                format!("{services} with {selectors} networks, addresses or uids of servers"),
-                "services, each with the networks, addresses or uids of its servers",
+                format!("{services} services with {selectors} networks, addresses or uids"),
+                "services and the networks, addresses or uids that select their servers",
                 "service NAME { servers … }".into(),
             ),
             row(
@@ -117,6 +117,6 @@
         let services = self.directory.service_count();
         let routes = self.directory.route_count();
         let selectors = self.directory.selector_count();
-        write!(f, "services: {services} services, {routes} routes, {selectors} networks, addresses or uids of servers")
+        write!(f, "services: {services} services, {routes} routes, {selectors} server selectors (networks, addresses or uids)")
     }
 }
--- a/crates/operator-config/src/setting_row.rs
+++ b/crates/operator-config/src/setting_row.rs
@@ -7,8 +7,8 @@
     pub name: String,
     /// The effective value, in the syntax of the file.
     pub value: String,
-    /// The file and line that set the value; `default` if the file does not set it, and `derived from
-    /// other settings` if in addition another setting has changed its default.
+    /// The file and line that set the value; `default` if the file does not set it; `derived from
+    /// other settings` if it is not set but differs from its default because of other settings.
     pub source: String,
     /// What the setting does.
     pub description: &'static str,
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -11,7 +11,7 @@
 pub struct MachineLimits {
     /// Maximum number of file descriptors according to the platform's configuration.
     pub platform_descriptors: usize,
-    /// Maximum number of file descriptors that the system allows: the soft limit of `RLIMIT_NOFILE`.
+    /// Maximum number of file descriptors according to the soft limit of `RLIMIT_NOFILE`.
     pub system_descriptors: usize,
 }
 
@@ -46,8 +46,8 @@
     pub cluster: String,
     /// The file of the key that authenticates datagrams; required if `listen` is set.
     pub key_file: Option<PathBuf>,
-    /// The file of a second key, with which incoming datagrams may be authenticated too while keys are
-    /// rotated.
+    /// The file of a second key, with which incoming datagrams may be authenticated too while keys
+    /// are rotated.
     pub secondary_key_file: Option<PathBuf>,
     /// Addresses of members to which requests to join are sent.
     pub seeds: Vec<SocketAddr>,
@@ -61,15 +61,15 @@
     pub zone: String,
     /// The time between two probes, each of one member; 1 s by default.
     pub probe_interval: Duration,
-    /// The time to wait for the answer to a direct probe before other members are asked to probe; at
-    /// most half of the probe interval. 300 ms by default.
+    /// The time to wait for the answer to a direct probe before other members are asked to probe;
+    /// at most half of the probe interval. 300 ms by default.
     pub probe_timeout: Duration,
     /// The time between two rounds of gossip, which send queued updates; 200 ms by default.
     pub gossip_interval: Duration,
     /// The mean time between two comparisons of all records with one member; 5 s by default.
     pub sync_interval: Duration,
-    /// The minimum suspicion timeout, as a multiple of the probe interval times the decimal logarithm
-    /// (at least 1) of the number of members; 4 by default.
+    /// The minimum suspicion timeout, as a multiple of the probe interval times the decimal
+    /// logarithm (at least 1) of the number of members; 4 by default.
     pub suspicion_multiplier: u32,
     /// The maximum number of datagrams sent per second; excess datagrams are dropped and counted.
     /// 2,000 by default.
@@ -141,8 +141,8 @@
 const FILE_DESCRIPTORS: usize = 2;
 /// Descriptors held unused, which are closed when the system has none left.
 const SPARE_DESCRIPTORS: usize = 1;
-/// Minimum number of descriptors for connections from clients and to servers together, even if fewer
-/// are left.
+/// Minimum number of descriptors for connections from clients and to servers together, even if
+/// fewer are left.
 const MIN_CONNECTION_DESCRIPTORS: usize = 4;
 
 impl OperatorSettings {
--- a/crates/operator-config/src/suggestion.rs
+++ b/crates/operator-config/src/suggestion.rs
@@ -5,8 +5,8 @@
 /// Maximum number of known names that are listed when none is similar.
 const MAX_LISTED_NAMES: usize = 64;
 
-/// Returns a help text with the known name that is most similar to an unknown one, or with a list of
-/// the known names if none is similar.
+/// Returns a help text with the known name that is most similar to an unknown one, or with a list
+/// of the known names if none is similar.
 pub(crate) fn suggest<'a>(unknown: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
     let similarity = |name: &&str| strsim::jaro_winkler(unknown, name);
     let best = known
--- a/crates/operator-config/src/value.rs
+++ b/crates/operator-config/src/value.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 /// A parsed value. Several kinds of settings ([`ValueKind`](crate::value_kind::ValueKind)) share a
-/// variant. The accessors return a neutral value, such as 0, for any other variant; the schema calls
-/// only the accessor that matches the kind of its setting.
+/// variant. The accessors return a neutral value, such as 0, for any other variant; the schema
+/// calls only the accessor that matches the kind of its setting.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Value {
     Flag(bool),
--- a/crates/operator-config/src/value_kind.rs
+++ b/crates/operator-config/src/value_kind.rs
@@ -16,7 +16,8 @@
     /// A duration such as "250ms" or "1h 30m" between a minimum and a maximum, both included and in
     /// milliseconds.
     DurationMs(u64, u64),
-    /// Events per second, with the optional property `burst=`: the number of events allowed at once.
+    /// Events per second, with the optional property `burst=`: the number of events allowed at
+    /// once.
     Rate,
     /// Lengths of address prefixes as properties: `v4=24 v6-client=64 v6=48`, each optional.
     PrefixLengths,
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -126,7 +126,7 @@
 ];
 
 #[test]
-fn each_error_has_its_place_and_what_is_allowed() {
+fn each_error_has_its_position_and_the_allowed_values() {
     for (text, expected) in ERRORS {
         let found = OperatorFile::parse("f", text).unwrap_err().lines();
         assert!(found[0].contains(expected), "{text}: {found:?}");
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn all_errors_are_found_at_once_and_reported_with_their_lines() {
+fn all_errors_are_reported_together_with_their_lines() {
     let errors = OperatorFile::parse(
         "f",
         "// ü\nadmission { plcaes 3; reserve 2 }\nlgo { }\nlog { lines 0 }",
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn guaranteed_descriptors_beyond_the_machine_are_an_error() {
+fn guaranteeing_more_descriptors_than_the_process_has_is_an_error() {
     let file = OperatorFile::parse(
         "f",
         "descriptors { clients least=900 most=900; links least=400 }",
@@ -182,7 +182,7 @@
         .unwrap();
     assert_eq!(
         limited_by_system.descriptors, 64,
-        "never more than the system allows"
+        "the system limit caps the number of descriptors"
     );
 }
 
--- a/crates/operator-config/tests/log.rs
+++ b/crates/operator-config/tests/log.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns what these events write to the log.
-fn logged(format: LogFormat, log_events: impl FnOnce()) -> String {
+fn log_output(format: LogFormat, log_events: impl FnOnce()) -> String {
     let output = Output::default();
     let writer = output.clone();
     let subscriber = subscriber(format, move || writer.clone());
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_text_line_has_level_and_message_and_fields_but_not_the_event_name() {
-    let text = logged(LogFormat::Text, || {
+    let text = log_output(LogFormat::Text, || {
         let address = std::net::Ipv4Addr::LOCALHOST;
         tracing::info!(event = "test.info", count = 3, %address, text = "a b", debug = ?Some("x"), "it happened");
         tracing::warn!(event = "test.warn", "no fields");
@@ -61,7 +61,7 @@
 
 #[test]
 fn line_feeds_in_a_text_line_are_escaped() {
-    let text = logged(LogFormat::Text, || {
+    let text = log_output(LogFormat::Text, || {
         tracing::warn!(
             event = "test.lines",
             error = "first\nsecond",
@@ -77,7 +77,7 @@
 #[test]
 fn events_below_the_level_info_are_not_logged() {
     for format in [LogFormat::Text, LogFormat::Json] {
-        let text = logged(format, || {
+        let text = log_output(format, || {
             tracing::debug!(event = "test.debug", "debug");
             tracing::trace!(event = "test.trace", "trace");
         });
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_json_line_has_the_event_name_and_all_fields() {
-    let text = logged(LogFormat::Json, || {
+    let text = log_output(LogFormat::Json, || {
         tracing::info!(event = "test.json", count = 3, "two\nlines");
     });
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -102,9 +102,9 @@
     assert!(!text.contains("\"target\""), "{text}");
 }
 
-/// Returns the output of ten lines in one second and one line in the next, at a limit of three lines
-/// per second.
-fn rate_limited(format: LogFormat) -> String {
+/// Returns the output of ten lines in one second and one line in the next, at a limit of three
+/// lines per second.
+fn rate_limited_output(format: LogFormat) -> String {
     let output = Output::default();
     let writer = output.clone();
     let now_s = Arc::new(AtomicU64::new(7));
@@ -126,11 +126,11 @@
 #[test]
 fn log_lines_beyond_the_limit_are_counted_in_the_next_second() {
     assert_eq!(
-        rate_limited(LogFormat::Text),
+        rate_limited_output(LogFormat::Text),
         "0\n1\n2\nroseyard: warn: log: 7 lines dropped\nnext\n"
     );
     assert_eq!(
-        rate_limited(LogFormat::Json),
+        rate_limited_output(LogFormat::Json),
         "0\n1\n2\n{\"level\":\"WARN\",\"event\":\"log.dropped\",\"lines\":7,\
         \"message\":\"log: 7 lines dropped\"}\nnext\n"
     );
--- a/crates/operator-config/tests/services.rs
+++ b/crates/operator-config/tests/services.rs
@@ -25,7 +25,7 @@
 }
 ";
 
-fn lines(text: &str) -> Vec<String> {
+fn error_lines(text: &str) -> Vec<String> {
     OperatorFile::parse("f", text).unwrap_err().lines()
 }
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn without_the_section_one_service_holds_everything() {
+fn without_the_section_a_single_service_has_all_routes_and_endpoints() {
     for file in [
         OperatorFile::empty(),
         OperatorFile::parse("f", "admission { places 3 }").unwrap(),
@@ -94,7 +94,7 @@
     let summary = |s| OperatorFile::parse("f", s).unwrap().services().to_string();
     assert_eq!(
         summary(TEXT),
-        "services: 2 services, 2 routes, 5 networks, addresses or uids of servers"
+        "services: 2 services, 2 routes, 5 server selectors (networks, addresses or uids)"
     );
     assert_eq!(
         summary(""),
@@ -124,7 +124,7 @@
             ("services.default", "\"forms\"", "f:4"),
             (
                 "services.service",
-                "2 with 5 networks, addresses or uids of servers",
+                "2 services with 5 networks, addresses or uids",
                 "f:5"
             ),
             ("services.route", "2", "f:10"),
@@ -133,7 +133,7 @@
 }
 
 /// Returns a section with a route field, one valid service and these lines.
-fn with(more: &str) -> String {
+fn section_with(more: &str) -> String {
     format!("services {{\nroute-field \"route\"\nservice \"forms\" {{ servers \"10.1.0.0/16\" \"s-1\" }}\n{more}\n}}")
 }
 
@@ -195,7 +195,7 @@
     ("route \"a\"", "f:4:1: 'route' takes one name and one 'service='; write 'route \"NAME\" service=\"NAME\"'"),
     ("route \"a\" \"b\" service=\"forms\"", "f:4:1: 'route' takes one name and one 'service='"),
     ("route \"a\" to=\"forms\"", "f:4:11: 'route' has no property 'to='"),
-    ("route \"a,b\" service=\"forms\"", "f:4:7: a route must not contain ','; no request could name it"),
+    ("route \"a,b\" service=\"forms\"", "f:4:7: a route must not contain ',', which separates the fields of a request"),
     ("route \"a\" service=\"forms\" { x 1 }", "'route' takes values, not settings in braces"),
     ("route-field \"r\"", "f:4:1: 'route-field' is set twice, first on line 2"),
     ("most 3\nmost 4", "f:5:1: 'most' is set twice, first on line 4"),
@@ -228,15 +228,15 @@
 ];
 
 #[test]
-fn each_error_of_a_line_has_its_place_and_what_is_allowed() {
+fn each_error_of_a_line_has_its_position_and_the_allowed_values() {
     for (more, expected) in LINE_ERRORS {
-        let found = lines(&with(more));
+        let found = error_lines(&section_with(more));
         assert!(
             found.len() == 1 && found[0].contains(expected),
             "{more}: {found:?}, not {expected:?}"
         );
     }
-    let misspelt = lines(&with("service \"b\" { severs \"s-2\" }"));
+    let misspelt = error_lines(&section_with("service \"b\" { severs \"s-2\" }"));
     assert_eq!(
         misspelt,
         [
@@ -247,9 +247,9 @@
 }
 
 #[test]
-fn each_error_of_the_section_has_its_place_and_what_is_allowed() {
+fn each_error_of_the_section_has_its_position_and_the_allowed_values() {
     for (text, expected) in SECTION_ERRORS {
-        let found = lines(text);
+        let found = error_lines(text);
         assert!(
             found.iter().any(|line| line == expected),
             "{text}: {found:?}, not {expected:?}"
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn all_errors_are_found_at_once_in_the_order_of_the_file() {
+fn all_errors_are_reported_together_in_the_order_of_the_file() {
     let text = "services {
     route-field \"route\"
     default \"form\"
@@ -270,7 +270,7 @@
 }
 admission { places 0 }
 ";
-    let places: Vec<String> = lines(text)
+    let places: Vec<String> = error_lines(text)
         .iter()
         .map(|line| line.split(": ").next().unwrap().to_owned())
         .collect();
@@ -291,7 +291,7 @@
 
 /// Returns a section with this many services, each with a network, and this many routes.
 /// `service_of` returns the number of the service that a route belongs to.
-fn large(services: usize, routes: usize, service_of: impl Fn(usize) -> usize) -> String {
+fn large_section(services: usize, routes: usize, service_of: impl Fn(usize) -> usize) -> String {
     let mut text = String::from("services {\nroute-field \"route\"\ndefault \"service-0\"\n");
     for n in 0..services {
         writeln!(
@@ -315,7 +315,7 @@
 
 #[test]
 fn a_file_of_3200_services_and_11000_routes_is_read() {
-    let file = OperatorFile::parse("f", &large(3200, 11_000, |n| n * 7919 % 3200)).unwrap();
+    let file = OperatorFile::parse("f", &large_section(3200, 11_000, |n| n * 7919 % 3200)).unwrap();
     let directory = file.services().directory();
     assert_eq!(
         (directory.service_count(), directory.route_count()),
@@ -328,8 +328,8 @@
 }
 
 #[test]
-fn of_many_errors_the_first_hundred_are_reported_and_the_others_counted() {
-    let errors = lines(&large(50, 1000, |n| n + 50));
+fn the_first_hundred_errors_are_reported_and_the_rest_are_counted() {
+    let errors = error_lines(&large_section(50, 1000, |n| n + 50));
     assert_eq!(errors.len(), 101);
     assert!(errors[0].starts_with("f:54:"), "{}", errors[0]);
     assert!(
