--- a/crates/operator-config/src/log/rate_limited_writer.rs
+++ b/crates/operator-config/src/log/rate_limited_writer.rs
@@ -60,7 +60,8 @@
     }
 }
 
-fn write_dropped_lines(mut writer: impl Write, format: LogFormat, lines: u32) {
+/// Writes a line with the number of lines that were dropped in an earlier second.
+fn write_dropped_count(mut writer: impl Write, format: LogFormat, lines: u32) {
     let _ = match format {
         LogFormat::Text => writeln!(writer, "roseyard: warn: log: {lines} lines dropped"),
         LogFormat::Json => writeln!(
@@ -78,7 +79,7 @@
         let number = (self.now_s)();
         if number != second.number {
             if second.dropped_lines > 0 {
-                write_dropped_lines((self.make_writer)(), self.format, second.dropped_lines);
+                write_dropped_count((self.make_writer)(), self.format, second.dropped_lines);
             }
             *second = SecondCounts {
                 number,
--- a/crates/operator-config/src/services/build_directory.rs
+++ b/crates/operator-config/src/services/build_directory.rs
@@ -14,7 +14,7 @@
 impl Reader<'_> {
     /// Builds the services of the section. Adds the errors of the section to `errors`.
     pub(crate) fn finish(mut self, errors: &mut Vec<ConfigError>) -> Services {
-        let Some(section) = self.section else {
+        let Some(section) = self.section_span else {
             return Services::none();
         };
         let mut directory = Directory::new(DirectoryBounds {
@@ -143,7 +143,8 @@
             }) {
                 Ok(_) => {}
                 Err(DirectoryError::UnknownService { .. }) => {
-                    self.errors.add_if_undeclared(&line.service, &self.declared);
+                    self.errors
+                        .add_if_undeclared(&line.service, &self.declared_services);
                 }
                 Err(error) => self.errors.add_message(span, || error.to_string()),
             }
@@ -155,7 +156,8 @@
         let service = Some(Arc::clone(&default.text));
         let change = DirectoryChange::SetDefault { service };
         if directory.apply(change).is_err() {
-            self.errors.add_if_undeclared(default, &self.declared);
+            self.errors
+                .add_if_undeclared(default, &self.declared_services);
         }
     }
 }
--- a/crates/operator-config/src/services/lines.rs
+++ b/crates/operator-config/src/services/lines.rs
@@ -20,7 +20,7 @@
 pub(super) struct ServiceLine {
     pub service: Name,
     pub selectors: Vec<SelectorEntry>,
-    /// Whether it has a line `servers`, valid or not.
+    /// Whether the service has a line `servers`, valid or not.
     pub has_servers_line: bool,
 }
 
--- a/crates/operator-config/src/services/reader.rs
+++ b/crates/operator-config/src/services/reader.rs
@@ -22,7 +22,7 @@
     /// The position of the first line of each name.
     pub(super) first_line_spans: BTreeMap<&'static str, SourceSpan>,
     /// The position of the section's name; `None` if the file has no such section.
-    pub(super) section: Option<SourceSpan>,
+    pub(super) section_span: Option<SourceSpan>,
     /// The name of the request field that contains the route.
     pub(super) route_field: Option<String>,
     /// The maximum number of services that the file may declare.
@@ -31,7 +31,7 @@
     pub(super) default: Option<Name>,
     pub(super) services: Vec<ServiceLine>,
     /// The names of all services that the file declares, including those beyond the maximum.
-    pub(super) declared: BTreeSet<Arc<str>>,
+    pub(super) declared_services: BTreeSet<Arc<str>>,
     pub(super) routes: Vec<RouteLine>,
 }
 
@@ -41,19 +41,19 @@
         Reader {
             errors: SectionErrors::new(source),
             first_line_spans: BTreeMap::new(),
-            section: None,
+            section_span: None,
             route_field: None,
             max_services: DEFAULT_MAX_SERVICES,
             default: None,
             services: Vec::new(),
-            declared: BTreeSet::new(),
+            declared_services: BTreeSet::new(),
             routes: Vec::new(),
         }
     }
 
     /// Parses the lines of a section.
     pub(crate) fn read(&mut self, section: &KdlNode, nodes: &[KdlNode]) {
-        self.section = self.section.or(Some(section.name().span()));
+        self.section_span = self.section_span.or(Some(section.name().span()));
         for node in nodes {
             match node.name().value() {
                 ROUTE_FIELD => self.read_route_field(node),
@@ -209,7 +209,7 @@
                 ),
             }
         }
-        self.declared.insert(Arc::clone(&service.text));
+        self.declared_services.insert(Arc::clone(&service.text));
         self.services.push(ServiceLine {
             service,
             selectors,
