--- a/crates/decision/tests/ceiling_seeds.rs
+++ b/crates/decision/tests/ceiling_seeds.rs
@@ -1,4 +1,5 @@
-//! A ceiling over many seeds, with restarts and a counter that fails in each way.
+//! Checks with many seeds that a customer's ceiling holds while ingresses restart and the counter
+//! fails in every possible way.
 
 mod common;
 use common::*;
@@ -6,7 +7,7 @@
 
 const SEEDS: u64 = 600;
 
-/// All outcomes of a call to the counter.
+/// Every outcome of a counter call.
 const CALL_OUTCOMES: [CallOutcome; 4] = [
     CallOutcome::Replied,
     CallOutcome::LostBeforeAdding,
@@ -14,9 +15,12 @@
     CallOutcome::NotAdded,
 ];
 
-/// How near a run came to its ceiling, and how many requests it forwarded.
+/// The result of a run.
 struct CeilingUse {
+    /// The lowest number of units that were left under the ceiling and its slack; negative if the
+    /// ceiling was exceeded.
     units_left: f64,
+    /// The number of requests forwarded.
     forwarded: usize,
 }
 
@@ -29,25 +33,25 @@
     }
 }
 
-/// One run of a flood on one customer's ceiling through three ingresses: uneven traffic, a counter
-/// that answers late, loses calls before or after they count, rejects calls and loses its totals,
-/// window ends, and restarts of one ingress or of all.
+/// Floods the ceiling of one customer through three ingresses, one of which gets most of the
+/// traffic. The counter replies late, rejects calls, loses them before or after adding their
+/// amount, and loses its totals. Counter windows end, and one ingress or all of them restart.
 fn flood_one_ceiling(seed: u64) -> CeilingUse {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut settings = settings(3);
-    // A ceiling of 1.7 to 2.6 times the quota, requests of 1 to 8 units, a slack of one of the
-    // largest.
+    // The ceiling is 1.7 to 2.6 times the quota. Requests cost 1 to 8 units, and the slack covers
+    // at least one of the largest requests.
     let rate = 4.4 + 3.2 * rng.f64();
-    let times = 1.7 + 0.9 * rng.f64();
+    let ceiling_factor = 1.7 + 0.9 * rng.f64();
     let burst = rate * (3.1 + 2.7 * rng.f64());
-    let slack = f64::max(8.0, 0.1 * burst * times);
-    let ceilings = Plan {
-        ceiling_rate: rate * times,
-        ceiling_burst: burst * times,
+    let slack = f64::max(8.0, 0.1 * burst * ceiling_factor);
+    let plan_with_ceiling = Plan {
+        ceiling_rate: rate * ceiling_factor,
+        ceiling_burst: burst * ceiling_factor,
         ceiling_slack: slack,
         ..plan(rate, burst)
     };
-    settings.plans[1] = ceilings;
+    settings.plans[1] = plan_with_ceiling;
     let mut sim = Simulation::seeded(settings, 3, 5, seed);
     sim.assert_ceilings = false;
     let fault_ratio = rng.f64();
@@ -75,8 +79,9 @@
     CeilingUse::of(&sim)
 }
 
-/// Requests of one unit in turn through three ingresses, each seventh call to the counter lost, an
-/// ingress restarted and the counter emptied every 400 ms: only the ingresses' seeds differ.
+/// Sends requests of one unit to three ingresses in turn. Every seventh counter call is lost. Every
+/// 400 ms, one ingress restarts and the counter loses its totals. Runs differ only in the seeds of
+/// the ingresses.
 fn alternate_ingresses(seed: u64) -> CeilingUse {
     let mut sim = Simulation::seeded(settings(3), 3, 5, 1000 * seed);
     sim.assert_ceilings = false;
@@ -107,27 +112,29 @@
     assert_ceiling_held(flood_one_ceiling);
 }
 
+/// Runs with all seeds, and asserts that no run exceeded the ceiling and that enough requests were
+/// forwarded for the ceiling to matter.
 fn assert_ceiling_held(run: impl Fn(u64) -> CeilingUse) {
     let runs: Vec<CeilingUse> = (0..SEEDS).map(run).collect();
-    let numbered = || (0..SEEDS).zip(&runs);
-    let (seed, nearest) = numbered()
+    let runs_by_seed = || (0..SEEDS).zip(&runs);
+    let (seed, closest_run) = runs_by_seed()
         .min_by(|(_, a), (_, b)| a.units_left.total_cmp(&b.units_left))
         .unwrap();
-    let units_left = nearest.units_left;
-    println!("nearest to the ceiling: {units_left:.2} units left, seed {seed}");
-    let exceeded: Vec<u64> = numbered()
+    let units_left = closest_run.units_left;
+    println!("closest to the ceiling: {units_left:.2} units left with seed {seed}");
+    let exceeded: Vec<u64> = runs_by_seed()
         .filter(|(_, run)| run.units_left < -1e-6)
         .map(|(seed, _)| seed)
         .collect();
     assert!(
         exceeded.is_empty(),
-        "ceiling exceeded on seeds {exceeded:?}, by {:.2} units on seed {seed}",
+        "ceiling exceeded with seeds {exceeded:?}, by up to {:.2} units with seed {seed}",
         -units_left
     );
     let forwarded = runs.iter().map(|run| run.forwarded).sum::<usize>() as f64 / SEEDS as f64;
-    println!("{forwarded:.1} requests forwarded in the mean");
+    println!("{forwarded:.1} requests forwarded per run on average");
     assert!(
         forwarded > 20.0,
-        "ingresses that admit nothing prove nothing: {forwarded:.1} requests in the mean"
+        "too few requests to test the ceiling: {forwarded:.1} forwarded per run on average"
     );
 }
--- a/crates/decision/tests/common/attempts.rs
+++ b/crates/decision/tests/common/attempts.rs
@@ -12,8 +12,8 @@
         self.end_nth_attempt_with_units(index, outcome, None);
     }
 
-    /// Like [`Simulation::end_nth_attempt`]; if the outcome is `Ok`, the response reports `units` as
-    /// actually used.
+    /// Like [`Simulation::end_nth_attempt`]. If the outcome is `Ok`, the response reports `units`
+    /// as the actual units.
     pub(crate) fn end_nth_attempt_with_units(
         &mut self,
         index: usize,
--- a/crates/decision/tests/common/rules.rs
+++ b/crates/decision/tests/common/rules.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Checks rule 2 for a rejection, after which the client may retry the request.
     fn check_rejection(&mut self, ingress: usize, request: u64) {
         let record = &self.requests[&(ingress, request)];
         let is_retry_safe = match self.settings.classes[record.class].idempotency {
--- a/crates/decision/tests/common/simulation.rs
+++ b/crates/decision/tests/common/simulation.rs
@@ -209,6 +209,7 @@
         self.request_with_time_left(ingress, class, plan, customer, ms(1500))
     }
 
+    /// Sends a request of one unit whose client waits for `time_left`, and returns its id.
     pub(crate) fn request_with_time_left(
         &mut self,
         ingress: usize,
--- a/crates/decision/tests/counter.rs
+++ b/crates/decision/tests/counter.rs
@@ -1,9 +1,10 @@
-//! Quotas with a counter that replies, and with each kind of counter failure.
+//! Quotas with a counter that replies, and with one that fails in different ways.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
+/// Sends requests while the counter replies, and returns how many are forwarded.
 fn count_forwarded(
     sim: &mut Simulation,
     ingress: usize,
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn each_request_is_one_increment_and_is_rejected_at_once_beyond_the_quota() {
+fn each_request_makes_one_increment_and_is_rejected_at_once_over_the_quota() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     let id = sim.request(0, 0, 0, 1);
     assert_eq!(
@@ -31,33 +32,38 @@
     assert_eq!(
         sim.pending_calls[0].time_to_live,
         ms(2000),
-        "the window is burst over rate"
+        "the window is the burst divided by the rate"
     );
     sim.end_all_calls(CallOutcome::Replied);
     assert_eq!(sim.attempt_count(0, id), 1);
     sim.end_nth_attempt(0, Outcome::Ok);
     let more = count_forwarded(&mut sim, 0, 0, 1, 30);
-    assert!((8..=10).contains(&more), "{more} more of a burst of 10");
+    assert!(
+        (8..=10).contains(&more),
+        "{more} further requests of a burst of 10 were forwarded"
+    );
     let id = sim.request(0, 0, 0, 1);
     sim.end_all_calls(CallOutcome::Replied);
     assert_eq!(sim.answer_of(0, id), Some(Answer::Rejected));
-    let advice = sim.actions.iter().rev().find_map(|(_, a)| match a {
+    let last_retry_after = sim.actions.iter().rev().find_map(|(_, a)| match a {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert!(
-        advice.flatten().is_some_and(|d| d > ms(0) && d <= ms(1000)),
-        "retry-after where it is permitted"
+        last_retry_after
+            .flatten()
+            .is_some_and(|d| d > ms(0) && d <= ms(1000)),
+        "a rejection has a retry-after time of at most 1 s"
     );
 }
 
 #[test]
-fn totals_show_one_ingress_what_its_peers_admitted() {
+fn totals_show_an_ingress_what_its_peers_have_admitted() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     assert!(count_forwarded(&mut sim, 0, 0, 1, 30) >= 9);
     assert!(
         count_forwarded(&mut sim, 1, 0, 1, 30) <= 2,
-        "the second ingress sees the total"
+        "the total shows the second ingress that the quota is used up"
     );
 }
 
@@ -68,12 +74,12 @@
     let total: f64 = sim.counter_totals.values().map(|entry| entry.total).sum();
     assert!(
         total <= 14.0,
-        "the total is {total}, rejected requests included"
+        "the total is {total} after many rejected requests, with a burst of 10"
     );
 }
 
 #[test]
-fn a_request_beyond_the_bucket_calls_the_counter_without_adding_and_reports_its_units_later() {
+fn requests_over_the_bucket_add_nothing_and_admitted_units_are_added_later() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     let total = |sim: &Simulation| {
         sim.counter_totals
@@ -85,30 +91,32 @@
     assert_eq!(
         total(&sim),
         before,
-        "peers see what was admitted and no rejected request"
+        "the total contains the admitted units and none of rejected requests"
     );
     sim.advance(ms(400));
-    let passed = count_forwarded(&mut sim, 0, 0, 1, 5) as f64;
-    assert!(passed >= 1.0, "refilled at 5 a second");
+    let refilled = count_forwarded(&mut sim, 0, 0, 1, 5) as f64;
+    assert!(refilled >= 1.0, "the bucket refills at 5 units per second");
     sim.advance(ms(400));
     count_forwarded(&mut sim, 0, 0, 1, 5);
     assert!(
-        total(&sim) >= before + passed,
-        "what was admitted is in the total"
+        total(&sim) >= before + refilled,
+        "the total contains all admitted units"
     );
 }
 
 #[test]
-fn a_new_window_is_no_new_quota() {
+fn a_new_counter_window_does_not_renew_the_quota() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     assert!(count_forwarded(&mut sim, 0, 0, 1, 30) >= 9);
-    sim.counter_totals.clear(); // emptied, key expired or window over: all look the same
+    // To an ingress, this looks like an expired key or the end of the window.
+    sim.counter_totals.clear();
     assert!(count_forwarded(&mut sim, 0, 0, 1, 30) <= 2);
 }
 
 #[test]
-fn a_quota_in_full_use_holds_while_only_a_part_of_the_requests_call_the_counter() {
-    // Three ingresses ask for ten times one customer's quota, and every fifth call is late.
+fn a_fully_used_quota_holds_while_only_some_requests_call_the_counter() {
+    // Three ingresses receive several times the quota of one customer, and every fifth counter call
+    // is late.
     let mut sim = Simulation::new(settings(3), 3, 5);
     for round in 0..1000 {
         sim.request(round % 3, 0, 0, 1);
@@ -119,17 +127,18 @@
         sim.end_all_calls(CallOutcome::Replied);
         sim.end_nth_attempt(0, Outcome::Ok);
     }
-    // 32 s at 5 a second and a burst of 10 are 170. Unreported units that fade, or a window end
-    // that forgets the peers, each forward over 230.
-    let sent = sim.forwards.len();
+    // The quota is 170 units: 32 s at 5 units per second, plus a burst of 10. If unreported units
+    // decayed, or if the peers' use were forgotten at the end of a window, more than 230 would be
+    // forwarded.
+    let forwarded_units = sim.forwards.len();
     assert!(
-        (130..=210).contains(&sent),
-        "{sent} forwarded of a quota of 170"
+        (130..=210).contains(&forwarded_units),
+        "{forwarded_units} units were forwarded under a quota of 170"
     );
 }
 
 #[test]
-fn requests_far_beyond_the_quota_do_not_call_an_overloaded_counter() {
+fn requests_far_over_the_quota_do_not_call_an_overloaded_counter() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     sim.is_forwarded(0, 0, 1);
     sim.counter_totals
@@ -144,45 +153,48 @@
     assert_eq!(
         sim.pending_calls.len(),
         0,
-        "the bucket rejects them whatever the total"
+        "the bucket rejects the requests, whatever the total is"
     );
     for k in 0..20 {
         sim.request(0, 0, 0, 10 + k);
     }
-    assert!(sim.pending_calls.len() > 5, "other customers still call it");
+    assert!(
+        sim.pending_calls.len() > 5,
+        "requests of other customers still call the counter"
+    );
 }
 
 #[test]
-fn an_unresponsive_counter_delays_a_request_only_for_a_short_wait() {
+fn an_unresponsive_counter_delays_a_request_only_briefly() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     let id = sim.request(0, 0, 0, 1);
     sim.advance(ms(45));
     assert_eq!(
         sim.attempt_count(0, id),
         1,
-        "decided by the bucket well within the latency objective of 500 ms"
+        "the bucket decides long before the latency objective of 500 ms"
     );
 }
 
 #[test]
 fn an_ingress_without_totals_does_not_admit_a_flood() {
     let mut sim = Simulation::new(settings(3), 3, 5);
-    let mut sent = 0;
+    let mut forwarded_units = 0;
     for _ in 0..100 {
         let id = sim.request(0, 0, 0, 1);
         sim.advance(ms(10));
         sim.end_all_calls(CallOutcome::NotAdded);
-        sent += sim.attempt_count(0, id);
+        forwarded_units += sim.attempt_count(0, id);
         sim.end_nth_attempt(0, Outcome::Ok);
     }
     assert!(
-        (3..=16).contains(&sent),
-        "{sent} forwarded in a second of a quota of 5 a second, burst 10"
+        (3..=16).contains(&forwarded_units),
+        "{forwarded_units} units forwarded in a second; the quota is 5 per second, the burst 10"
     );
 }
 
 #[test]
-fn units_admitted_while_the_counter_rejected_calls_are_reported_with_the_next_increment() {
+fn units_admitted_while_the_counter_rejects_calls_are_added_with_the_next_increment() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     for _ in 0..3 {
         sim.request(0, 0, 0, 1);
@@ -193,17 +205,17 @@
             sim.request(0, 0, 0, 1);
         }
     }
-    // Of a start with half of the burst two are admitted, as two peers may admit as much:
-    // unreported with the present one.
+    // The bucket starts half full, with 5 units. Two requests are admitted, because the two peers
+    // are assumed to admit as many. Their units are added together with that of the next request.
     assert!(
         sim.pending_calls[0].amount > 2.5,
-        "the increment carries the unreported units: {}",
+        "the increment has to include the unreported units: {}",
         sim.pending_calls[0].amount
     );
 }
 
 #[test]
-fn a_late_counter_reply_never_decides_twice() {
+fn a_late_counter_reply_does_not_decide_a_request_again() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     let id = sim.request(0, 0, 0, 1);
     sim.advance(ms(50));
@@ -234,13 +246,13 @@
     sim.request(0, 0, 0, 1);
     assert!(
         sim.pending_calls[0].amount > 3.9,
-        "one for the request and three more of the last: {}",
+        "one unit for this request and three to correct the previous one, but found {}",
         sim.pending_calls[0].amount
     );
 }
 
 #[test]
-fn peers_are_seen_again_after_the_counter_lost_its_totals() {
+fn the_use_of_peers_is_observed_again_after_the_counter_lost_its_totals() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     for _ in 0..60 {
         sim.is_forwarded(0, 0, 1);
@@ -251,6 +263,6 @@
     assert!(count_forwarded(&mut sim, 1, 0, 1, 10) >= 4);
     assert!(
         count_forwarded(&mut sim, 0, 0, 1, 10) <= 3,
-        "what the peer admitted since is in the new total"
+        "the new total contains what the peer has admitted since"
     );
 }
--- a/crates/decision/tests/counter_sampling.rs
+++ b/crates/decision/tests/counter_sampling.rs
@@ -1,11 +1,11 @@
-//! How many requests call a counter that is slow, overloaded or unresponsive.
+//! The share of requests that call a slow, overloaded or unresponsive counter.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
 #[test]
-fn an_unresponsive_counter_is_logged_called_by_few_requests_and_by_all_once_it_replies() {
+fn an_unresponsive_counter_is_logged_and_gets_few_calls_until_it_replies() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     for k in 0..40 {
         sim.request(0, 0, 0, k);
@@ -22,12 +22,12 @@
     }
     assert!(
         (25..40).contains(&forwarded_at_once),
-        "who does not call the counter does not wait: {forwarded_at_once} of 40"
+        "{forwarded_at_once} of 40 requests were forwarded without a call to the counter"
     );
     assert_eq!(
         sim.pending_calls.len(),
         40 - forwarded_at_once,
-        "some still call it"
+        "all other requests call the counter"
     );
     for k in 100..200 {
         sim.request(0, 0, 0, k);
@@ -35,17 +35,16 @@
         sim.end_nth_attempt(0, Outcome::Ok);
         sim.advance(ms(20));
     }
-    let is_of_counter =
+    let is_counter_notice =
         |notice: &&Notice| matches!(notice, Notice::CounterDegraded | Notice::CounterRecovered);
-    let last_of_counter = sim.notices.iter().rfind(is_of_counter);
-    assert_eq!(last_of_counter, Some(&Notice::CounterRecovered));
+    let last_counter_notice = sim.notices.iter().rfind(is_counter_notice);
+    assert_eq!(last_counter_notice, Some(&Notice::CounterRecovered));
 }
 
 #[test]
-fn a_counter_that_takes_half_of_the_wait_is_called_by_nearly_all_though_one_reply_in_thirty_is_late(
-) {
-    // The wait is 40 ms. Prevents a call ratio that rises only with replies quicker than
-    // this counter ever gives.
+fn a_counter_that_replies_within_half_of_the_wait_is_called_by_nearly_all_requests() {
+    // Requests wait for at most 40 ms, and one reply in thirty is late. Guards against a call ratio
+    // that rises only after replies that are quicker than any of this counter.
     let mut sim = Simulation::new(settings(3), 3, 5);
     let mut calls = 0;
     for k in 0..600 {
@@ -55,7 +54,7 @@
         sim.end_all_calls(CallOutcome::Replied);
         sim.end_nth_attempt(0, Outcome::Ok);
     }
-    assert!(calls >= 540, "{calls} of 600 call the counter");
+    assert!(calls >= 540, "{calls} of 600 requests called the counter");
 }
 
 #[test]
@@ -77,14 +76,14 @@
     }
     assert!(
         sim.pending_calls.len() - before <= 12,
-        "{} calls to the overloaded counter",
+        "{} of 50 requests called the overloaded counter",
         sim.pending_calls.len() - before
     );
 }
 
 #[test]
-fn calls_lost_with_their_connections_do_not_reduce_the_call_ratio() {
-    // Every third call is lost at once, as by a reset under it; the others are answered.
+fn calls_that_fail_with_their_connections_do_not_reduce_the_call_ratio() {
+    // Every third call fails at once, as when its connection is reset; the others get a reply.
     let mut sim = Simulation::new(settings(3), 3, 5);
     let mut calls = 0;
     for round in 0..600 {
@@ -99,5 +98,5 @@
         sim.advance(ms(20));
         sim.end_nth_attempt(0, Outcome::Ok);
     }
-    assert_eq!(calls, 600, "each request calls the counter");
+    assert_eq!(calls, 600, "every request calls the counter");
 }
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -1,11 +1,12 @@
-//! One set of scenarios under a table of settings, so that a further deployment is a further entry.
+//! Runs the same scenarios with the settings of several deployments. A further deployment only
+//! needs an entry in [`DEPLOYMENTS`].
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 use std::time::Duration;
 
-/// All outcomes of a call to the counter.
+/// Every outcome of a counter call.
 const CALL_OUTCOMES: [CallOutcome; 4] = [
     CallOutcome::Replied,
     CallOutcome::LostBeforeAdding,
@@ -13,12 +14,13 @@
     CallOutcome::NotAdded,
 ];
 
-/// A deployment, by what sets it apart.
+/// The properties in which the deployments differ.
 #[derive(Clone, Copy, Debug)]
 struct Deployment {
     ingress_count: usize,
     counter: bool,
     ceiling: bool,
+    /// Whether the units of requests are estimates, which responses correct.
     has_estimates: bool,
     zones: u16,
     hedging: bool,
@@ -26,7 +28,7 @@
     drain_grace_ms: u64,
 }
 
-/// Few ingresses before endpoints in one zone, no hedging.
+/// Few ingresses and endpoints in one zone, without hedging.
 const SMALL: Deployment = Deployment {
     ingress_count: 2,
     counter: true,
@@ -38,8 +40,7 @@
     drain_grace_ms: 2000,
 };
 
-/// Few ingresses before endpoints in two zones: units that are corrected afterwards, a ceiling,
-/// hedging.
+/// Few ingresses and endpoints in two zones, with estimated units, a ceiling and hedging.
 const WITH_ESTIMATES: Deployment = Deployment {
     ingress_count: 3,
     ceiling: true,
@@ -68,7 +69,7 @@
         ceiling: true,
         ..SMALL
     },
-    // No counter at all.
+    // A deployment without a counter.
     Deployment {
         ingress_count: 12,
         counter: false,
@@ -99,7 +100,7 @@
     }
 }
 
-/// How attempts end; most are served.
+/// The outcomes of attempts, of which four in nine are served.
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Ok,
@@ -112,11 +113,13 @@
     Outcome::Reset,
 ];
 
-/// Endpoints drain, go, restart and change zones; responses are lost, late, invalid and never come;
-/// the counter fails each way; ingresses restart, clients leave. `Simulation` checks every action
-/// against the rules: one answer each, no non-idempotent request twice, one with an idempotency key
-/// in its group and window, no second attempt where hedging is not permitted, nothing to an
-/// endpoint beyond the drain grace, and the ceiling.
+/// Runs random traffic with faults: endpoints drain, are removed, restart and change zones;
+/// attempts fail, time out or never end; the counter fails in every possible way; ingresses restart
+/// and clients disconnect. `Simulation` checks every action against the rules: each request gets
+/// one answer, a non-idempotent request is not executed twice, a request with an idempotency key is
+/// retried only in its scope and window, a second attempt is in flight only if hedging is
+/// permitted, nothing is forwarded to an endpoint after the drain grace, and no ceiling is
+/// exceeded.
 fn run_deployment(deployment: Deployment, seed: u64) -> Simulation {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut sim = Simulation::seeded(deployment.settings(), deployment.ingress_count, 6, seed);
@@ -141,7 +144,7 @@
             actual_units,
         );
         match rng.usize(0..60) {
-            0 | 1 => change_an_endpoint(&mut sim, &mut rng, deployment, ingress),
+            0 | 1 => change_random_endpoint(&mut sim, &mut rng, deployment, ingress),
             2 => sim.disconnect_client(rng.usize(0..30)),
             3 => sim.restart(ingress, 6),
             4 => sim.counter_totals.clear(),
@@ -152,20 +155,21 @@
     sim
 }
 
-/// One endpoint starts, drains, goes or changes its zone, by the list of one ingress or of all.
-fn change_an_endpoint(
+/// Changes the state, start time and zone of a random endpoint in the endpoint list of one ingress
+/// or of all.
+fn change_random_endpoint(
     sim: &mut Simulation,
     rng: &mut fastrand::Rng,
     deployment: Deployment,
     ingress: usize,
 ) {
-    let sample = rng.usize(0..6).saturating_sub(3);
+    let state_index = rng.usize(0..6).saturating_sub(3);
     let states = [
         EndpointState::Ready,
         EndpointState::Draining,
         EndpointState::Removed,
     ];
-    let state = states[sample.min(2)];
+    let state = states[state_index.min(2)];
     let mut changed = entry(rng.u32(0..6), state, rng.bool().then_some(sim.now));
     changed.zone = rng.u16(0..deployment.zones);
     let ingresses = if rng.bool() {
@@ -180,15 +184,15 @@
 }
 
 #[test]
-fn the_rules_hold_on_every_deployment() {
+fn the_rules_hold_in_every_deployment() {
     for deployment in DEPLOYMENTS {
         for seed in 0..12 {
             println!("{deployment:?}, seed {seed}");
             let sim = run_deployment(deployment, seed);
-            // Four customers ask for more than their quotas; most deployments forward a third.
+            // The customers exceed their quotas; most deployments forward a third of the requests.
             assert!(
                 sim.forwards.len() > 250,
-                "{deployment:?}: {} forwarded of 1500",
+                "{deployment:?}: {} of 1500 requests were forwarded",
                 sim.forwards.len()
             );
         }
@@ -200,8 +204,8 @@
     for deployment in DEPLOYMENTS {
         for outcome in [Outcome::Reset, Outcome::Error, Outcome::Timeout] {
             let mut sim = Simulation::new(deployment.settings(), deployment.ingress_count, 6);
-            // Of many ingresses one may reject its first few: what goes out from all of them has to
-            // fit.
+            // One ingress of many may reject its first requests, because the requests of all
+            // ingresses together must not overload the endpoints.
             let mut requests = (1..200).map(|customer| {
                 let id = sim.request(0, 2, 0, customer);
                 sim.end_all_calls(CallOutcome::Replied);
@@ -210,7 +214,7 @@
             });
             let (id, _) = requests
                 .find(|(_, attempts)| *attempts == 1)
-                .expect("one that is forwarded");
+                .expect("one of the requests is forwarded");
             sim.end_attempt(0, id, 0, outcome);
             sim.advance(Duration::from_secs(3));
             assert_eq!(
--- a/crates/decision/tests/endpoints.rs
+++ b/crates/decision/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail, hang, drain, warm up or are overloaded.
+//! Endpoints that fail, do not respond, drain, warm up or are overloaded.
 
 mod common;
 use common::*;
@@ -16,7 +16,7 @@
         .count();
     assert!(
         to_unresponsive <= 16,
-        "{to_unresponsive} of 800 forwards to the unresponsive endpoint"
+        "{to_unresponsive} of 800 requests were forwarded to the unresponsive endpoint"
     );
     assert!(sim
         .notices
@@ -24,10 +24,10 @@
 }
 
 #[test]
-fn of_classes_that_earn_alike_the_one_with_the_shorter_latency_objective_is_rejected_first() {
-    // What a request of 1 s can wait for makes one of 400 ms late: with one limit, either is
-    // served badly.
-    let forwarded_at_once = |class: usize| {
+fn of_classes_with_equal_value_the_one_with_the_shorter_latency_objective_is_rejected_first() {
+    // With the same number of requests in flight, a request with an objective of 1 s can be in time
+    // while one with an objective of 400 ms is late. A common limit would be wrong for one class.
+    let forwarded_of = |class: usize| {
         let mut settings = settings(1);
         settings.classes[0].latency_objective = ms(400);
         settings.classes[2].latency_objective = ms(1000);
@@ -41,11 +41,15 @@
         }
         sim.forwards.len() - before
     };
-    let (short, long) = (forwarded_at_once(0), forwarded_at_once(2));
-    assert!(short >= 10, "{short} of 400 at once");
+    let (short_objective, long_objective) = (forwarded_of(0), forwarded_of(2));
     assert!(
-        long >= 2 * short && long < 400,
-        "{long} against {short} of 400 at once"
+        short_objective >= 10,
+        "{short_objective} of 400 simultaneous requests were forwarded"
+    );
+    assert!(
+        long_objective >= 2 * short_objective && long_objective < 400,
+        "of 400 simultaneous requests, {long_objective} with the longer objective \
+         and {short_objective} with the shorter one were forwarded"
     );
 }
 
@@ -70,20 +74,23 @@
             sim.end_nth_attempt(0, Outcome::Ok);
         }
     }
-    let bad = sim.forwards[before..]
+    let to_failing = sim.forwards[before..]
         .iter()
         .filter(|forward| forward.endpoint == 2)
         .count();
-    assert!(bad <= 20, "{bad} forwards to the failing endpoint");
+    assert!(
+        to_failing <= 20,
+        "{to_failing} attempts were forwarded to the failing endpoint"
+    );
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_removed_endpoint() {
+fn nothing_is_forwarded_to_a_draining_or_removed_endpoint() {
     let mut sim = Simulation::new(settings(1), 1, 3);
-    let drain = vec![entry(0, EndpointState::Draining, None)];
+    let draining = vec![entry(0, EndpointState::Draining, None)];
     sim.handle(
         0,
-        Event::EndpointListChanged(EndpointListUpdate::Changes(drain)),
+        Event::EndpointListChanged(EndpointListUpdate::Changes(draining)),
     );
     sim.handle(
         0,
@@ -104,7 +111,7 @@
 fn an_endpoint_warming_up_gets_no_more_than_its_budget() {
     let mut sim = Simulation::new(settings(1), 1, 5);
     run_steady_requests(&mut sim, 0, 150, &[]);
-    // Listed as large, so that the choice alone would favour it.
+    // Its listed weight is high, so that the balancer would prefer it without the budget.
     let warming = EndpointEntry {
         weight: 20.0,
         ..entry(4, EndpointState::Ready, Some(sim.now))
@@ -127,12 +134,12 @@
         / 4.0;
     assert!(
         to_warming <= 0.6 * to_warm + 1.0,
-        "{to_warming} to the one warming up, {to_warm} to each other one"
+        "{to_warming} attempts to the endpoint warming up, {to_warm} to each other endpoint"
     );
 }
 
 #[test]
-fn when_all_endpoints_are_unresponsive_none_is_ejected_for_good() {
+fn when_all_endpoints_are_unresponsive_none_stays_ejected() {
     let mut sim = Simulation::new(settings(1), 1, 4);
     run_steady_requests(&mut sim, 0, 50, &[]);
     run_steady_requests(&mut sim, 0, 60, &[0, 1, 2, 3]);
@@ -141,13 +148,13 @@
     run_steady_requests(&mut sim, 0, 20, &[]);
     assert!(
         sim.forwards.len() - before >= 10,
-        "{} forwarded after the endpoints respond again",
+        "{} requests were forwarded after the endpoints respond again",
         sim.forwards.len() - before
     );
 }
 
 #[test]
-fn overload_is_rejected_early_and_not_queued() {
+fn excess_requests_are_rejected_at_once_and_not_queued() {
     let mut sim = Simulation::new(settings(1), 1, 3);
     let mut ids = Vec::new();
     for k in 0..200 {
@@ -160,12 +167,12 @@
         .count();
     assert!(
         rejected >= 150,
-        "{rejected} rejected of 200 at once on three endpoints"
+        "{rejected} of 200 simultaneous requests to three endpoints were rejected"
     );
 }
 
 #[test]
-fn every_request_has_its_final_answer_when_no_endpoint_responds() {
+fn every_request_gets_a_final_answer_when_no_endpoint_responds() {
     let mut sim = Simulation::new(settings(1), 1, 3);
     for class in 0..4 {
         sim.request(0, class, 0, class as u64);
@@ -174,7 +181,7 @@
 }
 
 #[test]
-fn discovery_is_subscribed_to_in_poll_mode_and_again_after_a_failure() {
+fn an_ingress_in_subscription_mode_subscribes_again_after_a_failure() {
     let mut settings = settings(1);
     settings.discovery = DiscoveryMode::Subscription;
     let mut sim = Simulation::new(settings, 1, 3);
@@ -194,26 +201,28 @@
 }
 
 #[test]
-fn invalid_settings_are_named_in_the_error() {
-    let bad = |change: fn(&mut Settings)| {
+fn invalid_settings_are_rejected() {
+    let error_after = |change: fn(&mut Settings)| {
         let mut settings = settings(1);
         change(&mut settings);
         Dispatcher::new(settings, 1).err()
     };
     assert_eq!(
-        bad(|settings| settings.classes.clear()),
+        error_after(|settings| settings.classes.clear()),
         Some(SettingsError::NoClass)
     );
     assert_eq!(
-        bad(|settings| settings.plans.clear()),
+        error_after(|settings| settings.plans.clear()),
         Some(SettingsError::NoPlan)
     );
-    assert!(bad(|settings| settings.plans[0].rate = f64::NAN).is_some());
-    assert!(bad(|settings| settings.endpoint_limits.initial_capacity_ratio = -1.0).is_some());
+    assert!(error_after(|settings| settings.plans[0].rate = f64::NAN).is_some());
+    assert!(
+        error_after(|settings| settings.endpoint_limits.initial_capacity_ratio = -1.0).is_some()
+    );
 }
 
 #[test]
-fn congestion_that_makes_every_endpoint_look_unresponsive_gets_few_requests() {
+fn endpoints_that_all_seem_unresponsive_because_of_congestion_get_few_requests() {
     let mut sim = Simulation::new(settings(1), 1, 4);
     run_steady_requests(&mut sim, 0, 100, &[]);
     for k in 0..400 {
@@ -236,13 +245,13 @@
             sim.end_attempt(key.0, key.1, n, Outcome::Timeout);
         }
     }
-    let late = sim
+    let recent = sim
         .forwards
         .iter()
         .filter(|forward| forward.at + ms(1000) > sim.now)
         .count();
     assert!(
-        late <= 60,
-        "{late} forwards in the last second to congested endpoints, of 200 requests"
+        recent <= 60,
+        "{recent} attempts at congested endpoints in the last second, with 200 requests"
     );
 }
--- a/crates/decision/tests/infrequent_requests.rs
+++ b/crates/decision/tests/infrequent_requests.rs
@@ -1,4 +1,5 @@
-//! Faults of endpoints, seen by ingresses that visit each of them once in ten seconds.
+//! Endpoint faults and limits with ingresses that each receive few requests, so that an ingress
+//! sends a request to the same endpoint only about every ten seconds.
 
 mod common;
 use common::*;
@@ -8,15 +9,16 @@
 const INGRESSES: usize = 30;
 const ENDPOINTS: u32 = 60;
 
-fn without_hedging() -> Settings {
+/// Returns settings without hedging and without a concurrency limit in the plans.
+fn settings_without_hedging() -> Settings {
     let mut settings = settings(INGRESSES as u32);
     settings.permissions.hedging = false;
     settings.plans[2].max_concurrent = 0;
     settings
 }
 
-/// Four requests a second at each ingress. `outcome_of` says how an attempt ends and after how
-/// long.
+/// Sends four requests per second to each ingress. `outcome_of` returns how an attempt of an
+/// ingress at an endpoint ends, and after what time.
 fn run_requests(
     sim: &mut Simulation,
     seconds: u64,
@@ -27,7 +29,7 @@
             let customer = 1_000_000 + step * 100 + ingress as u64;
             sim.request(ingress, 0, 2, customer);
         }
-        while let Some((id, outcome)) = next_ended(sim, &outcome_of) {
+        while let Some((id, outcome)) = next_due_attempt(sim, &outcome_of) {
             sim.end_attempt(id.ingress, id.request, id.number, outcome);
         }
         sim.requests
@@ -36,8 +38,8 @@
     }
 }
 
-/// The first attempt in flight whose time is over, and its outcome.
-fn next_ended(
+/// Returns the first attempt in flight whose time has passed, with its outcome.
+fn next_due_attempt(
     sim: &Simulation,
     outcome_of: impl Fn(usize, u32) -> (Outcome, Duration),
 ) -> Option<(AttemptId, Outcome)> {
@@ -48,48 +50,50 @@
     })
 }
 
-/// The share of the forwards since then that `counts`.
-fn share_since(sim: &Simulation, since: Duration, counts: impl Fn(usize, u32) -> bool) -> f64 {
-    let late: Vec<_> = sim
+/// Returns the share of the forwards since a point in time for which `is_counted` returns true.
+fn share_since(sim: &Simulation, since: Duration, is_counted: impl Fn(usize, u32) -> bool) -> f64 {
+    let recent: Vec<_> = sim
         .forwards
         .iter()
         .filter(|forward| forward.at >= since)
         .collect();
-    late.iter()
-        .filter(|forward| counts(forward.ingress, forward.endpoint))
+    recent
+        .iter()
+        .filter(|forward| is_counted(forward.ingress, forward.endpoint))
         .count() as f64
-        / late.len() as f64
+        / recent.len() as f64
 }
 
-/// An endpoint accepts connections from some ingresses only, another one from others.
-fn is_connected(ingress: usize, endpoint: u32) -> bool {
+/// Whether an endpoint accepts connections from an ingress. Each endpoint accepts them from a fifth
+/// of the ingresses.
+fn can_connect(ingress: usize, endpoint: u32) -> bool {
     (ingress as u32 * 7 + endpoint * 13).is_multiple_of(5)
 }
 
 #[test]
 fn ingresses_prefer_endpoints_that_accept_their_connections() {
-    let mut sim = Simulation::new(without_hedging(), INGRESSES, ENDPOINTS);
-    let outcome_of = |ingress, endpoint| match is_connected(ingress, endpoint) {
+    let mut sim = Simulation::new(settings_without_hedging(), INGRESSES, ENDPOINTS);
+    let outcome_of = |ingress, endpoint| match can_connect(ingress, endpoint) {
         true => (Outcome::Ok, ms(100)),
         false => (Outcome::ConnectFailed, ms(1)),
     };
     run_requests(&mut sim, 20, outcome_of);
     let since = sim.now;
     run_requests(&mut sim, 20, outcome_of);
-    let rejected = share_since(&sim, since, |ingress, endpoint| {
-        !is_connected(ingress, endpoint)
+    let refused_share = share_since(&sim, since, |ingress, endpoint| {
+        !can_connect(ingress, endpoint)
     });
     assert!(
-        rejected < 0.14,
-        "{rejected} of the forwards go where no connection is accepted"
+        refused_share < 0.14,
+        "a share of {refused_share} of the forwards went to endpoints that refuse the connection"
     );
 }
 
 #[test]
-fn when_connections_are_accepted_again_all_endpoints_are_used_again() {
-    let mut sim = Simulation::new(without_hedging(), INGRESSES, ENDPOINTS);
+fn endpoints_are_used_again_once_they_accept_connections() {
+    let mut sim = Simulation::new(settings_without_hedging(), INGRESSES, ENDPOINTS);
     run_requests(&mut sim, 20, |ingress, endpoint| {
-        match is_connected(ingress, endpoint) {
+        match can_connect(ingress, endpoint) {
             true => (Outcome::Ok, ms(100)),
             false => (Outcome::ConnectFailed, ms(1)),
         }
@@ -97,18 +101,18 @@
     run_requests(&mut sim, 20, |_, _| (Outcome::Ok, ms(100)));
     let since = sim.now;
     run_requests(&mut sim, 10, |_, _| (Outcome::Ok, ms(100)));
-    let accepting_again = share_since(&sim, since, |ingress, endpoint| {
-        !is_connected(ingress, endpoint)
+    let recovered_share = share_since(&sim, since, |ingress, endpoint| {
+        !can_connect(ingress, endpoint)
     });
     assert!(
-        accepting_again > 0.6,
-        "{accepting_again} of the forwards go to the endpoints that rejected before"
+        recovered_share > 0.6,
+        "a share of {recovered_share} of the forwards went to endpoints that had refused"
     );
 }
 
 #[test]
-fn a_timeout_keeps_requests_away_from_a_rarely_visited_endpoint() {
-    let mut sim = Simulation::new(without_hedging(), INGRESSES, ENDPOINTS);
+fn endpoints_that_time_out_get_fewer_requests_from_ingresses_with_little_traffic() {
+    let mut sim = Simulation::new(settings_without_hedging(), INGRESSES, ENDPOINTS);
     let times_out = |endpoint: u32| endpoint.is_multiple_of(5);
     run_requests(&mut sim, 5, |_, _| (Outcome::Ok, ms(100)));
     let since = sim.now;
@@ -116,16 +120,16 @@
         true => (Outcome::Timeout, ms(500)),
         false => (Outcome::Ok, ms(100)),
     });
-    let timed_out = share_since(&sim, since, |_, endpoint| times_out(endpoint));
+    let timed_out_share = share_since(&sim, since, |_, endpoint| times_out(endpoint));
     assert!(
-        timed_out < 0.12,
-        "{timed_out} of the forwards go to the fifth of the endpoints that times out"
+        timed_out_share < 0.12,
+        "a share of {timed_out_share} of the forwards went to the endpoints that time out"
     );
 }
 
-/// The last answer of a request: rejected, and the retry-after time that came with it.
+/// Returns the retry-after time of the rejection of a request. Panics if it was not rejected.
 fn retry_after_of(sim: &Simulation, id: u64) -> Option<Duration> {
-    let last = sim.actions.iter().rev().find_map(|(_, a)| match a {
+    let rejection = sim.actions.iter().rev().find_map(|(_, a)| match a {
         Action::Reject {
             request,
             retry_after,
@@ -133,18 +137,18 @@
         } if request.0 == id => Some(*retry_after),
         _ => None,
     });
-    last.expect("rejected")
+    rejection.expect("the request was rejected")
 }
 
 #[test]
-fn every_rejection_comes_at_once_with_a_retry_after_time() {
-    let most = ms(1000);
-    let assert_retry_after = |sim: &Simulation, id: u64, what: &str| {
-        let retry_after_of =
-            retry_after_of(sim, id).unwrap_or_else(|| panic!("{what}: no retry-after time"));
+fn every_rejection_is_immediate_and_has_a_retry_after_time() {
+    let max_retry_after = ms(1000);
+    let assert_retry_after = |sim: &Simulation, id: u64, cause: &str| {
+        let checked_retry_after =
+            retry_after_of(sim, id).unwrap_or_else(|| panic!("{cause}: no retry-after time"));
         assert!(
-            retry_after_of > Duration::ZERO && retry_after_of <= most,
-            "{what}: {retry_after_of:?}"
+            checked_retry_after > Duration::ZERO && checked_retry_after <= max_retry_after,
+            "{cause}: {checked_retry_after:?}, allowed are up to {max_retry_after:?}"
         );
     };
     // Quota: the returned total exceeds the quota.
@@ -159,11 +163,11 @@
     let id = sim.request(0, 0, 0, 7);
     sim.end_all_calls(CallOutcome::Replied);
     assert_retry_after(&sim, id, "quota");
-    // Ceiling: the local allowance is empty, and no total comes.
+    // Ceiling: the local allowance is empty, and there is no total.
     let id = sim.request(0, 0, 1, 7);
     sim.end_all_calls(CallOutcome::NotAdded);
     assert_retry_after(&sim, id, "ceiling");
-    // Load: far more at once than the endpoints hold.
+    // Load: far more simultaneous requests than the endpoints can handle.
     let mut sim = Simulation::new(settings(1), 1, 2);
     let ids: Vec<_> = (0..60).map(|k| sim.request(0, 0, 0, 100 + k)).collect();
     sim.end_all_calls(CallOutcome::Replied);
@@ -178,18 +182,18 @@
     assert!(
         ids.iter()
             .all(|id| sim.answer_of(0, *id).is_some() || sim.attempt_count(0, *id) == 1),
-        "none waits"
+        "every request is answered or forwarded at once"
     );
     // No endpoint at all.
     let mut sim = Simulation::new(settings(1), 1, 0);
     let id = sim.request(0, 0, 0, 1);
     sim.end_all_calls(CallOutcome::Replied);
     assert_retry_after(&sim, id, "no endpoint");
-    // Concurrency limit: one request more than the plan allows in flight.
+    // Concurrency limit: one more request in flight than the plan permits.
     let mut sim = Simulation::new(settings(1), 1, 20);
     let ids: Vec<_> = (0..5).map(|_| sim.request(0, 0, 2, 3)).collect();
     assert_retry_after(&sim, ids[4], "concurrency limit");
-    // Retries: the last attempt that is permitted has failed.
+    // Retries: the last permitted attempt has failed.
     let mut sim = Simulation::new(settings(1), 1, 20);
     let id = sim.request(0, 3, 0, 1);
     sim.end_all_calls(CallOutcome::Replied);
@@ -202,41 +206,41 @@
 
 #[test]
 fn ingresses_do_not_all_check_the_same_few_endpoints_first() {
-    let mut settings = without_hedging();
+    let mut settings = settings_without_hedging();
     settings.permissions.health_checks = true;
     settings.load_reports_on_health_check = true;
     let mut sim = Simulation::new(settings, INGRESSES, ENDPOINTS);
     run_requests(&mut sim, 5, |_, _| (Outcome::Ok, ms(100)));
-    let mut first = std::collections::BTreeMap::new();
+    let mut first_checks = std::collections::BTreeMap::new();
     for (ingress, action) in &sim.actions {
         if let Action::CheckHealth { endpoint } = action {
-            first.entry(*ingress).or_insert(endpoint.0);
+            first_checks.entry(*ingress).or_insert(endpoint.0);
         }
     }
-    let endpoints: std::collections::BTreeSet<_> = first.values().collect();
+    let endpoints: std::collections::BTreeSet<_> = first_checks.values().collect();
     assert!(
-        first.len() == INGRESSES && endpoints.len() > 15,
-        "{} first health checks at {endpoints:?}",
-        first.len()
+        first_checks.len() == INGRESSES && endpoints.len() > 15,
+        "{} ingresses started health checks, their first ones at {endpoints:?}",
+        first_checks.len()
     );
 }
 
 #[test]
-fn a_concurrency_limit_below_one_holds_for_all_ingresses_together() {
-    let mut settings = without_hedging();
+fn a_load_shedding_limit_below_one_per_ingress_holds_for_all_ingresses_together() {
+    let mut settings = settings_without_hedging();
     settings.ingress_count = 150;
     let mut sim = Simulation::new(settings, 150, 20);
-    let mut in_flight = 0;
+    let mut in_flight_sum = 0;
     for step in 0..500u64 {
         for ingress in 0..150 {
             sim.request(ingress, 0, 2, 1_000_000 + step * 1000 + ingress as u64);
         }
-        let (now, late) = (sim.now, ms(600));
+        let (now, latency) = (sim.now, ms(600));
         let due: Vec<_> = sim
             .requests
             .iter()
             .flat_map(|(k, r)| r.attempts.iter().enumerate().map(move |a| (*k, a)))
-            .filter(|(_, (_, a))| a.outcome.is_none() && now >= a.forwarded_at + late)
+            .filter(|(_, (_, a))| a.outcome.is_none() && now >= a.forwarded_at + latency)
             .map(|(k, (n, _))| (k, n))
             .collect();
         due.iter()
@@ -244,22 +248,22 @@
         sim.requests
             .retain(|_, r| r.attempts.iter().any(|a| a.outcome.is_none()));
         sim.advance(ms(50));
-        in_flight += if step >= 400 { sim.requests.len() } else { 0 };
+        in_flight_sum += if step >= 400 { sim.requests.len() } else { 0 };
     }
-    let mean = in_flight / 100;
+    let mean = in_flight_sum / 100;
     assert!(
         mean < 70,
-        "{mean} in flight, of a least limit of two an endpoint, while all responses are late"
+        "{mean} in flight while all responses are late; the minimum limit is two per endpoint"
     );
 }
 
 #[test]
-fn a_ceiling_shared_by_many_admits_moderate_customers_without_totals() {
+fn a_ceiling_shared_by_many_ingresses_admits_moderate_use_without_totals() {
     let mut sim = Simulation::new(settings(16), 16, 20);
     let mut forwarded = 0;
     for round in 0..40 {
         for ingress in 0..16 {
-            let id = sim.request(ingress, 0, 1, 1); // the simulation checks rule 5 at each forward
+            let id = sim.request(ingress, 0, 1, 1); // `Simulation` checks rule 5 at each forward
             sim.end_all_calls(CallOutcome::NotAdded);
             forwarded += usize::from(round >= 8 && sim.attempt_count(ingress, id) > 0);
         }
@@ -269,6 +273,6 @@
     let share = forwarded as f64 / f64::from(32 * 16);
     assert!(
         share > 0.85,
-        "{share} of ten requests a second are forwarded under a ceiling of sixteen"
+        "of 10 requests per second, a share of {share} was forwarded under a ceiling of 16"
     );
 }
--- a/crates/decision/tests/large_services.rs
+++ b/crates/decision/tests/large_services.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn endpoints_outside_of_the_subset_are_rarely_used_however_many_there_are() {
-    let mut sim = with_a_large_service(0..900);
+fn endpoints_outside_the_subset_are_rarely_used() {
+    let mut sim = simulation_with_large_service(0..900);
     let mut used: BTreeMap<u32, u32> = BTreeMap::new();
     for _ in 0..2000 {
         let id = sim.request_within_quota(1);
@@ -24,40 +24,44 @@
         counts.iter().sum::<u32>(),
         counts.iter().take(13).sum::<u32>(),
     );
-    assert!(all > 1800, "{all} of 2,000 forwarded");
+    assert!(all > 1800, "{all} of 2,000 requests were forwarded");
     assert!(
         f64::from(subset) > 0.75 * f64::from(all),
-        "{subset} of {all} inside the subset"
+        "{subset} of {all} requests were forwarded to the subset"
     );
 }
 
-/// Endpoints of one large service, more than an ingress keeps a state for; entries of these
-/// numbers.
-fn large(numbers: std::ops::Range<u32>, state: EndpointState) -> Vec<EndpointEntry> {
-    numbers
+/// Returns entries of service 1 in this state, for the endpoints with these indices.
+fn large_service_entries(
+    indices: std::ops::Range<u32>,
+    state: EndpointState,
+) -> Vec<EndpointEntry> {
+    indices
         .map(|index| service_entry(1, index, state, None))
         .collect()
 }
 
-/// One of many ingresses before a service of these numbers of endpoints.
-fn with_a_large_service(numbers: std::ops::Range<u32>) -> ServiceSimulation {
+/// Returns one of many ingresses, 10 s after its start, with a service whose endpoints have these
+/// indices.
+fn simulation_with_large_service(indices: std::ops::Range<u32>) -> ServiceSimulation {
     let settings = Settings {
         ingress_count: 4300,
         classes: vec![class(Idempotency::Idempotent)],
         ..high_quota_settings()
     };
     let mut sim = ServiceSimulation::new(settings, 0);
-    sim.change_endpoints(large(numbers, EndpointState::Ready));
+    sim.change_endpoints(large_service_entries(indices, EndpointState::Ready));
     sim.advance(ms(10_000));
     sim
 }
 
-/// The numbers of the endpoints that so many requests go to, each of which is served.
+/// Sends this many requests, asserts that nearly all are served, and returns the indices of the
+/// endpoints that they were forwarded to.
 fn endpoints_used(sim: &mut ServiceSimulation, requests: u32) -> Vec<u32> {
     let first = sim.last_id + 1;
     assert!(
         sim.count_served(1, requests) + 3 >= requests,
-        "few of {requests} are served"
+        "more than 3 of {requests} requests were not served"
     );
     let attempts = (first..=sim.last_id).filter_map(|id| sim.requests[&id].attempts.first());
     let mut used: Vec<u32> = attempts.map(|id| id - endpoint_id(1, 0)).collect();
@@ -67,87 +71,91 @@
 }
 
 #[test]
-fn where_all_endpoints_in_use_drain_others_of_a_large_service_replace_them() {
-    let mut sim = with_a_large_service(0..900);
-    let mut gone: Vec<u32> = Vec::new();
+fn when_all_endpoints_in_use_drain_others_of_a_large_service_replace_them() {
+    let mut sim = simulation_with_large_service(0..900);
+    let mut drained: Vec<u32> = Vec::new();
     for _ in 0..5 {
         let used = endpoints_used(&mut sim, 200);
         assert!(
-            used.iter().all(|index| !gone.contains(index)),
+            used.iter().all(|index| !drained.contains(index)),
             "forwarded to a draining endpoint: {used:?}"
         );
         for index in used {
             sim.change_endpoints(vec![service_entry(1, index, EndpointState::Draining, None)]);
-            gone.push(index);
+            drained.push(index);
         }
     }
-    assert!(gone.len() > 50, "{} endpoints were used in all", gone.len());
+    assert!(
+        drained.len() > 50,
+        "only {} endpoints were used in total",
+        drained.len()
+    );
 }
 
 #[test]
-fn a_service_that_grows_beyond_the_known_endpoints_and_shrinks_is_served_by_what_is_ready() {
-    let mut sim = with_a_large_service(0..100);
+fn a_service_that_grows_beyond_the_known_endpoints_and_shrinks_uses_its_ready_endpoints() {
+    let mut sim = simulation_with_large_service(0..100);
     endpoints_used(&mut sim, 200);
-    sim.change_endpoints(large(100..900, EndpointState::Ready));
+    sim.change_endpoints(large_service_entries(100..900, EndpointState::Ready));
     endpoints_used(&mut sim, 200);
-    sim.change_endpoints(large(0..600, EndpointState::Draining));
+    sim.change_endpoints(large_service_entries(0..600, EndpointState::Draining));
     assert!(endpoints_used(&mut sim, 200)
         .iter()
         .all(|index| *index >= 600));
-    sim.change_endpoints(large(600..890, EndpointState::Removed));
-    let left = endpoints_used(&mut sim, 400);
+    sim.change_endpoints(large_service_entries(600..890, EndpointState::Removed));
+    let remaining = endpoints_used(&mut sim, 400);
     assert_eq!(
-        left,
+        remaining,
         (890..900).collect::<Vec<u32>>(),
-        "each of the few that are left is used"
+        "every remaining endpoint is used"
     );
 }
 
 #[test]
 fn an_attempt_at_an_endpoint_that_is_no_longer_known_ends_normally_and_is_not_retried() {
-    // Number 0 of a few ingresses, whose known endpoints begin at the first: those used before
-    // are no longer known.
+    // The known endpoints of ingress 0 start at the beginning of the ring. Once endpoints with
+    // lower ranks are listed, the ones used before are no longer known.
     let settings = Settings {
         ingress_count: 40,
         classes: vec![class(Idempotency::NonIdempotent)],
         ..high_quota_settings()
     };
     let mut sim = ServiceSimulation::new(settings, 0);
-    sim.change_endpoints(large(900..1000, EndpointState::Ready));
+    sim.change_endpoints(large_service_entries(900..1000, EndpointState::Ready));
     endpoints_used(&mut sim, 100);
-    let out: Vec<u64> = (0..60).map(|_| sim.request_within_quota(1)).collect();
-    let sent = |sim: &ServiceSimulation| {
-        out.iter()
+    let ids: Vec<u64> = (0..60).map(|_| sim.request_within_quota(1)).collect();
+    let count_attempts = |sim: &ServiceSimulation| {
+        ids.iter()
             .map(|id| sim.requests[id].attempts.len())
             .sum::<usize>()
     };
-    let before = sent(&sim);
-    assert!(before >= 4, "{before} are in flight");
-    sim.change_endpoints(large(0..900, EndpointState::Ready));
+    let before = count_attempts(&sim);
+    assert!(before >= 4, "only {before} attempts are in flight");
+    sim.change_endpoints(large_service_entries(0..900, EndpointState::Ready));
     assert!(
         endpoints_used(&mut sim, 20)
             .iter()
             .all(|index| *index < 900),
         "the known endpoints have changed"
     );
-    for id in &out {
+    for id in &ids {
         sim.end_attempt(*id, Outcome::Ok, ms(40));
     }
-    assert_eq!(sent(&sim), before, "retried");
-    let served = out.iter().filter(|id| sim.requests[id].served).count();
+    assert_eq!(count_attempts(&sim), before, "an attempt was retried");
+    let served = ids.iter().filter(|id| sim.requests[id].served).count();
     assert_eq!(
         served, before,
-        "each attempt that was in flight counts as a response"
+        "every request whose attempt was in flight is served"
     );
 }
 
 #[test]
-fn a_large_service_that_loses_all_its_endpoints_is_dropped_with_them() {
-    let mut sim = with_a_large_service(0..900);
+fn a_large_service_that_loses_all_its_endpoints_is_dropped() {
+    let mut sim = simulation_with_large_service(0..900);
     endpoints_used(&mut sim, 50);
-    sim.change_endpoints(large(0..899, EndpointState::Removed));
+    sim.change_endpoints(large_service_entries(0..899, EndpointState::Removed));
     assert_eq!(sim.dispatcher.service_count(), 1);
-    sim.change_endpoints(large(899..900, EndpointState::Removed));
+    sim.change_endpoints(large_service_entries(899..900, EndpointState::Removed));
     sim.advance(ms(5000));
     assert_eq!(sim.dispatcher.service_count(), 0);
 }
--- a/crates/decision/tests/load_shedding.rs
+++ b/crates/decision/tests/load_shedding.rs
@@ -1,10 +1,11 @@
-//! Which requests are shed for the load of a service's endpoints, and which are not.
+//! Load shedding: which requests are rejected because of the load of a service's endpoints.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
-/// Among so many ingresses an ingress's own part of what idle endpoints bear is next to nothing.
+/// With this many ingresses, the share of one ingress in a service's minimum concurrency limit is
+/// close to zero.
 const INGRESSES: u32 = 4_300;
 const SERVICES: u32 = 20;
 
@@ -16,8 +17,8 @@
     ServiceSimulation::new(settings, SERVICES)
 }
 
-/// Guards against: refused with nothing in flight, because the latency that is assumed before
-/// responses counted as measured.
+/// Guards against rejecting the first request of a service with nothing in flight there, which
+/// happened when the latency that is assumed before the first response counted as measured.
 #[test]
 fn the_first_request_of_a_service_is_forwarded_while_other_services_are_busy() {
     let mut sim = simulation();
@@ -31,9 +32,10 @@
     }
 }
 
-/// Guards against: refused while responses are quick, because the assumed latency was slow to fall.
+/// Guards against rejections while responses are quick, which happened when the mean latency was
+/// slow to fall from its assumed initial value.
 #[test]
-fn requests_that_meet_after_one_quick_response_are_forwarded() {
+fn simultaneous_requests_are_forwarded_after_one_quick_response() {
     let mut sim = simulation();
     for service in 1..=SERVICES {
         assert!(sim.serve(service), "service {service}");
@@ -45,10 +47,10 @@
     }
 }
 
-/// Guards against: all ingresses filling the endpoints of a service at once before the first of them
-/// has responded.
+/// Guards against overloading the endpoints of a service if all ingresses send requests before any
+/// of them has received a response.
 #[test]
-fn before_the_first_response_one_request_at_a_time_is_forwarded() {
+fn before_the_first_response_only_one_request_is_in_flight() {
     let mut sim = simulation();
     let first = sim.send_burst(1, IDEMPOTENT_CLASS, 1);
     assert_eq!(sim.count_in_flight(&first), 1);
@@ -56,64 +58,66 @@
     assert_eq!(sim.count_in_flight(&more), 0);
 }
 
-/// Serves this many requests of an idempotent class, one after the other.
-fn warm_up(sim: &mut ServiceSimulation, service: u32, requests: u32) {
+/// Serves this many idempotent requests, one after the other, and asserts that none is rejected.
+fn serve_sequentially(sim: &mut ServiceSimulation, service: u32, requests: u32) {
     assert_eq!(sim.count_served(service, requests), requests);
 }
 
-/// Guards against: refused as the class that earns least, because its assumed latency was compared
-/// with the measured one of another class.
+/// Guards against rejecting a class as the one with the lowest value, which happened when its
+/// assumed latency was compared with the measured latency of another class.
 #[test]
-fn a_class_without_responses_is_not_limited_as_the_one_that_earns_least() {
+fn a_class_without_responses_does_not_count_as_the_class_of_lowest_value() {
     let mut sim = simulation();
-    warm_up(&mut sim, 1, 200);
+    serve_sequentially(&mut sim, 1, 200);
     let burst = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 8);
     assert_eq!(sim.count_in_flight(&burst), 8);
 }
 
-/// Guards against: the same after its first response, because the assumption was slow to fall where
-/// other classes had responded before.
+/// Guards against the same rejections after the first response of the class, which happened when
+/// its mean latency was slow to fall from the assumed value if other classes had responded before.
 #[test]
-fn a_class_is_compared_by_its_own_responses_from_the_first_one_on() {
+fn the_first_response_of_a_class_replaces_its_assumed_latency() {
     let mut sim = simulation();
-    warm_up(&mut sim, 1, 200);
+    serve_sequentially(&mut sim, 1, 200);
     let first = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 1);
     sim.end_attempt(first[0], Outcome::Ok, ms(5));
     let burst = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 8);
     assert_eq!(sim.count_in_flight(&burst), 8);
 }
 
-/// Guards against: refused while responses are quick, because the means of two classes differed by
-/// chance.
+/// Guards against rejections while responses are quick, which happened when the mean latencies of
+/// two classes differed by chance.
 #[test]
-fn classes_are_not_ranked_while_responses_are_quick() {
+fn classes_are_not_prioritised_while_responses_are_quick() {
     let mut sim = simulation();
-    warm_up(&mut sim, 1, 200);
+    serve_sequentially(&mut sim, 1, 200);
     for _ in 0..30 {
-        let slower = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 1);
+        let slower_class = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 1);
         sim.advance(ms(20));
-        sim.end_attempt(slower[0], Outcome::Ok, ms(12));
+        sim.end_attempt(slower_class[0], Outcome::Ok, ms(12));
     }
     let burst = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 12);
     assert_eq!(sim.count_in_flight(&burst), 12);
 }
 
-/// Guards against: classes that earn less for their work taking the endpoints from others.
+/// Guards against classes with a low priority weight for their latency using the endpoints at the
+/// expense of others.
 #[test]
-fn a_class_that_is_measured_to_earn_least_has_the_lowest_limit() {
+fn the_class_with_the_lowest_measured_value_has_the_lowest_limit() {
     let mut sim = simulation();
-    warm_up(&mut sim, 1, 200);
+    serve_sequentially(&mut sim, 1, 200);
     for _ in 0..100 {
         let slow = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 1);
         sim.advance(ms(20));
         sim.end_attempt(slow[0], Outcome::Ok, ms(100));
     }
-    let least = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 100);
-    let forwarded_of_least = sim.count_in_flight(&least);
-    let most = sim.send_burst(1, IDEMPOTENT_CLASS, 100);
-    let forwarded_of_most = sim.count_in_flight(&most);
+    let low_value = sim.send_burst(1, NON_IDEMPOTENT_CLASS, 100);
+    let low_value_in_flight = sim.count_in_flight(&low_value);
+    let high_value = sim.send_burst(1, IDEMPOTENT_CLASS, 100);
+    let high_value_in_flight = sim.count_in_flight(&high_value);
     assert!(
-        forwarded_of_least < forwarded_of_most,
-        "{forwarded_of_least} of the class that earns least, {forwarded_of_most} beside them"
+        low_value_in_flight < high_value_in_flight,
+        "{low_value_in_flight} requests of the class of lowest value are in flight, \
+         {high_value_in_flight} of the other class"
     );
 }
--- a/crates/decision/tests/many_ingresses.rs
+++ b/crates/decision/tests/many_ingresses.rs
@@ -1,16 +1,17 @@
-//! What shows only with many ingresses: each of them sees a customer or an endpoint rarely.
+//! Many ingresses, each of which rarely receives a request of the same customer and rarely forwards
+//! one to the same endpoint.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
-const MANY: usize = 300;
+const INGRESSES: usize = 300;
 
 #[test]
-fn peers_rejected_requests_do_not_lock_a_customer_out_for_minutes() {
-    let mut sim = Simulation::new(settings(MANY as u32), MANY, 20);
-    // A flood through all ingresses: burst 10, rate 5, most of it rejected.
-    for ingress in 0..MANY {
+fn requests_that_peers_rejected_do_not_block_a_customer_for_long() {
+    let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
+    // A flood through all ingresses. With a burst of 10 and a rate of 5, most of it is rejected.
+    for ingress in 0..INGRESSES {
         sim.is_forwarded(ingress, 0, 1);
     }
     end_all_and_advance(&mut sim, 100);
@@ -20,37 +21,37 @@
         .count();
     assert!(
         forwarded >= 5,
-        "{forwarded} of 6 moderate requests are forwarded two windows after the flood"
+        "{forwarded} of 6 requests at a moderate rate forwarded two windows after the flood"
     );
 }
 
 #[test]
-fn rejected_requests_of_an_infrequent_customer_do_not_hide_later_ones() {
-    let mut sim = Simulation::new(settings(MANY as u32), MANY, 20);
+fn rejected_requests_of_an_infrequent_customer_do_not_make_later_increments_empty() {
+    let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
     for _ in 0..2 {
-        let forwarded = (0..MANY)
+        let forwarded = (0..INGRESSES)
             .filter(|ingress| sim.is_forwarded(*ingress, 0, 1))
             .count();
         assert!(
             forwarded <= 14,
-            "{forwarded} of a burst of 10: increments of nothing were not seen"
+            "{forwarded} requests forwarded with a burst of 10: peers cannot see empty increments"
         );
         end_all_and_advance(&mut sim, 3000);
     }
 }
 
-/// How many calls ingress 0 makes for a request of each of these customers.
-fn calls(
+/// Sends ingress 0 one request of each customer, and returns how many counter calls it makes.
+fn count_calls(
     sim: &mut Simulation,
     plan: usize,
     customers: std::ops::Range<u64>,
-    mode: CallOutcome,
+    outcome: CallOutcome,
 ) -> usize {
     let mut calls_made = 0;
     for customer in customers {
         sim.request(0, 0, plan, customer);
         calls_made += sim.pending_calls.len();
-        sim.end_all_calls(mode);
+        sim.end_all_calls(outcome);
         sim.end_nth_attempt(0, Outcome::Ok);
         sim.advance(ms(30));
     }
@@ -59,99 +60,101 @@
 
 #[test]
 fn a_counter_that_rejects_calls_gets_fewer_until_it_recovers() {
-    let mut sim = Simulation::new(settings(MANY as u32), MANY, 20);
-    assert!(calls(&mut sim, 0, 0..40, CallOutcome::NotAdded) < 20);
-    calls(&mut sim, 0, 0..40, CallOutcome::Replied);
-    assert!(calls(&mut sim, 0, 0..40, CallOutcome::Replied) > 30);
+    let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
+    assert!(count_calls(&mut sim, 0, 0..40, CallOutcome::NotAdded) < 20);
+    count_calls(&mut sim, 0, 0..40, CallOutcome::Replied);
+    assert!(count_calls(&mut sim, 0, 0..40, CallOutcome::Replied) > 30);
 }
 
 #[test]
-fn a_degraded_counter_gets_no_calls_whose_total_would_change_nothing() {
-    let mut settings = settings(MANY as u32);
+fn a_degraded_counter_gets_no_calls_whose_totals_are_not_needed() {
+    let mut settings = settings(INGRESSES as u32);
     settings.plans[1] = Plan {
         over_quota_cost: 0.0,
         ..plan(5.0, 10.0)
     };
-    let mut sim = Simulation::new(settings, MANY, 20);
+    let mut sim = Simulation::new(settings, INGRESSES, 20);
     assert_eq!(
-        calls(&mut sim, 1, 0..20, CallOutcome::Replied),
+        count_calls(&mut sim, 1, 0..20, CallOutcome::Replied),
         20,
-        "a counter with capacity is called for each request"
+        "a counter that replies is called for every request"
     );
-    calls(&mut sim, 0, 0..20, CallOutcome::NotAdded);
+    count_calls(&mut sim, 0, 0..20, CallOutcome::NotAdded);
     assert_eq!(
-        calls(&mut sim, 1, 20..60, CallOutcome::NotAdded),
+        count_calls(&mut sim, 1, 20..60, CallOutcome::NotAdded),
         0,
-        "free beyond the quota: no total is needed"
+        "requests that cost nothing over the quota need no total"
     );
     assert!(
-        calls(&mut sim, 0, 20..60, CallOutcome::NotAdded) > 0,
-        "where it costs, some still call the counter"
+        count_calls(&mut sim, 0, 20..60, CallOutcome::NotAdded) > 0,
+        "some of the requests that cost something over the quota still call the counter"
     );
 }
 
 #[test]
-fn without_totals_admission_follows_the_odds_of_first_attempts_and_of_retries() {
-    let mut sim = Simulation::new(settings(MANY as u32), MANY, 20);
+fn without_totals_admission_follows_the_estimates_for_first_attempts_and_retries() {
+    let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
     let mut next = 0;
-    // How many of so many requests are forwarded, each of a customer with this use at its peers.
-    let mut forwarded = |sim: &mut Simulation, requests: u64, (retry, used): (bool, f64), mode| {
-        sim.is_retry = retry;
-        let mut forwarded = 0;
-        for _ in 0..requests {
-            next += 1;
-            sim.counter_totals.insert(
-                next,
-                CounterEntry {
-                    total: used,
-                    expires_at: sim.now + ms(2000),
-                },
-            );
-            let id = sim.request(0, 0, 0, next);
-            sim.end_all_calls(mode);
-            forwarded += u64::from(sim.attempt_count(0, id) > 0);
-            sim.advance(ms(20));
-            sim.end_nth_attempt(0, Outcome::Ok);
-        }
-        forwarded
-    };
-    let (first, again) = ((false, 0.0), (true, 0.0));
-    // Responses show that the endpoints bear what goes out from here.
-    forwarded(&mut sim, 20, first, CallOutcome::Replied);
+    // Sends requests, each of a different customer that has used this many units at the peers, and
+    // returns how many are forwarded.
+    let mut send_requests =
+        |sim: &mut Simulation, requests: u64, (mark_as_retry, peer_units): (bool, f64), outcome| {
+            sim.is_retry = mark_as_retry;
+            let mut forwarded = 0;
+            for _ in 0..requests {
+                next += 1;
+                sim.counter_totals.insert(
+                    next,
+                    CounterEntry {
+                        total: peer_units,
+                        expires_at: sim.now + ms(2000),
+                    },
+                );
+                let id = sim.request(0, 0, 0, next);
+                sim.end_all_calls(outcome);
+                forwarded += u64::from(sim.attempt_count(0, id) > 0);
+                sim.advance(ms(20));
+                sim.end_nth_attempt(0, Outcome::Ok);
+            }
+            forwarded
+        };
+    let (first_attempt, client_retry) = ((false, 0.0), (true, 0.0));
+    // After these responses, load shedding does not limit the requests of this ingress.
+    send_requests(&mut sim, 20, first_attempt, CallOutcome::Replied);
     assert_eq!(
-        forwarded(&mut sim, 20, first, CallOutcome::NotAdded),
+        send_requests(&mut sim, 20, first_attempt, CallOutcome::NotAdded),
         20,
-        "most customers stay inside their quota"
+        "first attempts are assumed to be within the quota"
     );
     assert_eq!(
-        forwarded(&mut sim, 20, again, CallOutcome::NotAdded),
+        send_requests(&mut sim, 20, client_retry, CallOutcome::NotAdded),
         0,
-        "retries follow rejections"
+        "retries are assumed to be over the quota"
     );
-    // Now totals show that retries are within their quota, and first attempts are not.
-    forwarded(&mut sim, 100, again, CallOutcome::Replied);
-    forwarded(&mut sim, 100, (false, 50.0), CallOutcome::Replied);
+    // Totals now show that retries are within the quota and first attempts are over it.
+    send_requests(&mut sim, 100, client_retry, CallOutcome::Replied);
+    send_requests(&mut sim, 100, (false, 50.0), CallOutcome::Replied);
     assert_eq!(
-        forwarded(&mut sim, 20, again, CallOutcome::NotAdded),
+        send_requests(&mut sim, 20, client_retry, CallOutcome::NotAdded),
         20,
-        "totals showed retries to be within their quota"
+        "totals showed that retries are within the quota"
     );
     assert_eq!(
-        forwarded(&mut sim, 20, first, CallOutcome::NotAdded),
+        send_requests(&mut sim, 20, first_attempt, CallOutcome::NotAdded),
         0,
-        "totals showed first attempts to be beyond it"
+        "totals showed that first attempts are over the quota"
     );
 }
 
 #[test]
-fn one_ingress_of_many_does_not_reject_for_the_fluctuation_of_its_few_requests() {
-    let mut settings = settings(MANY as u32);
+fn one_ingress_of_many_does_not_reject_requests_because_of_local_fluctuation() {
+    let mut settings = settings(INGRESSES as u32);
     settings.classes.truncate(1);
-    let mut sim = Simulation::new(settings, MANY, 20);
+    let mut sim = Simulation::new(settings, INGRESSES, 20);
     let mut rejected = 0;
     for round in 0..120 {
-        // Seventeen a second, five at a time; each is in flight for a fifth of its latency
-        // objective, two thirds of what is borne.
+        // The ingress receives 17 requests per second, five at a time. Their latency is a fifth of
+        // the latency objective, which is two thirds of what load shedding permits.
         let from = sim.forwards.len();
         for k in 0..5 {
             sim.request(0, 0, 2, 5 * round + k);
@@ -168,13 +171,13 @@
     }
     assert!(
         rejected <= 25,
-        "{rejected} of 500 rejected while the endpoints answer in time"
+        "{rejected} of 500 requests rejected although the endpoints respond in time"
     );
 }
 
 #[test]
-fn a_stall_of_the_ingress_makes_no_endpoint_unresponsive() {
-    let mut sim = Simulation::new(settings(MANY as u32), 1, 20);
+fn a_stall_of_the_ingress_does_not_make_endpoints_count_as_unresponsive() {
+    let mut sim = Simulation::new(settings(INGRESSES as u32), 1, 20);
     for k in 0..10 {
         sim.request(0, 0, 0, k);
     }
@@ -190,9 +193,9 @@
 }
 
 #[test]
-fn hundreds_of_ingresses_do_not_fill_idle_endpoints_in_the_first_second() {
-    let mut sim = Simulation::new(settings(MANY as u32), MANY, 20);
-    for ingress in 0..MANY {
+fn hundreds_of_ingresses_do_not_overload_idle_endpoints_when_they_start() {
+    let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
+    for ingress in 0..INGRESSES {
         for k in 0..20 {
             sim.request(ingress, 0, 0, (100 * ingress + k) as u64 + 50_000);
         }
@@ -201,16 +204,16 @@
     let per_endpoint = sim.forwards.len() / 20;
     assert!(
         per_endpoint <= 20,
-        "{per_endpoint} in flight at each endpoint before any response"
+        "{per_endpoint} requests in flight per endpoint before the first response"
     );
 }
 
 #[test]
-fn a_ceiling_shared_by_many_holds_at_window_edges_and_when_the_counter_loses_its_totals() {
+fn a_ceiling_shared_by_many_ingresses_holds_across_windows_and_after_lost_totals() {
     let mut sim = Simulation::new(settings(16), 16, 20);
     for round in 0..60 {
         for ingress in 0..16 {
-            sim.is_forwarded(ingress, 1, 1); // the simulation checks rule 5 at each forward
+            sim.is_forwarded(ingress, 1, 1); // `Simulation` checks rule 5 at each forward
         }
         if round == 30 {
             sim.counter_totals.clear();
@@ -219,25 +222,25 @@
     }
     assert!(
         sim.min_ceiling_level < 30.0,
-        "the customer used its ceiling"
+        "the customer has to use its ceiling"
     );
 }
 
-/// Entries of a fleet in which every second endpoint is a quarter smaller.
-fn two_sizes(endpoints: u32) -> Vec<EndpointEntry> {
-    let size = |n: u32| if n.is_multiple_of(2) { 2.0 } else { 1.5 };
+/// Returns endpoint entries of which every second has three quarters of the weight of the others.
+fn entries_of_two_weights(endpoints: u32) -> Vec<EndpointEntry> {
+    let weight_of = |n: u32| if n.is_multiple_of(2) { 2.0 } else { 1.5 };
     (0..endpoints)
         .map(|n| EndpointEntry {
-            weight: size(n),
+            weight: weight_of(n),
             ..entry(n, EndpointState::Ready, None)
         })
         .collect()
 }
 
 #[test]
-fn small_endpoints_carry_their_share_where_each_ingress_has_few_in_flight() {
+fn small_endpoints_get_their_share_although_each_ingress_has_few_requests_in_flight() {
     let mut sim = Simulation::new(settings(100), 100, 60);
-    sim.update_all_endpoint_lists(&EndpointListUpdate::Full(two_sizes(60)));
+    sim.update_all_endpoint_lists(&EndpointListUpdate::Full(entries_of_two_weights(60)));
     for round in 0..60 {
         for ingress in 0..100 {
             sim.request(ingress, 0, 2, (round * 100 + ingress) as u64);
@@ -245,24 +248,24 @@
         sim.end_all_calls(CallOutcome::Replied);
         end_all_and_advance(&mut sim, 100);
     }
-    let mut got = [0.0; 60];
+    let mut forwards_to = [0.0; 60];
     sim.forwards
         .iter()
-        .for_each(|forward| got[forward.endpoint as usize] += 1.0);
-    let (all, sizes) = (got.iter().sum::<f64>(), 30.0 * 3.5);
-    for (n, got) in got.iter().enumerate() {
-        let fair = all * if n.is_multiple_of(2) { 2.0 } else { 1.5 } / sizes;
+        .for_each(|forward| forwards_to[forward.endpoint as usize] += 1.0);
+    let (all, total_weight) = (forwards_to.iter().sum::<f64>(), 30.0 * 3.5);
+    for (n, forward_count) in forwards_to.iter().enumerate() {
+        let fair_share = all * if n.is_multiple_of(2) { 2.0 } else { 1.5 } / total_weight;
         assert!(
-            (0.6..1.5).contains(&(got / fair)),
-            "endpoint {n}: {got} of a fair {fair:.0}"
+            (0.6..1.5).contains(&(forward_count / fair_share)),
+            "endpoint {n}: {forward_count} forwards, its fair share is {fair_share:.0}"
         );
     }
 }
 
 #[test]
-fn an_ingress_of_many_keeps_to_its_subset_and_leaves_it_when_it_fails() {
+fn an_ingress_uses_only_its_subset_until_the_subset_fails() {
     let mut sim = Simulation::new(settings(100), 100, 60);
-    let endpoints_used = |sim: &mut Simulation, bad: &dyn Fn(u32) -> bool| {
+    let endpoints_used = |sim: &mut Simulation, is_failing: &dyn Fn(u32) -> bool| {
         let from = sim.forwards.len();
         for round in 0..40 {
             sim.request(7, 0, 2, round);
@@ -271,7 +274,7 @@
             sim.advance(ms(100));
             sim.end_nth_attempt(
                 0,
-                if bad(endpoint) {
+                if is_failing(endpoint) {
                     Outcome::ConnectFailed
                 } else {
                     Outcome::Ok
@@ -286,17 +289,17 @@
     };
     let subset = endpoints_used(&mut sim, &|_| false);
     assert!((8..=16).contains(&subset.len()), "{subset:?}");
-    let others = endpoints_used(&mut sim, &|s| subset.contains(&s));
+    let used_after_failure = endpoints_used(&mut sim, &|id| subset.contains(&id));
     assert!(
-        others.iter().any(|s| !subset.contains(s)),
-        "a subset that fails is left: {others:?}"
+        used_after_failure.iter().any(|id| !subset.contains(id)),
+        "only endpoints of the failing subset were used: {used_after_failure:?}"
     );
 }
 
 #[test]
-fn an_index_that_no_ingress_has_is_an_error() {
+fn an_ingress_index_out_of_range_is_an_error() {
     for (ingress_count, ingress_index) in [(0, 0), (3, 3)] {
-        let wrong = Dispatcher::new(
+        let error = Dispatcher::new(
             Settings {
                 ingress_index,
                 ..settings(ingress_count)
@@ -305,6 +308,6 @@
         )
         .err()
         .unwrap();
-        assert!(wrong.to_string().contains("number of ingresses"), "{wrong}");
+        assert!(error.to_string().contains("number of ingresses"), "{error}");
     }
 }
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random legal event orders against the rules; `common::Simulation` checks each action.
+//! Runs random sequences of events. `common::Simulation` checks every action against the rules.
 
 mod common;
 use common::*;
@@ -6,6 +6,7 @@
 use roseyard_decision::*;
 
 const INGRESSES: usize = 3;
+/// The outcomes of counter calls, of which half get a reply.
 const CALL_OUTCOMES: [CallOutcome; 6] = [
     CallOutcome::Replied,
     CallOutcome::Replied,
@@ -14,6 +15,7 @@
     CallOutcome::LostAfterAdding,
     CallOutcome::NotAdded,
 ];
+/// The outcomes of attempts, of which three in ten are served.
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Ok,
     Outcome::Ok,
@@ -32,6 +34,7 @@
     EndpointState::Removed,
 ];
 
+/// One step of a sequence. An `index` selects among the calls, attempts or requests that are open.
 #[derive(Clone, Debug)]
 enum Step {
     Request {
@@ -62,6 +65,7 @@
     },
 }
 
+/// Generates steps; the numbers before `=>` are relative frequencies.
 fn step() -> impl Strategy<Value = Step> {
     let request = (0..INGRESSES, 0..4usize, 0..3usize, 0..3u64);
     prop_oneof![
@@ -86,7 +90,7 @@
     ]
 }
 
-/// Events of unknown requests, endpoints and keys, with numbers that are none.
+/// Returns an event about an unknown request, endpoint or key, or with numbers that are not valid.
 fn unexpected_event(kind: u8) -> Event {
     let nan = f64::NAN;
     match kind {
@@ -124,8 +128,9 @@
     }
 }
 
-/// Runs the steps; with `only_one_ceiling`, all requests are one customer's under a ceiling.
-fn run(steps: &[Step], settings: Settings, only_one_ceiling: bool) -> Simulation {
+/// Runs the steps. With `use_single_ceiling`, all requests are from one customer, whose plan has a
+/// ceiling.
+fn run(steps: &[Step], settings: Settings, use_single_ceiling: bool) -> Simulation {
     let mut sim = Simulation::new(settings, INGRESSES, 5);
     for step in steps {
         match *step {
@@ -135,8 +140,8 @@
                 plan,
                 customer,
             } => {
-                let plan = if only_one_ceiling { 1 } else { plan };
-                let customer = if only_one_ceiling { 0 } else { customer };
+                let plan = if use_single_ceiling { 1 } else { plan };
+                let customer = if use_single_ceiling { 0 } else { customer };
                 sim.request(ingress, class, plan, customer);
             }
             Step::EndCall { index, outcome } => {
@@ -178,7 +183,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn every_rule_holds_for_any_event_order(steps in prop::collection::vec(step(), 1..250)) {
+    fn the_rules_hold_for_any_order_of_events(steps in prop::collection::vec(step(), 1..250)) {
         run(&steps, settings(3), false);
     }
 
@@ -192,19 +197,19 @@
     }
 
     #[test]
-    fn a_flood_on_one_ceiling_never_exceeds_it(steps in prop::collection::vec(step(), 1..400)) {
+    fn a_flood_does_not_exceed_a_ceiling(steps in prop::collection::vec(step(), 1..400)) {
         run(&steps, settings(3), true);
     }
 
     #[test]
-    fn same_events_give_same_actions(steps in prop::collection::vec(step(), 1..150)) {
+    fn the_same_events_lead_to_the_same_actions(steps in prop::collection::vec(step(), 1..150)) {
         let first = run(&steps, settings(3), false);
         let second = run(&steps, settings(3), false);
         prop_assert_eq!(first.actions, second.actions);
     }
 
     #[test]
-    fn without_a_counter_every_rule_holds(steps in prop::collection::vec(step(), 1..200)) {
+    fn the_rules_hold_without_a_counter(steps in prop::collection::vec(step(), 1..200)) {
         let mut settings = settings(3);
         settings.counter = None;
         let sim = run(&steps, settings, false);
--- a/crates/decision/tests/quota_use.rs
+++ b/crates/decision/tests/quota_use.rs
@@ -1,17 +1,18 @@
-//! How much of its quota a customer gets over all ingresses.
+//! How much of its quota a customer can use over all ingresses.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
-/// Units that a run forwarded, and those that the quota allowed in that time.
-struct Use {
+/// The units that a run forwarded, and the units that the quota allowed in the same time.
+struct QuotaUse {
     forwarded: f64,
     allowed: f64,
 }
 
-/// One customer sends three ingresses many times its quota, each request estimated at 2 units.
-fn use_with_estimates(actual_units: f64) -> Use {
+/// Sends three ingresses many times the quota of one customer. Each request is estimated at 2
+/// units, and its response reports the actual units.
+fn use_with_estimates(actual_units: f64) -> QuotaUse {
     let mut sim = Simulation::new(settings(3), 3, 5);
     let start = sim.now;
     for round in 0..2000 {
@@ -24,7 +25,7 @@
         }
     }
     let plan = &sim.settings.plans[0];
-    Use {
+    QuotaUse {
         forwarded: sim.forwards.len() as f64 * actual_units,
         allowed: plan.burst + plan.rate * (sim.now - start).as_secs_f64(),
     }
@@ -33,43 +34,44 @@
 #[test]
 fn actual_units_above_and_below_the_estimate_stay_within_the_quota_over_all_ingresses() {
     for actual_units in [1.0, 2.0, 3.0, 5.0] {
-        let Use { forwarded, allowed } = use_with_estimates(actual_units);
+        let QuotaUse { forwarded, allowed } = use_with_estimates(actual_units);
         println!(
-            "actual {actual_units}, estimate 2: {forwarded} actual units forwarded of {allowed}"
+            "{actual_units} actual units per request: {forwarded} units forwarded of {allowed}"
         );
         assert!(
             forwarded <= 1.15 * allowed,
-            "actual {actual_units}: {forwarded} forwarded of {allowed}"
+            "{actual_units} actual units per request: {forwarded} units forwarded of {allowed}"
         );
         assert!(
             forwarded >= 0.8 * allowed,
-            "actual {actual_units}: {forwarded} forwarded of {allowed}, capacity is left unused"
+            "{actual_units} actual units per request: only {forwarded} units forwarded of {allowed}"
         );
     }
 }
 
-/// How one plan's customer fared in a run.
+/// What the customer of one plan used during a run.
 #[derive(Clone, Copy, Default)]
 struct PlanUse {
-    /// The quota's bucket, in units.
+    /// The units that are left in the token bucket of the quota.
     available: f64,
     requests: f64,
     forwarded_units: f64,
-    /// Rejected while the bucket held half of its units or more.
+    /// The number of requests rejected while the bucket was at least half full.
     rejected_within_quota: f64,
 }
 
-/// What a run shows of one plan.
+/// The result of a run for one plan.
 struct PlanRatios {
-    /// Units forwarded, relative to those that were allowed.
+    /// The units forwarded, relative to the units allowed.
     used: f64,
-    /// Share of requests that were rejected while the quota held half of its units or more.
+    /// The share of requests that were rejected while the bucket was at least half full.
     rejected_within_quota: f64,
 }
 
-/// One customer of each of three plans sends three ingresses so many times its quota, for a minute;
-/// the counter replies to this part of the calls and rejects the others. The ratios of each plan.
-fn use_by_plan(times: f64, replied_ratio: f64, seed: u64) -> Vec<PlanRatios> {
+/// Sends three ingresses the requests of three customers, each on a plan of its own, for one
+/// minute. The request rate is `load_factor` times the quota. The counter replies to a share of
+/// `replied_ratio` of the calls and rejects the others. Returns the result for each plan.
+fn use_by_plan(load_factor: f64, replied_ratio: f64, seed: u64) -> Vec<PlanRatios> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut settings = settings(3);
     let with_ceiling = Plan {
@@ -83,18 +85,18 @@
     let mut sim = Simulation::seeded(settings, 3, 5, seed);
     let start = sim.now;
     let step = ms(10);
-    let full = |plan: &Plan| PlanUse {
+    let full_bucket = |plan: &Plan| PlanUse {
         available: plan.burst,
         ..PlanUse::default()
     };
-    let mut uses: Vec<PlanUse> = plans.iter().map(full).collect();
+    let mut uses: Vec<PlanUse> = plans.iter().map(full_bucket).collect();
     for _ in 0..6000 {
         for (index, plan) in plans.iter().enumerate() {
             let plan_use = &mut uses[index];
             let refill = plan.rate * step.as_secs_f64();
             plan_use.available = (plan_use.available + refill).min(plan.burst);
-            // Two units a request, in the mean.
-            if rng.f64() >= times * plan.rate / 2.0 * step.as_secs_f64() {
+            // A request costs two units on average.
+            if rng.f64() >= load_factor * plan.rate / 2.0 * step.as_secs_f64() {
                 continue;
             }
             let ingress = rng.usize(0..3);
@@ -119,7 +121,7 @@
     }
     let seconds = (sim.now - start).as_secs_f64();
     let ratios = |(plan, plan_use): (&Plan, &PlanUse)| {
-        let requested = times * plan.rate * seconds;
+        let requested = load_factor * plan.rate * seconds;
         let allowed = (plan.burst + plan.rate * seconds).min(requested);
         PlanRatios {
             used: plan_use.forwarded_units / allowed,
@@ -130,29 +132,31 @@
 }
 
 #[test]
-fn each_plan_stays_within_its_quota_as_far_as_the_counter_replies() {
-    // Without totals an ingress sees its own part of a customer alone, and what all admit together
-    // exceeds the quota.
-    for (part, beyond) in [(1.0, 1.1), (0.3, 1.55), (0.15, 1.7)] {
-        for times in [0.5, 3.0] {
-            let runs: Vec<_> = (0..2).map(|seed| use_by_plan(times, part, seed)).collect();
-            for n in 0..3 {
-                let mean = |of: fn(&PlanRatios) -> f64| {
-                    runs.iter().map(|run| of(&run[n])).sum::<f64>() / 2.0
+fn use_exceeds_a_quota_only_as_far_as_counter_replies_are_missing() {
+    // Without a total, an ingress knows only its own part of a customer's use, so what all
+    // ingresses admit together exceeds the quota.
+    for (replied_share, max_used) in [(1.0, 1.1), (0.3, 1.55), (0.15, 1.7)] {
+        for quota_multiple in [0.5, 3.0] {
+            let runs: Vec<_> = (0..2)
+                .map(|seed| use_by_plan(quota_multiple, replied_share, seed))
+                .collect();
+            for plan_index in 0..3 {
+                let mean = |ratio: fn(&PlanRatios) -> f64| {
+                    runs.iter().map(|run| ratio(&run[plan_index])).sum::<f64>() / 2.0
                 };
                 let used = mean(|ratios| ratios.used);
                 let rejected = mean(|ratios| ratios.rejected_within_quota);
                 println!(
-                    "part {part}, {times} times the quota, plan {n}: \
+                    "{replied_share} replied, {quota_multiple} times the quota, plan {plan_index}: \
                      {used:.2} used, {rejected:.2} rejected within the quota"
                 );
                 assert!(
-                    used <= beyond,
-                    "part {part}, plan {n}: {used:.2} of the quota"
+                    used <= max_used,
+                    "{replied_share} replied, plan {plan_index}: {used:.2} of the quota used"
                 );
                 assert!(
                     used >= 0.7,
-                    "part {part}, plan {n}: only {used:.2} of the quota"
+                    "{replied_share} replied, plan {plan_index}: only {used:.2} of the quota used"
                 );
             }
         }
--- a/crates/decision/tests/retries.rs
+++ b/crates/decision/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests, within what a class allows.
+//! Retries and hedged requests, as far as the idempotency of a class permits them.
 
 mod common;
 use common::*;
@@ -13,19 +13,19 @@
         .requests
         .values()
         .filter(|r| r.attempts.first().is_some_and(|a| a.endpoint == 3));
-    let copied = stuck
+    let hedged = stuck
         .filter(|r| r.attempts.len() > 1 && r.answer == Some(Answer::Served))
         .count();
-    assert!(copied >= 1);
+    assert!(hedged >= 1);
 }
 
 #[test]
-fn where_hedging_is_not_permitted_a_stuck_request_is_cancelled_and_retried() {
+fn without_hedging_a_stuck_request_is_cancelled_and_retried() {
     let mut settings = settings(1);
     settings.permissions.hedging = false;
     let mut sim = Simulation::new(settings, 1, 5);
     run_steady_requests(&mut sim, 0, 100, &[]);
-    let mut moved = false;
+    let mut retried = false;
     for _ in 0..100 {
         run_steady_requests(&mut sim, 0, 1, &[3]);
         let cancel = sim.actions.iter().find_map(|(_, a)| match a {
@@ -34,11 +34,11 @@
         });
         if let Some((id, n)) = cancel.filter(|c| sim.requests[&(0, c.0)].answer.is_none()) {
             sim.end_attempt(0, id, usize::from(n), Outcome::Cancelled);
-            moved = sim.attempt_count(0, id) == 2;
+            retried = sim.attempt_count(0, id) == 2;
             break;
         }
     }
-    assert!(moved);
+    assert!(retried);
 }
 
 #[test]
@@ -74,29 +74,29 @@
     let id = sim.request(0, 1, 0, 1);
     sim.end_all_calls(CallOutcome::Replied);
     sim.end_nth_attempt(0, Outcome::Reset);
-    let endpoints: Vec<_> = sim.requests[&(0, id)]
+    let cells: Vec<_> = sim.requests[&(0, id)]
         .attempts
         .iter()
         .map(|a| a.endpoint % 2)
         .collect();
-    assert_eq!(endpoints.len(), 2);
-    assert_eq!(endpoints[0], endpoints[1]);
+    assert_eq!(cells.len(), 2);
+    assert_eq!(cells[0], cells[1]);
     sim.advance(ms(395));
     let before = sim.attempt_count(0, id);
     sim.advance(ms(55));
-    let open = sim.requests[&(0, id)].attempts.len() - 1;
+    let last_attempt = sim.requests[&(0, id)].attempts.len() - 1;
     if sim.answer_of(0, id).is_none() {
-        sim.end_attempt(0, id, open, Outcome::Reset);
+        sim.end_attempt(0, id, last_attempt, Outcome::Reset);
     }
     assert_eq!(
         sim.attempt_count(0, id),
         before,
-        "nothing is forwarded once the key may have expired"
+        "the request was forwarded again although its key may have expired"
     );
 }
 
 #[test]
-fn a_started_stream_outlives_its_deadline_and_is_not_hedged() {
+fn a_started_stream_does_not_fail_at_its_deadline_and_is_not_hedged() {
     let mut settings = settings(1);
     settings.classes[0].streamed = true;
     let mut sim = Simulation::new(settings, 1, 5);
@@ -113,7 +113,7 @@
     assert_eq!(
         (sim.answer_of(0, id), sim.attempt_count(0, id)),
         (None, 1),
-        "neither failed nor hedged"
+        "the stream has neither failed nor been hedged"
     );
     sim.end_attempt(0, id, 0, Outcome::Ok);
     assert_eq!(sim.answer_of(0, id), Some(Answer::Served));
--- a/crates/decision/tests/services.rs
+++ b/crates/decision/tests/services.rs
@@ -1,23 +1,23 @@
-//! Services in one ingress: what happens to one affects no other, and customers' quotas span them
-//! all.
+//! Services of one ingress: they do not affect each other, and the quotas of customers apply to all
+//! of them together.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
 #[test]
-fn a_request_goes_to_endpoints_of_its_own_service_alone() {
+fn a_request_is_forwarded_only_to_endpoints_of_its_service() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 5);
     for round in 0..200 {
-        // The simulation asserts of each forward that it goes to an endpoint of the request's
-        // service.
+        // `ServiceSimulation` asserts for each forward that the endpoint belongs to the service of
+        // the request.
         assert!(sim.serve(1 + round % 5), "round {round}");
     }
     assert_eq!(sim.dispatcher.service_count(), 5);
 }
 
 #[test]
-fn a_quota_is_one_for_all_services() {
+fn a_quota_applies_to_all_services_together() {
     let mut sim = ServiceSimulation::new(
         Settings {
             plans: vec![plan(0.01, 10.0)],
@@ -25,20 +25,22 @@
         },
         5,
     );
-    let served = |sim: &mut ServiceSimulation, service| {
+    let send_and_serve = |sim: &mut ServiceSimulation, service| {
         let id = sim.request(service, QUOTA_PLAN, 7);
         sim.end_attempt(id, Outcome::Ok, ms(1));
         u32::from(sim.requests[&id].served)
     };
-    let all: u32 = (0..50).map(|round| served(&mut sim, 1 + round % 5)).sum();
+    let served_requests: u32 = (0..50)
+        .map(|round| send_and_serve(&mut sim, 1 + round % 5))
+        .sum();
     assert_eq!(
-        all, 10,
-        "the burst of one bucket, not of one for each service"
+        served_requests, 10,
+        "all services share the burst of one bucket"
     );
 }
 
 #[test]
-fn a_ceiling_is_one_for_all_services_where_the_counter_does_not_reply() {
+fn a_ceiling_applies_to_all_services_together_while_the_counter_does_not_reply() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 8);
     sim.counter_replies = false;
     for round in 0..200 {
@@ -47,28 +49,28 @@
         sim.end_attempt(id, Outcome::Ok, ms(1));
     }
     let served = sim.requests.values().filter(|record| record.served).count();
-    // 20 s at 16 units a second, and a depth of 32 with a slack of 3.2.
-    assert!(served <= 20 * 16 + 35, "{served} served");
-    let mut alone = ServiceSimulation::new(high_quota_settings(), 1);
-    alone.counter_replies = false;
+    // 20 s at 16 units per second, plus a burst of 32 and a slack of 3.2.
+    assert!(served <= 20 * 16 + 35, "{served} requests served");
+    let mut single_service = ServiceSimulation::new(high_quota_settings(), 1);
+    single_service.counter_replies = false;
     for _ in 0..200 {
-        let id = alone.request(1, CEILING_PLAN, 7);
-        alone.advance(ms(100));
-        alone.end_attempt(id, Outcome::Ok, ms(1));
+        let id = single_service.request(1, CEILING_PLAN, 7);
+        single_service.advance(ms(100));
+        single_service.end_attempt(id, Outcome::Ok, ms(1));
     }
-    let served_alone = alone
+    let served_alone = single_service
         .requests
         .values()
         .filter(|record| record.served)
         .count();
     assert!(
         served <= served_alone + 2,
-        "{served} over eight services, {served_alone} over one"
+        "{served} requests served by eight services, {served_alone} by one"
     );
 }
 
 #[test]
-fn a_service_whose_endpoints_all_fail_or_hang_affects_no_other() {
+fn a_service_whose_endpoints_all_fail_does_not_affect_other_services() {
     for outcome in [
         Outcome::ConnectFailed,
         Outcome::Timeout,
@@ -76,32 +78,32 @@
         Outcome::Overloaded,
     ] {
         let mut sim = ServiceSimulation::new(high_quota_settings(), 2);
-        let mut broken = 0;
+        let mut unserved = 0;
         for _ in 0..100 {
             let id = sim.request_within_quota(1);
             assert!(
                 sim.serve(2),
-                "{outcome:?}: the other service is served as ever"
+                "{outcome:?}: a request of the other service was not served"
             );
-            // Further attempts of the broken one fail too, until it gives up.
+            // Further attempts of this request fail too, until it is rejected or fails.
             for _ in 0..8 {
                 sim.end_attempt(id, outcome, ms(5));
             }
-            broken += u32::from(sim.requests[&id].rejected);
+            unserved += u32::from(sim.requests[&id].rejected);
             sim.advance(ms(15));
         }
         assert!(
-            broken > 0,
-            "{outcome:?}: the broken service rejects or fails"
+            unserved > 0,
+            "{outcome:?}: no request of the failing service was rejected or failed"
         );
-        let further = sim
+        let with_further_attempts = sim
             .requests
             .values()
             .filter(|record| record.service == 2 && record.attempts.len() > 1);
         assert_eq!(
-            further.count(),
+            with_further_attempts.count(),
             0,
-            "{outcome:?}: no further attempt of the other was needed"
+            "{outcome:?}: requests of the other service needed further attempts"
         );
     }
 }
@@ -112,7 +114,7 @@
     assert_eq!(sim.count_served(2, 50), 50);
     assert_eq!(sim.count_served(1, 50), 50);
     for _ in 0..50 {
-        // Nothing of the flood is answered: it stays in flight.
+        // The flood gets no responses, so its requests stay in flight.
         for _ in 0..40 {
             sim.request_within_quota(1);
         }
@@ -122,12 +124,12 @@
     let flood = sim.requests.values().filter(|record| record.service == 1);
     assert!(
         flood.filter(|record| record.rejected).count() > 1000,
-        "the flood itself is rejected"
+        "too few requests of the flood were rejected"
     );
 }
 
 #[test]
-fn a_draining_service_stops_alone_and_is_dropped() {
+fn a_draining_service_is_dropped_without_affecting_others() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 3);
     assert!(sim.serve(1) && sim.serve(2));
     let drained = (0..ENDPOINTS_PER_SERVICE)
@@ -141,23 +143,27 @@
     assert_eq!(
         sim.dispatcher.service_count(),
         2,
-        "a service without endpoints and requests holds no state"
+        "a service without endpoints and requests is dropped"
     );
 }
 
 #[test]
-fn a_service_that_returns_is_warming_up_by_its_endpoints_start_times() {
+fn a_service_that_returns_with_restarted_endpoints_is_warming_up() {
     let mut settings = high_quota_settings();
     settings.ingress_count = 300;
     let mut sim = ServiceSimulation::new(settings, 2);
-    // In the first seconds each of many ingresses forwards next to nothing to few endpoints.
+    // In its first seconds, each of many ingresses forwards very little to a service with few
+    // endpoints.
     sim.advance(ms(10_000));
     let served_warm = sim.count_served(1, 100);
-    assert!(served_warm > 90, "{served_warm} of 100 while warm");
-    let gone = (0..ENDPOINTS_PER_SERVICE)
+    assert!(
+        served_warm > 90,
+        "{served_warm} of 100 requests served by warm endpoints"
+    );
+    let removed = (0..ENDPOINTS_PER_SERVICE)
         .map(|index| service_entry(1, index, EndpointState::Removed, None))
         .collect();
-    sim.change_endpoints(gone);
+    sim.change_endpoints(removed);
     sim.advance(ms(1000));
     let now = sim.now;
     let warming_up = (0..ENDPOINTS_PER_SERVICE)
@@ -167,49 +173,50 @@
     let served_warming_up = sim.count_served(1, 100);
     assert!(
         served_warming_up < served_warm / 2,
-        "{served_warming_up} of 100 to endpoints warming up, {served_warm} to warm ones"
+        "of 100 requests, {served_warming_up} served while warming up, {served_warm} when warm"
+    );
+    assert_eq!(
+        sim.count_served(2, 20),
+        20,
+        "the endpoints of the other service are still warm"
     );
-    assert_eq!(sim.count_served(2, 20), 20, "the other service is warm");
 }
 
 #[test]
-fn an_endpoint_that_migrates_gets_nothing_more_from_its_previous_service() {
+fn an_endpoint_that_changes_its_service_gets_no_more_requests_of_the_previous_one() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 2);
-    let out = sim.request_within_quota(1);
-    let endpoint_that_migrates = sim.requests[&out].attempts[0];
-    let index = endpoint_that_migrates % 1000;
-    // The endpoint leaves the first service and joins the third, under its own number there.
+    let in_flight_id = sim.request_within_quota(1);
+    let moved_endpoint = sim.requests[&in_flight_id].attempts[0];
+    let index = moved_endpoint % 1000;
+    // The endpoint leaves service 1 and joins service 3, where it has another id.
     sim.change_endpoints(vec![
         service_entry(1, index, EndpointState::Removed, None),
         service_entry(3, index, EndpointState::Ready, None),
     ]);
     for _ in 0..50 {
         let id = sim.request_within_quota(1);
-        assert_ne!(
-            sim.requests[&id].attempts.first(),
-            Some(&endpoint_that_migrates)
-        );
+        assert_ne!(sim.requests[&id].attempts.first(), Some(&moved_endpoint));
         sim.end_attempt(id, Outcome::Ok, ms(1));
         assert!(sim.serve(3));
     }
-    // What was in flight there ends normally.
-    sim.end_attempt(out, Outcome::Ok, ms(300));
-    assert!(sim.requests[&out].served);
+    // The attempt that was in flight at the endpoint ends normally.
+    sim.end_attempt(in_flight_id, Outcome::Ok, ms(300));
+    assert!(sim.requests[&in_flight_id].served);
 }
 
 #[test]
-fn a_service_without_requests_is_never_woken() {
+fn a_service_without_requests_sets_no_timers() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 100);
     for service in 1..=100 {
         assert!(sim.serve(service));
     }
-    // Deadlines of requests that are over come due; then there is nothing more.
+    // The timers for the deadlines of the ended requests expire, and no other is set.
     sim.advance(ms(10_000));
     assert!(sim.timers.is_empty(), "{:?}", sim.timers);
 }
 
 #[test]
-fn churn_of_services_leaves_the_state_of_the_live_ones() {
+fn state_stays_bounded_while_services_are_added_and_removed() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 10);
     for service in 100..100_100 {
         sim.change_endpoints(vec![service_entry(service, 0, EndpointState::Ready, None)]);
@@ -222,11 +229,11 @@
             EndpointState::Removed,
             None,
         )]);
-        // One that had a request stays until its next maintenance, 50 ms later: that is eleven of
-        // them.
+        // A removed service that had a request keeps its state until its next maintenance, 50 ms
+        // later. By then there are up to eleven such services.
         assert!(
             sim.dispatcher.service_count() <= 22,
-            "{} after {service}",
+            "{} services have state after service {service} was removed",
             sim.dispatcher.service_count()
         );
     }
@@ -235,19 +242,19 @@
 }
 
 #[test]
-fn a_complete_list_drops_the_services_that_it_does_not_name() {
+fn a_full_list_drops_the_services_that_it_does_not_contain() {
     let mut sim = ServiceSimulation::new(high_quota_settings(), 10);
-    let out = sim.request_within_quota(9);
+    let in_flight_id = sim.request_within_quota(9);
     sim.handle(Event::EndpointListChanged(EndpointListUpdate::Full(
         (1..=3).flat_map(ready_entries).collect(),
     )));
     assert_eq!(
         sim.dispatcher.service_count(),
         4,
-        "one has a request in flight"
+        "three listed services, and one that has a request in flight"
     );
-    sim.end_attempt(out, Outcome::Ok, ms(5));
-    assert!(sim.requests[&out].served);
+    sim.end_attempt(in_flight_id, Outcome::Ok, ms(5));
+    assert!(sim.requests[&in_flight_id].served);
     sim.advance(ms(5000));
     assert_eq!(sim.dispatcher.service_count(), 3);
 }
@@ -255,8 +262,8 @@
 #[test]
 fn an_ingress_that_has_just_started_serves_services_with_few_requests() {
     const SERVICES: u32 = 300;
-    // 430 ingresses before 300 services of four endpoints: a hundredth of an endpoint of each falls
-    // to one of them.
+    // With 430 ingresses and four endpoints per service, the share of one ingress in a service is
+    // about a hundredth of an endpoint.
     let settings = Settings {
         ingress_count: 430,
         ..high_quota_settings()
@@ -274,12 +281,12 @@
         .count();
     assert!(
         rejected <= 10,
-        "{rejected} of 200 requests of the first second rejected"
+        "{rejected} of the 200 requests in the first second were rejected"
     );
 }
 
 #[test]
-fn an_ingress_that_has_just_started_does_not_fill_idle_endpoints_of_many_services() {
+fn an_ingress_that_has_just_started_does_not_overload_idle_endpoints_of_many_services() {
     const SERVICES: u32 = 300;
     const INGRESSES: u32 = 430;
     let settings = Settings {
@@ -288,18 +295,18 @@
     };
     let mut sim = ServiceSimulation::new(settings, SERVICES);
     for n in 0..2000 {
-        // Nobody answers.
+        // No endpoint responds.
         sim.request_within_quota(1 + (n * 7) % SERVICES);
     }
-    let sent = sim
+    let in_flight_requests = sim
         .requests
         .values()
         .filter(|record| record.in_flight)
         .count();
-    let at_each_endpoint =
-        sent as f64 * f64::from(INGRESSES) / f64::from(SERVICES * ENDPOINTS_PER_SERVICE);
+    let in_flight_per_endpoint = in_flight_requests as f64 * f64::from(INGRESSES)
+        / f64::from(SERVICES * ENDPOINTS_PER_SERVICE);
     assert!(
-        at_each_endpoint <= 10.0,
-        "{at_each_endpoint} in flight at each endpoint if all ingresses start at once"
+        in_flight_per_endpoint <= 10.0,
+        "{in_flight_per_endpoint} requests in flight per endpoint if all ingresses start at once"
     );
 }
--- a/crates/decision/tests/slow_start.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Endpoints that are warming up get the sum of what all ingresses forward: it is compared with
-//! what the settings allow an endpoint of that age.
+//! Checks that the requests that all ingresses together forward to an endpoint that is warming up
+//! do not exceed what the settings allow at its age.
 
 mod common;
 use common::*;
@@ -7,42 +7,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Endpoints of an ordinary run.
+/// The number of endpoints in most runs.
 const ENDPOINTS: u32 = 40;
-/// Endpoints of a run in which an ingress keeps a state for a part of them only.
-const MORE_THAN_KNOWN_ENDPOINTS: u32 = 320;
-/// The last fifth of them start warming up, ...
+/// A number of endpoints of which each ingress keeps state for only a part.
+const LARGE_SERVICE_ENDPOINTS: u32 = 320;
+/// One in this many endpoints starts with the run; these are the last ones.
 const WARMING_UP_DIVISOR: u32 = 5;
-/// ... and a tenth, others, are started anew in the middle.
+/// One in this many endpoints restarts during the run; these are the first ones.
 const RESTARTED_DIVISOR: u32 = 10;
-/// Requests a second of all ingresses together, for each endpoint.
+/// The request rate over all ingresses, per endpoint.
 const REQUESTS_PER_SECOND_PER_ENDPOINT: f64 = 10.0;
-/// Of what a warm endpoint bears, so much falls to each on the mean: all of it, which leaves the
-/// least capacity.
+/// The mean load of an endpoint, relative to the capacity of a warm one. At 1, no capacity is left
+/// unused.
 const LOAD_RATIO: f64 = 1.0;
-/// Mean latency of all responses.
+/// The mean of the exponentially distributed latencies.
 const MEAN_LATENCY_SECONDS: f64 = 0.1;
+/// The time by which each step of a run advances the clock.
 const STEP_MS: u64 = 10;
+/// The length of a run.
 const RUN_MS: u64 = 9000;
-/// Ingresses are started anew then, ...
-const INGRESSES_RESTART_MS: u64 = 2500;
-/// ... endpoints then, ...
-const ENDPOINTS_RESTART_MS: u64 = 4000;
-/// ... and the traffic is half as much again between these times.
-const BURST_MS: std::ops::Range<u64> = 5000..7000;
+/// The time in a run at which some ingresses restart.
+const INGRESS_RESTART_AT_MS: u64 = 2500;
+/// The time in a run at which some endpoints restart.
+const ENDPOINT_RESTART_AT_MS: u64 = 4000;
+/// The times in a run between which the request rate is 1.5 times as high.
+const TRAFFIC_BURST_MS: std::ops::Range<u64> = 5000..7000;
 
-/// One run of a tier; what each endpoint got, and when each started.
+/// One run of the simulation.
 struct Run {
     endpoints: u32,
     sim: Simulation,
     rng: fastrand::Rng,
-    started: BTreeMap<u32, Duration>,
-    /// Attempts that are in flight, by when they end.
+    /// When endpoints that are or were warming up started.
+    started_at: BTreeMap<u32, Duration>,
+    /// The attempts in flight, by the time at which they end.
     in_flight: BTreeSet<(Duration, AttemptId)>,
-    /// Forwards that have been seen.
-    seen_forwards: usize,
-    /// The ingresses' parts of the traffic, summed up.
-    parts: Vec<f64>,
+    /// The number of forwards that `schedule_new_attempts` has processed.
+    processed_forwards: usize,
+    /// The cumulative sums of the relative traffic of the ingresses.
+    cumulative_traffic: Vec<f64>,
 }
 
 impl Run {
@@ -57,9 +60,9 @@
             ..settings(ingress_count as u32)
         };
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Some see several times the mean.
+        // Every fifth ingress gets about five times the average traffic of the others.
         let mut sum = 0.0;
-        let parts = (0..ingress_count)
+        let cumulative_traffic = (0..ingress_count)
             .map(|ingress| {
                 sum += if ingress % 5 == 0 {
                     4.0
@@ -70,60 +73,61 @@
             })
             .collect();
         let sim = Simulation::seeded(settings, ingress_count, 0, 1000 * seed);
-        let started = (endpoints - endpoints / WARMING_UP_DIVISOR..endpoints)
-            .map(|s| (s, sim.now))
+        let started_at = (endpoints - endpoints / WARMING_UP_DIVISOR..endpoints)
+            .map(|id| (id, sim.now))
             .collect();
         let mut run = Run {
             endpoints,
             sim,
             rng,
-            started,
+            started_at,
             in_flight: BTreeSet::new(),
-            seen_forwards: 0,
-            parts,
+            processed_forwards: 0,
+            cumulative_traffic,
         };
-        let list = run.list();
+        let list = run.entries();
         run.sim
             .update_all_endpoint_lists(&EndpointListUpdate::Full(list));
         run
     }
 
-    fn list(&self) -> Vec<EndpointEntry> {
+    fn entries(&self) -> Vec<EndpointEntry> {
         (0..self.endpoints)
-            .map(|s| entry(s, EndpointState::Ready, self.started.get(&s).copied()))
+            .map(|id| entry(id, EndpointState::Ready, self.started_at.get(&id).copied()))
             .collect()
     }
 
-    /// A request comes at one of the ingresses, by their parts of the traffic.
-    fn request(&mut self, customer: u64) {
-        let at = self.rng.f64() * self.parts.last().unwrap();
-        let ingress = self.parts.partition_point(|sum| *sum < at);
+    /// Sends a request to a random ingress, chosen in proportion to its traffic.
+    fn send_request(&mut self, customer: u64) {
+        let at = self.rng.f64() * self.cumulative_traffic.last().unwrap();
+        let ingress = self.cumulative_traffic.partition_point(|sum| *sum < at);
         self.sim.request(ingress, 0, 2, customer);
         self.sim.end_all_calls(CallOutcome::Replied);
     }
 
-    /// New forwards get a latency of their own.
-    fn start_new_attempts(&mut self) {
-        let new: Vec<_> = self.sim.forwards[self.seen_forwards..].to_vec();
-        self.seen_forwards = self.sim.forwards.len();
-        if new.is_empty() {
+    /// Draws a latency for each attempt that has been forwarded since the last call.
+    fn schedule_new_attempts(&mut self) {
+        let new_forwards: Vec<_> = self.sim.forwards[self.processed_forwards..].to_vec();
+        self.processed_forwards = self.sim.forwards.len();
+        if new_forwards.is_empty() {
             return;
         }
-        let known: BTreeSet<_> = self.in_flight.iter().map(|(_, attempt)| *attempt).collect();
+        let scheduled: BTreeSet<_> = self.in_flight.iter().map(|(_, attempt)| *attempt).collect();
         let is_unanswered = |attempt: &AttemptId| {
             let answer = self.sim.answer_of(attempt.ingress, attempt.request);
             answer.is_none()
         };
-        let mut open = self.sim.attempts_in_flight();
-        open.retain(|attempt| is_unanswered(attempt) && !known.contains(attempt));
-        for attempt in open {
+        let mut unscheduled = self.sim.attempts_in_flight();
+        unscheduled.retain(|attempt| is_unanswered(attempt) && !scheduled.contains(attempt));
+        for attempt in unscheduled {
             let latency = -MEAN_LATENCY_SECONDS * (1.0 - self.rng.f64()).ln();
             let ends_at = self.sim.now + Duration::from_secs_f64(latency.min(1.0));
             self.in_flight.insert((ends_at, attempt));
         }
     }
 
-    fn end_due(&mut self) {
+    /// Ends the attempts whose latency has passed.
+    fn end_due_attempts(&mut self) {
         while let Some((ends_at, attempt)) = self.in_flight.first().copied() {
             if ends_at > self.sim.now {
                 break;
@@ -131,8 +135,8 @@
             self.in_flight.remove(&(ends_at, attempt));
             let key = (attempt.ingress, attempt.request);
             let record = self.sim.requests.get(&key);
-            let state = record.and_then(|record| record.attempts.get(attempt.number));
-            if state.is_some_and(|state| state.outcome.is_none()) {
+            let attempt_record = record.and_then(|record| record.attempts.get(attempt.number));
+            if attempt_record.is_some_and(|state| state.outcome.is_none()) {
                 let AttemptId {
                     ingress,
                     request,
@@ -143,13 +147,13 @@
         }
     }
 
-    /// A fifth of the ingresses are started anew, with no memory; the busiest is among them.
+    /// Restarts every fifth ingress without any state. These are the ones with the most traffic.
     fn restart_ingresses(&mut self) {
         for ingress in (0..self.sim.dispatchers.len()).step_by(5) {
             self.sim.restart(ingress, 0);
             self.in_flight
                 .retain(|(_, attempt)| attempt.ingress != ingress);
-            let list = self.list();
+            let list = self.entries();
             self.sim.handle(
                 ingress,
                 Event::EndpointListChanged(EndpointListUpdate::Full(list)),
@@ -157,11 +161,12 @@
         }
     }
 
+    /// Restarts the first endpoints, which are warm at that time.
     fn restart_endpoints(&mut self) {
         let (now, restarted) = (self.sim.now, self.endpoints / RESTARTED_DIVISOR);
-        self.started.extend((0..restarted).map(|s| (s, now)));
+        self.started_at.extend((0..restarted).map(|id| (id, now)));
         let changed = self
-            .list()
+            .entries()
             .into_iter()
             .filter(|e| e.endpoint.0 < restarted)
             .collect();
@@ -170,89 +175,92 @@
     }
 
     fn run(&mut self) {
-        let begun = self.sim.now;
-        let (mut due, mut customer) = (0.0, 0);
+        let run_started_at = self.sim.now;
+        let (mut requests_due, mut customer) = (0.0, 0);
         for step in 0..RUN_MS / STEP_MS {
             let at = step * STEP_MS;
-            if at == INGRESSES_RESTART_MS {
+            if at == INGRESS_RESTART_AT_MS {
                 self.restart_ingresses();
             }
-            if at == ENDPOINTS_RESTART_MS {
+            if at == ENDPOINT_RESTART_AT_MS {
                 self.restart_endpoints();
             }
             let rate = f64::from(self.endpoints) * REQUESTS_PER_SECOND_PER_ENDPOINT;
-            let rate = if BURST_MS.contains(&at) {
+            let rate = if TRAFFIC_BURST_MS.contains(&at) {
                 1.5 * rate
             } else {
                 rate
             };
-            due += rate * STEP_MS as f64 / 1000.0 * 2.0 * self.rng.f64();
-            while due >= 1.0 {
-                due -= 1.0;
+            requests_due += rate * STEP_MS as f64 / 1000.0 * 2.0 * self.rng.f64();
+            while requests_due >= 1.0 {
+                requests_due -= 1.0;
                 customer += 1;
-                self.request(customer);
+                self.send_request(customer);
             }
-            self.start_new_attempts();
+            self.schedule_new_attempts();
             self.sim.advance(ms(STEP_MS));
-            self.start_new_attempts();
-            self.end_due();
+            self.schedule_new_attempts();
+            self.end_due_attempts();
             self.sim.requests.retain(|_, r| r.answer.is_none());
         }
-        assert_eq!(self.sim.now, begun + ms(RUN_MS));
+        assert_eq!(self.sim.now, run_started_at + ms(RUN_MS));
     }
 
-    /// Forwards to endpoints that were warming up then.
+    /// Returns the number of forwards to endpoints that were warming up at that time.
     fn forwards_to_warming_up(&self) -> usize {
         let to_warming_up = |forward: &&Forward| {
-            self.started
+            self.started_at
                 .get(&forward.endpoint)
-                .is_some_and(|started| *started <= forward.at)
+                .is_some_and(|started_at| *started_at <= forward.at)
         };
         self.sim.forwards.iter().filter(to_warming_up).count()
     }
 
-    /// What the settings allow an endpoint of this age within the window.
-    fn allowed(&self, age: Duration) -> f64 {
-        let rules = &self.sim.settings.endpoint_limits;
+    /// Returns how many forwards the settings allow to an endpoint of this age within the overload
+    /// window.
+    fn allowed_forwards(&self, age: Duration) -> f64 {
+        let limits = &self.sim.settings.endpoint_limits;
         let capacity = REQUESTS_PER_SECOND_PER_ENDPOINT / LOAD_RATIO;
-        let warmed = (age.as_secs_f64() / rules.warm_up_duration.as_secs_f64()).min(1.0);
-        let warmth = rules.initial_capacity_ratio + (1.0 - rules.initial_capacity_ratio) * warmed;
-        rules.overload_multiple * warmth * capacity * rules.overload_window.as_secs_f64()
+        let age_ratio = (age.as_secs_f64() / limits.warm_up_duration.as_secs_f64()).min(1.0);
+        let capacity_ratio =
+            limits.initial_capacity_ratio + (1.0 - limits.initial_capacity_ratio) * age_ratio;
+        limits.overload_multiple * capacity_ratio * capacity * limits.overload_window.as_secs_f64()
     }
 
-    /// Of all windows of endpoints warming up, each beginning with a forward and compared with the
-    /// warm-up ratio of its beginning, the one that is furthest beyond what chance may add.
-    fn worst(&self) -> WindowLoad {
-        let rules = &self.sim.settings.endpoint_limits;
+    /// Returns the window in which an endpoint warming up exceeded its allowed forwards, with the
+    /// margin, by the most or came closest to them. A window starts at each forward; the endpoint's
+    /// age at its start determines how many are allowed.
+    fn worst_window(&self) -> WindowLoad {
+        let limits = &self.sim.settings.endpoint_limits;
         let mut worst: Option<WindowLoad> = None;
-        for (endpoint, started) in &self.started {
-            let to_it = self
+        for (endpoint, started_at) in &self.started_at {
+            let forwards_to_endpoint = self
                 .sim
                 .forwards
                 .iter()
-                .filter(|forward| forward.endpoint == *endpoint && forward.at >= *started);
-            let forwards: Vec<Duration> = to_it.map(|forward| forward.at).collect();
+                .filter(|forward| forward.endpoint == *endpoint && forward.at >= *started_at);
+            let forwards: Vec<Duration> = forwards_to_endpoint.map(|forward| forward.at).collect();
             for (n, from) in forwards.iter().enumerate() {
                 let within = forwards[n..]
                     .iter()
-                    .take_while(|at| **at < *from + rules.overload_window);
+                    .take_while(|at| **at < *from + limits.overload_window);
                 let window = WindowLoad {
                     forwards: within.count() as f64,
-                    allowed: self.allowed(*from - *started),
+                    allowed: self.allowed_forwards(*from - *started_at),
                 };
-                if worst.is_none_or(|sim| {
-                    window.forwards - window.allowed_with_chance()
-                        > sim.forwards - sim.allowed_with_chance()
+                if worst.is_none_or(|previous| {
+                    window.forwards - window.allowed_with_margin()
+                        > previous.forwards - previous.allowed_with_margin()
                 }) {
                     worst = Some(window);
                 }
             }
         }
-        worst.expect("an endpoint warming up got something")
+        worst.expect("requests were forwarded to endpoints warming up")
     }
 }
 
-/// What an endpoint warming up got within the window, and what the settings allowed it.
+/// The forwards to an endpoint warming up within an overload window, and how many were allowed.
 #[derive(Clone, Copy, Debug)]
 struct WindowLoad {
     forwards: f64,
@@ -260,13 +268,15 @@
 }
 
 impl WindowLoad {
-    /// What is allowed, and what may be chance.
-    fn allowed_with_chance(&self) -> f64 {
+    /// Returns the allowed forwards plus a margin for random fluctuation: two standard deviations
+    /// and two forwards.
+    fn allowed_with_margin(&self) -> f64 {
         self.allowed + 2.0 * self.allowed.sqrt() + 2.0
     }
 }
 
-/// Runs so many ingresses and endpoints, each by a seed of its own.
+/// Runs the simulation once for each seed and asserts that no endpoint warming up got more than its
+/// budget.
 fn assert_slow_start_budget_held(
     ingress_count: usize,
     endpoints: u32,
@@ -284,16 +294,16 @@
     for seed in seeds {
         let mut run = Run::new(classes.clone(), ingress_count, endpoints, seed);
         run.run();
-        let window = run.worst();
-        let what = format!("{ingress_count} ingresses, {endpoints} endpoints, seed {seed}");
+        let window = run.worst_window();
+        let run_name = format!("{ingress_count} ingresses, {endpoints} endpoints, seed {seed}");
         assert!(
             run.forwards_to_warming_up() > 100,
-            "{what}: endpoints warming up carry their part"
+            "{run_name}: too few requests were forwarded to endpoints warming up"
         );
         assert!(
-            window.forwards <= window.allowed_with_chance(),
-            "{what}: {window:?}, {:.1} with chance",
-            window.allowed_with_chance()
+            window.forwards <= window.allowed_with_margin(),
+            "{run_name}: {window:?}, at most {:.1} allowed with the margin",
+            window.allowed_with_margin()
         );
     }
 }
@@ -316,10 +326,11 @@
 #[test]
 fn what_400_ingresses_forward_to_an_endpoint_warming_up_of_a_large_service_stays_within_its_budget()
 {
-    assert_slow_start_budget_held(400, MORE_THAN_KNOWN_ENDPOINTS, 1..=1);
+    assert_slow_start_budget_held(400, LARGE_SERVICE_ENDPOINTS, 1..=1);
 }
 
-/// Guards against: more than the budget, where no class is ranked below one that is never requested.
+/// Guards against exceeding the budget with a single class. With several, the class that is
+/// requested may have a lower value, and thus a lower limit, than one that never gets a request.
 #[test]
 fn what_20_ingresses_forward_of_the_only_class_stays_within_the_budget() {
     let mut classes = settings(1).classes;
--- a/crates/decision/tests/subset.rs
+++ b/crates/decision/tests/subset.rs
@@ -1,4 +1,5 @@
-//! The subsets of all ingresses: even, never empty, steady.
+//! Checks that the subsets of all ingresses cover the endpoints evenly, are never empty, and change
+//! little when an endpoint is added.
 
 #[path = "../src/balancer/subset.rs"]
 mod subset;
@@ -6,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 use subset::*;
 
-/// The number of endpoints in an arc, by the weights of all.
+/// Returns the length of an arc, as a number of endpoints of average weight.
 fn arc_endpoints(ingress_count: u32, min_endpoints: f64, weights: &[f64]) -> f64 {
     let count = weights.len() as f64;
     min_endpoints.max(MIN_ARCS_PER_ENDPOINT * count / f64::from(ingress_count))
@@ -28,20 +29,21 @@
             let own: f64 = parts.iter().zip(&weights).map(|(part, weight)| part * weight).sum();
             prop_assert!(
                 (own / total - arc).abs() < 1e-9,
-                "ingress {ingress} has {own} of {total}"
+                "the subset of ingress {ingress} has a weight of {own} out of {total}"
             );
             prop_assert!(parts.iter().all(|part| (0.0..=1.0 + 1e-9).contains(part)));
             sums.iter_mut().zip(&parts).for_each(|(sum, part)| *sum += part);
         }
-        // Golden-ratio arcs differ from the even cover by less than three arcs at any point.
+        // Arcs that start at multiples of the golden ratio deviate from even coverage by less than
+        // three arcs at any point.
         let even = arc * f64::from(ingress_count);
         for (endpoint, sum) in sums.iter().enumerate() {
-            prop_assert!((sum - even).abs() < 3.0, "endpoint {endpoint}: {sum} arcs of {even}");
+            prop_assert!((sum - even).abs() < 3.0, "endpoint {endpoint}: {sum} of {even} arcs");
         }
     }
 
     #[test]
-    fn the_known_endpoints_contain_the_subset_and_are_as_even(
+    fn known_endpoints_contain_the_subset_and_are_covered_evenly(
         ingress_count in 1u32..=300,
         weights in prop::collection::vec(0.5f64..4.0, 1..=1000),
     ) {
@@ -54,7 +56,8 @@
                 *ingresses += u32::from(*part > 0.0);
             }
         }
-        // As many ingresses know an endpoint as begin on it or within one arc before it.
+        // An ingress knows an endpoint if its arc starts on the endpoint or within one arc before
+        // it.
         let (count, total) = (weights.len() as f64, weights.iter().sum::<f64>());
         let known = arc_endpoints(ingress_count, MIN_KNOWN_ENDPOINTS, &weights) / count;
         for (weight, ingresses) in weights.iter().zip(ingresses_of) {
@@ -67,17 +70,17 @@
     }
 
     #[test]
-    fn one_more_endpoint_moves_little(
+    fn adding_an_endpoint_changes_a_subset_little(
         ingress in 0u32..100,
         weights in prop::collection::vec(0.5f64..4.0, 30..80),
         at in 0usize..30,
     ) {
-        let mut more = weights.clone();
-        more.insert(at, 1.0);
+        let mut with_added = weights.clone();
+        with_added.insert(at, 1.0);
         let before = subset_weights(ingress, 100, MIN_SUBSET_ENDPOINTS, &weights);
-        let mut after = subset_weights(ingress, 100, MIN_SUBSET_ENDPOINTS, &more);
+        let mut after = subset_weights(ingress, 100, MIN_SUBSET_ENDPOINTS, &with_added);
         after.remove(at);
         let moved: f64 = before.iter().zip(&after).map(|(a, b)| (a - b).abs()).sum();
-        prop_assert!(moved < 3.0, "{moved} endpoints' worth of an arc moved");
+        prop_assert!(moved < 3.0, "the subset changed by {moved} endpoints");
     }
 }
--- a/crates/decision/tests/warming_up.rs
+++ b/crates/decision/tests/warming_up.rs
@@ -1,27 +1,27 @@
-//! Endpoints that are warming up, before many ingresses.
+//! Endpoints that are warming up and get requests from many ingresses.
 
 mod common;
 use common::*;
 use roseyard_decision::*;
 
-const MANY: usize = 300;
+const INGRESSES: usize = 300;
 
 #[test]
 fn an_endpoint_warming_up_is_not_overloaded_by_one_request_from_each_ingress() {
-    let s = settings(MANY as u32);
-    let mut sim = Simulation::new(s, MANY, 20);
+    let simulation_settings = settings(INGRESSES as u32);
+    let mut sim = Simulation::new(simulation_settings, INGRESSES, 20);
     let started = Some(sim.now);
     sim.update_all_endpoint_lists(&EndpointListUpdate::Changes(vec![entry(
         77,
         EndpointState::Ready,
         started,
     )]));
-    let from = sim.now;
-    // Every ingress's warm endpoints are busy: eight requests each stay in flight within the
-    // window.
+    let listed_at = sim.now;
+    // Each ingress receives eight requests within the window. All stay in flight, so the warm
+    // endpoints are busy.
     for round in 0..8 {
-        for ingress in 0..MANY {
-            sim.request(ingress, 0, 0, 10_000 + (round * MANY + ingress) as u64);
+        for ingress in 0..INGRESSES {
+            sim.request(ingress, 0, 0, 10_000 + (round * INGRESSES + ingress) as u64);
         }
         sim.end_all_calls(CallOutcome::Replied);
         sim.advance(ms(50));
@@ -29,34 +29,36 @@
     let all = sim
         .forwards
         .iter()
-        .filter(|forward| forward.at >= from)
+        .filter(|forward| forward.at >= listed_at)
         .count() as f64;
-    let warming_up = sim
+    let to_new_endpoint = sim
         .forwards
         .iter()
-        .filter(|forward| forward.at >= from && forward.endpoint == 77)
+        .filter(|forward| forward.at >= listed_at && forward.endpoint == 77)
         .count() as f64;
-    // Its part is a quarter of a warm endpoint's, which carries a twentieth; twice that is allowed.
+    // A warm endpoint gets about a twentieth of the forwards. The new one has about a quarter of
+    // that capacity, here at most 0.35, and is allowed twice what this capacity corresponds to.
     assert!(
-        warming_up <= all / 20.0 * 0.35 * 2.0,
-        "{warming_up} of {all} forwards to the endpoint warming up"
+        to_new_endpoint <= all / 20.0 * 0.35 * 2.0,
+        "{to_new_endpoint} of {all} forwards went to the endpoint warming up"
     );
 }
 
-/// What endpoints that are warming up got in three windows.
-struct WarmingUp {
-    /// Most that any got within a window, and the mean of all endpoints within one.
+/// The load of endpoints that are warming up, over three windows.
+struct WarmUpLoad {
+    /// The highest number of forwards to one of them within a window.
     peak: f64,
+    /// The mean number of forwards per window and endpoint, over all endpoints.
     mean: f64,
-    /// Their share of all forwards.
+    /// The share of all forwards that went to them.
     share: f64,
-    /// Most that one got, relative to what is allowed to an endpoint that carries the mean once
-    /// warmed up.
+    /// The highest number of forwards to one of them within a window, relative to its budget: the
+    /// overload multiple times its warm-up ratio times the mean.
     budget_ratio: f64,
 }
 
-/// A request arrives at each ingress, at every tenth `busy_factor` of them.
-fn request_at_all(sim: &mut Simulation, busy_factor: usize, first_customer: u64) {
+/// Sends one request to each ingress, but `busy_factor` requests to every tenth.
+fn send_requests(sim: &mut Simulation, busy_factor: usize, first_customer: u64) {
     for ingress in 0..sim.dispatchers.len() {
         let is_busy = ingress.is_multiple_of(10);
         let requests = if is_busy { busy_factor } else { 1 };
@@ -66,18 +68,18 @@
     }
 }
 
-/// Ingresses and endpoints, of which the last `warming_up` have just started; work that stays in
-/// flight for 200 ms, every tenth ingress with `busy_factor` times the others' traffic.
+/// Runs three windows in which the last `warming_up` of the endpoints have just started. Attempts
+/// take 200 ms. Every tenth ingress has `busy_factor` times the traffic of the others.
 fn run_with_warming_up(
     ingress_count: usize,
     endpoints: u32,
     warming_up: u32,
     busy_factor: usize,
-) -> WarmingUp {
+) -> WarmUpLoad {
     let window_ms = 2000;
     let mut sim = Simulation::new(settings(ingress_count as u32), ingress_count, endpoints);
     let started = Some(sim.now);
-    let list = |n: u32| {
+    let list_entry = |n: u32| {
         entry(
             n,
             EndpointState::Ready,
@@ -85,32 +87,32 @@
         )
     };
     sim.update_all_endpoint_lists(&EndpointListUpdate::Full(
-        (0..endpoints).map(list).collect(),
+        (0..endpoints).map(list_entry).collect(),
     ));
     let (mut peak, mut total, mut budget_ratio): (f64, f64, f64) = (0.0, 0.0, 0.0);
     for window in 0..3u32 {
         let from = sim.forwards.len();
         for step in 0..window_ms / 200 {
             let first_customer = (window as usize * 10_000 + step * 100) as u64;
-            request_at_all(&mut sim, busy_factor, first_customer);
+            send_requests(&mut sim, busy_factor, first_customer);
             sim.end_all_calls(CallOutcome::Replied);
             end_all_and_advance(&mut sim, 200);
             sim.requests.retain(|_, r| r.answer.is_none());
         }
         let forwards = &sim.forwards[from..];
-        let got = |n: u32| {
+        let forwards_to = |n: u32| {
             forwards
                 .iter()
                 .filter(|forward| forward.endpoint == n)
                 .count() as f64
         };
-        let peak_now = (endpoints - warming_up..endpoints)
-            .map(got)
+        let window_peak = (endpoints - warming_up..endpoints)
+            .map(forwards_to)
             .fold(0.0, f64::max);
-        peak = peak.max(peak_now);
+        peak = peak.max(window_peak);
         let mean = forwards.len() as f64 / f64::from(endpoints);
         let warm_up_ratio = 0.25 + 0.15 * f64::from(window + 1);
-        budget_ratio = budget_ratio.max(peak_now / (2.0 * warm_up_ratio * mean));
+        budget_ratio = budget_ratio.max(window_peak / (2.0 * warm_up_ratio * mean));
         total += forwards.len() as f64;
     }
     let to_warming_up = sim
@@ -118,7 +120,7 @@
         .iter()
         .filter(|forward| forward.endpoint >= endpoints - warming_up)
         .count() as f64;
-    WarmingUp {
+    WarmUpLoad {
         peak,
         mean: total / (3.0 * f64::from(endpoints)),
         share: to_warming_up / total,
@@ -127,34 +129,34 @@
 }
 
 #[test]
-fn six_in_ten_endpoints_warming_up_carry_their_part_and_are_not_overloaded() {
-    let WarmingUp {
+fn sixty_percent_of_endpoints_warming_up_carry_load_and_are_not_overloaded() {
+    let WarmUpLoad {
         peak,
         mean,
         share,
         budget_ratio,
     } = run_with_warming_up(100, 60, 36, 1);
-    // A quarter to seven tenths of a warm one's part, as they warm up: a fifth to half of all falls
-    // to them.
+    // While they warm up, each gets a quarter to seven tenths of the requests of a warm endpoint,
+    // which makes a fifth to half of all requests.
     assert!(
         share > 0.2,
-        "{share} of the forwards go to 36 of 60 endpoints"
+        "a share of {share} of the forwards went to 36 of 60 endpoints"
     );
-    // Within the window at most its multiple of what an endpoint carries on the mean, at a warm-up
-    // ratio of 0.7.
+    // Within a window, an endpoint may get twice its capacity, which is at most 0.7 of the mean.
+    // The factor 1.5 allows for random fluctuation.
     assert!(
         peak <= 2.0 * 0.7 * mean * 1.5,
-        "{peak} in a window to an endpoint warming up, {mean} on the mean to each"
+        "{peak} forwards in a window to an endpoint warming up, {mean} to each endpoint on average"
     );
     assert!(
         budget_ratio <= 1.5,
-        "an endpoint warming up got {budget_ratio} of what is allowed in a window"
+        "an endpoint warming up got {budget_ratio} times its budget in a window"
     );
 }
 
 #[test]
-fn at_full_size_the_busiest_ingresses_overload_no_endpoint_warming_up() {
-    let WarmingUp {
+fn uneven_traffic_of_300_ingresses_overloads_no_endpoint_warming_up() {
+    let WarmUpLoad {
         mean,
         share,
         budget_ratio,
@@ -162,25 +164,28 @@
     } = run_with_warming_up(300, 200, 120, 5);
     assert!(
         mean > 10.0 && share > 0.2,
-        "{mean} to each on the mean, {share} of all to 120 of 200 endpoints"
+        "{mean} forwards to each endpoint on average, a share of {share} to 120 of 200 endpoints"
     );
-    // The most of 360, some ten each: chance adds up to half. Without the bound and the weight by
-    // warm-up ratio it is 2.1.
+    // This is the maximum of 360 samples of about ten forwards each, to which random fluctuation
+    // adds up to half. Without the budget and the weighting by warm-up ratio, the ratio is 2.1.
     assert!(
         budget_ratio <= 1.5,
-        "an endpoint warming up got {budget_ratio} of what is allowed in a window"
+        "an endpoint warming up got {budget_ratio} times its budget in a window"
     );
 }
 
 #[test]
-fn where_all_endpoints_are_warming_up_the_budget_holds_and_requests_are_served() {
-    let WarmingUp {
+fn when_all_endpoints_are_warming_up_the_budget_holds_and_requests_are_served() {
+    let WarmUpLoad {
         peak, mean, share, ..
     } = run_with_warming_up(100, 60, 60, 1);
     assert_eq!(share, 1.0);
-    assert!(mean > 3.0, "{mean} forwards in a window to each endpoint");
+    assert!(
+        mean > 3.0,
+        "{mean} forwards per window to each endpoint on average"
+    );
     assert!(
         peak <= 40.0,
-        "{peak} in a window to an endpoint that carries 17 when all work is admitted"
+        "{peak} forwards in a window to an endpoint that would get 17 if all requests were admitted"
     );
 }
