--- a/crates/ingress/tests/admission.rs
+++ b/crates/ingress/tests/admission.rs
@@ -56,7 +56,8 @@
     HalfThenClose,
     /// They send one command and stay open.
     OneCommand,
-    /// They send one command, and each that the ingress closes is replaced by the next one.
+    /// They send one command. A client drops a connection that the ingress has closed, and opens
+    /// another.
     Reconnect,
     /// They send a request of the active client's customer, which has a quota.
     SameCustomer,
@@ -182,7 +183,7 @@
         for id in 1..4 {
             serve_read(&mut harness, &mut known, id);
         }
-        // The ingress ends, and keeps nothing but the snapshot file.
+        // The ingress ends; only the snapshot file remains.
         harness.program.finalize();
         restart(&mut harness, file);
         let mut flood: Vec<Connection> = (0..30)
@@ -262,7 +263,7 @@
     }
     assert_eq!(
         rejected, 3,
-        "new clients may connect on the reserve but have no request open there"
+        "new clients may use the reserve for connections but not for requests"
     );
     assert_eq!(harness.program.open().clients, 30);
     // The ingress has paused accepting because all idle clients have only just connected.
--- a/crates/ingress/tests/change_notification.rs
+++ b/crates/ingress/tests/change_notification.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_call_continues_while_parts_of_a_long_list_arrive_and_not_when_the_list_trickles() {
+fn a_call_continues_while_parts_of_a_long_list_arrive_but_not_when_the_list_trickles() {
     const PARTS: usize = 15;
     const PART_INTERVAL_MS: u64 = 400;
     for trickles in [false, true] {
@@ -152,7 +152,7 @@
         if trickles {
             assert!(
                 calls > 1,
-                "the ingress waited without limit for a list that trickles"
+                "the ingress waits without limit for a list that trickles"
             );
         } else {
             assert_eq!((calls, change.harness.program.list_revision()), (1, 42));
--- a/crates/ingress/tests/client_commands.rs
+++ b/crates/ingress/tests/client_commands.rs
@@ -153,7 +153,7 @@
     }
     assert!(
         harness.program.client_usage().buffered_bytes <= buffered_before,
-        "no further command is executed"
+        "the ingress executes no further command"
     );
     harness.advance(10_001);
     harness.run_until("the client is closed", |h| h.program.open().clients == 0);
--- a/crates/ingress/tests/client_disconnects.rs
+++ b/crates/ingress/tests/client_disconnects.rs
@@ -15,7 +15,7 @@
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
-        harness.run_until("the call", |h| has_unanswered_call(h));
+        harness.run_until("the call to the counter", |h| has_unanswered_call(h));
         disconnect_client(&mut harness, client);
         if replied {
             harness.counter.mode = CounterMode::Replies;
--- a/crates/ingress/tests/clock.rs
+++ b/crates/ingress/tests/clock.rs
@@ -15,12 +15,12 @@
     );
     assert!(
         now < Duration::from_secs(1_000_000),
-        "seconds as floating-point numbers stay precise"
+        "small enough to be precise in floating-point seconds"
     );
     assert_eq!(
         clock.from_unix_ms(0.0),
         None,
-        "times of over a day before the start have no value"
+        "times of more than a day before the start are not represented"
     );
     assert_eq!(clock.from_unix_ms(1_799_000_000_000.0), None);
     assert_eq!(clock.from_unix_ms(f64::NAN), None);
--- a/crates/ingress/tests/common/harness.rs
+++ b/crates/ingress/tests/common/harness.rs
@@ -35,10 +35,12 @@
         Harness::with_descriptors(endpoints, 1024)
     }
 
+    /// Starts an ingress that may hold this many descriptors.
     pub(crate) fn with_descriptors(endpoints: usize, platform_descriptors: usize) -> Harness {
         Harness::with_memory(endpoints, platform_descriptors, 192)
     }
 
+    /// Starts an ingress that may hold this many descriptors and this much memory.
     pub(crate) fn with_memory(
         endpoints: usize,
         platform_descriptors: usize,
@@ -102,9 +104,13 @@
     }
 
     /// Restarts the ingress like `restart_with_replacements`, where in addition requests to a
-    /// draining endpoint may take up to `ms`.
-    pub(crate) fn restart_with_drain_grace(&mut self, ms: u64, replacements: &[(&str, &str)]) {
-        let grace = format!("\"StopSendingWithinMs\":{ms}.0");
+    /// draining endpoint may take up to `drain_grace_ms`.
+    pub(crate) fn restart_with_drain_grace(
+        &mut self,
+        drain_grace_ms: u64,
+        replacements: &[(&str, &str)],
+    ) {
+        let grace = format!("\"StopSendingWithinMs\":{drain_grace_ms}.0");
         self.restart_with_replacements(
             &[
                 &[("\"StopSendingWithinMs\":2000.0", grace.as_str())],
--- a/crates/ingress/tests/common/pending_change.rs
+++ b/crates/ingress/tests/common/pending_change.rs
@@ -54,7 +54,7 @@
 pub(crate) struct DiscoveryMode {
     /// Whether discovery pushes changes over an open watch; otherwise the ingress polls.
     pub(crate) is_pushed: bool,
-    /// The size of the tier.
+    /// The number of ingresses in the tier.
     pub(crate) ingresses: u32,
     /// The time that requests to a draining endpoint may take.
     pub(crate) drain_grace_ms: u64,
--- a/crates/ingress/tests/counter_calls.rs
+++ b/crates/ingress/tests/counter_calls.rs
@@ -36,7 +36,7 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |h| has_unanswered_call(h));
+    harness.run_until("the call to the counter", |h| has_unanswered_call(h));
     assert_eq!(
         harness.endpoints[0].next_command(),
         None,
@@ -48,8 +48,8 @@
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
     // The total arrives long after the time-out. It says that others have used up the window.
     harness.advance(100);
-    let end = harness.counter.connection_with_pending_call();
-    end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
+    let counter_connection = harness.counter.connection_with_pending_call();
+    counter_connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     for _ in 0..3 {
         harness.run_iteration();
     }
@@ -64,7 +64,7 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |h| has_unanswered_call(h));
+    harness.run_until("the call to the counter", |h| has_unanswered_call(h));
     harness.advance(251);
     let (_, connection, _) = harness.next_request();
     harness.endpoints[0].connections[connection].send(served_reply("v"));
@@ -76,10 +76,10 @@
             .peer
             .connections
             .iter()
-            .any(|e| e.input.windows(4).filter(|w| w == b"\r\n\r\n").count() == 2)
+            .any(|c| c.input.windows(4).filter(|w| w == b"\r\n\r\n").count() == 2)
     });
-    let end = harness.counter.connection_with_pending_call();
-    end.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
+    let counter_connection = harness.counter.connection_with_pending_call();
+    counter_connection.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
     for _ in 0..3 {
         harness.run_iteration();
     }
@@ -88,8 +88,8 @@
         None,
         "the late reply is not taken for the second call"
     );
-    let end = harness.counter.connection_with_pending_call();
-    end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
+    let counter_connection = harness.counter.connection_with_pending_call();
+    counter_connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
 }
 
@@ -107,13 +107,13 @@
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
-        harness.run_until("the call", |h| has_unanswered_call(h));
-        let end = harness.counter.connection_with_pending_call();
-        end.send(malformed);
+        harness.run_until("the call to the counter", |h| has_unanswered_call(h));
+        let counter_connection = harness.counter.connection_with_pending_call();
+        counter_connection.send(malformed);
         harness.run_iteration();
         harness.advance(26);
         harness.run_until("the connection is closed", |h| {
-            h.counter.peer.connections.iter().all(|e| !e.is_open)
+            h.counter.peer.connections.iter().all(|c| !c.is_open)
         });
         // The request is decided without a total, and the next call is made at once on a new
         // connection.
@@ -150,7 +150,7 @@
     harness.counter.mode = CounterMode::Silent;
     let mut other = harness.connect();
     other.send(read_request(2));
-    harness.run_until("the call", |h| has_unanswered_call(h));
+    harness.run_until("the call to the counter", |h| has_unanswered_call(h));
     harness.counter.peer.connections.clear();
     let (_, connection, _) = harness.next_request();
     harness.endpoints[0].connections[connection].send(served_reply("w"));
@@ -191,11 +191,11 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |h| has_unanswered_call(h));
+    harness.run_until("the call to the counter", |h| has_unanswered_call(h));
     harness.advance(251);
     harness.advance(1100);
     harness.run_until("the silent connection is closed", |h| {
-        h.counter.peer.connections.iter().all(|e| !e.is_open)
+        h.counter.peer.connections.iter().all(|c| !c.is_open)
     });
     harness.counter.mode = CounterMode::Replies;
     let calls = harness.counter.calls.len();
@@ -211,10 +211,10 @@
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
     client.send(read_request(1));
-    harness.run_until("the call", |h| has_unanswered_call(h));
-    let end = harness.counter.connection_with_pending_call();
-    end.send("HTTP/1.1 103 Early Hints\r\nContent-Length: 5\r\n\r\n");
-    end.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
+    harness.run_until("the call to the counter", |h| has_unanswered_call(h));
+    let counter_connection = harness.counter.connection_with_pending_call();
+    counter_connection.send("HTTP/1.1 103 Early Hints\r\nContent-Length: 5\r\n\r\n");
+    counter_connection.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n99");
     assert!(harness.read_line(&mut client).starts_with("-BUSY "));
     harness.discovery_replies = false;
     harness.discovery.connections.clear();
@@ -222,10 +222,11 @@
     harness.advance(201);
     harness.run_until("a second watch", |h| h.watch_requests.len() == 2);
     let list = "{\"rev\":50,\"all\":false,\"targets\":[]}\n";
-    let end = harness.discovery.connections.last_mut().unwrap();
-    end.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    end.send(format!("{:x}\r\n{list}\r\n", list.len()));
-    harness.run_until("the list", |h| h.program.list_revision() == 50);
+    let watch = harness.discovery.connections.last_mut().unwrap();
+    watch
+        .send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    watch.send(format!("{:x}\r\n{list}\r\n", list.len()));
+    harness.run_until("the list is applied", |h| h.program.list_revision() == 50);
 }
 
 #[test]
@@ -235,13 +236,13 @@
         harness.counter.mode = CounterMode::Silent;
         let mut client = harness.connect();
         client.send(read_request(1));
-        harness.run_until("the call", |h| has_unanswered_call(h));
-        let end = harness.counter.connection_with_pending_call();
+        harness.run_until("the call to the counter", |h| has_unanswered_call(h));
+        let counter_connection = harness.counter.connection_with_pending_call();
         // More than this ingress's allowance of 8 units.
-        end.send("HTTP/1.1 200 OK\r\n\r\n9");
+        counter_connection.send("HTTP/1.1 200 OK\r\n\r\n9");
         match reset {
-            true => end.reset(),
-            false => end.close(),
+            true => counter_connection.reset(),
+            false => counter_connection.close(),
         }
         if reset {
             // The reply is incomplete, so the request is decided without a total.
--- a/crates/ingress/tests/descriptor_exhaustion.rs
+++ b/crates/ingress/tests/descriptor_exhaustion.rs
@@ -184,6 +184,6 @@
         served >= 2 && retries >= served,
         "retries found connections: {served} served, {retries} retries"
     );
-    peers.run_until("the end", |_| process.child.try_wait().unwrap().is_some());
+    peers.run_until("the exit", |_| process.child.try_wait().unwrap().is_some());
     assert_eq!(process.child.wait().unwrap().code(), Some(0));
 }
--- a/crates/ingress/tests/descriptor_shortage.rs
+++ b/crates/ingress/tests/descriptor_shortage.rs
@@ -152,7 +152,7 @@
     }
     assert!(
         harness.program.open().clients < IDLE_CLIENTS + NEW_CLIENTS,
-        "not all clients found a descriptor"
+        "there are fewer descriptors than clients"
     );
     shortage.with_free_descriptor(|| harness.discovery.restart());
     // A call that failed is repeated within half of the drain grace, at most 1 s.
--- a/crates/ingress/tests/disconnect_before_attempt.rs
+++ b/crates/ingress/tests/disconnect_before_attempt.rs
@@ -1,5 +1,5 @@
-//! After a client has disconnected, no attempt of its requests is begun, whatever way it
-//! disconnects and whatever the attempt waits for.
+//! After a client has disconnected, no attempt of its requests is begun, however it disconnects and
+//! whatever the attempt waits for.
 
 mod common;
 
@@ -35,11 +35,11 @@
     Single,
     /// More requests after the first.
     Pipelined,
-    /// Commands up to the pipeline limit, at which the ingress pauses reading, and after them more
+    /// Commands up to the pipeline limit, so that the ingress pauses reading, followed by more
     /// bytes than the system's buffers hold.
     PausedByCommands,
-    /// Replies that the client does not read, for which the ingress pauses reading, and after that
-    /// another request.
+    /// Replies that the client does not read, so that the ingress pauses reading, and another
+    /// request after that.
     PausedByReplies,
 }
 
