--- a/crates/ingress/src/program/mod.rs
+++ b/crates/ingress/src/program/mod.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns the memory and other resources that client connections use.
+    /// Returns the number of open requests and buffered bytes of all client connections.
     pub fn client_usage(&self) -> FrontendUsage {
         self.frontend.usage()
     }
--- a/crates/ingress/src/program/reload.rs
+++ b/crates/ingress/src/program/reload.rs
@@ -1,8 +1,9 @@
 //! Reload of the platform's configuration and the operator's file on SIGHUP.
 //!
 //! A reload changes the addresses of discovery and the counter, descriptor limits, the admission
-//! policy, the snapshot settings, membership keys, services and routes. All other settings keep
-//! their values from startup. If either file cannot be read or is invalid, nothing changes.
+//! policy, the snapshot settings, membership keys, services and routes, with immediate effect. All
+//! other settings keep their values from startup. If either file cannot be read or is invalid,
+//! nothing changes.
 
 use super::config::Config;
 use super::{cli::RunOptions, Program, ProgramError};
--- a/crates/ingress/src/protocol/command.rs
+++ b/crates/ingress/src/protocol/command.rs
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Total length of the arguments, in bytes.
+    /// Returns the total length of the arguments, in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/ingress/src/protocol/http.rs
+++ b/crates/ingress/src/protocol/http.rs
@@ -77,14 +77,14 @@
 /// Parses one chunk of a chunked body. The returned offset includes the chunk header and the
 /// trailing line end. An empty chunk is the last one.
 pub fn chunk<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<&'a [u8]> {
-    let seen = &input[..input.len().min(64)];
-    let Some(end) = seen.iter().position(|b| *b == b'\n') else {
-        return match seen.len() >= 64 {
+    let searched = &input[..input.len().min(64)];
+    let Some(end) = searched.iter().position(|b| *b == b'\n') else {
+        return match searched.len() >= 64 {
             true => Err(Malformed("chunk header too long")),
             false => Ok(None),
         };
     };
-    let size = seen[..end]
+    let size = searched[..end]
         .strip_suffix(b"\r")
         .ok_or(Malformed("chunk header without CR"))?;
     let size = size.split(|b| *b == b';').next().unwrap_or_default();
--- a/crates/ingress/src/protocol/limits.rs
+++ b/crates/ingress/src/protocol/limits.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Maximum size of one value with its header line, in bytes.
+    /// Returns the maximum size of one value with its header line, in bytes.
     #[must_use]
     pub fn max_message_bytes(&self) -> usize {
         self.max_value_bytes + self.max_line_bytes
--- a/crates/ingress/src/protocol/list.rs
+++ b/crates/ingress/src/protocol/list.rs
@@ -17,7 +17,7 @@
 }
 
 impl ListSplitter {
-    /// Number of buffered bytes, which belong to an incomplete list.
+    /// Returns the number of buffered bytes, which belong to an incomplete list.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/ingress/src/protocol/resp.rs
+++ b/crates/ingress/src/protocol/resp.rs
@@ -49,13 +49,13 @@
 
 /// Parses the content of a bulk string that has length `len` and begins at `at`.
 fn bulk(input: &[u8], at: usize, len: usize) -> Parsed<&[u8]> {
-    let Some(found) = input.get(at..at + len + 2) else {
+    let Some(framed) = input.get(at..at + len + 2) else {
         return Ok(None);
     };
-    if &found[len..] != b"\r\n" {
+    if &framed[len..] != b"\r\n" {
         return Err(Malformed("bulk string without its end"));
     }
-    Ok(Some((&found[..len], at + len + 2)))
+    Ok(Some((&framed[..len], at + len + 2)))
 }
 
 /// Number of arguments stored per command. No supported command has more.
@@ -117,10 +117,10 @@
 
 /// Parses a reply.
 pub fn value<'a>(input: &'a [u8], limits: &ProtocolLimits) -> Parsed<Value<'a>> {
-    nested(input, 0, limits, limits.max_depth)
+    parse_value(input, 0, limits, limits.max_depth)
 }
 
-fn nested<'a>(
+fn parse_value<'a>(
     input: &'a [u8],
     at: usize,
     limits: &ProtocolLimits,
@@ -141,7 +141,7 @@
         return Ok(None);
     };
     let text = &head[1..];
-    let found = match kind {
+    let parsed = match kind {
         b'+' => Value::Simple(text),
         b'-' => Value::Error(text),
         b':' => {
@@ -166,7 +166,7 @@
             Some(count) => {
                 let mut values = Vec::with_capacity(count);
                 for _ in 0..count {
-                    let Some((value, next)) = nested(input, at, limits, depth - 1)? else {
+                    let Some((value, next)) = parse_value(input, at, limits, depth - 1)? else {
                         return Ok(None);
                     };
                     values.push(value);
@@ -176,7 +176,7 @@
             }
         },
     };
-    Ok(Some((found, at)))
+    Ok(Some((parsed, at)))
 }
 
 /// Appends the header of an array of `count` elements.
--- a/crates/ingress/src/routing/driver/events.rs
+++ b/crates/ingress/src/routing/driver/events.rs
@@ -53,7 +53,7 @@
 
     /// Called when the timer of the request engine expires.
     pub fn on_engine_deadline(&mut self) {
-        self.engine_due = None;
+        self.engine_deadline = None;
         self.engine.on_due();
     }
 }
--- a/crates/ingress/src/routing/driver/mod.rs
+++ b/crates/ingress/src/routing/driver/mod.rs
@@ -36,7 +36,7 @@
     list_applier: EndpointListApplier,
     responses: Vec<CommandResponse>,
     rejections: RejectionLog,
-    engine_due: Option<Duration>,
+    engine_deadline: Option<Duration>,
 }
 
 impl Driver {
@@ -64,7 +64,7 @@
             },
             responses: Vec::new(),
             rejections: RejectionLog::default(),
-            engine_due: None,
+            engine_deadline: None,
         };
         // The directory comes before the list, so that the list assigns each endpoint to its
         // service.
@@ -221,9 +221,9 @@
             self.execute(output, io);
         }
         let due = self.engine.due();
-        if due != self.engine_due {
+        if due != self.engine_deadline {
             io.deadlines
-                .set(&mut self.engine_due, due, EventSource::Engine);
+                .set(&mut self.engine_deadline, due, EventSource::Engine);
         }
         if let Some(counter) = &mut self.counter {
             counter.flush(io, &mut self.engine);
--- a/crates/ingress/src/routing/driver/rejections.rs
+++ b/crates/ingress/src/routing/driver/rejections.rs
@@ -44,7 +44,7 @@
     counts: RejectionCounts,
     /// The load that caused the most recent shedding of a request since the last summary.
     last_shed_load: Option<ShedLoad>,
-    summary_due: Option<Duration>,
+    summary_deadline: Option<Duration>,
 }
 
 impl RejectionLog {
@@ -54,10 +54,10 @@
         if let RejectReason::Overloaded(load) = reason {
             self.last_shed_load = Some(load);
         }
-        if self.summary_due.is_none() {
+        if self.summary_deadline.is_none() {
             let due = io.now + SUMMARY_DELAY;
             io.deadlines.set(
-                &mut self.summary_due,
+                &mut self.summary_deadline,
                 Some(due),
                 EventSource::RejectionSummary,
             );
@@ -66,7 +66,7 @@
 
     /// Logs the summary if one is scheduled, and resets the counts.
     pub(super) fn log(&mut self) {
-        if self.summary_due.take().is_none() {
+        if self.summary_deadline.take().is_none() {
             return;
         }
         let counts = std::mem::take(&mut self.counts);
--- a/crates/ingress/src/routing/frontend/accept.rs
+++ b/crates/ingress/src/routing/frontend/accept.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 impl Frontend {
-    /// Accepts waiting connections, up to the limit of one round. Called when the listener is
+    /// Accepts waiting connections, up to the limit of one iteration. Called when the listener is
     /// readable or its pause is over.
     pub fn accept(&mut self, driver: &mut Driver, io: &mut Io) {
-        self.accept_up_to(self.limits.max_accepts_per_round, driver, io);
+        self.accept_up_to(self.limits.max_accepts_per_iteration, driver, io);
     }
 
     /// Accepts up to `max` waiting connections. If descriptors are exhausted, closes an idle
--- a/crates/ingress/src/routing/frontend/input.rs
+++ b/crates/ingress/src/routing/frontend/input.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Reads further from the clients that had more input than the limit of the last round.
+    /// Reads further from the clients that had more input than the limit of the last iteration.
     pub fn read_scheduled_clients(&mut self, driver: &mut Driver, io: &mut Io) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(client) = self.clients.get_mut(key) {
@@ -74,7 +74,7 @@
     }
 
     /// Updates the client's state after its commands were executed. `has_more` is true if a limit
-    /// left commands for the next round.
+    /// left commands for the next iteration.
     fn after_read(
         &mut self,
         key: Key,
@@ -86,7 +86,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        // Each word of a command may be within its limit and the command still be too long.
+        // Each argument of a command may be within its limit and the command still be too long.
         let is_open = client.phase == Phase::Open;
         let is_full = client.stream.input().len() >= self.limits.protocol.max_message_bytes();
         if !has_more && is_open && is_full {
@@ -144,7 +144,7 @@
             return;
         };
         client.incomplete_command_since = None;
-        let max_bytes = self.limits.max_discard_bytes_per_round;
+        let max_bytes = self.limits.max_discard_bytes_per_iteration;
         let (read_outcome, discarded) = client.stream.discard(max_bytes, &mut self.discard_buffer);
         client.discarded_bytes += discarded;
         let is_within_limit = client.discarded_bytes < self.limits.max_discard_bytes;
@@ -171,7 +171,7 @@
             }
             client.is_read_blocked =
                 client.pending_replies.len() >= self.limits.max_pipelined_requests;
-            if client.is_read_blocked || executed_count >= self.limits.max_commands_per_round {
+            if client.is_read_blocked || executed_count >= self.limits.max_commands_per_iteration {
                 has_more = true;
                 break;
             }
--- a/crates/ingress/src/routing/frontend/limits.rs
+++ b/crates/ingress/src/routing/frontend/limits.rs
@@ -8,9 +8,9 @@
 const MAX_UNREAD_REPLY_BYTES: usize = 256 << 10;
 const MAX_READ_AHEAD_BYTES: usize = 512 << 10;
 const CLIENT_BUFFER_MEMORY_DIVISOR: usize = 8;
-const MAX_COMMANDS_PER_ROUND: usize = 64;
-const MAX_ACCEPTS_PER_ROUND: usize = 64;
-const MAX_DISCARD_BYTES_PER_ROUND: usize = 1 << 20;
+const MAX_COMMANDS_PER_ITERATION: usize = 64;
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+const MAX_DISCARD_BYTES_PER_ITERATION: usize = 1 << 20;
 const MAX_DISCARD_BYTES: usize = 128 << 20;
 /// The shared counter accepts amounts of at most 1e9 units.
 const MAX_COUNTER_UNITS: f64 = 1e9;
@@ -23,8 +23,8 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(3000);
 const SUMMARY_INTERVAL: Duration = Duration::from_millis(5000);
 
-/// Limits on the connections, buffers and commands of clients. A round is one iteration of the
-/// event loop.
+/// Limits on the connections, buffers and commands of clients. Limits per iteration apply to one
+/// iteration of the event loop.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontendLimits {
     /// Limits on the size of one command.
@@ -39,12 +39,12 @@
     /// Bytes of unparsed input and unwritten replies of all clients. Beyond it the client with the
     /// most is disconnected.
     pub max_buffered_bytes: usize,
-    /// Commands of one client that are executed in a round; the others wait for the next round.
-    pub max_commands_per_round: usize,
-    /// Connections that are accepted in a round.
-    pub max_accepts_per_round: usize,
-    /// Bytes of input of one closing connection that are discarded in a round.
-    pub max_discard_bytes_per_round: usize,
+    /// Commands of one client that are executed in an iteration; the others wait for the next one.
+    pub max_commands_per_iteration: usize,
+    /// Connections that are accepted in an iteration.
+    pub max_accepts_per_iteration: usize,
+    /// Bytes of input of one closing connection that are discarded in an iteration.
+    pub max_discard_bytes_per_iteration: usize,
     /// Bytes of input of one closing connection that are discarded in total. The connection is
     /// closed when it has sent more.
     pub max_discard_bytes: usize,
@@ -83,9 +83,9 @@
             max_unread_reply_bytes: MAX_UNREAD_REPLY_BYTES,
             max_read_ahead_bytes: MAX_READ_AHEAD_BYTES,
             max_buffered_bytes: memory_bytes / CLIENT_BUFFER_MEMORY_DIVISOR,
-            max_commands_per_round: MAX_COMMANDS_PER_ROUND,
-            max_accepts_per_round: MAX_ACCEPTS_PER_ROUND,
-            max_discard_bytes_per_round: MAX_DISCARD_BYTES_PER_ROUND,
+            max_commands_per_iteration: MAX_COMMANDS_PER_ITERATION,
+            max_accepts_per_iteration: MAX_ACCEPTS_PER_ITERATION,
+            max_discard_bytes_per_iteration: MAX_DISCARD_BYTES_PER_ITERATION,
             max_discard_bytes: MAX_DISCARD_BYTES,
             max_units: settings.max_request_units().unwrap_or(MAX_COUNTER_UNITS),
             max_pipelined_requests: MAX_PIPELINED_REQUESTS,
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -62,7 +62,7 @@
     /// Totals at the time of the last summary.
     last_counts: RejectionCounts,
     /// When the next summary is logged; `None` if admission has taken no action since the last one.
-    summary_due: Option<Duration>,
+    summary_deadline: Option<Duration>,
 }
 
 impl Listener {
@@ -90,7 +90,7 @@
             paused_until: None,
             actions: Vec::new(),
             last_counts: RejectionCounts::default(),
-            summary_due: None,
+            summary_deadline: None,
         })
     }
 
@@ -124,10 +124,10 @@
 
     /// Schedules a summary if admission took an action and no summary is scheduled yet.
     fn schedule_summary(&mut self, actions: &[Action], io: &mut Io) {
-        if !actions.is_empty() && self.summary_due.is_none() {
+        if !actions.is_empty() && self.summary_deadline.is_none() {
             let deadline = io.now + self.limits.summary_interval;
             io.deadlines.set(
-                &mut self.summary_due,
+                &mut self.summary_deadline,
                 Some(deadline),
                 EventSource::AdmissionSummary,
             );
@@ -215,7 +215,7 @@
 
     /// Logs how many connections and requests were rejected since the last summary, by reason.
     pub(super) fn on_summary_deadline(&mut self) {
-        self.summary_due = None;
+        self.summary_deadline = None;
         let current_counts = self.controller.rejection_counts();
         let previous_counts = std::mem::replace(&mut self.last_counts, current_counts);
         let count_since_last = |reason: RejectionReason| {
--- a/crates/ingress/src/routing/frontend/mod.rs
+++ b/crates/ingress/src/routing/frontend/mod.rs
@@ -53,9 +53,9 @@
     open_request_ids: HashSet<u64>,
     /// The sum of `Client::buffered_bytes` over all clients.
     buffered_bytes: usize,
-    /// Clients whose output is flushed at the end of this round of the event loop.
+    /// Clients whose output is flushed at the end of this iteration of the event loop.
     flush_queue: Vec<Key>,
-    /// Clients whose input is read further in the next round.
+    /// Clients whose input is read further in the next iteration.
     read_queue: Vec<Key>,
     /// The process is shutting down: each connection is closed once it is idle.
     is_draining: bool,
@@ -89,7 +89,7 @@
             flush_queue: Vec::new(),
             read_queue: Vec::new(),
             is_draining: false,
-            discard_buffer: vec![0; limits.max_discard_bytes_per_round],
+            discard_buffer: vec![0; limits.max_discard_bytes_per_iteration],
             is_ready: false,
         })
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Whether a client has input that the next round has to read without waiting for an event.
+    /// Whether a client has input that the next iteration has to read without waiting for an event.
     #[must_use]
     pub fn has_scheduled_reads(&self) -> bool {
         !self.read_queue.is_empty()
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Queues a client's output to be flushed at the end of this round.
+    /// Queues a client's output to be flushed at the end of this iteration.
     fn schedule_flush(&mut self, key: Key) {
         let client = self.clients.get_mut(key);
         if let Some(client) = client.filter(|client| !client.is_flush_scheduled) {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Queues a client to be read further in the next round.
+    /// Queues a client to be read further in the next iteration.
     fn schedule_read(&mut self, key: Key) {
         let client = self.clients.get_mut(key);
         if let Some(client) = client.filter(|client| !client.is_read_scheduled) {
--- a/crates/ingress/src/routing/frontend/output.rs
+++ b/crates/ingress/src/routing/frontend/output.rs
@@ -31,7 +31,7 @@
         self.update_buffered_bytes(key, driver, io);
     }
 
-    /// Writes the replies that were queued in this round.
+    /// Writes the replies that were queued in this iteration.
     pub fn flush(&mut self, driver: &mut Driver, io: &mut Io) {
         while let Some(key) = self.flush_queue.pop() {
             self.flush_client(key, driver, io);
--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -27,9 +27,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Datagrams that are received in one round of the event loop, so that clients are served in
+/// Datagrams that are received in one iteration of the event loop, so that clients are served in
 /// between.
-const MAX_DATAGRAMS_PER_ROUND: usize = 64;
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 /// Member names whose sequence numbers are remembered to detect replayed datagrams.
 const MAX_REMEMBERED_NAMES: usize = 4096;
 /// Longer than the longest valid datagram, so that a longer one is detected rather than truncated
@@ -145,10 +145,10 @@
         self.handle(Event::Leave, io);
     }
 
-    /// Called when the socket is readable. Receives datagrams, up to the limit of one round.
+    /// Called when the socket is readable. Receives datagrams, up to the limit of one iteration.
     pub fn on_ready(&mut self, io: &mut Io) {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
-        for _ in 0..MAX_DATAGRAMS_PER_ROUND {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Some((length, source)) = self.socket.receive(&mut buffer) else {
                 return;
             };
--- a/crates/ingress/src/transport/stream.rs
+++ b/crates/ingress/src/transport/stream.rs
@@ -82,34 +82,35 @@
 }
 
 /// Accepts the next pending connection of a listener. Returns it with the peer's IP address, which
-/// is `0.0.0.0` if the system does not report one. `chunk` is the initial size of the read buffer.
-pub fn accept(listener: impl AsFd, chunk: usize) -> io::Result<(Stream, IpAddr)> {
+/// is `0.0.0.0` if the system does not report one. `buffer_bytes` is the initial size of the read
+/// buffer.
+pub fn accept(listener: impl AsFd, buffer_bytes: usize) -> io::Result<(Stream, IpAddr)> {
     let (fd, peer) = net::acceptfrom_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)?;
     let peer = peer
         .and_then(|p| SocketAddr::try_from(p).ok())
         .map(|p| p.ip());
     Ok((
-        Stream::new(fd, chunk)?,
+        Stream::new(fd, buffer_bytes)?,
         peer.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED)),
     ))
 }
 
 /// Starts to connect. Once the socket becomes writable, [`Stream::connect_result`] tells whether
-/// the connection is established. `chunk` is the initial size of the read buffer.
-pub fn connect(to: &SocketAddr, chunk: usize) -> io::Result<Stream> {
+/// the connection is established. `buffer_bytes` is the initial size of the read buffer.
+pub fn connect(to: &SocketAddr, buffer_bytes: usize) -> io::Result<Stream> {
     let fd = socket(to)?;
     match net::connect(&fd, to) {
-        Ok(()) | Err(Errno::INPROGRESS) => Stream::new(fd, chunk),
+        Ok(()) | Err(Errno::INPROGRESS) => Stream::new(fd, buffer_bytes),
         Err(e) => Err(e),
     }
 }
 
 impl Stream {
-    fn new(fd: OwnedFd, chunk: usize) -> io::Result<Stream> {
+    fn new(fd: OwnedFd, buffer_bytes: usize) -> io::Result<Stream> {
         sockopt::set_tcp_nodelay(&fd, true)?;
         Ok(Stream {
             fd,
-            input: Vec::with_capacity(chunk),
+            input: Vec::with_capacity(buffer_bytes),
             consumed: 0,
             output: Vec::new(),
             written: 0,
@@ -141,21 +142,26 @@
         }
     }
 
-    /// Reads until no more data is available or the input holds `limit` bytes. `chunk` is the size
-    /// by which the read buffer grows. `peer_closed` says that the poller has reported the peer's
-    /// close: only then is a short read followed by another one, because data that arrives later
-    /// causes a new event.
-    pub fn read_available(&mut self, limit: usize, chunk: usize, peer_closed: bool) -> ReadOutcome {
+    /// Reads until no more data is available or the input holds `max_bytes`. `buffer_bytes` is the
+    /// size by which the read buffer grows. `peer_closed` says that the poller has reported the
+    /// peer's close: only then is a short read followed by another one, because data that arrives
+    /// later causes a new event.
+    pub fn read_available(
+        &mut self,
+        max_bytes: usize,
+        buffer_bytes: usize,
+        peer_closed: bool,
+    ) -> ReadOutcome {
         loop {
-            if self.input.len() - self.consumed >= limit {
+            if self.input.len() - self.consumed >= max_bytes {
                 return ReadOutcome::LimitReached;
             }
             if self.consumed > 0 {
                 self.input.drain(..self.consumed);
                 self.consumed = 0;
             }
-            if self.input.capacity() - self.input.len() < chunk / 2 {
-                self.input.reserve(chunk);
+            if self.input.capacity() - self.input.len() < buffer_bytes / 2 {
+                self.input.reserve(buffer_bytes);
             }
             let free = self.input.capacity() - self.input.len();
             match io::read(&self.fd, rustix::buffer::spare_capacity(&mut self.input)) {
@@ -172,8 +178,8 @@
     /// read. Queries the socket, and so detects also what has arrived since the last event.
     pub fn is_open_without_input(&self) -> bool {
         let mut byte = [0; 1];
-        let seen = net::recv(&self.fd, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
-        self.input().is_empty() && matches!(seen, Err(Errno::AGAIN))
+        let peeked = net::recv(&self.fd, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT);
+        self.input().is_empty() && matches!(peeked, Err(Errno::AGAIN))
     }
 
     /// Discards the input and up to about `limit` bytes that can be read, and returns the number of
