--- a/crates/ingress/tests/client_disconnects.rs
+++ b/crates/ingress/tests/client_disconnects.rs
@@ -8,8 +8,7 @@
 use roseyard_ingress::routing::frontend::FrontendUsage;
 
 #[test]
-fn a_client_that_disconnects_during_the_counter_call_has_nothing_forwarded_and_its_units_returned()
-{
+fn nothing_is_forwarded_and_units_are_returned_if_a_client_disconnects_during_the_counter_call() {
     for replied in [true, false] {
         let mut harness = Harness::new(1);
         harness.counter.mode = CounterMode::Silent;
@@ -34,7 +33,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_during_the_connect_has_nothing_written() {
+fn nothing_is_forwarded_if_a_client_disconnects_while_its_attempt_connects() {
     let mut harness = Harness::new(1);
     harness.endpoints[0].stop_accepting();
     let mut client = harness.connect();
@@ -55,7 +54,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_before_a_retry_has_none_made() {
+fn no_retry_is_made_if_a_client_disconnects_before_it() {
     for during_connect in [false, true] {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
@@ -90,7 +89,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_while_its_reading_is_paused_has_nothing_forwarded() {
+fn nothing_is_forwarded_if_a_client_disconnects_while_reading_from_it_is_paused() {
     let mut harness = Harness::new(1);
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
@@ -114,7 +113,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_with_pipelined_requests_has_none_forwarded() {
+fn no_pipelined_request_is_forwarded_if_the_client_disconnects() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     client.send(read_request(1));
@@ -138,7 +137,7 @@
 }
 
 #[test]
-fn a_client_that_sends_many_requests_and_disconnects_has_none_counted_or_forwarded() {
+fn no_request_is_counted_or_forwarded_if_a_client_sends_many_and_disconnects() {
     for requests in [3, 800] {
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
--- a/crates/ingress/tests/common/connection.rs
+++ b/crates/ingress/tests/common/connection.rs
@@ -13,7 +13,7 @@
     pub input: Vec<u8>,
     /// False once either side has closed or reset the connection.
     pub is_open: bool,
-    /// Whether a read has failed, as it does when the other side resets the connection.
+    /// Whether a read has failed, for example because the other side reset the connection.
     pub was_reset: bool,
     /// Whether the connection has carried a request; set by the tests.
     pub has_carried_request: bool,
--- a/crates/ingress/tests/common/pending_change.rs
+++ b/crates/ingress/tests/common/pending_change.rs
@@ -84,7 +84,7 @@
     },
 ];
 
-/// An ingress at list revision 41, whose discovery has revision 42 and cannot be reached yet.
+/// An ingress that holds list revision 41, and a discovery that has not yet sent revision 42.
 pub(crate) struct PendingChange {
     pub(crate) harness: Harness,
     pub(crate) mode: DiscoveryMode,
--- a/crates/ingress/tests/disconnect_before_attempt.rs
+++ b/crates/ingress/tests/disconnect_before_attempt.rs
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_disconnected_client_has_no_first_attempt_begun() {
+fn no_first_attempt_is_begun_for_a_disconnected_client() {
     for state in [ClientState::Single, ClientState::Pipelined] {
         assert_no_attempt_after_disconnect(Awaited::Counter, state);
         assert_no_attempt_after_disconnect(Awaited::Connect, state);
@@ -251,20 +251,20 @@
 }
 
 #[test]
-fn a_disconnected_client_has_no_retry_begun() {
+fn no_retry_is_begun_for_a_disconnected_client() {
     for state in [ClientState::Single, ClientState::Pipelined] {
         assert_no_attempt_after_disconnect(Awaited::Rejection, state);
     }
 }
 
 #[test]
-fn a_client_that_disconnects_while_reading_is_paused_has_no_attempt_begun() {
+fn no_attempt_is_begun_for_a_client_that_disconnects_while_reading_is_paused() {
     for awaited in [Awaited::Counter, Awaited::Connect, Awaited::Rejection] {
         assert_no_attempt_after_disconnect(awaited, ClientState::PausedByCommands);
     }
 }
 
 #[test]
-fn a_client_that_disconnects_without_reading_its_replies_has_no_retry_begun() {
+fn no_retry_is_begun_for_a_client_that_disconnects_without_reading_its_replies() {
     assert_no_attempt_after_disconnect(Awaited::Rejection, ClientState::PausedByReplies);
 }
