--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -21,14 +21,14 @@
         burst: 1e6,
     });
     let policy = AdmissionPolicy {
-        by_address: true,
+        identify_clients_by_address: true,
         max_per_client: Some(1 << 20),
         max_per_network: Some(1 << 20),
         client_connect_rate: rate,
         network_connect_rate: rate,
-        max_remembered: tracked,
-        max_idle_after_one_request: open,
-        max_idle_without_request: open,
+        history_cache_capacity: tracked,
+        max_idle_after_one_command: open,
+        max_idle_without_command: open,
         ..AdmissionPolicy::with_capacity(open)
     };
     let mut controller = AdmissionController::new(policy, 7, Duration::ZERO);
@@ -129,7 +129,7 @@
                     connection,
                     customer: number,
                 };
-                let answered = Event::Answered {
+                let answered = Event::RequestAnswered {
                     connection,
                     served: true,
                 };
--- a/crates/admission/src/controller/client_histories.rs
+++ b/crates/admission/src/controller/client_histories.rs
@@ -181,6 +181,6 @@
             DecayingScore::new(served_when_written, Duration::ZERO).at(age, policy.known_half_life);
         let index = cache.find_or_insert(record.key);
         cache.get_mut(index).served = DecayingScore::new(served, now);
-        cache.assign_segment(index, served >= policy.known_after_served);
+        cache.assign_segment(index, served >= policy.known_after_served_requests);
     }
 }
--- a/crates/admission/src/controller/connect.rs
+++ b/crates/admission/src/controller/connect.rs
@@ -68,7 +68,7 @@
                 reputation: Reputation::Allowlisted,
             };
         }
-        if !self.policy.by_address {
+        if !self.policy.identify_clients_by_address {
             return NewConnection {
                 id,
                 address: None,
--- a/crates/admission/src/controller/eviction.rs
+++ b/crates/admission/src/controller/eviction.rs
@@ -62,16 +62,16 @@
             return;
         };
         let idle_time = now.saturating_sub(first.idle_since);
-        let is_grace_over = idle_time >= self.policy.first_command_grace;
+        let is_grace_over = idle_time >= self.policy.first_command_grace_period;
         if reputation != Reputation::NoCommand || is_grace_over {
-            self.close(first.id, RejectionReason::IdleCapacity, now, actions);
+            self.close(first.id, RejectionReason::IdleCap, now, actions);
         }
     }
 
     fn max_idle(&self, reputation: Reputation) -> usize {
         match reputation {
-            Reputation::NoCommand => self.policy.max_idle_without_request,
-            Reputation::OneCommand => self.policy.max_idle_after_one_request,
+            Reputation::NoCommand => self.policy.max_idle_without_command,
+            Reputation::OneCommand => self.policy.max_idle_after_one_command,
             _ => usize::MAX,
         }
     }
@@ -104,7 +104,8 @@
             | Reputation::OneCommand
             | Reputation::New => true,
             Reputation::NoCommand => {
-                evicted_for >= Reputation::Known || idle_time >= self.policy.first_command_grace
+                evicted_for >= Reputation::Known
+                    || idle_time >= self.policy.first_command_grace_period
             }
             // While connections without a command are idle, a new client waits for the end of their
             // grace. Prevents the eviction of known clients when a flood connects so fast that all
@@ -112,7 +113,8 @@
             Reputation::Known => {
                 let has_idle_without_command = self.connections.idle_len(Reputation::NoCommand) > 0;
                 evicted_for >= Reputation::Known
-                    || idle_time >= self.policy.known_client_grace && !has_idle_without_command
+                    || idle_time >= self.policy.known_client_grace_period
+                        && !has_idle_without_command
             }
             Reputation::Allowlisted => evicted_for >= Reputation::Allowlisted,
         }
--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -21,7 +21,7 @@
 
 pub use client_histories::CacheSizes;
 
-/// Shortest pause of accepting, if the policy's `first_command_grace` is shorter.
+/// Shortest pause of accepting, if the policy's `first_command_grace_period` is shorter.
 const MIN_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
 
 /// Served requests that make a connection known, in the time of warm-up. Many requests are rejected
@@ -61,9 +61,9 @@
     pub fn new(policy: AdmissionPolicy, secret: u64, now: Duration) -> AdmissionController {
         AdmissionController {
             connections: ConnectionTable::default(),
-            histories: ClientHistories::new(policy.max_remembered, secret),
+            histories: ClientHistories::new(policy.history_cache_capacity, secret),
             busy_new_clients: 0,
-            warm_until: now + policy.warm_up,
+            warm_until: now + policy.warm_up_period,
             rejection_counts: RejectionCounts::default(),
             new_client_request_limiter: Gcra::default(),
             policy,
@@ -106,19 +106,19 @@
     #[must_use]
     pub fn idle_timeout_of(&self, id: ConnectionId) -> Duration {
         let Some(connection) = self.connections.get(id) else {
-            return self.policy.idle_timeout_without_request;
+            return self.policy.idle_timeout_without_command;
         };
         match connection.command_count {
             _ if connection.is_allowlisted => self.policy.idle_timeout,
-            0 => self.policy.idle_timeout_without_request,
-            1 => self.policy.idle_timeout_after_one_request,
+            0 => self.policy.idle_timeout_without_command,
+            1 => self.policy.idle_timeout_after_one_command,
             _ => self.policy.idle_timeout,
         }
     }
 
     /// The time until which no connection is to be accepted; none if one may be accepted now. Set
     /// when all capacity is in use and the only connections that could be evicted are still in
-    /// their `first_command_grace`.
+    /// their `first_command_grace_period`.
     #[must_use]
     pub fn accept_paused_until(&self, now: Duration) -> Option<Duration> {
         let has_capacity = self.open_connections() < self.policy.capacity;
@@ -126,7 +126,7 @@
             return None;
         }
         let longest_idle = self.connections.longest_idle_of(Reputation::NoCommand)?;
-        let grace_end = longest_idle.idle_since + self.policy.first_command_grace;
+        let grace_end = longest_idle.idle_since + self.policy.first_command_grace_period;
         Some(grace_end).filter(|until| *until > now)
     }
 
@@ -143,11 +143,11 @@
             } => self.on_request_received(now, connection, customer, actions),
             Event::CommandHandled(connection) => self.on_command_handled(connection),
             Event::ProtocolError(connection) => self.on_protocol_error(now, connection),
-            Event::Answered {
+            Event::RequestAnswered {
                 connection,
                 served: true,
             } => self.on_request_served(now, connection),
-            Event::Answered { served: false, .. } => {}
+            Event::RequestAnswered { served: false, .. } => {}
             Event::BecameIdle(connection) => self.on_became_idle(now, connection, actions),
             Event::HalfClosed(connection) => self.on_half_closed(now, connection, actions),
             Event::Closed {
@@ -168,8 +168,8 @@
     fn on_descriptors_exhausted(&mut self, now: Duration, actions: &mut Vec<Action>) {
         match self.eviction_candidate(Reputation::New, now) {
             Some(id) => self.close(id, RejectionReason::Evicted, now, actions),
-            None => actions.push(Action::Pause {
-                until: now + self.policy.first_command_grace.max(MIN_ACCEPT_PAUSE),
+            None => actions.push(Action::PauseAccepting {
+                until: now + self.policy.first_command_grace_period.max(MIN_ACCEPT_PAUSE),
             }),
         }
     }
@@ -186,9 +186,10 @@
             // Keys of other prefix lengths are never found again: their histories are dropped, with
             // their counts of connections.
             self.connections.forget_addresses();
-            self.histories.forget_addresses(policy.max_remembered);
+            self.histories
+                .forget_addresses(policy.history_cache_capacity);
         }
-        self.histories.resize(policy.max_remembered);
+        self.histories.resize(policy.history_cache_capacity);
         self.policy = policy;
         for id in self.connections.idle_in_eviction_order() {
             if let Some(reason) = self.exceeded_cap(id) {
--- a/crates/admission/src/controller/request.rs
+++ b/crates/admission/src/controller/request.rs
@@ -78,7 +78,7 @@
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let max_trusted = self.policy.customer_trusted_connections;
+        let max_trusted = self.policy.max_trusted_connections_per_customer;
         if max_trusted == 0 || connection.customer.is_some() {
             return;
         }
--- a/crates/admission/src/descriptor_budget.rs
+++ b/crates/admission/src/descriptor_budget.rs
@@ -124,7 +124,7 @@
 
     /// Takes one descriptor for this use; false, and nothing taken, if none is available to it.
     #[must_use]
-    pub fn take(&mut self, descriptor_use: DescriptorUse) -> bool {
+    pub fn try_acquire(&mut self, descriptor_use: DescriptorUse) -> bool {
         let is_available = self.is_available(descriptor_use);
         self.used[descriptor_use as usize] += usize::from(is_available);
         is_available
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -38,7 +38,7 @@
     /// Something was read that is malformed or cannot be carried out.
     ProtocolError(ConnectionId),
     /// A request got its final answer.
-    Answered {
+    RequestAnswered {
         /// The connection of the request.
         connection: ConnectionId,
         /// Was it served, with a value as its answer?
@@ -76,7 +76,7 @@
     /// Evicted for another connection.
     Evicted,
     /// Too many idle connections have the same low reputation.
-    IdleCapacity,
+    IdleCap,
 }
 
 /// All reasons, by their index in [`RejectionCounts::connections`](crate::RejectionCounts).
@@ -87,7 +87,7 @@
     RejectionReason::NetworkRate,
     RejectionReason::AtCapacity,
     RejectionReason::Evicted,
-    RejectionReason::IdleCapacity,
+    RejectionReason::IdleCap,
 ];
 
 impl RejectionReason {
@@ -101,7 +101,7 @@
             RejectionReason::NetworkRate => "neighbourhood-rate",
             RejectionReason::AtCapacity => "full",
             RejectionReason::Evicted => "displaced",
-            RejectionReason::IdleCapacity => "room",
+            RejectionReason::IdleCap => "room",
         }
     }
 }
@@ -132,7 +132,7 @@
         retry_after: Duration,
     },
     /// Accept no connections for a while.
-    Pause {
+    PauseAccepting {
         /// When to accept again, on the caller's clock.
         until: Duration,
     },
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -26,7 +26,7 @@
 //! }
 //! let closed = Action::Close {
 //!     connection: ConnectionId(0),
-//!     reason: RejectionReason::IdleCapacity,
+//!     reason: RejectionReason::IdleCap,
 //! };
 //! assert_eq!(actions[0], closed);
 //! ```
--- a/crates/admission/tests/controller.rs
+++ b/crates/admission/tests/controller.rs
@@ -54,7 +54,7 @@
     fn serve(&mut self, connection: ConnectionId, times: usize) {
         for _ in 0..times {
             assert_eq!(self.request(connection, 9), []);
-            self.handle(Event::Answered {
+            self.handle(Event::RequestAnswered {
                 connection,
                 served: true,
             });
@@ -76,10 +76,10 @@
 #[test]
 fn a_known_client_is_served_at_once_while_new_clients_hold_the_reserve_and_send_requests() {
     let policy = AdmissionPolicy {
-        by_address: true,
+        identify_clients_by_address: true,
         reserve: 2,
-        max_idle_after_one_request: 10,
-        max_idle_without_request: 10,
+        max_idle_after_one_command: 10,
+        max_idle_without_command: 10,
         ..AdmissionPolicy::with_capacity(10)
     };
     let mut harness = Harness::new(policy);
@@ -132,9 +132,9 @@
 fn a_known_client_is_accepted_after_a_restart_with_a_snapshot_while_new_clients_hold_all_capacity()
 {
     let policy = AdmissionPolicy {
-        by_address: true,
-        max_idle_without_request: 8,
-        max_idle_after_one_request: 8,
+        identify_clients_by_address: true,
+        max_idle_without_command: 8,
+        max_idle_after_one_command: 8,
         ..AdmissionPolicy::with_capacity(8)
     };
     let mut before = Harness::new(policy.clone());
@@ -176,8 +176,8 @@
 #[test]
 fn without_a_snapshot_one_served_request_makes_a_connection_of_several_requests_known_in_warm_up() {
     let mut harness = Harness::new(AdmissionPolicy {
-        max_idle_without_request: 4,
-        max_idle_after_one_request: 4,
+        max_idle_without_command: 4,
+        max_idle_after_one_command: 4,
         ..AdmissionPolicy::with_capacity(4)
     });
     let serve_once_and_fail_once = |harness: &mut Harness| {
@@ -189,7 +189,7 @@
             "one command on a connection is not enough"
         );
         harness.request(connection, 9);
-        harness.handle(Event::Answered {
+        harness.handle(Event::RequestAnswered {
             connection,
             served: false,
         });
@@ -224,7 +224,7 @@
 #[test]
 fn caps_hold_for_a_client_and_its_network_in_each_form_of_the_address() {
     let policy = AdmissionPolicy {
-        by_address: true,
+        identify_clients_by_address: true,
         max_per_client: Some(2),
         max_per_network: Some(5),
         ..AdmissionPolicy::with_capacity(100)
@@ -265,7 +265,7 @@
         burst: 4.0,
     });
     let mut harness = Harness::new(AdmissionPolicy {
-        by_address: true,
+        identify_clients_by_address: true,
         client_connect_rate: rate,
         suspect_after_faults: 5.0,
         ..AdmissionPolicy::with_capacity(100)
@@ -307,9 +307,9 @@
         burst: 4.0,
     });
     let mut harness = Harness::new(AdmissionPolicy {
-        by_address: true,
+        identify_clients_by_address: true,
         new_client_request_rate,
-        known_after_served: 2.0,
+        known_after_served_requests: 2.0,
         ..AdmissionPolicy::with_capacity(100)
     });
     let (known, _) = harness.connect("192.0.2.1");
@@ -337,7 +337,7 @@
 #[test]
 fn a_cap_lowered_below_what_is_open_closes_idle_connections_now_and_busy_ones_once_they_are_idle() {
     let policy = AdmissionPolicy {
-        by_address: true,
+        identify_clients_by_address: true,
         ..AdmissionPolicy::with_capacity(10)
     };
     let mut harness = Harness::new(policy.clone());
@@ -390,10 +390,10 @@
 #[test]
 fn a_known_customer_s_name_lifts_the_reputation_of_no_more_connections_than_the_limit() {
     let policy = AdmissionPolicy {
-        customer_trusted_connections: 2,
-        max_idle_without_request: 50,
-        max_idle_after_one_request: 50,
-        warm_up: ms(0),
+        max_trusted_connections_per_customer: 2,
+        max_idle_without_command: 50,
+        max_idle_after_one_command: 50,
+        warm_up_period: ms(0),
         ..AdmissionPolicy::with_capacity(50)
     };
     let mut harness = Harness::new(policy);
@@ -407,7 +407,7 @@
         .map(|_| {
             let (connection, _) = harness.connect("127.0.0.1");
             harness.request(connection, 9);
-            harness.handle(Event::Answered {
+            harness.handle(Event::RequestAnswered {
                 connection,
                 served: false,
             });
@@ -439,7 +439,7 @@
     let allowlist = AddressList::new(["10.0.0.0/8".parse().unwrap()]);
     let mut harness = Harness::new(AdmissionPolicy {
         allowlist,
-        max_idle_without_request: 4,
+        max_idle_without_command: 4,
         ..AdmissionPolicy::with_capacity(4)
     });
     for _ in 0..4 {
--- a/crates/admission/tests/descriptor_budget.rs
+++ b/crates/admission/tests/descriptor_budget.rs
@@ -29,7 +29,7 @@
             let descriptor_use = DESCRIPTOR_USES[use_index];
             let used_before = budget.used(descriptor_use);
             if take {
-                let granted = budget.take(descriptor_use);
+                let granted = budget.try_acquire(descriptor_use);
                 prop_assert!(
                     granted || used_before >= budget.limits(descriptor_use).guaranteed,
                     "a guaranteed minimum was denied"
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -79,7 +79,7 @@
             served_by_address: BTreeMap::new(),
             faults_by_address: BTreeMap::new(),
             queue_order: 0,
-            warm_until: now + policy.warm_up,
+            warm_until: now + policy.warm_up_period,
             generation: 0,
             expected: Vec::new(),
             policy,
@@ -88,13 +88,13 @@
 
     fn is_address_known(&self, address: u8) -> bool {
         let served = self.served_by_address.get(&address);
-        self.policy.by_address
-            && served.is_some_and(|n| *n as f32 >= self.policy.known_after_served)
+        self.policy.identify_clients_by_address
+            && served.is_some_and(|n| *n as f32 >= self.policy.known_after_served_requests)
     }
 
     fn is_address_suspect(&self, address: u8) -> bool {
         let faults = self.faults_by_address.get(&address);
-        self.policy.by_address
+        self.policy.identify_clients_by_address
             && faults.is_some_and(|n| *n as f32 >= self.policy.suspect_after_faults)
     }
 
@@ -156,11 +156,13 @@
             let idle_time = self.now - c.idle_since;
             match c.queued_reputation {
                 Reputation::NoCommand => {
-                    evicted_for >= Reputation::Known || idle_time >= self.policy.first_command_grace
+                    evicted_for >= Reputation::Known
+                        || idle_time >= self.policy.first_command_grace_period
                 }
                 Reputation::Known => {
                     evicted_for >= Reputation::Known
-                        || idle_time >= self.policy.known_client_grace && !has_idle_without_command
+                        || idle_time >= self.policy.known_client_grace_period
+                            && !has_idle_without_command
                 }
                 _ => true,
             }
@@ -192,8 +194,8 @@
         self.connections[at].queued_reputation = reputation;
         self.connections[at].queue_order = self.queue_order;
         let max_idle = match reputation {
-            Reputation::NoCommand => self.policy.max_idle_without_request,
-            Reputation::OneCommand => self.policy.max_idle_after_one_request,
+            Reputation::NoCommand => self.policy.max_idle_without_command,
+            Reputation::OneCommand => self.policy.max_idle_after_one_command,
             _ => usize::MAX,
         };
         let queue: Vec<ModelConnection> = self
@@ -201,9 +203,10 @@
             .into_iter()
             .filter(|c| c.queued_reputation == reputation)
             .collect();
-        let is_grace_over = self.now - queue[0].idle_since >= self.policy.first_command_grace;
+        let is_grace_over =
+            self.now - queue[0].idle_since >= self.policy.first_command_grace_period;
         if queue.len() > max_idle && (reputation != Reputation::NoCommand || is_grace_over) {
-            self.close(queue[0].id, RejectionReason::IdleCapacity);
+            self.close(queue[0].id, RejectionReason::IdleCap);
         }
     }
 
@@ -217,7 +220,9 @@
         let address = connection.address;
         let open = self.open_connections_of(address);
         let max_per_client = self.policy.max_per_client;
-        if self.policy.by_address && max_per_client.is_some_and(|cap| open > cap as usize) {
+        if self.policy.identify_clients_by_address
+            && max_per_client.is_some_and(|cap| open > cap as usize)
+        {
             return self.close(id, RejectionReason::ClientCap);
         }
         self.queue_idle(id);
@@ -239,7 +244,9 @@
     fn connect(&mut self, id: ConnectionId, address: u8) {
         let open = self.open_connections_of(address);
         let max_per_client = self.policy.max_per_client;
-        if self.policy.by_address && max_per_client.is_some_and(|cap| open >= cap as usize) {
+        if self.policy.identify_clients_by_address
+            && max_per_client.is_some_and(|cap| open >= cap as usize)
+        {
             return self.reject(id, RejectionReason::ClientCap);
         }
         if self.connections.len() >= self.policy.capacity {
@@ -317,8 +324,8 @@
     fn exhaust_descriptors(&mut self) {
         match self.eviction_candidate(Reputation::New) {
             Some(id) => self.close(id, RejectionReason::Evicted),
-            None => self.expected.push(Action::Pause {
-                until: self.now + self.policy.first_command_grace,
+            None => self.expected.push(Action::PauseAccepting {
+                until: self.now + self.policy.first_command_grace_period,
             }),
         }
     }
@@ -403,7 +410,7 @@
             model.protocol_error(id);
         }
         Step::Answer(_, served) if !is_idle => {
-            handle(Event::Answered {
+            handle(Event::RequestAnswered {
                 connection: id,
                 served,
             });
@@ -435,7 +442,7 @@
 
     #[test]
     fn every_decision_is_that_of_the_reference_model(
-        by_address in any::<bool>(),
+        identify_clients_by_address in any::<bool>(),
         max_per_client in prop::option::of(1u32..5),
         reserve in 0usize..4,
         steps in prop::collection::vec(step(), 1..300),
@@ -443,16 +450,16 @@
         let now = Duration::from_secs(100);
         let policy = AdmissionPolicy {
             reserve,
-            by_address,
+            identify_clients_by_address,
             max_per_client,
-            max_remembered: 8,
-            max_idle_after_one_request: 3,
-            max_idle_without_request: 4,
+            history_cache_capacity: 8,
+            max_idle_after_one_command: 3,
+            max_idle_without_command: 4,
             known_half_life: Duration::from_secs(1 << 30),
             // Low enough that the few protocol errors of a run make addresses suspect.
             suspect_after_faults: 2.0,
             suspect_half_life: Duration::from_secs(1 << 30),
-            warm_up: Duration::from_secs(5),
+            warm_up_period: Duration::from_secs(5),
             ..AdmissionPolicy::with_capacity(8)
         };
         let mut controller = AdmissionController::new(policy.clone(), 7, now);
--- a/crates/ingress/src/routing/frontend/listener.rs
+++ b/crates/ingress/src/routing/frontend/listener.rs
@@ -80,7 +80,7 @@
         for descriptor_use in RESERVED_DESCRIPTOR_USES {
             while io.descriptor_budget.used(descriptor_use)
                 < io.descriptor_budget.limits(descriptor_use).guaranteed
-                && io.descriptor_budget.take(descriptor_use)
+                && io.descriptor_budget.try_acquire(descriptor_use)
             {}
         }
         Ok(Listener {
--- a/crates/ingress/src/routing/frontend/output.rs
+++ b/crates/ingress/src/routing/frontend/output.rs
@@ -21,7 +21,7 @@
         let reply = reply::from_response(response.response);
         if let Some(id) = client.complete_reply(response.command.number, reply) {
             self.open_request_ids.remove(&id);
-            let event = Event::Answered {
+            let event = Event::RequestAnswered {
                 connection: connection_id(key),
                 served,
             };
--- a/crates/ingress/src/routing/upstream/pool.rs
+++ b/crates/ingress/src/routing/upstream/pool.rs
@@ -63,8 +63,8 @@
     /// Takes a descriptor for this use from the budget, if necessary by closing an idle connection.
     /// Returns false if none is available.
     pub(super) fn take_descriptor(&mut self, descriptor_use: DescriptorUse, io: &mut Io) -> bool {
-        io.descriptor_budget.take(descriptor_use)
-            || self.evict_idle(io) && io.descriptor_budget.take(descriptor_use)
+        io.descriptor_budget.try_acquire(descriptor_use)
+            || self.evict_idle(io) && io.descriptor_budget.try_acquire(descriptor_use)
     }
 
     /// Closes the least recently used idle connection. Returns false if none is idle.
--- a/crates/operator-config/src/schema/admission.rs
+++ b/crates/operator-config/src/schema/admission.rs
@@ -40,9 +40,9 @@
         description: "maximum number of idle connections that have sent no command, as a ratio of 'places'; beyond it, the connection that has been idle for longest is closed",
         apply: |settings, value| {
             let connections = connections_from_ratio(settings.policy.capacity, value.number());
-            settings.policy.max_idle_without_request = connections.max(1);
+            settings.policy.max_idle_without_command = connections.max(1);
         },
-        format: |settings| settings.policy.max_idle_without_request.to_string(),
+        format: |settings| settings.policy.max_idle_without_command.to_string(),
     },
     Setting {
         section: "admission",
@@ -51,17 +51,17 @@
         description: "maximum number of idle connections that have sent one command, as a ratio of 'places'; beyond it, the connection that has been idle for longest is closed",
         apply: |settings, value| {
             let connections = connections_from_ratio(settings.policy.capacity, value.number());
-            settings.policy.max_idle_after_one_request = connections.max(1);
+            settings.policy.max_idle_after_one_command = connections.max(1);
         },
-        format: |settings| settings.policy.max_idle_after_one_request.to_string(),
+        format: |settings| settings.policy.max_idle_after_one_command.to_string(),
     },
     Setting {
         section: "admission",
         name: "by-address",
         kind: ValueKind::Flag,
         description: "whether clients are distinguished by address; disable it if a proxy connects for all clients from a few addresses",
-        apply: |settings, value| settings.policy.by_address = value.flag(),
-        format: |settings| flag(settings.policy.by_address),
+        apply: |settings, value| settings.policy.identify_clients_by_address = value.flag(),
+        format: |settings| flag(settings.policy.identify_clients_by_address),
     },
     Setting {
         section: "admission",
@@ -141,8 +141,8 @@
         name: "known-after",
         kind: ValueKind::Number(0.5, 1e6),
         description: "number of served requests, decaying with known-half-life, at which an address or a customer becomes known",
-        apply: |settings, value| settings.policy.known_after_served = value.number() as f32,
-        format: |settings| settings.policy.known_after_served.to_string(),
+        apply: |settings, value| settings.policy.known_after_served_requests = value.number() as f32,
+        format: |settings| settings.policy.known_after_served_requests.to_string(),
     },
     Setting {
         section: "admission",
@@ -174,33 +174,33 @@
         kind: ValueKind::Count(0, 1 << 16),
         description: "maximum number of open connections per known customer that are evicted only after other connections that have sent one command; 0 trusts no customer",
         apply: |settings, value| {
-            settings.policy.customer_trusted_connections = value.count() as u32;
+            settings.policy.max_trusted_connections_per_customer = value.count() as u32;
         },
-        format: |settings| settings.policy.customer_trusted_connections.to_string(),
+        format: |settings| settings.policy.max_trusted_connections_per_customer.to_string(),
     },
     Setting {
         section: "admission",
         name: "remembered",
         kind: ValueKind::Count(16, 4 << 20),
         description: "maximum number of addresses without an open connection whose history is kept; the same maximum applies to networks and to customers",
-        apply: |settings, value| settings.policy.max_remembered = value.count(),
-        format: |settings| settings.policy.max_remembered.to_string(),
+        apply: |settings, value| settings.policy.history_cache_capacity = value.count(),
+        format: |settings| settings.policy.history_cache_capacity.to_string(),
     },
     Setting {
         section: "admission",
         name: "silent",
         kind: ValueKind::DurationMs(50, 3_600_000),
         description: "idle timeout of connections that have sent no command",
-        apply: |settings, value| settings.policy.idle_timeout_without_request = value.duration(),
-        format: |settings| duration(settings.policy.idle_timeout_without_request),
+        apply: |settings, value| settings.policy.idle_timeout_without_command = value.duration(),
+        format: |settings| duration(settings.policy.idle_timeout_without_command),
     },
     Setting {
         section: "admission",
         name: "once",
         kind: ValueKind::DurationMs(50, 3_600_000),
         description: "idle timeout of connections that have sent one command",
-        apply: |settings, value| settings.policy.idle_timeout_after_one_request = value.duration(),
-        format: |settings| duration(settings.policy.idle_timeout_after_one_request),
+        apply: |settings, value| settings.policy.idle_timeout_after_one_command = value.duration(),
+        format: |settings| duration(settings.policy.idle_timeout_after_one_command),
     },
     Setting {
         section: "admission",
@@ -215,16 +215,16 @@
         name: "guard",
         kind: ValueKind::DurationMs(0, 86_400_000),
         description: "idle time before which a known client's connection is not evicted for a new client's connection",
-        apply: |settings, value| settings.policy.known_client_grace = value.duration(),
-        format: |settings| duration(settings.policy.known_client_grace),
+        apply: |settings, value| settings.policy.known_client_grace_period = value.duration(),
+        format: |settings| duration(settings.policy.known_client_grace_period),
     },
     Setting {
         section: "admission",
         name: "breath",
         kind: ValueKind::DurationMs(0, 10_000),
         description: "time that a connection has to send its first command before it may be evicted for a new client's connection",
-        apply: |settings, value| settings.policy.first_command_grace = value.duration(),
-        format: |settings| duration(settings.policy.first_command_grace),
+        apply: |settings, value| settings.policy.first_command_grace_period = value.duration(),
+        format: |settings| duration(settings.policy.first_command_grace_period),
     },
     Setting {
         section: "admission",
@@ -239,7 +239,7 @@
         name: "warm-up",
         kind: ValueKind::DurationMs(0, 3_600_000),
         description: "time after the start in which a connection that has sent several commands becomes known after one served request instead of two",
-        apply: |settings, value| settings.policy.warm_up = value.duration(),
-        format: |settings| duration(settings.policy.warm_up),
+        apply: |settings, value| settings.policy.warm_up_period = value.duration(),
+        format: |settings| duration(settings.policy.warm_up_period),
     },
 ];
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -48,7 +48,7 @@
     assert_eq!(
         (
             effective.policy.allowlist.len(),
-            effective.policy.idle_timeout_without_request
+            effective.policy.idle_timeout_without_command
         ),
         (2, Duration::from_millis(1500))
     );
--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -58,14 +58,14 @@
     /// A controller that remembers this many addresses and has [`OPEN`] connections.
     fn new(addresses: usize) -> Controller {
         let policy = AdmissionPolicy {
-            by_address: true,
+            identify_clients_by_address: true,
             max_per_client: Some(MAX_PER_CLIENT),
             max_per_network: Some(MAX_PER_CLIENT),
             client_connect_rate: Some(UNLIMITED),
             network_connect_rate: Some(UNLIMITED),
-            max_remembered: addresses,
-            max_idle_after_one_request: OPEN,
-            max_idle_without_request: OPEN,
+            history_cache_capacity: addresses,
+            max_idle_after_one_command: OPEN,
+            max_idle_without_command: OPEN,
             ..AdmissionPolicy::with_capacity(OPEN)
         };
         let mut controller = Controller {
