--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 #[test]
-fn a_silent_watch_is_reopened_from_the_revision_held() {
+fn a_silent_watch_is_reopened_from_the_current_revision() {
     let mut harness = Harness::new(1);
     assert_eq!(
         harness.watch_requests,
         ["GET /discovery/hosts?watch=1&after=41 HTTP/1.1"]
     );
     harness.send_endpoint_states(43, &[(0, "SERVING")]);
-    harness.run_until("the list", |s| s.program.list_revision() == 43);
+    harness.run_until("the list", |h| h.program.list_revision() == 43);
     harness.discovery_replies = false;
     harness.advance(2900);
     assert_eq!(
@@ -23,25 +23,25 @@
         "the watch was reopened before its silence time-out"
     );
     harness.advance(200);
-    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    harness.run_until("a second call", |h| h.watch_requests.len() == 2);
     assert_eq!(
         harness.watch_requests[1],
         "GET /discovery/hosts?watch=1&after=43 HTTP/1.1"
     );
     harness.advance(1100);
-    harness.run_until("a third call", |s| s.watch_requests.len() == 3);
+    harness.run_until("a third call", |h| h.watch_requests.len() == 3);
 }
 
 #[test]
 fn a_watch_that_breaks_is_reopened_after_the_backoff() {
     let mut harness = Harness::new(1);
     harness.discovery.connections.clear();
-    harness.run_until("the loss", |s| s.program.next_deadline().is_some());
+    harness.run_until("the loss", |h| h.program.next_deadline().is_some());
     for _ in 0..3 {
         harness.run_iteration();
     }
     harness.advance(201);
-    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    harness.run_until("a second call", |h| h.watch_requests.len() == 2);
 }
 
 #[test]
@@ -100,7 +100,7 @@
             2
         };
         let mut client = harness.connect();
-        let (mut id, mut last_request_at) = (1, sent_at);
+        let (mut id, mut last_at) = (1, sent_at);
         while harness.now < sent_at + Duration::from_secs(10) {
             if harness.program.list_revision() == 41
                 && harness.watch_requests.len() > calls_before + unanswered_calls
@@ -112,17 +112,17 @@
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let watch = harness.discovery.connections.last_mut().unwrap();
                 watch.send(format!("{head}{:x}\r\n{drain}\r\n", drain.len()));
-                harness.run_until("the list", |s| s.program.list_revision() == 42);
+                harness.run_until("the list", |h| h.program.list_revision() == 42);
             }
             client.send(request_of_customer(700 + id, "API.READ", id, READ_FIELDS));
-            let (s, c, _) = harness.next_request();
-            last_request_at = if s == 0 { harness.now } else { last_request_at };
-            harness.endpoints[s].connections[c].send(served_reply("v"));
+            let (endpoint, connection, _) = harness.next_request();
+            last_at = if endpoint == 0 { harness.now } else { last_at };
+            harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
             id += 1;
             harness.advance(50);
         }
-        let elapsed = last_request_at - sent_at;
+        let elapsed = last_at - sent_at;
         assert_eq!(
             harness.program.list_revision(),
             42,
@@ -151,8 +151,8 @@
         harness.run_iteration();
     }
     assert_eq!(harness.program.list_revision(), 42);
-    harness.run_until("a call that names that revision", |s| {
-        s.watch_requests.iter().any(|w| w.contains("after=42 "))
+    harness.run_until("a call that names that revision", |h| {
+        h.watch_requests.iter().any(|w| w.contains("after=42 "))
     });
 }
 
@@ -220,7 +220,7 @@
         &[endpoint_entry(0, harness.endpoints[0].address, "SERVING")],
     );
     harness.discovery.connections[open[0]].send(chunk(&later));
-    harness.run_until("the next list", |s| s.program.list_revision() == 43);
+    harness.run_until("the next list", |h| h.program.list_revision() == 43);
 }
 
 #[test]
@@ -260,7 +260,7 @@
                 if harness.discovery.connections.len() > calls_before {
                     harness.discovery.connections[calls_before]
                         .send(format!("{WATCH_HEAD}{}", chunk(&update)));
-                    harness.run_until("the list", |s| s.program.list_revision() == 42);
+                    harness.run_until("the list", |h| h.program.list_revision() == 42);
                 }
                 let late = harness.now - recovers_at;
                 assert!(
--- a/crates/ingress/tests/endpoint_list_parsing.rs
+++ b/crates/ingress/tests/endpoint_list_parsing.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_truncated_list_is_returned_unchanged_and_the_next_list_is_not_lost() {
-    for cut in [
+    for truncated in [
         "{\"rev\":4,\"all\"\n\n",
         "{\"rev\":4,\n  \"all\"\n  \n",
         "{\"a\":\"x\n",
@@ -62,9 +62,9 @@
         "}\n",
         "]]\n",
     ] {
-        let all = split_lines(&[cut, "{\"rev\":1}\n", "\n"]);
-        assert_eq!(all.len(), 3, "{cut:?}: {all:?}");
-        assert_eq!(all[1..], ["{\"rev\":1}", ""], "{cut:?}");
+        let all = split_lines(&[truncated, "{\"rev\":1}\n", "\n"]);
+        assert_eq!(all.len(), 3, "{truncated:?}: {all:?}");
+        assert_eq!(all[1..], ["{\"rev\":1}", ""], "{truncated:?}");
     }
 }
 
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -44,7 +44,7 @@
             }
         }
     }
-    harness.run_until("the list", |s| s.program.list_revision() == 42);
+    harness.run_until("the list", |h| h.program.list_revision() == 42);
     assert_eq!(harness.watch_requests.len(), 1, "the watch stays open");
     harness
         .discovery
@@ -53,13 +53,13 @@
         .unwrap()
         .send(chunk("\n"));
     harness.send_endpoint_states(43, &[(1, "SERVING")]);
-    harness.run_until("the next list", |s| s.program.list_revision() == 43);
+    harness.run_until("the next list", |h| h.program.list_revision() == 43);
     let mut client = harness.connect();
     for id in 0..6 {
         client.send(read_request_of_customer(50 + id, id));
-        let (s, c, _) = harness.next_request();
-        assert_eq!(s, 1, "the first endpoint is draining");
-        harness.endpoints[s].connections[c].send(served_reply("v"));
+        let (endpoint, connection, _) = harness.next_request();
+        assert_eq!(endpoint, 1, "the first endpoint is draining");
+        harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
     }
 }
@@ -84,7 +84,7 @@
             harness.run_iteration();
         }
         harness.advance(201);
-        harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+        harness.run_until("a second call", |h| h.watch_requests.len() == 2);
         assert!(
             harness.watch_requests[1].contains("after=41 "),
             "{}",
@@ -107,7 +107,7 @@
                 chunk(unreadable),
                 chunk(&update)
             ));
-        harness.run_until("the list after it", |s| s.program.list_revision() == 43);
+        harness.run_until("the list after it", |h| h.program.list_revision() == 43);
         assert_eq!(harness.watch_requests.len(), 2);
     }
 }
@@ -129,7 +129,7 @@
         harness.run_iteration();
     }
     harness.advance(201);
-    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    harness.run_until("a second call", |h| h.watch_requests.len() == 2);
     assert_eq!(harness.program.list_revision(), 41);
     harness
         .discovery
@@ -137,7 +137,7 @@
         .last_mut()
         .unwrap()
         .send(format!("{WATCH_HEAD}{}", chunk(&update)));
-    harness.run_until("the list", |s| s.program.list_revision() == 42);
+    harness.run_until("the list", |h| h.program.list_revision() == 42);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     harness.discovery_replies = false;
     harness.send_endpoint_states(42, &[(0, "DRAINING")]);
     harness.discovery.connections.last_mut().unwrap().reset();
-    harness.run_until("the list", |s| s.program.list_revision() == 42);
+    harness.run_until("the list", |h| h.program.list_revision() == 42);
 }
 
 #[test]
@@ -164,7 +164,7 @@
     harness.discovery.connections.last_mut().unwrap().close();
     harness.run_iteration();
     harness.advance(201);
-    harness.run_until("a second call", |s| s.watch_requests.len() == 2);
+    harness.run_until("a second call", |h| h.watch_requests.len() == 2);
     let update = draining_list(&harness, 42);
     let watch = harness.discovery.connections.last_mut().unwrap();
     watch.send(format!("HTTP/1.1 200 OK\r\n\r\n\n{}", &update[..30]));
@@ -175,7 +175,7 @@
         .last_mut()
         .unwrap()
         .send(&update[30..]);
-    harness.run_until("the list", |s| s.program.list_revision() == 42);
+    harness.run_until("the list", |h| h.program.list_revision() == 42);
     let later = draining_list(&harness, 43);
     harness
         .discovery
@@ -189,7 +189,7 @@
         harness.run_iteration();
     }
     harness.advance(201);
-    harness.run_until("a third call", |s| s.watch_requests.len() == 3);
+    harness.run_until("a third call", |h| h.watch_requests.len() == 3);
     assert!(
         harness.watch_requests[2].contains("after=42 "),
         "{}",
@@ -215,9 +215,9 @@
             .concat(),
         );
         let arrived = [harness.next_request(), harness.next_request()];
-        for (s, c, _) in arrived {
-            counts[s] += 1;
-            harness.endpoints[s].connections[c].send(served_reply("v"));
+        for (endpoint, connection, _) in arrived {
+            counts[endpoint] += 1;
+            harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
         }
         harness.expect_reply(client, &"$1\r\nv\r\n".repeat(2));
         harness.advance(21);
@@ -230,8 +230,11 @@
     for restarted in [false, true] {
         let mut harness = Harness::new(3);
         let entries = |harness: &Harness, states: [&str; 3]| -> Vec<String> {
-            let all = states.iter().enumerate().filter(|(_, s)| !s.is_empty());
-            all.map(|(n, s)| endpoint_entry(n, harness.endpoints[n].address, s))
+            let all = states
+                .iter()
+                .enumerate()
+                .filter(|(_, state)| !state.is_empty());
+            all.map(|(n, state)| endpoint_entry(n, harness.endpoints[n].address, state))
                 .collect()
         };
         // The first endpoint is draining, the second is unchanged and the third is new.
@@ -246,7 +249,7 @@
             .last_mut()
             .unwrap()
             .send(chunk(&current));
-        harness.run_until("the list", |s| s.program.list_revision() == 44);
+        harness.run_until("the list", |h| h.program.list_revision() == 44);
         // A discovery agent that lags sends an earlier list; one that was restarted sends an empty
         // list of revision 0.
         let rev = if restarted { 0 } else { 42 };
@@ -262,7 +265,7 @@
             .last_mut()
             .unwrap()
             .send(chunk(&older));
-        harness.run_until("the older list", |s| s.program.list_revision() == rev);
+        harness.run_until("the older list", |h| h.program.list_revision() == rev);
         let mut client = harness.connect();
         let counts = requests_by_endpoint(&mut harness, &mut client);
         assert_eq!(
@@ -281,7 +284,7 @@
             .last_mut()
             .unwrap()
             .send(chunk(&later));
-        harness.run_until("the later list", |s| s.program.list_revision() == 45);
+        harness.run_until("the later list", |h| h.program.list_revision() == 45);
         client.send(read_request_of_customer(99, 99));
         assert_eq!(harness.next_request().0, 0);
     }
@@ -311,12 +314,12 @@
         .unwrap()
         .send(format!("{WATCH_HEAD}{}", chunk(&update)));
     client.send(read_request(2));
-    let (s, c, _) = harness.next_request();
+    let (endpoint, connection, _) = harness.next_request();
     assert_eq!(
-        s, 1,
+        endpoint, 1,
         "the other endpoint was draining before the process started"
     );
-    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
 }
 
@@ -344,9 +347,9 @@
         harness.send_endpoint_states(42, &[(0, "DRAINING")]);
         harness.run_iteration();
         for _ in 2..4 {
-            let (s, c, _) = harness.next_request();
-            assert_eq!(s, 1);
-            harness.endpoints[s].connections[c].send(served_reply("v"));
+            let (endpoint, connection, _) = harness.next_request();
+            assert_eq!(endpoint, 1);
+            harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
         }
         harness.expect_reply(&mut client, &"$1\r\nv\r\n".repeat(2));
     }
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -17,24 +17,24 @@
     harness.restart_with_replacements(&[]);
     let mut client = harness.connect();
     client.send(write_with_body(1, BODY_BYTES));
-    let s = harness.run_until_contacted(|peer| {
+    let endpoint = harness.run_until_contacted(|peer| {
         peer.connections
             .first()
             .is_some_and(|e| e.peek_length() > 0)
     });
-    (harness, client, s)
+    (harness, client, endpoint)
 }
 
 #[test]
 fn an_endpoint_that_closes_or_replies_during_the_write_did_not_execute_the_request() {
-    for fault in ["end", "reset", "served", "busy", "partial"] {
+    for event in ["end", "reset", "served", "busy", "partial"] {
         for bytes_read in [0, 1, 700, 4000] {
-            let (mut harness, mut client, s) = partly_written_request();
-            let mut broken = harness.endpoints[s].connections.remove(0);
+            let (mut harness, mut client, endpoint) = partly_written_request();
+            let mut broken = harness.endpoints[endpoint].connections.remove(0);
             while broken.input.len() < bytes_read {
                 broken.read_some(bytes_read - broken.input.len());
             }
-            match fault {
+            match event {
                 "end" => broken.close(),
                 "reset" => broken.reset(),
                 "served" => broken.send(served_reply("x")),
@@ -43,18 +43,18 @@
             }
             // The other endpoint is in another cell, where the request may be sent only because it
             // was provably not executed.
-            let (other, c, words) = harness.next_request();
+            let (other, connection, words) = harness.next_request();
             assert_eq!(
                 (other, words[4].len()),
-                (1 - s, BODY_BYTES),
-                "{fault} after {bytes_read} bytes"
+                (1 - endpoint, BODY_BYTES),
+                "{event} after {bytes_read} bytes"
             );
-            harness.endpoints[other].connections[c].send(served_reply("v"));
+            harness.endpoints[other].connections[connection].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
             broken.read();
             assert!(
                 broken.input.len() < BODY_BYTES,
-                "{fault}: the endpoint received the complete command"
+                "{event}: the endpoint received the complete command"
             );
         }
     }
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_client_that_disconnects_during_the_write_has_nothing_executed_or_counted() {
-    let (mut harness, client, s) = partly_written_request();
+    let (mut harness, client, endpoint) = partly_written_request();
     disconnect_client(&mut harness, client);
     assert_nothing_forwarded(&mut harness, "during the write");
     assert_eq!(
@@ -71,8 +71,8 @@
         "the connection to the endpoint is closed too"
     );
     assert!(
-        !harness.endpoints[s].connections[0].is_open
-            && harness.endpoints[s].connections[0].input.len() < BODY_BYTES
+        !harness.endpoints[endpoint].connections[0].is_open
+            && harness.endpoints[endpoint].connections[0].input.len() < BODY_BYTES
     );
     assert_total_after_next_request(
         &mut harness,
@@ -101,12 +101,12 @@
             "" => harness.endpoints[early_endpoint].connections[0].half_close(),
             early => harness.endpoints[early_endpoint].connections[0].send(early),
         }
-        let (s, c, _) = harness.next_request();
+        let (endpoint, connection, _) = harness.next_request();
         assert_ne!(
-            s, early_endpoint,
+            endpoint, early_endpoint,
             "{early:?}: the connection was used although its replies cannot be matched to requests"
         );
-        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         assert_eq!(
             harness.endpoints[early_endpoint].next_command(),
@@ -121,11 +121,11 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
-    let (s, c, _) = harness.next_request();
-    harness.endpoints[s].connections[c].send("*3\r\n$60000\r\n");
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send("*3\r\n$60000\r\n");
     let started_at = harness.now;
     while harness.program.open().requests > 0 {
-        harness.endpoints[s].connections[c].send("x");
+        harness.endpoints[endpoint].connections[connection].send("x");
         harness.advance(100);
         assert!(
             harness.now <= started_at + Duration::from_millis(1100),
@@ -134,22 +134,22 @@
     }
     harness.expect_reply(&mut client, "-ERR failed\r\n");
     harness.run_until("its connection is closed", |harness| {
-        harness.endpoints[s].connections[c].read();
-        !harness.endpoints[s].connections[c].is_open
+        harness.endpoints[endpoint].connections[connection].read();
+        !harness.endpoints[endpoint].connections[connection].is_open
     });
     serve_request(&mut harness, &mut client, read_request(2));
 }
 
 #[test]
-fn a_request_that_arrives_as_its_idle_client_connection_times_out_is_served() {
+fn a_request_that_arrives_as_its_idle_connection_times_out_is_served() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     serve_request(&mut harness, &mut client, read_request(1));
     serve_request(&mut harness, &mut client, read_request_of_customer(7, 2));
     client.send(read_request_of_customer(8, 3));
     harness.now += Duration::from_millis(6001);
-    let (s, c, _) = harness.next_request();
-    harness.endpoints[s].connections[c].send(served_reply("w"));
+    let (endpoint, connection, _) = harness.next_request();
+    harness.endpoints[endpoint].connections[connection].send(served_reply("w"));
     harness.expect_reply(&mut client, "$1\r\nw\r\n");
 }
 
@@ -179,15 +179,15 @@
             1,
             &READ_FIELDS.replace("form-load", class),
         ));
-        let (s, c, _) = harness.next_request();
-        harness.endpoints[s].connections[c].send(reply);
+        let (endpoint, connection, _) = harness.next_request();
+        harness.endpoints[endpoint].connections[connection].send(reply);
         if reply.is_empty() || !reply.ends_with('\n') {
-            harness.endpoints[s].connections[c].close();
+            harness.endpoints[endpoint].connections[connection].close();
         }
         if is_retried {
-            let (other, c, words) = harness.next_request();
-            assert!(other != s && words[2].ends_with('1'));
-            harness.endpoints[other].connections[c].send(served_reply("v"));
+            let (other, connection, words) = harness.next_request();
+            assert!(other != endpoint && words[2].ends_with('1'));
+            harness.endpoints[other].connections[connection].send(served_reply("v"));
             harness.expect_reply(&mut client, "$1\r\nv\r\n");
         } else {
             harness.expect_reply(&mut client, "-ERR failed\r\n");
@@ -214,15 +214,15 @@
         harness.run_iteration();
         let mut client = harness.connect();
         client.send(request("API.WRITE", 1, WRITE_FIELDS));
-        let (s, c, _) = harness.next_request();
-        harness.endpoints[1 - s].stop_accepting();
+        let (endpoint, connection, _) = harness.next_request();
+        harness.endpoints[1 - endpoint].stop_accepting();
         harness.advance(250);
         // The request may have been executed. Its retry is decided within the window, and the
         // connection for it is established within the window or after it.
-        harness.endpoints[s].connections[c].send("-ERR failed\r\n");
-        harness.run_until("the retry", |s| s.program.open().upstream_connections == 2);
+        harness.endpoints[endpoint].connections[connection].send("-ERR failed\r\n");
+        harness.run_until("the retry", |h| h.program.open().upstream_connections == 2);
         harness.now += Duration::from_millis(if after_window { 60 } else { 20 });
-        harness.endpoints[1 - s].resume_accepting();
+        harness.endpoints[1 - endpoint].resume_accepting();
         if after_window {
             let line = harness.read_line(&mut client);
             assert!(
@@ -231,7 +231,7 @@
             );
             assert_nothing_forwarded(&mut harness, "after the deduplication window");
         } else {
-            assert_eq!(harness.next_request().0, 1 - s);
+            assert_eq!(harness.next_request().0, 1 - endpoint);
         }
     }
 }
--- a/crates/ingress/tests/endpoint_replies.rs
+++ b/crates/ingress/tests/endpoint_replies.rs
@@ -10,12 +10,12 @@
     let mut harness = Harness::new(2);
     let mut client = harness.connect();
     client.send(request("API.WRITE", 1, WRITE_FIELDS));
-    let (first, c, _) = harness.next_request();
-    harness.endpoints[first].connections[c].send("-BUSY\r\n");
-    let (second, c, words) = harness.next_request();
+    let (first, connection, _) = harness.next_request();
+    harness.endpoints[first].connections[connection].send("-BUSY\r\n");
+    let (second, connection, words) = harness.next_request();
     assert_ne!(first, second);
     assert_eq!(words[2], "0000000000000001", "the same id");
-    harness.endpoints[second].connections[c].send(served_reply("v"));
+    harness.endpoints[second].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n");
 }
 
@@ -42,20 +42,20 @@
             (request("API.WRITE", 2, WRITE_FIELDS), "-ERR failed\r\n"),
         ] {
             client.send(command);
-            let (s, c, words) = harness.next_request();
-            harness.endpoints[s].connections[c].send(malformed);
+            let (endpoint, connection, words) = harness.next_request();
+            harness.endpoints[endpoint].connections[connection].send(malformed);
             harness.run_until("its connection is closed", |harness| {
                 harness.advance(30);
-                !harness.endpoints[s].connections[c].is_open
+                !harness.endpoints[endpoint].connections[connection].is_open
             });
             if words[0] == "API.READ" {
-                let (other, c, again) = harness.next_request();
+                let (other, connection, retried_words) = harness.next_request();
                 assert_eq!(
-                    (other, &again[2]),
-                    (1 - s, &words[2]),
+                    (other, &retried_words[2]),
+                    (1 - endpoint, &words[2]),
                     "an idempotent request is retried elsewhere"
                 );
-                harness.endpoints[other].connections[c].send(served_reply("v"));
+                harness.endpoints[other].connections[connection].send(served_reply("v"));
             }
             harness.expect_reply(&mut client, reply);
         }
@@ -78,20 +78,20 @@
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
         client.send(read_request(1));
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(served_reply("v"));
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         // The next request arrives before the bytes after the reply.
         harness.advance(wait_ms);
         client.send(read_request(2));
         let (_, next, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(&extra_bytes);
-        harness.run_until("the first connection is closed", |s| {
-            !s.endpoints[0].connections[c].is_open
+        harness.endpoints[0].connections[connection].send(&extra_bytes);
+        harness.run_until("the first connection is closed", |h| {
+            !h.endpoints[0].connections[connection].is_open
         });
         harness.endpoints[0].connections[next].send(served_reply("new"));
         harness.expect_reply(&mut client, "$3\r\nnew\r\n");
-        assert_ne!(c, next);
+        assert_ne!(connection, next);
     }
 }
 
@@ -101,18 +101,18 @@
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
         client.send(read_request(1));
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(served_reply("v"));
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.now += Duration::from_millis(50);
         // The request and the end or the bytes arrive before the next round.
         client.send(read_request(2));
         match bytes {
-            "" => harness.endpoints[0].connections[c].close(),
-            _ => harness.endpoints[0].connections[c].send(bytes),
+            "" => harness.endpoints[0].connections[connection].close(),
+            _ => harness.endpoints[0].connections[connection].send(bytes),
         }
         let (_, next, _) = harness.next_request();
-        assert_ne!(c, next);
+        assert_ne!(connection, next);
     }
 }
 
@@ -126,8 +126,9 @@
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
         client.send(read_request(1));
-        let (_, c, _) = harness.next_request();
-        harness.endpoints[0].connections[c].send(format!("*3\r\n$1\r\nv\r\n{usage_and_load}"));
+        let (_, connection, _) = harness.next_request();
+        harness.endpoints[0].connections[connection]
+            .send(format!("*3\r\n$1\r\nv\r\n{usage_and_load}"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
     }
 }
@@ -162,7 +163,7 @@
                     10 + 2 * n as u64 + units,
                     &fields,
                 ));
-                let (s, c, _) = harness.next_request();
+                let (endpoint, connection, _) = harness.next_request();
                 assert_eq!(
                     harness.counter.totals[&customer], total,
                     "{figures}, post_paid: {post_paid}"
@@ -171,7 +172,7 @@
                     "*3\r\n$1\r\nv\r\n${}\r\n{figures}\r\n$-1\r\n",
                     figures.len()
                 );
-                harness.endpoints[s].connections[c].send(reply);
+                harness.endpoints[endpoint].connections[connection].send(reply);
                 harness.expect_reply(&mut client, "$1\r\nv\r\n");
                 harness.advance(30);
             }
--- a/crates/ingress/tests/fleet.rs
+++ b/crates/ingress/tests/fleet.rs
@@ -233,7 +233,7 @@
 fn unauthenticated_and_replayed_datagrams_are_dropped_and_a_flood_has_no_effect() {
     let fleet = start_fleet(3, 7);
     let mark = fleet.members[0].log.mark();
-    let at = fleet.members[0].membership_address.unwrap();
+    let address = fleet.members[0].membership_address.unwrap();
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     // Sends 20,000 forged datagrams, at most 20,000 a second, while requests are served.
     let (is_done, sent) = (AtomicBool::new(false), AtomicU64::new(0));
@@ -242,7 +242,7 @@
             let mut bytes = [1u8; 120];
             for n in 0..20_000u64 {
                 bytes[40..48].copy_from_slice(&n.to_le_bytes());
-                let _ = unknown_sender.send_to(&bytes, at);
+                let _ = unknown_sender.send_to(&bytes, address);
                 sent.fetch_add(1, Ordering::Relaxed);
                 if n % 20 == 0 {
                     std::thread::sleep(MS(1));
@@ -257,7 +257,7 @@
         }
     });
     for bytes in [&b""[..], b"x", &[0; 300], &[0xff; 256]] {
-        unknown_sender.send_to(bytes, at).unwrap();
+        unknown_sender.send_to(bytes, address).unwrap();
     }
     fleet
         .until(MAX_WAIT, "the dropped datagrams are counted", |r| {
--- a/crates/ingress/tests/properties.rs
+++ b/crates/ingress/tests/properties.rs
@@ -12,6 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A step of the client or of an endpoint.
 #[derive(Clone, Debug)]
 enum Step {
     /// The client writes up to this number of its remaining bytes.
@@ -33,7 +34,8 @@
     ]
 }
 
-/// Returns the replies that the client reads: those of the commands before the first undecided one.
+/// Returns the replies that the client can read so far. Replies keep the order of the commands, so
+/// that a request without a reply holds back the replies to later commands.
 fn expected_replies(model: &[Option<String>]) -> String {
     model.iter().map_while(Clone::clone).collect()
 }
@@ -45,7 +47,7 @@
     /// request has a single attempt. It ends as this attempt does, and replies keep their order.
     #[test]
     fn a_client_reads_its_replies_in_order_whatever_the_endpoints_do(
-        kinds in prop::collection::vec(any::<bool>(), 1..7),
+        pings in prop::collection::vec(any::<bool>(), 1..7),
         steps in prop::collection::vec(step(), 1..60),
     ) {
         // With four endpoints none of the few requests is rejected for load.
@@ -54,7 +56,7 @@
         let mut client_bytes = Vec::new();
         let mut ends = Vec::new();
         let mut model = Vec::new();
-        for (id, ping) in kinds.iter().enumerate() {
+        for (id, ping) in pings.iter().enumerate() {
             match ping {
                 true => client_bytes.extend(b"*1\r\n$4\r\nPING\r\n"),
                 false => client_bytes.extend(request("API.WRITE", id as u64, WRITE_FIELDS)),
@@ -74,28 +76,28 @@
                 written = end;
             }
             // Every completely written request reaches an endpoint.
-            let complete = ends.iter().zip(&kinds).filter(|(end, ping)| **end <= written && !**ping).count();
-            while open_attempts.len() + count_replied(&model, &kinds) < complete {
-                let (s, c, words) = harness.next_request();
+            let complete = ends.iter().zip(&pings).filter(|(end, ping)| **end <= written && !**ping).count();
+            while open_attempts.len() + count_replied(&model, &pings) < complete {
+                let (endpoint, connection, words) = harness.next_request();
                 let id = usize::from_str_radix(&words[2], 16).unwrap();
-                prop_assert!(open_attempts.insert((s, c), id).is_none(), "two attempts on one connection");
+                prop_assert!(open_attempts.insert((endpoint, connection), id).is_none(), "two attempts on one connection");
             }
-            let nth_attempt = |n: usize| open_attempts.iter().nth(n).map(|(c, id)| (*c, *id));
+            let nth_attempt = |n: usize| open_attempts.iter().nth(n).map(|(location, id)| (*location, *id));
             match step {
-                Step::Serve(n) => if let Some(((s, c), id)) = nth_attempt(n) {
-                    harness.endpoints[s].connections[c].send(served_reply(&id.to_string()));
+                Step::Serve(n) => if let Some(((endpoint, connection), id)) = nth_attempt(n) {
+                    harness.endpoints[endpoint].connections[connection].send(served_reply(&id.to_string()));
                     model[id] = Some(format!("$1\r\n{id}\r\n"));
-                    open_attempts.remove(&(s, c));
+                    open_attempts.remove(&(endpoint, connection));
                 },
-                Step::Fail(n) => if let Some(((s, c), id)) = nth_attempt(n) {
-                    harness.endpoints[s].connections[c].send("-ERR failed\r\n");
+                Step::Fail(n) => if let Some(((endpoint, connection), id)) = nth_attempt(n) {
+                    harness.endpoints[endpoint].connections[connection].send("-ERR failed\r\n");
                     model[id] = Some("-ERR failed\r\n".to_owned());
-                    open_attempts.remove(&(s, c));
+                    open_attempts.remove(&(endpoint, connection));
                 },
-                Step::Close(n) => if let Some(((s, c), id)) = nth_attempt(n) {
-                    harness.endpoints[s].connections[c].close();
+                Step::Close(n) => if let Some(((endpoint, connection), id)) = nth_attempt(n) {
+                    harness.endpoints[endpoint].connections[connection].close();
                     model[id] = Some("-ERR failed\r\n".to_owned());
-                    open_attempts.remove(&(s, c));
+                    open_attempts.remove(&(endpoint, connection));
                 },
                 Step::Write(_) => {}
             }
@@ -113,14 +115,15 @@
 }
 
 /// Returns the number of requests of the model that have their reply.
-fn count_replied(model: &[Option<String>], kinds: &[bool]) -> usize {
+fn count_replied(model: &[Option<String>], pings: &[bool]) -> usize {
     model
         .iter()
-        .zip(kinds)
+        .zip(pings)
         .filter(|(known_reply, ping)| known_reply.is_some() && !**ping)
         .count()
 }
 
+/// Parses a complete command into its words.
 fn parse_words(bytes: &[u8]) -> Vec<Vec<u8>> {
     let (words, used) = resp::command(bytes, &protocol_limits()).unwrap().unwrap();
     assert_eq!(used, bytes.len());
--- a/crates/ingress/tests/quotas.rs
+++ b/crates/ingress/tests/quotas.rs
@@ -16,7 +16,7 @@
 /// Units that a customer may use at once, as in `settings.json`.
 const BURST_UNITS: f64 = 8.0;
 const STEP: Duration = Duration::from_millis(20);
-const DURATION: Duration = Duration::from_secs(40);
+const SIMULATED_TIME: Duration = Duration::from_secs(40);
 /// How often discovery sends an empty line, which keeps the watch open.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 const FIELDS: &str = "c=form-load,t=seedling,d=3000,units=1,spread=3,first=0";
@@ -83,6 +83,7 @@
     }
 }
 
+/// Several ingresses under one clock, and the fakes that they share.
 struct Fleet {
     programs: Vec<Program>,
     clients: Vec<Connection>,
@@ -118,6 +119,7 @@
         fleet
     }
 
+    /// Starts the ingress `n`. Each incarnation has a seed of its own.
     fn start(&self, n: usize, incarnation: usize) -> Program {
         let text = config(&self.counter.peer, &self.discovery, &self.endpoints, 1024)
             .replace(
@@ -148,17 +150,17 @@
         self.counter.serve();
         self.expire_counter_keys();
         self.discovery.read();
-        for end in &mut self.discovery.connections {
-            if let Some(at) = end.input.windows(4).position(|w| w == b"\r\n\r\n") {
-                end.input.drain(..at + 4);
-                end.send(format!("{WATCH_HEAD}{}", chunk("\n")));
+        for watch in &mut self.discovery.connections {
+            if let Some(at) = watch.input.windows(4).position(|w| w == b"\r\n\r\n") {
+                watch.input.drain(..at + 4);
+                watch.send(format!("{WATCH_HEAD}{}", chunk("\n")));
             }
         }
         for endpoint in &mut self.endpoints {
             endpoint.read();
-            while let Some((c, words)) = endpoint.next_command() {
+            while let Some((connection, words)) = endpoint.next_command() {
                 reached.push(u64::from_str_radix(&words[1], 16).unwrap());
-                endpoint.connections[c].send(served_reply("v"));
+                endpoint.connections[connection].send(served_reply("v"));
             }
         }
         self.clients.iter_mut().for_each(Connection::read);
@@ -183,11 +185,12 @@
     /// Sends an empty line on each watch: nothing has changed.
     fn send_empty_lines(&mut self) {
         let open = self.discovery.connections.iter_mut();
-        open.filter(|end| end.is_open)
-            .for_each(|end| end.send(chunk("\n")));
+        open.filter(|watch| watch.is_open)
+            .for_each(|watch| watch.send(chunk("\n")));
     }
 }
 
+/// What goes wrong during a simulation.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
@@ -230,7 +233,7 @@
     }
 }
 
-/// Simulates a period of `DURATION` with this fault and returns the units counted.
+/// Simulates a period of `SIMULATED_TIME` with this fault and returns the units counted.
 fn simulate(fault: Fault) -> Totals {
     let mut rng = fastrand::Rng::with_seed(11);
     let mut fleet = Fleet::new();
@@ -242,7 +245,7 @@
     let mut totals = Totals::default();
     let mut id = 1;
     let mut last_line_at = begin;
-    while fleet.now < begin + DURATION {
+    while fleet.now < begin + SIMULATED_TIME {
         fleet.now += STEP;
         let elapsed = fleet.now - begin;
         fault.apply(&mut fleet, elapsed);
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -221,7 +221,7 @@
         Command::new(env!("CARGO_BIN_EXE_roseyard-ingress")),
     );
     wait_until_ready(&ingress);
-    let ready = started_at.elapsed();
+    let ready_after = started_at.elapsed();
     loop {
         let line = next_line_containing(&mut ingress.log, "");
         assert!(
@@ -232,10 +232,10 @@
             break;
         }
     }
-    let (held, peak) = (started_at.elapsed(), peak_memory_mb(ingress.child.id()));
+    let (applied_after, peak_mb) = (started_at.elapsed(), peak_memory_mb(ingress.child.id()));
     println!(
-        "{ENDPOINTS} endpoints: ready after {ready:?}, list applied after {held:?}, peak {peak} MB"
+        "{ENDPOINTS} endpoints: ready after {ready_after:?}, list applied after {applied_after:?}, peak {peak_mb} MB"
     );
-    assert!(ready <= READY_WITHIN, "ready after {ready:?}");
-    assert!(peak < MEMORY_MB, "{peak} MB of {MEMORY_MB}");
+    assert!(ready_after <= READY_WITHIN, "ready after {ready_after:?}");
+    assert!(peak_mb < MEMORY_MB, "{peak_mb} MB of {MEMORY_MB}");
 }
--- a/crates/ingress/tests/services.rs
+++ b/crates/ingress/tests/services.rs
@@ -58,7 +58,7 @@
 }
 
 /// Sends a request and replies to it. Returns the endpoint that received it.
-fn endpoint_of(harness: &mut Harness, client: &mut Connection, command: Vec<u8>) -> usize {
+fn send_and_serve(harness: &mut Harness, client: &mut Connection, command: Vec<u8>) -> usize {
     client.send(command);
     let (endpoint, connection, _) = harness.next_request();
     harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
@@ -73,7 +73,7 @@
     for id in 0..40 {
         let (route, endpoint) = if id % 3 == 0 { ("a", 0) } else { ("eu/b", 1) };
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, routed_request(id, route)),
+            send_and_serve(&mut harness, &mut client, routed_request(id, route)),
             endpoint,
             "request {id}"
         );
@@ -119,7 +119,7 @@
         .iter_mut()
         .all(|endpoint| endpoint.next_command().is_none()));
     assert_eq!(
-        endpoint_of(&mut harness, &mut client, routed_request(7, "a")),
+        send_and_serve(&mut harness, &mut client, routed_request(7, "a")),
         0,
         "the connection stays open"
     );
@@ -134,7 +134,7 @@
     let mut client = harness.connect();
     for id in 0..10 {
         assert_eq!(
-            endpoint_of(
+            send_and_serve(
                 &mut harness,
                 &mut client,
                 request_of_own_customer(id, READ_FIELDS)
@@ -143,7 +143,7 @@
         );
     }
     assert_eq!(
-        endpoint_of(&mut harness, &mut client, routed_request(10, "eu/b")),
+        send_and_serve(&mut harness, &mut client, routed_request(10, "eu/b")),
         1
     );
     client.send(routed_request(11, "odd"));
@@ -155,11 +155,11 @@
     let mut harness = harness(TWO_SERVICES);
     let (mut client, mut other) = (harness.connect(), harness.connect());
     harness.send_endpoint_states(42, &[(0, "DELETED")]);
-    harness.run_until("the list", |s| s.program.list_revision() == 42);
+    harness.run_until("the list", |h| h.program.list_revision() == 42);
     client.send(routed_request(1, "a"));
     for id in 2..12 {
         assert_eq!(
-            endpoint_of(&mut harness, &mut other, routed_request(id, "eu/b")),
+            send_and_serve(&mut harness, &mut other, routed_request(id, "eu/b")),
             1
         );
     }
@@ -176,12 +176,12 @@
 /// Returns the endpoint, the connection and the words of the command.
 fn next_request_of(harness: &mut Harness, client: &mut Connection) -> (usize, usize, Vec<String>) {
     let mut found = None;
-    harness.run_until("a command at an endpoint", |s| {
-        found = s
+    harness.run_until("a command at an endpoint", |h| {
+        found = h
             .endpoints
             .iter_mut()
             .enumerate()
-            .find_map(|(n, p)| p.next_command().map(|(c, w)| (n, c, w)));
+            .find_map(|(n, p)| p.next_command().map(|(connection, w)| (n, connection, w)));
         client.read();
         assert!(
             found.is_some() || client.received_text().is_empty(),
@@ -337,12 +337,12 @@
     for (invalid, id) in invalid_files.iter().zip((0..).step_by(2)) {
         reload_operator_file(&mut harness, invalid);
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, routed_request(id, "a")),
+            send_and_serve(&mut harness, &mut client, routed_request(id, "a")),
             0,
             "{invalid}"
         );
         assert_eq!(
-            endpoint_of(&mut harness, &mut client, routed_request(id + 1, "eu/b")),
+            send_and_serve(&mut harness, &mut client, routed_request(id + 1, "eu/b")),
             1,
             "{invalid}"
         );
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -14,8 +14,8 @@
 
 fn run_until_exit(harness: &mut Harness) {
     let mut is_running = true;
-    harness.run_until("the exit", |s| {
-        is_running = is_running && s.run_iteration();
+    harness.run_until("the exit", |h| {
+        is_running = is_running && h.run_iteration();
         !is_running
     });
 }
@@ -25,27 +25,27 @@
     let mut harness = Harness::new(1);
     let mut held = harness.connect();
     held.send(read_request(1));
-    let (_, c, _) = harness.next_request();
+    let (_, connection, _) = harness.next_request();
     let mut idle = harness.connect();
     idle.send("*1\r\n$4\r\nPING\r\n");
     harness.expect_reply(&mut idle, "+PONG\r\n");
     harness.program.shut_down();
     let mut late = harness.connect();
     late.send(read_request(2));
-    let (_, c2, _) = harness.next_request();
+    let (_, late_connection, _) = harness.next_request();
     harness.advance(601);
     harness.run_until_closed(&mut idle);
     assert_eq!(harness.program.address(), None, "the listener is closed");
     assert!(held.is_open && late.is_open);
-    for (client, c) in [(&mut held, c), (&mut late, c2)] {
-        harness.endpoints[0].connections[c].send(served_reply("v"));
+    for (client, connection) in [(&mut held, connection), (&mut late, late_connection)] {
+        harness.endpoints[0].connections[connection].send(served_reply("v"));
         harness.expect_reply(client, "$1\r\nv\r\n");
         harness.run_until_closed(client);
     }
     drop((held, idle, late));
     let mut is_running = true;
-    harness.run_until("the exit", |s| {
-        is_running = is_running && s.run_iteration();
+    harness.run_until("the exit", |h| {
+        is_running = is_running && h.run_iteration();
         !is_running
     });
 }
@@ -56,8 +56,8 @@
     let mut client = harness.connect();
     let command = read_request(1);
     client.send(&command[..40]);
-    harness.run_until("a part is buffered", |s| {
-        s.program.client_usage().buffered_bytes == 40
+    harness.run_until("a part is buffered", |h| {
+        h.program.client_usage().buffered_bytes == 40
     });
     begin_drain(&mut harness);
     assert!({
@@ -76,14 +76,14 @@
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
     client.send(read_request(1));
-    let (s, c, _) = harness.next_request();
+    let (endpoint, connection, _) = harness.next_request();
     begin_drain(&mut harness);
     client.send(read_request(2));
     for _ in 0..5 {
         harness.run_iteration();
     }
     client.send(read_request(3));
-    harness.endpoints[s].connections[c].send(served_reply("v"));
+    harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
     harness.expect_reply(&mut client, "$1\r\nv\r\n-BUSY\r\n-BUSY\r\n");
     harness.run_until_closed(&mut client);
     assert_eq!(harness.endpoints[0].next_command(), None);
@@ -142,15 +142,15 @@
             "counter" => {
                 harness.counter.mode = CounterMode::Silent;
                 client.send(read_request(1));
-                harness.run_until("the call", |s| has_unanswered_call(s));
+                harness.run_until("the call", |h| has_unanswered_call(h));
                 harness.program.shut_down();
                 harness.counter.mode = CounterMode::Replies;
             }
             "connect" => {
                 harness.endpoints.iter_mut().for_each(Peer::stop_accepting);
                 client.send(read_request(1));
-                harness.run_until("the ingress begins to connect", |s| {
-                    s.program.open().upstream_connections == 1
+                harness.run_until("the ingress begins to connect", |h| {
+                    h.program.open().upstream_connections == 1
                 });
                 harness.program.shut_down();
                 harness.run_iteration();
@@ -161,14 +161,14 @@
             }
             _ => {
                 client.send(read_request(1));
-                let (s, c, _) = harness.next_request();
+                let (endpoint, connection, _) = harness.next_request();
                 begin_drain(&mut harness);
-                harness.endpoints[s].connections[c].send("-BUSY\r\n");
+                harness.endpoints[endpoint].connections[connection].send("-BUSY\r\n");
             }
         }
-        let (s, c, _) = harness.next_request();
+        let (endpoint, connection, _) = harness.next_request();
         harness.advance(601);
-        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.run_until_closed(&mut client);
         drop(client);
@@ -186,7 +186,7 @@
         1,
         &READ_FIELDS.replace("d=3000", "d=60000"),
     ));
-    let (s, _, _) = harness.next_request();
+    let (endpoint, _, _) = harness.next_request();
     client.send(request_of_customer(
         7,
         "API.READ",
@@ -204,7 +204,7 @@
     harness.advance(3001);
     harness.expect_reply(&mut client, "-ERR failed\r\n-ERR failed\r\n");
     harness.run_until_closed(&mut client);
-    let _hangs = &harness.endpoints[s];
+    let _hangs = &harness.endpoints[endpoint];
     harness.now += Duration::from_millis(501);
     run_until_exit(&mut harness);
 }
@@ -215,10 +215,10 @@
         let mut harness = Harness::new(1);
         let mut client = Connection::with_small_buffers(harness.program.address().unwrap());
         client.send(read_request(1));
-        let (s, c, _) = harness.next_request();
+        let (endpoint, connection, _) = harness.next_request();
         let value = "v".repeat(60_000);
-        harness.endpoints[s].connections[c].send(served_reply(&value));
-        harness.run_until("the reply is read", |s| s.program.open().requests == 0);
+        harness.endpoints[endpoint].connections[connection].send(served_reply(&value));
+        harness.run_until("the reply is read", |h| h.program.open().requests == 0);
         for _ in 0..5 {
             harness.run_iteration();
         }
@@ -245,7 +245,7 @@
         let mut harness = Harness::new(1);
         let mut client = harness.connect();
         client.send(read_request(1));
-        let (s, c, _) = harness.next_request();
+        let (endpoint, connection, _) = harness.next_request();
         if first == "term" {
             begin_drain(&mut harness);
         }
@@ -253,10 +253,10 @@
         if first == "hup" {
             begin_drain(&mut harness);
         }
-        harness.run_until("the watch at the new address", |s| {
-            s.discovery.connections.len() == 1
+        harness.run_until("the watch at the new address", |h| {
+            h.discovery.connections.len() == 1
         });
-        harness.endpoints[s].connections[c].send(served_reply("v"));
+        harness.endpoints[endpoint].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.run_until_closed(&mut client);
         drop(client);
--- a/crates/ingress/tests/wire_bytes.rs
+++ b/crates/ingress/tests/wire_bytes.rs
@@ -6,10 +6,9 @@
 use std::time::Duration;
 
 /// The commands of clients, byte for byte as they are sent.
-const READ_COMMAND: &str =
-    "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
+const READ: &str = "*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000007\r\n\
                     $54\r\nc=form-load,t=seedling,d=3000,units=1,spread=1,first=0\r\n";
-const WRITE_COMMAND: &str = "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
+const WRITE: &str = "*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$16\r\n0000000000000008\r\n\
                      $70\r\nc=submit,t=seedling,d=3000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0\r\n\
                      $4\r\nbody\r\n";
 
@@ -17,8 +16,8 @@
 /// bytes.
 fn bytes_at_endpoint(harness: &mut Harness, end: &str) -> (usize, String) {
     let mut found = None;
-    harness.run_until("bytes at the endpoint", |s| {
-        let connections = s.endpoints[0].connections.iter_mut().enumerate();
+    harness.run_until("bytes at the endpoint", |h| {
+        let connections = h.endpoints[0].connections.iter_mut().enumerate();
         found = connections
             .filter(|(_, e)| e.received_text().ends_with(end))
             .map(|(n, e)| (n, String::from_utf8(std::mem::take(&mut e.input)).unwrap()))
@@ -32,7 +31,7 @@
 fn a_read_is_forwarded_with_its_deadline_replaced() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(READ_COMMAND);
+    client.send(READ);
     let (connection, bytes) = bytes_at_endpoint(&mut harness, "first=0\r\n");
     assert_eq!(
         bytes,
@@ -47,7 +46,7 @@
 fn a_write_is_forwarded_with_its_body_and_its_deadline_replaced() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(WRITE_COMMAND);
+    client.send(WRITE);
     let (connection, bytes) = bytes_at_endpoint(&mut harness, "body\r\n");
     assert_eq!(
         bytes,
@@ -64,9 +63,9 @@
     let mut harness = Harness::new(1);
     harness.counter.mode = CounterMode::Silent;
     let mut client = harness.connect();
-    client.send(READ_COMMAND);
-    harness.run_until("a counter call", |s| {
-        let connections = &s.counter.peer.connections;
+    client.send(READ);
+    harness.run_until("a counter call", |h| {
+        let connections = &h.counter.peer.connections;
         connections.iter().any(|e| e.input.ends_with(b"\r\n\r\n"))
     });
     let connections = &harness.counter.peer.connections;
@@ -82,7 +81,7 @@
 }
 
 #[test]
-fn the_watch_request_names_the_revision_held() {
+fn the_watch_request_names_the_current_revision() {
     let mut harness = Harness::new(1);
     let old = std::mem::replace(&mut harness.discovery, Peer::new());
     let text = config(
@@ -128,7 +127,7 @@
     let mut harness = Harness::new(1);
     harness.restart_with_replacements(&[("\"Probes\":false", "\"Probes\":true")]);
     let mut client = harness.connect();
-    client.send(READ_COMMAND);
+    client.send(READ);
     bytes_at_endpoint(&mut harness, "first=0\r\n");
     let mut sent = None;
     for _ in 0..200 {
@@ -178,7 +177,7 @@
     let mut client = harness.connect();
     client.send("*1\r\n$4\r\nPING\r\n");
     harness.expect_reply(&mut client, "-LOADING waiting for discovery\r\n");
-    client.send(READ_COMMAND);
+    client.send(READ);
     harness.expect_reply(&mut client, "-BUSY\r\n");
 }
 
@@ -186,7 +185,7 @@
 fn a_client_is_sent_failed_when_the_endpoint_replies_with_an_error() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(WRITE_COMMAND);
+    client.send(WRITE);
     let (connection, _) = bytes_at_endpoint(&mut harness, "body\r\n");
     harness.endpoints[0].connections[connection].send("-ERR failed\r\n");
     harness.expect_reply(&mut client, "-ERR failed\r\n");
@@ -196,11 +195,11 @@
 fn during_shutdown_a_request_is_rejected_and_one_without_a_reply_fails() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect();
-    client.send(READ_COMMAND);
+    client.send(READ);
     bytes_at_endpoint(&mut harness, "first=0\r\n");
     harness.program.shut_down();
     harness.advance(600);
-    client.send(READ_COMMAND.replace("0000000000000007", "0000000000000009"));
+    client.send(READ.replace("0000000000000007", "0000000000000009"));
     harness.advance(50);
     harness.advance(5_000);
     harness.run_until_closed(&mut client);
