--- a/crates/decision/tests/ceilings.rs
+++ b/crates/decision/tests/ceilings.rs
@@ -26,11 +26,11 @@
 fn one_ingress_with_totals_admits_a_full_quota_under_a_ceiling() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     sim.advance(ms(1000));
-    sim.is_forwarded(0, 1, 1);
+    sim.try_serve(0, 1, 1);
     sim.advance(ms(4000));
     let before = sim.forwards.len();
     for _ in 0..400 {
-        sim.is_forwarded(0, 1, 1);
+        sim.try_serve(0, 1, 1);
         sim.advance(ms(10));
     }
     let rate = (sim.forwards.len() - before) as f64 / 4.8;
--- a/crates/decision/tests/common/simulation.rs
+++ b/crates/decision/tests/common/simulation.rs
@@ -16,6 +16,7 @@
     Disconnected,
 }
 
+/// An attempt and how it ended.
 pub(crate) struct AttemptRecord {
     pub endpoint: u32,
     pub forwarded_at: Duration,
@@ -23,6 +24,7 @@
     pub outcome: Option<Outcome>,
 }
 
+/// A request with its attempts and its answer.
 pub(crate) struct RequestRecord {
     pub class: usize,
     pub customer: u64,
@@ -269,7 +271,7 @@
 
     /// Sends a request while the counter replies, and serves it after 2 ms if it was forwarded.
     /// Returns whether it was.
-    pub(crate) fn is_forwarded(&mut self, ingress: usize, plan: usize, customer: u64) -> bool {
+    pub(crate) fn try_serve(&mut self, ingress: usize, plan: usize, customer: u64) -> bool {
         let id = self.request(ingress, 0, plan, customer);
         self.end_all_calls(CallOutcome::Replied);
         let forwarded = self.attempt_count(ingress, id) > 0;
--- a/crates/decision/tests/counter.rs
+++ b/crates/decision/tests/counter.rs
@@ -13,7 +13,7 @@
     requests: usize,
 ) -> usize {
     (0..requests)
-        .filter(|_| sim.is_forwarded(ingress, plan, customer))
+        .filter(|_| sim.try_serve(ingress, plan, customer))
         .count()
 }
 
@@ -140,11 +140,11 @@
 #[test]
 fn requests_far_over_the_quota_do_not_call_an_overloaded_counter() {
     let mut sim = Simulation::new(settings(3), 3, 5);
-    sim.is_forwarded(0, 0, 1);
+    sim.try_serve(0, 0, 1);
     sim.counter_totals
         .values_mut()
         .for_each(|entry| entry.total += 100.0);
-    sim.is_forwarded(0, 0, 1);
+    sim.try_serve(0, 0, 1);
     sim.request(0, 0, 0, 2);
     sim.end_all_calls(CallOutcome::NotAdded);
     for _ in 0..60 {
@@ -255,7 +255,7 @@
 fn the_use_of_peers_is_observed_again_after_the_counter_lost_its_totals() {
     let mut sim = Simulation::new(settings(3), 3, 5);
     for _ in 0..60 {
-        sim.is_forwarded(0, 0, 1);
+        sim.try_serve(0, 0, 1);
         sim.advance(ms(10));
     }
     sim.counter_totals.clear();
--- a/crates/decision/tests/many_ingresses.rs
+++ b/crates/decision/tests/many_ingresses.rs
@@ -12,12 +12,12 @@
     let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
     // A flood through all ingresses. With a burst of 10 and a rate of 5, most of it is rejected.
     for ingress in 0..INGRESSES {
-        sim.is_forwarded(ingress, 0, 1);
+        sim.try_serve(ingress, 0, 1);
     }
     end_all_and_advance(&mut sim, 100);
     end_all_and_advance(&mut sim, 4900);
     let forwarded = (0..6)
-        .filter(|ingress| sim.is_forwarded(*ingress, 0, 1))
+        .filter(|ingress| sim.try_serve(*ingress, 0, 1))
         .count();
     assert!(
         forwarded >= 5,
@@ -30,7 +30,7 @@
     let mut sim = Simulation::new(settings(INGRESSES as u32), INGRESSES, 20);
     for _ in 0..2 {
         let forwarded = (0..INGRESSES)
-            .filter(|ingress| sim.is_forwarded(*ingress, 0, 1))
+            .filter(|ingress| sim.try_serve(*ingress, 0, 1))
             .count();
         assert!(
             forwarded <= 14,
@@ -213,7 +213,7 @@
     let mut sim = Simulation::new(settings(16), 16, 20);
     for round in 0..60 {
         for ingress in 0..16 {
-            sim.is_forwarded(ingress, 1, 1); // `Simulation` checks rule 5 at each forward
+            sim.try_serve(ingress, 1, 1); // `Simulation` checks rule 5 at each forward
         }
         if round == 30 {
             sim.counter_totals.clear();
--- a/crates/decision/tests/quota_use.rs
+++ b/crates/decision/tests/quota_use.rs
@@ -36,15 +36,15 @@
     for actual_units in [1.0, 2.0, 3.0, 5.0] {
         let QuotaUse { forwarded, allowed } = use_with_estimates(actual_units);
         println!(
-            "{actual_units} actual units per request: {forwarded} units forwarded of {allowed}"
+            "{actual_units} units per request, estimated at 2: {forwarded} forwarded of {allowed}"
         );
         assert!(
             forwarded <= 1.15 * allowed,
-            "{actual_units} actual units per request: {forwarded} units forwarded of {allowed}"
+            "{actual_units} units per request, estimated at 2: {forwarded} forwarded of {allowed}"
         );
         assert!(
             forwarded >= 0.8 * allowed,
-            "{actual_units} actual units per request: only {forwarded} units forwarded of {allowed}"
+            "{actual_units} units per request, estimated at 2: only {forwarded} of {allowed}"
         );
     }
 }
@@ -136,9 +136,9 @@
     // Without a total, an ingress knows only its own part of a customer's use, so what all
     // ingresses admit together exceeds the quota.
     for (replied_share, max_used) in [(1.0, 1.1), (0.3, 1.55), (0.15, 1.7)] {
-        for quota_multiple in [0.5, 3.0] {
+        for load_factor in [0.5, 3.0] {
             let runs: Vec<_> = (0..2)
-                .map(|seed| use_by_plan(quota_multiple, replied_share, seed))
+                .map(|seed| use_by_plan(load_factor, replied_share, seed))
                 .collect();
             for plan_index in 0..3 {
                 let mean = |ratio: fn(&PlanRatios) -> f64| {
@@ -147,7 +147,7 @@
                 let used = mean(|ratios| ratios.used);
                 let rejected = mean(|ratios| ratios.rejected_within_quota);
                 println!(
-                    "{replied_share} replied, {quota_multiple} times the quota, plan {plan_index}: \
+                    "{replied_share} replied, {load_factor} times the quota, plan {plan_index}: \
                      {used:.2} used, {rejected:.2} rejected within the quota"
                 );
                 assert!(
--- a/crates/decision/tests/slow_start.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -60,7 +60,7 @@
             ..settings(ingress_count as u32)
         };
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Every fifth ingress gets about five times the average traffic of the others.
+        // Every fifth ingress gets about five times the traffic of each of the others.
         let mut sum = 0.0;
         let cumulative_traffic = (0..ingress_count)
             .map(|ingress| {
@@ -91,6 +91,7 @@
         run
     }
 
+    /// Returns the entries of the complete endpoint list.
     fn entries(&self) -> Vec<EndpointEntry> {
         (0..self.endpoints)
             .map(|id| entry(id, EndpointState::Ready, self.started_at.get(&id).copied()))
@@ -275,8 +276,8 @@
     }
 }
 
-/// Runs the simulation once for each seed and asserts that no endpoint warming up got more than its
-/// budget.
+/// Runs the simulation with the classes of [`settings`], once for each seed, and asserts that no
+/// endpoint warming up got more than its budget.
 fn assert_slow_start_budget_held(
     ingress_count: usize,
     endpoints: u32,
@@ -285,6 +286,7 @@
     assert_slow_start_budget_held_with(settings(1).classes, ingress_count, endpoints, seeds);
 }
 
+/// Like [`assert_slow_start_budget_held`], with other classes.
 fn assert_slow_start_budget_held_with(
     classes: Vec<RequestClass>,
     ingress_count: usize,
