--- a/crates/ingress/tests/fleet.rs
+++ b/crates/ingress/tests/fleet.rs
@@ -22,7 +22,7 @@
     ))
     .unwrap();
     let all: Vec<usize> = (0..members).collect();
-    fleet.agree(&all, MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&all, MAX_WAIT).unwrap();
     fleet
 }
 
@@ -30,7 +30,7 @@
 fn gone(fleet: &Fleet, n: usize, from: usize) -> Vec<String> {
     fleet.members[n]
         .log
-        .since(from)
+        .lines_from(from)
         .into_iter()
         .filter(|l| l.contains(" to=gone "))
         .collect()
@@ -44,12 +44,12 @@
 #[test]
 fn a_killed_member_is_seen_gone_and_rejoins_under_its_name() {
     let mut fleet = start_fleet(3, 1);
-    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.mark()).collect();
+    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
     fleet.kill(2).unwrap();
     for n in [0, 1] {
         fleet.members[n]
             .log
-            .wait(
+            .wait_for_line(
                 marks[n],
                 "member=n2 from=suspected to=gone seen=2 expected=3",
                 MAX_WAIT,
@@ -57,14 +57,14 @@
             .unwrap();
         assert_served(&fleet, n, 10 + n as u64);
     }
-    fleet.sees(0, 2, "gone", MAX_WAIT).unwrap();
+    fleet.wait_for_state(0, 2, "gone", MAX_WAIT).unwrap();
     assert_eq!(
         fleet.status(0).unwrap()["quorum"],
         true,
         "two of three members are a majority"
     );
     fleet.spawn(2).unwrap();
-    fleet.agree(&[0, 1, 2], MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&[0, 1, 2], MAX_WAIT).unwrap();
     assert_served(&fleet, 2, 20);
     // The program prints the same status file as a table.
     let shown = Command::new(env!("CARGO_BIN_EXE_roseyard-ingress"))
@@ -82,29 +82,29 @@
 #[test]
 fn a_member_that_shuts_down_has_left_and_is_not_suspected() {
     let mut fleet = start_fleet(3, 2);
-    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.mark()).collect();
+    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
     fleet.signal(1, Signal::TERM).unwrap();
     fleet.reap(1).unwrap();
     for n in [0, 2] {
         fleet.members[n]
             .log
-            .wait(marks[n], "member=n1 from=alive to=left", MAX_WAIT)
+            .wait_for_line(marks[n], "member=n1 from=alive to=left", MAX_WAIT)
             .unwrap();
     }
     fleet.spawn(1).unwrap();
-    fleet.agree(&[0, 1, 2], MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&[0, 1, 2], MAX_WAIT).unwrap();
     assert!((0..3).all(|n| gone(&fleet, n, marks[n]).is_empty()));
 }
 
 #[test]
 fn a_stopped_member_that_resumes_does_not_declare_the_others_gone() {
     let fleet = start_fleet(4, 3);
-    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.mark()).collect();
+    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
     fleet.signal(3, Signal::STOP).unwrap();
     for (n, mark) in marks.iter().enumerate().take(3) {
         fleet.members[n]
             .log
-            .wait(
+            .wait_for_line(
                 *mark,
                 "member=n3 from=suspected to=gone seen=3 expected=4",
                 MAX_WAIT,
@@ -112,7 +112,7 @@
             .unwrap();
     }
     fleet.signal(3, Signal::CONT).unwrap();
-    fleet.agree(&[0, 1, 2, 3], MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&[0, 1, 2, 3], MAX_WAIT).unwrap();
     assert_eq!(
         gone(&fleet, 3, marks[3]),
         Vec::<String>::new(),
@@ -126,13 +126,13 @@
     let mut fleet = start_fleet(5, 4);
     fleet.network.split(&[0, 1], &[2, 3, 4]);
     fleet
-        .until(MAX_WAIT, "two of five have no majority", |r| {
+        .wait_until(MAX_WAIT, "two of five have no majority", |r| {
             [0, 1]
                 .iter()
                 .all(|n| r.status(*n).is_ok_and(|s| s["quorum"] == false))
         })
         .unwrap();
-    fleet.sees(2, 0, "gone", MAX_WAIT).unwrap();
+    fleet.wait_for_state(2, 0, "gone", MAX_WAIT).unwrap();
     assert!([2, 3, 4]
         .iter()
         .all(|n| fleet.status(*n).unwrap()["quorum"] == true));
@@ -143,13 +143,15 @@
         fleet.spawn(n).unwrap();
     }
     fleet.network.set_all(Rules::default());
-    fleet.agree(&[0, 1, 2, 3, 4], MAX_WAIT).unwrap();
+    fleet
+        .wait_until_all_alive(&[0, 1, 2, 3, 4], MAX_WAIT)
+        .unwrap();
 }
 
 #[test]
 fn one_way_cuts_loss_duplicates_and_delay_make_no_member_count_as_gone() {
     let fleet = start_fleet(4, 5);
-    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.mark()).collect();
+    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
     let faulty_rules = Rules {
         loss: 0.2,
         twice: 0.2,
@@ -168,7 +170,7 @@
     let probes = |r: &Fleet, n: usize| r.status(n).unwrap()["counts"]["probes"].as_u64().unwrap();
     let before: Vec<u64> = (0..4).map(|n| probes(&fleet, n)).collect();
     fleet
-        .until(Duration::from_secs(60), "20 probes by each member", |r| {
+        .wait_until(Duration::from_secs(60), "20 probes by each member", |r| {
             (0..4).all(|n| probes(r, n) >= before[n] + 20)
         })
         .unwrap();
@@ -178,28 +180,33 @@
             .network
             .trace((1, 0))
             .iter()
-            .any(|f| f.after.is_empty()),
+            .any(|f| f.copy_delays.is_empty()),
         "the cut path has dropped datagrams"
     );
     fleet.network.set_all(Rules::default());
-    fleet.agree(&[0, 1, 2, 3], MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&[0, 1, 2, 3], MAX_WAIT).unwrap();
 }
 
 #[test]
 fn keys_are_rotated_in_a_running_fleet_across_a_restart() {
     let mut fleet = start_fleet(3, 6);
-    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.mark()).collect();
-    fleet.write_key("next", 9).unwrap();
-    let (old, next) = (fleet.folder().join("key"), fleet.folder().join("next"));
+    let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
+    fleet.write_key_file("next", 9).unwrap();
+    let (old, next) = (
+        fleet.directory().join("key"),
+        fleet.directory().join("next"),
+    );
     let other_key_file = |path: &std::path::Path| format!("other-key-file \"{}\"", path.display());
     let reload_keys = |fleet: &Fleet, key: &str, other_key_setting: &str| {
         for n in 0..3 {
-            let mark = fleet.members[n].log.mark();
-            fleet.write_settings(n, key, other_key_setting).unwrap();
+            let mark = fleet.members[n].log.line_count();
+            fleet
+                .write_operator_file(n, key, other_key_setting)
+                .unwrap();
             fleet.signal(n, Signal::HUP).unwrap();
             fleet.members[n]
                 .log
-                .wait(mark, "membership keys reloaded keys=", MAX_WAIT)
+                .wait_for_line(mark, "membership keys reloaded keys=", MAX_WAIT)
                 .unwrap();
         }
     };
@@ -207,22 +214,25 @@
     reload_keys(&fleet, "key", &other_key_file(&next));
     // One member is restarted and sends with the new key.
     let settings = fleet
-        .write_settings(1, "next", &other_key_file(&old))
+        .write_operator_file(1, "next", &other_key_file(&old))
         .unwrap();
     fleet.kill(1).unwrap();
-    fleet.spawn_with(1, &settings).unwrap();
+    fleet.spawn_with_operator_file(1, &settings).unwrap();
     // All members send with the new key, and then the old one is removed.
     reload_keys(&fleet, "next", &other_key_file(&old));
     reload_keys(&fleet, "next", "");
-    fleet.agree(&[0, 1, 2], MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&[0, 1, 2], MAX_WAIT).unwrap();
     (0..3).for_each(|n| assert_eq!(gone(&fleet, n, marks[n]), Vec::<String>::new(), "n{n}"));
     // A key file that other users may read is rejected, and the previous keys stay in force.
     use std::os::unix::fs::PermissionsExt;
     std::fs::set_permissions(&next, std::fs::Permissions::from_mode(0o644)).unwrap();
-    let mark = fleet.members[0].log.mark();
+    let mark = fleet.members[0].log.line_count();
     fleet.signal(0, Signal::HUP).unwrap();
     let rejected = "membership keys rejected, previous ones stay in force error=";
-    let line = fleet.members[0].log.wait(mark, rejected, MAX_WAIT).unwrap();
+    let line = fleet.members[0]
+        .log
+        .wait_for_line(mark, rejected, MAX_WAIT)
+        .unwrap();
     assert!(
         line.contains("others may read this key (mode 0644); make it 0600"),
         "{line}"
@@ -232,7 +242,7 @@
 #[test]
 fn unauthenticated_and_replayed_datagrams_are_dropped_and_a_flood_has_no_effect() {
     let fleet = start_fleet(3, 7);
-    let mark = fleet.members[0].log.mark();
+    let mark = fleet.members[0].log.line_count();
     let address = fleet.members[0].membership_address.unwrap();
     let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     // Sends 20,000 forged datagrams, at most 20,000 a second, while requests are served.
@@ -260,7 +270,7 @@
         unknown_sender.send_to(bytes, address).unwrap();
     }
     fleet
-        .until(MAX_WAIT, "the dropped datagrams are counted", |r| {
+        .wait_until(MAX_WAIT, "the dropped datagrams are counted", |r| {
             let counts = &r.status(0).unwrap()["counts"];
             counts["dropped: another cluster"].as_u64() > Some(1000)
                 && counts["dropped: malformed"].as_u64() >= Some(3)
@@ -271,7 +281,7 @@
         unknown_sender.recv_from(&mut [0; 8]).is_err(),
         "an unknown sender gets no reply"
     );
-    fleet.agree(&[0, 1, 2], MAX_WAIT).unwrap();
+    fleet.wait_until_all_alive(&[0, 1, 2], MAX_WAIT).unwrap();
     assert_eq!(gone(&fleet, 0, mark), Vec::<String>::new());
 }
 
@@ -282,14 +292,14 @@
     fleet.kill(2).unwrap();
     let holder = fleet.members[1].membership_address.unwrap();
     fleet.members[2].name = "n1".into();
-    let folder = fleet.folder().join("n1.kdl");
-    let settings = fleet.write_settings(2, "key", "").unwrap();
+    let folder = fleet.directory().join("n1.kdl");
+    let settings = fleet.write_operator_file(2, "key", "").unwrap();
     assert_eq!(settings, folder);
-    let mark = fleet.members[2].log.mark();
-    fleet.spawn_with(2, &settings).unwrap();
+    let mark = fleet.members[2].log.line_count();
+    fleet.spawn_with_operator_file(2, &settings).unwrap();
     let line = fleet.members[2]
         .log
-        .wait(mark, "membership name in use", MAX_WAIT)
+        .wait_for_line(mark, "membership name in use", MAX_WAIT)
         .unwrap();
     assert!(
         line.contains(&format!(
@@ -298,15 +308,15 @@
         "{line}"
     );
     assert_served(&fleet, 2, 60);
-    let mark = fleet.members[0].log.mark();
+    let mark = fleet.members[0].log.line_count();
     fleet.kill(1).unwrap();
     fleet.members[0]
         .log
-        .wait(mark, "member=n1 from=suspected to=gone", MAX_WAIT)
+        .wait_for_line(mark, "member=n1 from=suspected to=gone", MAX_WAIT)
         .unwrap();
     fleet.members[0]
         .log
-        .wait(mark, "member=n1 from=gone to=alive", MAX_WAIT)
+        .wait_for_line(mark, "member=n1 from=gone to=alive", MAX_WAIT)
         .unwrap();
 }
 
@@ -316,7 +326,7 @@
     let begin = Instant::now();
     (0..4).for_each(|n| fleet.kill(n).unwrap());
     (0..4).for_each(|n| fleet.spawn(n).unwrap());
-    let took = fleet.agree(&[0, 1, 2, 3], MAX_WAIT).unwrap();
+    let took = fleet.wait_until_all_alive(&[0, 1, 2, 3], MAX_WAIT).unwrap();
     println!(
         "agreed {:?} after the kill, {took:?} after the last start",
         begin.elapsed()
--- a/crates/ingress/tests/soak.rs
+++ b/crates/ingress/tests/soak.rs
@@ -10,12 +10,12 @@
         members: 3,
         clients: 24,
         crowd,
-        length: Duration::from_secs(12),
+        duration: Duration::from_secs(12),
     })
     .unwrap();
     let verdict = &report.verdict;
     assert!(verdict.served > 1_000, "{verdict:?}");
-    assert!(report.ended > 0, "{report:?}");
+    assert!(report.exited > 0, "{report:?}");
     assert!(
         verdict.violations.is_empty(),
         "seed {seed}: {:#?}\n{:#?}",
--- a/crates/testbed/src/cli/fleet.rs
+++ b/crates/testbed/src/cli/fleet.rs
@@ -57,7 +57,7 @@
     let steps: Vec<_> = report
         .trace
         .iter()
-        .zip(&report.at)
+        .zip(&report.action_times)
         .map(|(action, at)| (at.as_secs_f64(), action))
         .collect();
     let counts: BTreeMap<_, _> = report.verdict.counts().into_iter().collect();
--- a/crates/testbed/src/cli/soak.rs
+++ b/crates/testbed/src/cli/soak.rs
@@ -44,7 +44,7 @@
             members: args.members,
             clients: args.clients,
             crowd: seed % CROWD_SEEDS == 0,
-            length: Duration::from_secs(args.seconds),
+            duration: Duration::from_secs(args.seconds),
         };
         let report = soak::run(&options)?;
         print(&options, &report);
@@ -68,7 +68,7 @@
         options.seed,
         if options.crowd { " (crowd)" } else { "" },
         counts.join(", "),
-        report.ended,
+        report.exited,
         report.killed,
         report.verdict.violations.len()
     );
--- a/crates/testbed/src/faulty_network.rs
+++ b/crates/testbed/src/faulty_network.rs
@@ -2,7 +2,7 @@
 //! in each direction.
 //!
 //! The fate of the n-th datagram of a direction follows from the seed, the direction, n and the
-//! rules in force ([`datagram_fate`]) and from nothing else, so that the same seed and rules give
+//! rules in force ([`datagram_faults`]) and from nothing else, so that the same seed and rules give
 //! the same faults in the same order.
 
 use rand::rngs::StdRng;
@@ -46,9 +46,9 @@
 
 /// What happens to one datagram.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DatagramFate {
+pub struct DatagramFaults {
     /// The delays of its copies; empty if it is lost.
-    pub after: Vec<Duration>,
+    pub copy_delays: Vec<Duration>,
     /// The change of one of its bytes, if any.
     pub corruption: Option<Corruption>,
 }
@@ -77,7 +77,7 @@
 
 /// The fate of the n-th datagram of a direction.
 #[must_use]
-pub fn datagram_fate(seed: u64, direction: Direction, n: u64, rules: &Rules) -> DatagramFate {
+pub fn datagram_faults(seed: u64, direction: Direction, n: u64, rules: &Rules) -> DatagramFaults {
     let (from, to) = direction;
     let mixed = seed ^ (from as u64) << 56 ^ (to as u64) << 48 ^ n;
     let mut random = StdRng::seed_from_u64(mixed);
@@ -86,15 +86,15 @@
     let delays: [f64; 2] = random.random();
     let flipped_bits = 1 << random.random_range(0..8);
     if rules.cut || loss < rules.loss {
-        return DatagramFate {
-            after: Vec::new(),
+        return DatagramFaults {
+            copy_delays: Vec::new(),
             corruption: None,
         };
     }
     let (shortest, longest) = rules.delay;
     let range = longest.saturating_sub(shortest);
     let copies = 1 + usize::from(duplication < rules.twice);
-    let after = delays[..copies]
+    let copy_delays = delays[..copies]
         .iter()
         .map(|part| shortest + range.mul_f64(*part))
         .collect();
@@ -102,7 +102,10 @@
         position,
         flipped_bits,
     });
-    DatagramFate { after, corruption }
+    DatagramFaults {
+        copy_delays,
+        corruption,
+    }
 }
 
 #[derive(Default)]
@@ -111,7 +114,7 @@
     listeners: BTreeMap<usize, SocketAddr>,
     rules: BTreeMap<Direction, Rules>,
     /// The fate of each datagram of a direction, in order.
-    trace: BTreeMap<Direction, Vec<DatagramFate>>,
+    trace: BTreeMap<Direction, Vec<DatagramFaults>>,
 }
 
 /// The paths among all members.
@@ -200,7 +203,7 @@
 
     /// The fates of the datagrams of a direction so far.
     #[must_use]
-    pub fn trace(&self, direction: Direction) -> Vec<DatagramFate> {
+    pub fn trace(&self, direction: Direction) -> Vec<DatagramFaults> {
         locked(&self.state)
             .trace
             .get(&direction)
@@ -227,22 +230,23 @@
             let Ok((length, _)) = self.incoming.recv_from(&mut buffer).await else {
                 continue;
             };
-            let (fate, destination) = self.next_fate();
+            let (faults, destination) = self.next_faults();
             let Some(destination) = destination else {
                 continue;
             };
             let mut bytes = buffer[..length].to_vec();
-            if let Some(corruption) = fate.corruption {
+            if let Some(corruption) = faults.corruption {
                 corruption.apply(&mut bytes);
             }
-            for after in fate.after {
-                self.send_after(after, bytes.clone(), destination).await;
+            for copy_delay in faults.copy_delays {
+                self.send_after(copy_delay, bytes.clone(), destination)
+                    .await;
             }
         }
     }
 
     /// Decides and records the fate of the next datagram; also where the receiver listens.
-    fn next_fate(&self) -> (DatagramFate, Option<SocketAddr>) {
+    fn next_faults(&self) -> (DatagramFaults, Option<SocketAddr>) {
         let mut state = locked(&self.state);
         let rules = state
             .rules
@@ -250,10 +254,10 @@
             .copied()
             .unwrap_or_default();
         let trace = state.trace.entry(self.direction).or_default();
-        let fate = datagram_fate(self.seed, self.direction, trace.len() as u64, &rules);
-        trace.push(fate.clone());
+        let faults = datagram_faults(self.seed, self.direction, trace.len() as u64, &rules);
+        trace.push(faults.clone());
         let destination = state.listeners.get(&self.direction.1).copied();
-        (fate, destination)
+        (faults, destination)
     }
 
     async fn send_after(&self, delay: Duration, bytes: Vec<u8>, destination: SocketAddr) {
--- a/crates/testbed/src/fleet/daemon_log.rs
+++ b/crates/testbed/src/fleet/daemon_log.rs
@@ -26,19 +26,19 @@
 
     /// The number of lines so far, which is the number of the next line.
     #[must_use]
-    pub fn mark(&self) -> usize {
+    pub fn line_count(&self) -> usize {
         self.lines().len()
     }
 
     /// The lines from this number on.
     #[must_use]
-    pub fn since(&self, mark: usize) -> Vec<String> {
+    pub fn lines_from(&self, mark: usize) -> Vec<String> {
         self.lines()[mark..].to_vec()
     }
 
     /// Waits for a line from this number on that contains the text. An error shows the lines that
     /// were logged instead.
-    pub fn wait(&self, mark: usize, text: &str, max_wait: Duration) -> io::Result<String> {
+    pub fn wait_for_line(&self, mark: usize, text: &str, max_wait: Duration) -> io::Result<String> {
         let deadline = Instant::now() + max_wait;
         let mut lines = self.lines();
         loop {
--- a/crates/testbed/src/fleet/member.rs
+++ b/crates/testbed/src/fleet/member.rs
@@ -41,7 +41,7 @@
         operator_file: &Path,
         configuration: &Path,
     ) -> io::Result<usize> {
-        let mark = self.log.mark();
+        let mark = self.log.line_count();
         let (child, lines) = spawn(program, Some(operator_file), configuration)?;
         self.process = Some(child);
         let log = Arc::clone(&self.log);
@@ -51,9 +51,11 @@
             }
         });
         let clients = format!("info: listening name={} address=", self.name);
-        let line = self.log.wait(mark, &clients, MAX_WAIT)?;
+        let line = self.log.wait_for_line(mark, &clients, MAX_WAIT)?;
         self.client_address = Some(address_after(&line, &clients)?);
-        let line = self.log.wait(mark, "membership listening ", MAX_WAIT)?;
+        let line = self
+            .log
+            .wait_for_line(mark, "membership listening ", MAX_WAIT)?;
         self.membership_address = Some(address_after(&line, " address=")?);
         Ok(mark)
     }
@@ -66,7 +68,7 @@
         Ok(kill_process(Pid::from_child(process), signal)?)
     }
 
-    pub(super) fn has_ended(&mut self) -> io::Result<bool> {
+    pub(super) fn has_exited(&mut self) -> io::Result<bool> {
         match &mut self.process {
             Some(process) => Ok(process.try_wait()?.is_some()),
             None => Ok(true),
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -47,7 +47,7 @@
     /// The protocol period of membership; its other intervals follow from it.
     pub period: Duration,
     /// Members that the operator's file of each expects.
-    pub expected: usize,
+    pub expected_members: usize,
 }
 
 impl FleetOptions {
@@ -62,7 +62,7 @@
             slow_requests: None,
             seed,
             period: Duration::from_millis(250),
-            expected: members,
+            expected_members: members,
         }
     }
 }
@@ -75,7 +75,7 @@
     pub network: FaultyNetwork,
     /// The daemons, by number.
     pub members: Vec<Member>,
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     _runtime: Runtime,
 }
 
@@ -98,10 +98,10 @@
             platform,
             network,
             members,
-            folder: tempfile::tempdir()?,
+            directory: tempfile::tempdir()?,
             _runtime: runtime,
         };
-        fleet.write_key("key", 7)?;
+        fleet.write_key_file("key", 7)?;
         for number in 0..fleet.members.len() {
             fleet.spawn(number)?;
         }
@@ -116,32 +116,32 @@
 
     /// The folder of the daemons' files.
     #[must_use]
-    pub fn folder(&self) -> &Path {
-        self.folder.path()
+    pub fn directory(&self) -> &Path {
+        self.directory.path()
     }
 
     /// Writes a key file of this name: 32 times this byte.
-    pub fn write_key(&self, name: &str, byte: u8) -> io::Result<()> {
-        let path = self.folder.path().join(name);
+    pub fn write_key_file(&self, name: &str, byte: u8) -> io::Result<()> {
+        let path = self.directory.path().join(name);
         fs::write(&path, format!("{byte:02x}").repeat(32))?;
         fs::set_permissions(&path, fs::Permissions::from_mode(0o600))
     }
 
     /// Writes a member's operator's file with this key file, and with `extra_lines` in its section
     /// on membership.
-    pub fn write_settings(
+    pub fn write_operator_file(
         &self,
         number: usize,
         key: &str,
         extra_lines: &str,
     ) -> io::Result<PathBuf> {
-        let folder = self.folder.path();
+        let directory = self.directory.path();
         let member = &self.members[number];
         let listen = member
             .membership_address
             .map_or_else(|| "127.0.0.1:0".into(), |address| address.to_string());
         let peers = self.peer_lines(number);
-        let expected = self.options.expected;
+        let expected = self.options.expected_members;
         let period = self.options.period.as_millis() as u64;
         let timeout = period * 3 / 10;
         let gossip = period / 5;
@@ -150,11 +150,11 @@
             "membership {{\n  listen \"{listen}\"; cluster \"lab\"; key-file \"{}\"\n  {peers}\n  expected {expected}\n  \
              zone \"z{}\"; period \"{period}ms\"; timeout \"{timeout}ms\"; gossip \"{gossip}ms\"; sync \"{sync}ms\"\n  \
              status \"{}\"\n  {extra_lines}\n}}\n",
-            folder.join(key).display(),
+            directory.join(key).display(),
             number % ZONES,
             self.status_file(number).display(),
         );
-        let path = folder.join(format!("{}.kdl", member.name));
+        let path = directory.join(format!("{}.kdl", member.name));
         fs::write(&path, text)?;
         Ok(path)
     }
@@ -180,7 +180,7 @@
     /// The file to which a member writes its view of the others.
     #[must_use]
     pub fn status_file(&self, number: usize) -> PathBuf {
-        self.folder
+        self.directory
             .path()
             .join(format!("{}.status", self.members[number].name))
     }
@@ -194,22 +194,26 @@
 
     /// Starts a member that does not run, with nothing in memory, and waits until it is ready.
     pub fn spawn(&mut self, number: usize) -> io::Result<()> {
-        let operator_file = self.write_settings(number, "key", "")?;
-        self.spawn_with(number, &operator_file)
+        let operator_file = self.write_operator_file(number, "key", "")?;
+        self.spawn_with_operator_file(number, &operator_file)
     }
 
     /// The same with this operator's file.
-    pub fn spawn_with(&mut self, number: usize, operator_file: &Path) -> io::Result<()> {
+    pub fn spawn_with_operator_file(
+        &mut self,
+        number: usize,
+        operator_file: &Path,
+    ) -> io::Result<()> {
         let member = &mut self.members[number];
         let mut configuration = self.platform.ingress_configuration(DESCRIPTORS);
         configuration["name"] = Value::from(member.name.clone());
-        let path = self.folder.path().join(format!("config-{number}.json"));
+        let path = self.directory.path().join(format!("config-{number}.json"));
         fs::write(&path, configuration.to_string())?;
         let mark = member.start(&self.options.program, operator_file, &path)?;
         if let Some(address) = member.membership_address {
             self.network.set_listener(number, address);
         }
-        member.log.wait(mark, "info: ready", MAX_WAIT)?;
+        member.log.wait_for_line(mark, "info: ready", MAX_WAIT)?;
         Ok(())
     }
 
@@ -225,8 +229,8 @@
     }
 
     /// Whether a member's process has ended by itself.
-    pub fn has_ended(&mut self, number: usize) -> io::Result<bool> {
-        self.members[number].has_ended()
+    pub fn has_exited(&mut self, number: usize) -> io::Result<bool> {
+        self.members[number].has_exited()
     }
 
     /// Waits until a member that was sent a terminating signal has ended.
--- a/crates/testbed/src/fleet/wait.rs
+++ b/crates/testbed/src/fleet/wait.rs
@@ -11,9 +11,13 @@
 
 impl Fleet {
     /// Waits until each of these members sees all the others of them alive; the time that it took.
-    pub fn agree(&self, running: &[usize], max_wait: Duration) -> io::Result<Duration> {
+    pub fn wait_until_all_alive(
+        &self,
+        running: &[usize],
+        max_wait: Duration,
+    ) -> io::Result<Duration> {
         let expectation = format!("{running:?} hold one another alive");
-        self.until(max_wait, &expectation, |fleet| {
+        self.wait_until(max_wait, &expectation, |fleet| {
             running.iter().all(|number| {
                 let Ok(status) = fleet.status(*number) else {
                     return false;
@@ -27,7 +31,7 @@
     }
 
     /// Waits until a member's status file has another in this state; the time that it took.
-    pub fn sees(
+    pub fn wait_for_state(
         &self,
         number: usize,
         other: usize,
@@ -35,7 +39,7 @@
         max_wait: Duration,
     ) -> io::Result<Duration> {
         let expectation = format!("n{number} holds n{other} {state}");
-        self.until(max_wait, &expectation, |fleet| {
+        self.wait_until(max_wait, &expectation, |fleet| {
             fleet.status(number).is_ok_and(|status| {
                 membership_state(&status, &fleet.members[other].name) == Some(state)
             })
@@ -44,7 +48,7 @@
 
     /// Waits until a condition holds, and returns the time that it took. Status files, which the
     /// daemons write each second, are shown by the error.
-    pub fn until(
+    pub fn wait_until(
         &self,
         max_wait: Duration,
         expectation: &str,
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -7,6 +7,6 @@
 mod parser;
 mod run;
 
-pub use model::{FaultAction, Scenario, Step, When};
+pub use model::{FaultAction, Scenario, Step, Trigger};
 pub use parser::{Expected, ScenarioError};
 pub use run::{run, MembershipView, ScenarioReport};
--- a/crates/testbed/src/scenario/model.rs
+++ b/crates/testbed/src/scenario/model.rs
@@ -5,7 +5,7 @@
 
 /// When a step is done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum When {
+pub enum Trigger {
     /// At this time after the start.
     At(Duration),
     /// Once this member has logged a line that contains this text, since the step before.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// When it is done.
-    pub when: When,
+    pub trigger: Trigger,
     /// Its actions, in this order.
     pub actions: Vec<FaultAction>,
 }
--- a/crates/testbed/src/scenario/parser.rs
+++ b/crates/testbed/src/scenario/parser.rs
@@ -1,6 +1,6 @@
 //! Reads a scenario from KDL.
 
-use super::model::{FaultAction, Scenario, Step, When};
+use super::model::{FaultAction, Scenario, Step, Trigger};
 use crate::faulty_network::Rules;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use std::ops::RangeInclusive;
@@ -105,23 +105,23 @@
             "rate" => self.rate = node.number(node.argument(), &RATES)?,
             "once" => self.non_idempotent_ratio = node.number(node.argument(), &RATIOS)?,
             "at" => {
-                let when = When::At(node.time(node.argument(), &STEP_TIMES_MS)?);
-                self.add_step(when, node)?;
+                let trigger = Trigger::At(node.time(node.argument(), &STEP_TIMES_MS)?);
+                self.add_step(trigger, node)?;
             }
             "when" => {
                 let member = node.member(node.argument(), self.members)?;
                 let text = node.property("logs").and_then(KdlValue::as_string);
                 let text = text.ok_or_else(|| node.error(Expected::LoggedText))?;
-                self.add_step(When::Logged(member, text.to_owned()), node)?;
+                self.add_step(Trigger::Logged(member, text.to_owned()), node)?;
             }
             _ => return Err(node.error(Expected::ScenarioNode)),
         }
         Ok(())
     }
 
-    fn add_step(&mut self, when: When, node: &Node) -> Result<(), ScenarioError> {
+    fn add_step(&mut self, trigger: Trigger, node: &Node) -> Result<(), ScenarioError> {
         let actions = node.actions(self.members)?;
-        self.steps.push(Step { when, actions });
+        self.steps.push(Step { trigger, actions });
         Ok(())
     }
 }
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -1,7 +1,7 @@
 //! Runs a scenario on real daemons.
 
 use super::client::{ClientTargets, Clients};
-use super::model::{FaultAction, Scenario, Step, When};
+use super::model::{FaultAction, Scenario, Step, Trigger};
 use crate::checker::{check, Verdict};
 use crate::fleet::{Fleet, FleetOptions, MAX_WAIT};
 use rustix::process::Signal;
@@ -15,7 +15,7 @@
     /// The actions that were done, the same for each run of a scenario.
     pub trace: Vec<String>,
     /// When each action was done, since the start.
-    pub at: Vec<Duration>,
+    pub action_times: Vec<Duration>,
     /// What the checker found.
     pub verdict: Verdict,
     /// The views of the members that ran at the end.
@@ -46,7 +46,7 @@
     };
     let mut fleet = Fleet::start(options)?;
     let all: Vec<usize> = (0..scenario.members).collect();
-    fleet.agree(&all, MAX_WAIT)?;
+    fleet.wait_until_all_alive(&all, MAX_WAIT)?;
     let addresses = fleet.members.iter().map(|member| member.client_address);
     let targets = ClientTargets::new(addresses.collect());
     let history = fleet.history();
@@ -57,7 +57,7 @@
         targets: &targets,
         began_at: Instant::now(),
         trace: Vec::new(),
-        at: Vec::new(),
+        action_times: Vec::new(),
         on_action,
     };
     std::thread::scope(|scope| {
@@ -69,10 +69,14 @@
         clients.stop();
         result
     })?;
-    let ScenarioRun { trace, at, .. } = run;
+    let ScenarioRun {
+        trace,
+        action_times,
+        ..
+    } = run;
     Ok(ScenarioReport {
         trace,
-        at,
+        action_times,
         verdict: check(&history.events()),
         membership_views: membership_views(&fleet),
     })
@@ -103,7 +107,7 @@
     targets: &'a ClientTargets,
     began_at: Instant,
     trace: Vec<String>,
-    at: Vec<Duration>,
+    action_times: Vec<Duration>,
     on_action: F,
 }
 
@@ -113,7 +117,7 @@
         let scenario = self.scenario;
         let mut marks = self.log_marks();
         for step in &scenario.steps {
-            self.wait_for(&step.when, &marks)?;
+            self.wait_for(&step.trigger, &marks)?;
             marks = self.log_marks();
             self.actions(step)?;
         }
@@ -123,21 +127,21 @@
 
     fn log_marks(&self) -> Vec<usize> {
         let members = self.fleet.members.iter();
-        members.map(|member| member.log.mark()).collect()
+        members.map(|member| member.log.line_count()).collect()
     }
 
     /// Waits for a step's moment; `marks` are the ends of the members' logs at the step before.
-    fn wait_for(&self, when: &When, marks: &[usize]) -> io::Result<()> {
-        match when {
-            When::At(time) => std::thread::sleep(time.saturating_sub(self.began_at.elapsed())),
-            When::Logged(member, text) => {
+    fn wait_for(&self, trigger: &Trigger, marks: &[usize]) -> io::Result<()> {
+        match trigger {
+            Trigger::At(time) => std::thread::sleep(time.saturating_sub(self.began_at.elapsed())),
+            Trigger::Logged(member, text) => {
                 let remaining = self
                     .scenario
                     .duration
                     .saturating_sub(self.began_at.elapsed());
                 self.fleet.members[*member]
                     .log
-                    .wait(marks[*member], text, remaining)?;
+                    .wait_for_line(marks[*member], text, remaining)?;
             }
         }
         Ok(())
@@ -146,8 +150,8 @@
     fn actions(&mut self, step: &Step) -> io::Result<()> {
         for action in &step.actions {
             let at = self.began_at.elapsed();
-            self.trace.push(format!("{:?}: {action:?}", step.when));
-            self.at.push(at);
+            self.trace.push(format!("{:?}: {action:?}", step.trigger));
+            self.action_times.push(at);
             (self.on_action)(&format!("{:7.3} s  {action:?}", at.as_secs_f64()));
             self.apply(action)?;
         }
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -46,7 +46,7 @@
     /// Whether idle clients take the descriptors.
     pub crowd: bool,
     /// How long it lasts.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 /// What a soak has shown.
@@ -57,7 +57,7 @@
     /// What was observed of the requests that violated a rule.
     pub evidence: Vec<Event>,
     /// Processes that were told to end and ended by themselves.
-    pub ended: u64,
+    pub exited: u64,
     /// Processes that were told to end and had to be killed.
     pub killed: u64,
 }
@@ -102,7 +102,7 @@
     Ok(SoakReport {
         evidence: evidence(&verdict, &events),
         verdict,
-        ended: player.ended,
+        exited: player.exited,
         killed: player.killed,
     })
 }
@@ -132,14 +132,14 @@
     fleet: &'a mut Fleet,
     targets: &'a Targets,
     random: StdRng,
-    length: Duration,
+    duration: Duration,
     /// Steps by their time, and by a number that keeps those of one time in order.
     steps: BTreeMap<(Duration, u64), Step>,
     next_step: u64,
     /// Whether each member's process has been told to end or was killed.
     is_ending: Vec<bool>,
     is_running: Vec<bool>,
-    ended: u64,
+    exited: u64,
     killed: u64,
 }
 
@@ -149,15 +149,15 @@
             fleet,
             targets,
             random: StdRng::seed_from_u64(!options.seed),
-            length: options.length,
+            duration: options.duration,
             steps: BTreeMap::new(),
             next_step: 0,
             is_ending: vec![false; options.members],
             is_running: vec![true; options.members],
-            ended: 0,
+            exited: 0,
             killed: 0,
         };
-        for planned in plan(options.seed, options.members, options.length) {
+        for planned in plan(options.seed, options.members, options.duration) {
             player.schedule(planned.at, Step::Signal(planned));
         }
         player
@@ -174,7 +174,7 @@
             std::thread::sleep(at.saturating_sub(began_at.elapsed()));
             self.take(step, began_at.elapsed())?;
         }
-        std::thread::sleep(self.length.saturating_sub(began_at.elapsed()));
+        std::thread::sleep(self.duration.saturating_sub(began_at.elapsed()));
         Ok(())
     }
 
@@ -236,8 +236,8 @@
     }
 
     fn check_end(&mut self, member: usize, kill_at: Duration, now: Duration) -> io::Result<()> {
-        if self.fleet.has_ended(member)? {
-            self.ended += 1;
+        if self.fleet.has_exited(member)? {
+            self.exited += 1;
         } else if now < kill_at {
             let next = kill_at.min(now + END_CHECK_INTERVAL);
             self.schedule(next, Step::CheckEnd { member, kill_at });
--- a/crates/testbed/tests/faulty_network.rs
+++ b/crates/testbed/tests/faulty_network.rs
@@ -1,6 +1,6 @@
 //! Faults on datagrams follow from the seed, and datagrams reach the listener.
 
-use roseyard_testbed::faulty_network::{datagram_fate, FaultyNetwork, Rules};
+use roseyard_testbed::faulty_network::{datagram_faults, FaultyNetwork, Rules};
 use std::time::Duration;
 
 #[test]
@@ -13,25 +13,25 @@
         garble: 0.1,
         delay: (ms(1), ms(200)),
     };
-    let fates = |seed, direction| {
+    let faults_of = |seed, direction| {
         (0..2000)
-            .map(|n| datagram_fate(seed, direction, n, &rules))
+            .map(|n| datagram_faults(seed, direction, n, &rules))
             .collect::<Vec<_>>()
     };
-    assert_eq!(fates(5, (0, 1)), fates(5, (0, 1)));
+    assert_eq!(faults_of(5, (0, 1)), faults_of(5, (0, 1)));
     assert_ne!(
-        fates(5, (0, 1)),
-        fates(5, (1, 0)),
+        faults_of(5, (0, 1)),
+        faults_of(5, (1, 0)),
         "each direction has faults of its own"
     );
-    assert_ne!(fates(5, (0, 1)), fates(6, (0, 1)));
-    let lost = fates(5, (0, 1))
+    assert_ne!(faults_of(5, (0, 1)), faults_of(6, (0, 1)));
+    let lost = faults_of(5, (0, 1))
         .iter()
-        .filter(|fate| fate.after.is_empty())
+        .filter(|faults| faults.copy_delays.is_empty())
         .count();
     assert!((500..700).contains(&lost), "{lost} of 2000 at 0.3");
     let cut = Rules { cut: true, ..rules };
-    assert!((0..100).all(|n| datagram_fate(5, (0, 1), n, &cut).after.is_empty()));
+    assert!((0..100).all(|n| datagram_faults(5, (0, 1), n, &cut).copy_delays.is_empty()));
 }
 
 #[test]
--- a/crates/testbed/tests/scenario.rs
+++ b/crates/testbed/tests/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios are read from KDL.
 
 use roseyard_testbed::faulty_network::Rules;
-use roseyard_testbed::scenario::{FaultAction, Scenario, When};
+use roseyard_testbed::scenario::{FaultAction, Scenario, Trigger};
 use std::time::Duration;
 
 #[test]
@@ -25,7 +25,10 @@
             FaultAction::Net(Some((0, 1)), rules)
         ]
     );
-    assert_eq!(scenario.steps[1].when, When::Logged(0, "n3 gone".into()));
+    assert_eq!(
+        scenario.steps[1].trigger,
+        Trigger::Logged(0, "n3 gone".into())
+    );
     assert_eq!(scenario.steps[1].actions[0], FaultAction::Split(vec![0, 1]));
 }
 
