--- a/crates/ingress/src/routing/membership/mod.rs
+++ b/crates/ingress/src/routing/membership/mod.rs
@@ -19,8 +19,8 @@
 use keys::{fingerprints, read_keys};
 use roseyard_admission::{Gcra, Rate};
 use roseyard_membership::{
-    wire, Action, Dropped, Event, Guard, Key, MemberState, Metadata, Name, Received, Settings,
-    Stage, Swim,
+    wire, Action, Authenticator, DropReason, Event, Key, MemberState, Metadata, Name, Received,
+    Settings, Stage, Swim,
 };
 use roseyard_operator_config::{MembershipSettings, NamedAddress};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 pub struct MembershipDriver {
     socket: DatagramSocket,
     swim: Swim,
-    guard: Guard,
+    authenticator: Authenticator,
     /// The time for which a timer is set; `None` if none is set.
     deadline: Option<Duration>,
     /// Limit on outgoing datagrams.
@@ -53,7 +53,7 @@
     /// Datagrams received, sent and not sent, by their keys in the status file.
     counts: BTreeMap<&'static str, u64>,
     /// Datagrams that were received but not accepted, by reason.
-    dropped: BTreeMap<Dropped, u64>,
+    dropped: BTreeMap<DropReason, u64>,
     /// Empty between events; reused for its capacity.
     actions: Vec<Action>,
 }
@@ -92,7 +92,12 @@
         log_listening(name, address, &config.cluster, &keys);
         let settings = swim_settings(config);
         let mut driver = MembershipDriver {
-            guard: Guard::new(&config.cluster, keys, local_name, MAX_REMEMBERED_NAMES),
+            authenticator: Authenticator::new(
+                &config.cluster,
+                keys,
+                local_name,
+                MAX_REMEMBERED_NAMES,
+            ),
             swim: Swim::new(settings, local_name, address, generation, metadata, seed),
             socket,
             deadline: None,
@@ -102,7 +107,7 @@
             dropped: BTreeMap::new(),
             actions: Vec::new(),
         };
-        driver.handle(Event::Due, io);
+        driver.handle(Event::Timeout, io);
         Ok(Some(driver))
     }
 
@@ -118,7 +123,7 @@
                     keys = fingerprints,
                     "membership keys reloaded"
                 );
-                self.guard.set_keys(keys);
+                self.authenticator.set_keys(keys);
             }
             Err(error) => {
                 let error = error.to_string();
@@ -137,7 +142,7 @@
             stage: Stage::Serving,
             ..self.swim.local().metadata.clone()
         };
-        self.handle(Event::Metadata(metadata), io);
+        self.handle(Event::MetadataChanged(metadata), io);
     }
 
     /// Announces that this ingress leaves the cluster. Called when its shutdown begins.
@@ -163,7 +168,7 @@
     /// Called when the deadline of the state machine has come.
     pub fn on_deadline(&mut self, io: &mut Io) {
         self.deadline = None;
-        self.handle(Event::Due, io);
+        self.handle(Event::Timeout, io);
     }
 
     /// Returns the state of the members for the status file. `written` is the current Unix time in
@@ -183,9 +188,9 @@
     }
 
     /// Authenticates and parses a datagram.
-    fn open(&mut self, datagram: &[u8], source: SocketAddr) -> Result<Received, Dropped> {
-        let opened = self.guard.open(datagram)?;
-        let contents = wire::read(opened.body).ok_or(Dropped::Malformed)?;
+    fn open(&mut self, datagram: &[u8], source: SocketAddr) -> Result<Received, DropReason> {
+        let opened = self.authenticator.open(datagram)?;
+        let contents = wire::decode(opened.body).ok_or(DropReason::Malformed)?;
         Ok(Received {
             source,
             sender: opened.sender,
@@ -203,7 +208,7 @@
             self.carry_out(action, io);
         }
         self.actions = actions;
-        let deadline = self.swim.due();
+        let deadline = self.swim.next_timeout();
         if deadline != self.deadline {
             io.deadlines
                 .set(&mut self.deadline, deadline, EventSource::Membership);
@@ -214,7 +219,7 @@
     fn carry_out(&mut self, action: Action, io: &Io) {
         match action {
             Action::Send { to, body } => self.send(to, &body, io),
-            Action::Changed { name, from, to } => self.log_change(name, from, to),
+            Action::StateChanged { name, from, to } => self.log_change(name, from, to),
             Action::NameConflict { holder } => {
                 let name = self.swim.local().name;
                 tracing::warn!(
@@ -233,7 +238,7 @@
         if self.send_limiter.take(io.now, self.max_send_rate).is_err() {
             return self.count("not sent: over the bound");
         }
-        let sealed = self.guard.seal(self.swim.local().generation, body);
+        let sealed = self.authenticator.seal(self.swim.local().generation, body);
         if self.socket.send(&sealed, to) {
             self.count("sent");
         } else {
--- a/crates/ingress/src/routing/membership/status.rs
+++ b/crates/ingress/src/routing/membership/status.rs
@@ -1,6 +1,6 @@
 //! The state of the members of the cluster, as the status file stores it in JSON.
 
-use roseyard_membership::{Name, Swim, View};
+use roseyard_membership::{MemberView, Name, Swim};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -85,7 +85,7 @@
             held: swim.name_conflict().map(|holder| holder.to_string()),
             seen: quorum.seen,
             expected: quorum.expected,
-            quorum: quorum.holds(),
+            quorum: quorum.has_majority(),
             members: swim.views(now).filter_map(member_status).collect(),
             counts,
         }
@@ -93,7 +93,7 @@
 }
 
 /// Returns the status of a member; `None` if there is no record of it.
-fn member_status((name, view): (Name, View)) -> Option<MemberStatus> {
+fn member_status((name, view): (Name, MemberView)) -> Option<MemberStatus> {
     let record = view.record?;
     Some(MemberStatus {
         name: name.to_string(),
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -8,12 +8,12 @@
 /// What has happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The deadline of [`Swim::due`](crate::Swim::due) is over; also the first event of all.
-    Due,
+    /// The deadline of [`Swim::next_timeout`](crate::Swim::next_timeout) is over; also the first event of all.
+    Timeout,
     /// An authentic datagram was received.
     Received(Received),
     /// This ingress's own metadata changed to this.
-    Metadata(Metadata),
+    MetadataChanged(Metadata),
     /// This ingress leaves for good.
     Leave,
 }
@@ -44,7 +44,7 @@
         body: Vec<u8>,
     },
     /// The state of a member has changed.
-    Changed {
+    StateChanged {
         /// The member.
         name: Name,
         /// Its state before.
--- a/crates/membership/src/guard.rs
+++ b/crates/membership/src/guard.rs
@@ -58,19 +58,19 @@
 
 /// Why a datagram was dropped, without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Dropped {
+pub enum DropReason {
     /// Too short, too long, or not of the form of a datagram.
     #[error("malformed")]
     Malformed,
     /// Of another version of the protocol.
     #[error("another version")]
-    Version,
+    VersionMismatch,
     /// Of another cluster.
     #[error("another cluster")]
-    Cluster,
+    ClusterMismatch,
     /// Sealed with an unknown key, or altered on the way.
     #[error("not authentic")]
-    Forged,
+    NotAuthentic,
     /// Its sequence number was accepted before, or is too old to know.
     #[error("replayed")]
     Replayed,
@@ -136,7 +136,7 @@
 
 /// An authentic datagram that was not received before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened<'a> {
+pub struct OpenedDatagram<'a> {
     /// The member that sent it.
     pub sender: Name,
     /// The sender's generation.
@@ -147,7 +147,7 @@
 
 /// Seals the datagrams that are sent, and opens those that are received.
 #[derive(Debug)]
-pub struct Guard {
+pub struct Authenticator {
     cluster: [u8; 4],
     /// The first one seals, each of them opens.
     keys: Vec<Key>,
@@ -158,13 +158,13 @@
     max_senders: usize,
 }
 
-impl Guard {
+impl Authenticator {
     /// The guard of the member `local` in a cluster. The first key seals, each of them opens. At
     /// `max_senders`, datagrams of further senders are dropped.
-    pub fn new(cluster: &str, keys: Vec<Key>, local: Name, max_senders: usize) -> Guard {
+    pub fn new(cluster: &str, keys: Vec<Key>, local: Name, max_senders: usize) -> Authenticator {
         let digest = Sha256::digest(cluster.as_bytes());
         let cluster = [digest[0], digest[1], digest[2], digest[3]];
-        Guard {
+        Authenticator {
             cluster,
             keys,
             local,
@@ -209,27 +209,27 @@
     /// # Errors
     ///
     /// The reason for which the datagram is dropped.
-    pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<Opened<'a>, Dropped> {
+    pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<OpenedDatagram<'a>, DropReason> {
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < PREFIX_BYTES + TAG_BYTES {
-            return Err(Dropped::Malformed);
+            return Err(DropReason::Malformed);
         }
         if bytes[0] != VERSION {
-            return Err(Dropped::Version);
+            return Err(DropReason::VersionMismatch);
         }
         if bytes[3..PREFIX_BYTES] != self.cluster {
-            return Err(Dropped::Cluster);
+            return Err(DropReason::ClusterMismatch);
         }
         let (signed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         if !self.is_authentic(signed, tag) {
-            return Err(Dropped::Forged);
+            return Err(DropReason::NotAuthentic);
         }
         let (header, body) = postcard::take_from_bytes::<Header>(&signed[PREFIX_BYTES..])
-            .map_err(|_| Dropped::Malformed)?;
+            .map_err(|_| DropReason::Malformed)?;
         if header.sender.is_empty() {
-            return Err(Dropped::Malformed);
+            return Err(DropReason::Malformed);
         }
         self.accept_sequence(&header)?;
-        Ok(Opened {
+        Ok(OpenedDatagram {
             sender: header.sender,
             generation: header.generation,
             body,
@@ -252,16 +252,16 @@
     }
 
     /// Accepts a sequence number of a sender once.
-    fn accept_sequence(&mut self, header: &Header) -> Result<(), Dropped> {
+    fn accept_sequence(&mut self, header: &Header) -> Result<(), DropReason> {
         if let Some(window) = self.windows.get_mut(&header.sender) {
             return if window.accept(header.generation, header.sequence) {
                 Ok(())
             } else {
-                Err(Dropped::Replayed)
+                Err(DropReason::Replayed)
             };
         }
         if self.windows.len() >= self.max_senders {
-            return Err(Dropped::TooManySenders);
+            return Err(DropReason::TooManySenders);
         }
         let window = ReplayWindow::new(header.generation, header.sequence);
         self.windows.insert(header.sender, window);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Swim`] is the protocol: SWIM with suspicion and incarnations (Das, Gupta, Motivala 2002) and
 //! local health (Dadgar, Phillips, Currey 2017, "Lifeguard"). It performs no I/O and reads no
 //! clock: [`Swim::handle`] takes one event at a time and appends the actions to perform,
-//! [`Swim::due`] is the deadline of the next call. [`Guard`] authenticates datagrams and drops
+//! [`Swim::next_timeout`] is the deadline of the next call. [`Authenticator`] authenticates datagrams and drops
 //! forged and replayed ones. [`wire`] packs a datagram of at most 256 bytes.
 //!
 //! What a caller sees is a [`MemberState`]: a member without any record is `NeverSeen`, not `Dead`,
@@ -20,8 +20,8 @@
 pub mod wire;
 
 pub use event::{Action, Event, Received};
-pub use guard::{Dropped, Guard, Key, Opened};
+pub use guard::{Authenticator, DropReason, Key, OpenedDatagram};
 pub use record::{Metadata, Name, Record, Stage, Status};
 pub use settings::Settings;
 pub use swim::Swim;
-pub use view::{Counts, MemberState, Quorum, View};
+pub use view::{Counts, MemberState, MemberView, Quorum};
--- a/crates/membership/src/swim/apply.rs
+++ b/crates/membership/src/swim/apply.rs
@@ -26,7 +26,7 @@
             self.updates.enqueue(update.name);
         }
         if from != to {
-            actions.push(Action::Changed {
+            actions.push(Action::StateChanged {
                 name: update.name,
                 from,
                 to,
@@ -52,7 +52,7 @@
         self.members.insert(member);
         self.updates.enqueue(update.name);
         self.probe_order.insert(update.name, &mut self.rng);
-        actions.push(Action::Changed {
+        actions.push(Action::StateChanged {
             name: update.name,
             from: MemberState::NeverSeen,
             to,
--- a/crates/membership/src/swim/gossip.rs
+++ b/crates/membership/src/swim/gossip.rs
@@ -43,7 +43,7 @@
     ) {
         let mut sent = Vec::new();
         for (transmissions, name) in &self.queue {
-            if !record_of(name).is_some_and(|record| body.add(record)) {
+            if !record_of(name).is_some_and(|record| body.try_push(record)) {
                 break;
             }
             sent.push((*transmissions, *name));
@@ -85,18 +85,18 @@
         let mut body = Body::new(message);
         let subject = subject.and_then(|name| self.members.get(&name));
         if let Some(member) = subject.filter(|member| member.is_suspect()) {
-            let _ = body.add(&member.record);
+            let _ = body.try_push(&member.record);
         }
         if *message == Message::Join {
             // A request to join is answered by the sender's own record.
-            let _ = body.add(&self.local);
+            let _ = body.try_push(&self.local);
         }
         if self.join.name_conflict.is_none() {
             self.piggyback_updates(&mut body);
         }
         actions.push(Action::Send {
             to,
-            body: body.bytes(),
+            body: body.into_bytes(),
         });
     }
 
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -21,7 +21,7 @@
 use crate::event::{Action, Event};
 use crate::record::{Metadata, Name, Record, Stage, Status};
 use crate::settings::Settings;
-use crate::view::{Counts, MemberState, Quorum, View};
+use crate::view::{Counts, MemberState, MemberView, Quorum};
 use gossip::UpdateQueue;
 use health::LocalHealth;
 use join::JoinState;
@@ -123,14 +123,14 @@
     }
 
     /// A member as seen from here.
-    pub fn view(&self, name: &Name, now: Duration) -> View {
+    pub fn view(&self, name: &Name, now: Duration) -> MemberView {
         match self.members.get(name) {
-            None => View {
+            None => MemberView {
                 state: MemberState::NeverSeen,
                 record: None,
                 age: None,
             },
-            Some(member) => View {
+            Some(member) => MemberView {
                 state: member.state(),
                 record: Some(member.record.clone()),
                 age: Some(now.saturating_sub(member.last_received_at)),
@@ -139,7 +139,7 @@
     }
 
     /// All other members that there are records of.
-    pub fn views(&self, now: Duration) -> impl Iterator<Item = (Name, View)> + '_ {
+    pub fn views(&self, now: Duration) -> impl Iterator<Item = (Name, MemberView)> + '_ {
         self.members
             .names()
             .map(move |name| (*name, self.view(name, now)))
@@ -180,9 +180,9 @@
         }
         self.absorb_stall(now);
         match event {
-            Event::Due => {}
+            Event::Timeout => {}
             Event::Received(received) => self.on_received(received, now, actions),
-            Event::Metadata(metadata) => self.set_metadata(metadata),
+            Event::MetadataChanged(metadata) => self.set_metadata(metadata),
             Event::Leave => self.leave(now),
         }
         self.run_timers(now, actions);
--- a/crates/membership/src/swim/sync.rs
+++ b/crates/membership/src/swim/sync.rs
@@ -133,7 +133,7 @@
             };
             actions.push(Action::Send {
                 to,
-                body: body.bytes(),
+                body: body.into_bytes(),
             });
             if complete {
                 return;
@@ -156,7 +156,10 @@
 /// A body with as many of the records as fit, and their number.
 fn fill_page(message: &Message, records: &[Record]) -> (Body, usize) {
     let mut body = Body::new(message);
-    let sent = records.iter().take_while(|record| body.add(record)).count();
+    let sent = records
+        .iter()
+        .take_while(|record| body.try_push(record))
+        .count();
     (body, sent)
 }
 
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -21,8 +21,8 @@
 }
 
 impl Swim {
-    /// The time of the next [`Event::Due`](crate::Event::Due).
-    pub fn due(&self) -> Option<Duration> {
+    /// The time of the next [`Event::Timeout`](crate::Event::Timeout).
+    pub fn next_timeout(&self) -> Option<Duration> {
         if !self.started {
             return Some(Duration::ZERO);
         }
@@ -61,7 +61,7 @@
     /// are moved by the time of its stall.
     pub(super) fn absorb_stall(&mut self, now: Duration) {
         let stall = self
-            .due()
+            .next_timeout()
             .map_or(Duration::ZERO, |due| now.saturating_sub(due));
         if stall < self.settings.probe_timeout {
             return;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -44,7 +44,7 @@
 
 /// A member as seen from here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct MemberView {
     /// Its state.
     pub state: MemberState,
     /// The latest record of it, if there is one.
@@ -64,7 +64,7 @@
 
 impl Quorum {
     /// Does this ingress see more than half of them? No two sides of a partition do at once.
-    pub fn holds(&self) -> bool {
+    pub fn has_majority(&self) -> bool {
         2 * self.seen > self.expected
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -57,7 +57,7 @@
 
     /// Adds a record; false, and nothing added, if it does not fit.
     #[must_use]
-    pub fn add(&mut self, record: &Record) -> bool {
+    pub fn try_push(&mut self, record: &Record) -> bool {
         let mut buffer = [0; MAX_BODY_BYTES];
         let Ok(bytes) = postcard::to_slice(record, &mut buffer) else {
             return false;
@@ -70,14 +70,14 @@
     }
 
     /// The bytes of the body.
-    pub fn bytes(self) -> Vec<u8> {
+    pub fn into_bytes(self) -> Vec<u8> {
         self.0
     }
 }
 
 /// The contents of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Contents {
+pub struct DecodedBody {
     /// The message.
     pub message: Message,
     /// The records that are piggybacked on it.
@@ -86,7 +86,7 @@
 
 /// The contents of a body; none if any of its bytes is malformed.
 #[must_use]
-pub fn read(body: &[u8]) -> Option<Contents> {
+pub fn decode(body: &[u8]) -> Option<DecodedBody> {
     let (message, mut rest) = postcard::take_from_bytes::<Message>(body).ok()?;
     let mut records = Vec::new();
     while !rest.is_empty() {
@@ -97,5 +97,5 @@
         records.push(record);
         rest = more;
     }
-    Some(Contents { message, records })
+    Some(DecodedBody { message, records })
 }
--- a/crates/membership/tests/checker.rs
+++ b/crates/membership/tests/checker.rs
@@ -34,7 +34,7 @@
             Metadata::default(),
             1,
         );
-        swim.handle(NOW, Event::Due, &mut Vec::new());
+        swim.handle(NOW, Event::Timeout, &mut Vec::new());
         Node(swim)
     }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -30,7 +30,7 @@
 
 pub(crate) struct Member {
     pub swim: Swim,
-    guard: Guard,
+    authenticator: Authenticator,
     /// Paused: datagrams are buffered until it is resumed.
     pub paused: bool,
     buffered: Vec<(SocketAddr, Vec<u8>)>,
@@ -119,15 +119,15 @@
             metadata,
             seed,
         );
-        let guard = Guard::new("test", vec![Key::new(&[7; 32])], name(named), 4096);
+        let authenticator = Authenticator::new("test", vec![Key::new(&[7; 32])], name(named), 4096);
         let member = Member {
             swim,
-            guard,
+            authenticator,
             paused: false,
             buffered: Vec::new(),
         };
         self.members.insert(n, member);
-        self.handle(n, Event::Due);
+        self.handle(n, Event::Timeout);
     }
 
     /// Kills a member: it loses all its state.
@@ -141,7 +141,7 @@
             self.deadlines.remove(&(at, n));
         }
         let running = self.members.get(&n).filter(|member| !member.paused);
-        if let Some(at) = running.and_then(|member| member.swim.due()) {
+        if let Some(at) = running.and_then(|member| member.swim.next_timeout()) {
             self.deadline_of.insert(n, at);
             self.deadlines.insert((at, n));
         }
@@ -159,7 +159,7 @@
         for (source, bytes) in buffered {
             self.deliver(n, source, &bytes);
         }
-        self.handle(n, Event::Due);
+        self.handle(n, Event::Timeout);
     }
 
     /// Hands an event to a member, and carries out what it does.
@@ -174,11 +174,11 @@
         for action in actions {
             match action {
                 Action::Send { to, body } => {
-                    let guard = &mut self.members.get_mut(&n).unwrap().guard;
-                    let bytes = guard.seal(generation, &body);
+                    let authenticator = &mut self.members.get_mut(&n).unwrap().authenticator;
+                    let bytes = authenticator.seal(generation, &body);
                     self.send(n, to, bytes);
                 }
-                Action::Changed { name, from, to } => {
+                Action::StateChanged { name, from, to } => {
                     self.changes.push(Change {
                         at: self.now,
                         observer: n,
@@ -217,10 +217,10 @@
             }
             return;
         }
-        let Ok(opened) = member.guard.open(bytes) else {
+        let Ok(opened) = member.authenticator.open(bytes) else {
             return;
         };
-        let contents = wire::read(opened.body).expect("a body that a member wrote");
+        let contents = wire::decode(opened.body).expect("a body that a member wrote");
         let received = Received {
             source,
             sender: opened.sender,
@@ -247,7 +247,7 @@
             let datagram = self.network.take_next().unwrap();
             self.deliver(datagram.to, datagram.source, &datagram.bytes);
         } else if let Some((_, n)) = deadline {
-            self.handle(n, Event::Due);
+            self.handle(n, Event::Timeout);
         }
         true
     }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -79,11 +79,11 @@
 #[test]
 fn the_last_of_five_members_has_no_quorum() {
     let mut fleet = Fleet::converged(5, settings(5), 3);
-    assert!(fleet.members[&4].swim.quorum().holds());
+    assert!(fleet.members[&4].swim.quorum().has_majority());
     (0..4).for_each(|n| fleet.kill(n));
     let alone = |fleet: &Fleet| (0..4).all(|n| fleet.state(4, n) == MemberState::Dead);
     assert!(fleet.run_until(ms(180_000), alone).is_some());
-    assert!(!fleet.members[&4].swim.quorum().holds());
+    assert!(!fleet.members[&4].swim.quorum().has_majority());
     (0..4).for_each(|n| fleet.start(n));
     assert!(fleet.run_until(ms(30_000), Fleet::has_converged).is_some());
 }
@@ -120,7 +120,8 @@
         fleet.start(4);
         fleet.run(ms(30_000));
         assert!(
-            !fleet.members[&0].swim.quorum().holds() && fleet.members[&2].swim.quorum().holds()
+            !fleet.members[&0].swim.quorum().has_majority()
+                && fleet.members[&2].swim.quorum().has_majority()
         );
         fleet.network.blocked.clear();
         let took = fleet.run_until(ms(40_000), Fleet::has_converged);
@@ -273,7 +274,10 @@
         (view.state, view.age, view.record),
         (MemberState::NeverSeen, None, None)
     );
-    assert!(fleet.members[&0].swim.quorum().holds(), "three of five");
+    assert!(
+        fleet.members[&0].swim.quorum().has_majority(),
+        "three of five"
+    );
 }
 
 #[test]
@@ -284,7 +288,7 @@
         stage: Stage::Leaving,
         ..Metadata::default()
     };
-    fleet.handle(7, Event::Metadata(metadata.clone()));
+    fleet.handle(7, Event::MetadataChanged(metadata.clone()));
     let known = |fleet: &Fleet| {
         (0..20).filter(|n| *n != 7).all(|n| {
             fleet.members[&n]
--- a/crates/membership/tests/guard.rs
+++ b/crates/membership/tests/guard.rs
@@ -6,87 +6,106 @@
     Name::from(text).unwrap()
 }
 
-fn guard(local: &str, keys: &[u8]) -> Guard {
+fn authenticator(local: &str, keys: &[u8]) -> Authenticator {
     let keys = keys.iter().map(|k| Key::new(&[*k; 32])).collect();
-    Guard::new("east", keys, name(local), 3)
+    Authenticator::new("east", keys, name(local), 3)
 }
 
 #[test]
 fn a_sealed_datagram_opens_once() {
-    let (mut a, mut b) = (guard("a", &[1]), guard("b", &[1]));
+    let (mut a, mut b) = (authenticator("a", &[1]), authenticator("b", &[1]));
     let sealed = a.seal(7, b"body");
     assert_eq!(
         b.open(&sealed).unwrap(),
-        Opened {
+        OpenedDatagram {
             sender: name("a"),
             generation: 7,
             body: b"body"
         }
     );
-    assert_eq!(b.open(&sealed), Err(Dropped::Replayed));
+    assert_eq!(b.open(&sealed), Err(DropReason::Replayed));
 }
 
 #[test]
 fn a_datagram_with_any_changed_byte_is_dropped() {
-    let sealed = guard("a", &[1]).seal(7, b"body");
+    let sealed = authenticator("a", &[1]).seal(7, b"body");
     for at in 0..sealed.len() {
         let mut bytes = sealed.clone();
         bytes[at] ^= 0x10;
-        assert!(guard("b", &[1]).open(&bytes).is_err(), "byte {at}");
+        assert!(authenticator("b", &[1]).open(&bytes).is_err(), "byte {at}");
     }
     for end in 0..sealed.len() {
         assert!(
-            guard("b", &[1]).open(&sealed[..end]).is_err(),
+            authenticator("b", &[1]).open(&sealed[..end]).is_err(),
             "cut at {end}"
         );
     }
-    assert_eq!(guard("b", &[1]).open(&[1; 257]), Err(Dropped::Malformed));
+    assert_eq!(
+        authenticator("b", &[1]).open(&[1; 257]),
+        Err(DropReason::Malformed)
+    );
 }
 
 #[test]
 fn another_key_cluster_or_version_has_its_reason() {
-    let sealed = guard("a", &[1]).seal(7, b"body");
-    assert_eq!(guard("b", &[2]).open(&sealed), Err(Dropped::Forged));
-    let mut other = Guard::new("west", vec![Key::new(&[1; 32])], name("b"), 3);
-    assert_eq!(other.open(&sealed), Err(Dropped::Cluster));
+    let sealed = authenticator("a", &[1]).seal(7, b"body");
+    assert_eq!(
+        authenticator("b", &[2]).open(&sealed),
+        Err(DropReason::NotAuthentic)
+    );
+    let mut other = Authenticator::new("west", vec![Key::new(&[1; 32])], name("b"), 3);
+    assert_eq!(other.open(&sealed), Err(DropReason::ClusterMismatch));
     let mut old = sealed;
     old[0] = 9;
-    assert_eq!(guard("b", &[1]).open(&old), Err(Dropped::Version));
+    assert_eq!(
+        authenticator("b", &[1]).open(&old),
+        Err(DropReason::VersionMismatch)
+    );
 }
 
 #[test]
 fn of_two_keys_both_open_and_the_first_seals() {
-    let (mut old, mut both, mut new) = (guard("a", &[1]), guard("b", &[2, 1]), guard("c", &[2]));
+    let (mut old, mut both, mut new) = (
+        authenticator("a", &[1]),
+        authenticator("b", &[2, 1]),
+        authenticator("c", &[2]),
+    );
     assert!(both.open(&old.seal(1, b"")).is_ok());
     assert!(both.open(&new.seal(1, b"")).is_ok());
     assert!(new.open(&both.seal(1, b"")).is_ok());
-    assert_eq!(old.open(&both.seal(1, b"")), Err(Dropped::Forged));
+    assert_eq!(old.open(&both.seal(1, b"")), Err(DropReason::NotAuthentic));
 }
 
 #[test]
 fn sequence_numbers_are_accepted_once_in_any_order_within_64_of_the_latest_generation() {
-    let (mut a, mut b) = (guard("a", &[1]), guard("b", &[1]));
+    let (mut a, mut b) = (authenticator("a", &[1]), authenticator("b", &[1]));
     let sent: Vec<_> = (0..80).map(|_| a.seal(5, b"")).collect();
     assert!(b.open(&sent[79]).is_ok());
     assert!(b.open(&sent[20]).is_ok(), "59 below the highest");
-    assert_eq!(b.open(&sent[20]), Err(Dropped::Replayed));
-    assert_eq!(b.open(&sent[3]), Err(Dropped::Replayed), "too old to know");
+    assert_eq!(b.open(&sent[20]), Err(DropReason::Replayed));
+    assert_eq!(
+        b.open(&sent[3]),
+        Err(DropReason::Replayed),
+        "too old to know"
+    );
     assert!(b.open(&a.seal(6, b"")).is_ok());
     assert_eq!(
         b.open(&sent[40]),
-        Err(Dropped::Replayed),
+        Err(DropReason::Replayed),
         "of the generation before"
     );
 }
 
 #[test]
 fn the_number_of_senders_is_limited() {
-    let mut b = guard("b", &[1]);
+    let mut b = authenticator("b", &[1]);
     for n in 0..3 {
-        assert!(b.open(&guard(&format!("n{n}"), &[1]).seal(1, b"")).is_ok());
+        assert!(b
+            .open(&authenticator(&format!("n{n}"), &[1]).seal(1, b""))
+            .is_ok());
     }
     assert_eq!(
-        b.open(&guard("n9", &[1]).seal(1, b"")),
-        Err(Dropped::TooManySenders)
+        b.open(&authenticator("n9", &[1]).seal(1, b"")),
+        Err(DropReason::TooManySenders)
     );
 }
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -79,10 +79,10 @@
     fn random_bytes_are_read_to_their_end_or_not_at_all(
         bytes in prop::collection::vec(any::<u8>(), 0..230),
     ) {
-        if let Some(wire::Contents { message, records }) = wire::read(&bytes) {
+        if let Some(wire::DecodedBody { message, records }) = wire::decode(&bytes) {
             let mut body = wire::Body::new(&message);
             for record in &records {
-                prop_assert!(body.add(record) || bytes.len() > 180);
+                prop_assert!(body.try_push(record) || bytes.len() > 180);
             }
         }
     }
@@ -90,8 +90,8 @@
     #[test]
     fn records_are_read_as_they_were_written(records in prop::collection::vec(record(), 0..12)) {
         let mut body = wire::Body::new(&wire::Message::Ping(7));
-        let written: Vec<_> = records.into_iter().take_while(|record| body.add(record)).collect();
-        let contents = wire::Contents { message: wire::Message::Ping(7), records: written };
-        prop_assert_eq!(wire::read(&body.bytes()), Some(contents));
+        let written: Vec<_> = records.into_iter().take_while(|record| body.try_push(record)).collect();
+        let contents = wire::DecodedBody { message: wire::Message::Ping(7), records: written };
+        prop_assert_eq!(wire::decode(&body.into_bytes()), Some(contents));
     }
 }
--- a/crates/membership/tests/wire_bytes.rs
+++ b/crates/membership/tests/wire_bytes.rs
@@ -1,7 +1,7 @@
 //! The bytes of datagrams, as members of earlier releases write and read them.
 
-use roseyard_membership::wire::{self, Body, Contents, Message};
-use roseyard_membership::{Guard, Key, Metadata, Name, Record, Stage, Status};
+use roseyard_membership::wire::{self, Body, DecodedBody, Message};
+use roseyard_membership::{Authenticator, Key, Metadata, Name, Record, Stage, Status};
 
 const GENERATION: u64 = 1_790_000_000_000;
 
@@ -9,8 +9,8 @@
     Name::from(text).expect("a short name")
 }
 
-fn guard(local: &str) -> Guard {
-    Guard::new("east", vec![Key::new(&[7; 32])], name(local), 3)
+fn authenticator(local: &str) -> Authenticator {
+    Authenticator::new("east", vec![Key::new(&[7; 32])], name(local), 3)
 }
 
 fn record() -> Record {
@@ -104,24 +104,29 @@
 
 #[test]
 fn datagrams_are_written_as_before() {
-    let mut guard = guard("n1");
+    let mut authenticator = authenticator("n1");
     for (message, expected) in datagrams() {
         let mut body = Body::new(&message);
-        assert!(body.add(&record()));
-        let sealed = guard.seal(GENERATION, &body.bytes());
+        assert!(body.try_push(&record()));
+        let sealed = authenticator.seal(GENERATION, &body.into_bytes());
         assert_eq!(hexadecimal(&sealed), expected, "{message:?}");
     }
 }
 
 #[test]
 fn datagrams_of_before_are_read() {
-    let mut guard = guard("n2");
+    let mut authenticator = authenticator("n2");
     for (message, digits) in datagrams() {
         let datagram = from_hexadecimal(digits);
-        let opened = guard.open(&datagram).expect("the datagram is authentic");
+        let opened = authenticator
+            .open(&datagram)
+            .expect("the datagram is authentic");
         assert_eq!(opened.sender, name("n1"));
         assert_eq!(opened.generation, GENERATION);
         let records = vec![record()];
-        assert_eq!(wire::read(opened.body), Some(Contents { message, records }));
+        assert_eq!(
+            wire::decode(opened.body),
+            Some(DecodedBody { message, records })
+        );
     }
 }
--- a/crates/testbed/src/scale/membership/fleet.rs
+++ b/crates/testbed/src/scale/membership/fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet whose members are all real, in virtual time.
 
-use super::peers::{guard, number_at, swim, Datagram, NETWORK_LATENCY};
+use super::peers::{authenticator, number_at, swim, Datagram, NETWORK_LATENCY};
 use crate::scale::measure::processor_time;
-use roseyard_membership::{Action, Event, Guard, Swim};
+use roseyard_membership::{Action, Authenticator, Event, Swim};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 
 struct FleetMember {
     swim: Swim,
-    guard: Guard,
+    authenticator: Authenticator,
     /// When its next timer is due.
     due: Option<Duration>,
     dead: bool,
@@ -57,7 +57,7 @@
     pub(super) fn new(members: usize, seed: u64) -> VirtualFleet {
         let member = |number: usize| FleetMember {
             swim: swim(number, members, seed.wrapping_add(number as u64)),
-            guard: guard(number, members),
+            authenticator: authenticator(number, members),
             due: None,
             dead: false,
         };
@@ -71,7 +71,7 @@
             split: None,
         };
         for number in 0..members {
-            fleet.handle(number, Event::Due);
+            fleet.handle(number, Event::Timeout);
         }
         fleet
     }
@@ -84,7 +84,9 @@
             let Action::Send { to, body } = action else {
                 continue;
             };
-            let bytes = member.guard.seal(member.swim.local().generation, &body);
+            let bytes = member
+                .authenticator
+                .seal(member.swim.local().generation, &body);
             self.datagrams_sent += 1;
             self.bytes += bytes.len() as u64;
             let datagram = Datagram {
@@ -95,7 +97,7 @@
             let arrival = (self.now + NETWORK_LATENCY, self.datagrams_sent);
             self.in_flight.insert(arrival, datagram);
         }
-        let due = member.swim.due();
+        let due = member.swim.next_timeout();
         if let Some(at) = std::mem::replace(&mut member.due, due) {
             self.timers.remove(&(at, number));
         }
@@ -117,7 +119,7 @@
             }
             (_, Some((at, number))) => {
                 self.now = self.now.max(at);
-                self.handle(number, Event::Due);
+                self.handle(number, Event::Timeout);
             }
             _ => {}
         }
@@ -135,7 +137,7 @@
         if receiver.dead {
             return;
         }
-        if let Some(event) = datagram.open(&mut receiver.guard) {
+        if let Some(event) = datagram.open(&mut receiver.authenticator) {
             self.handle(datagram.to, event);
         }
     }
--- a/crates/testbed/src/scale/membership/peers.rs
+++ b/crates/testbed/src/scale/membership/peers.rs
@@ -1,7 +1,8 @@
 //! The members by number: their names, addresses, records and protocol states.
 
 use roseyard_membership::{
-    wire, Event, Guard, Key, Metadata, Name, Received, Record, Settings, Stage, Status, Swim,
+    wire, Authenticator, Event, Key, Metadata, Name, Received, Record, Settings, Stage, Status,
+    Swim,
 };
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -27,10 +28,10 @@
 }
 
 impl Datagram {
-    /// Opens it with the receiver's guard; none if it is not valid.
-    pub(super) fn open(&self, guard: &mut Guard) -> Option<Event> {
-        let opened = guard.open(&self.bytes).ok()?;
-        let contents = wire::read(opened.body)?;
+    /// Verifies and decodes the datagram as its receiver does; none if it is not valid.
+    pub(super) fn open(&self, authenticator: &mut Authenticator) -> Option<Event> {
+        let opened = authenticator.open(&self.bytes).ok()?;
+        let contents = wire::decode(opened.body)?;
         Some(Event::Received(Received {
             source: address(self.from),
             sender: opened.sender,
@@ -79,9 +80,9 @@
     }
 }
 
-/// The guard of a member, for this many peers.
-pub(super) fn guard(number: usize, members: usize) -> Guard {
-    Guard::new("scale", vec![Key::new(&[7; 32])], name(number), members + 1)
+/// The authenticator of a member that has this many peers.
+pub(super) fn authenticator(number: usize, members: usize) -> Authenticator {
+    Authenticator::new("scale", vec![Key::new(&[7; 32])], name(number), members + 1)
 }
 
 /// The protocol state of a member of a fleet of this size.
--- a/crates/testbed/src/scale/membership/single_member.rs
+++ b/crates/testbed/src/scale/membership/single_member.rs
@@ -1,15 +1,15 @@
 //! One real member whose pings are answered by simulated peers in the real wire form.
 
-use super::peers::{guard, number_at, record, swim, Datagram, GENERATION, NETWORK_LATENCY};
+use super::peers::{authenticator, number_at, record, swim, Datagram, GENERATION, NETWORK_LATENCY};
 use crate::scale::measure::timed;
-use roseyard_membership::{wire, Action, Event, Guard, Name, Swim};
+use roseyard_membership::{wire, Action, Authenticator, Event, Name, Swim};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Updates of a sample.
 const UPDATES: usize = 40;
-/// Peers of the guard of a simulated peer.
-const PEER_GUARD_MEMBERS: usize = 4;
+/// The fleet size for which the authenticator of a simulated peer is created.
+const PEER_FLEET_SIZE: usize = 4;
 /// The protocol period, in which one of the peers pings the member.
 const PERIOD: Duration = Duration::from_secs(1);
 /// The peer that sends pages and updates.
@@ -18,8 +18,8 @@
 pub(super) struct SingleMember {
     now: Duration,
     swim: Swim,
-    guard: Guard,
-    peers: Vec<Guard>,
+    authenticator: Authenticator,
+    peers: Vec<Authenticator>,
     /// Replies of the peers by arrival, then by the order of sending.
     replies: BTreeMap<(Duration, u64), Datagram>,
     serial: u64,
@@ -34,11 +34,11 @@
 impl SingleMember {
     /// A member of a fleet of this size.
     pub(super) fn new(members: usize, seed: u64) -> SingleMember {
-        let peer = |number| guard(number, PEER_GUARD_MEMBERS);
+        let peer = |number| authenticator(number, PEER_FLEET_SIZE);
         SingleMember {
             now: Duration::ZERO,
             swim: swim(0, members, seed),
-            guard: guard(0, members),
+            authenticator: authenticator(0, members),
             peers: (0..members).map(peer).collect(),
             replies: BTreeMap::new(),
             serial: 0,
@@ -52,13 +52,13 @@
             processor_time: Duration::ZERO,
         };
         let mut next = 1;
-        self.handle(Event::Due);
+        self.handle(Event::Timeout);
         while next < members {
             let mut body = wire::Body::new(&wire::Message::Page(Name::new()));
-            while next < members && body.add(&record(next, GENERATION)) {
+            while next < members && body.try_push(&record(next, GENERATION)) {
                 next += 1;
             }
-            let datagram = self.datagram_from(SENDER, &body.bytes());
+            let datagram = self.datagram_from(SENDER, &body.into_bytes());
             cost.bytes += datagram.bytes.len();
             let (_, took) = timed(|| self.deliver(&datagram));
             cost.processor_time += took;
@@ -76,7 +76,7 @@
     }
 
     fn deliver(&mut self, datagram: &Datagram) {
-        if let Some(event) = datagram.open(&mut self.guard) {
+        if let Some(event) = datagram.open(&mut self.authenticator) {
             self.handle(event);
         }
     }
@@ -89,13 +89,13 @@
                 continue;
             };
             // Sealed in any case, as its cost is measured.
-            let sealed = self.guard.seal(GENERATION, &body);
-            let message = wire::read(&body).map(|contents| contents.message);
+            let sealed = self.authenticator.seal(GENERATION, &body);
+            let message = wire::decode(&body).map(|contents| contents.message);
             let Some(wire::Message::Ping(number)) = message else {
                 continue;
             };
             std::hint::black_box(sealed);
-            let ack = wire::Body::new(&wire::Message::Ack(number)).bytes();
+            let ack = wire::Body::new(&wire::Message::Ack(number)).into_bytes();
             let reply = self.datagram_from(number_at(to), &ack);
             self.serial += 1;
             let arrival = (self.now + NETWORK_LATENCY, self.serial);
@@ -110,7 +110,7 @@
         let mut ping_at = self.now;
         while self.now < until {
             let reply = self.replies.keys().next().copied();
-            let due = self.swim.due().unwrap_or(until);
+            let due = self.swim.next_timeout().unwrap_or(until);
             let next = reply
                 .map_or(due, |(at, _)| at.min(due))
                 .min(ping_at)
@@ -123,7 +123,7 @@
                 ping_at += PERIOD;
                 self.receive_ping();
             } else {
-                self.handle(Event::Due);
+                self.handle(Event::Timeout);
             }
         }
     }
@@ -131,7 +131,7 @@
     fn receive_ping(&mut self) {
         self.serial += 1;
         let peer = 1 + self.serial as usize % (self.peers.len() - 1).max(1);
-        let ping = wire::Body::new(&wire::Message::Ping(self.serial as u32)).bytes();
+        let ping = wire::Body::new(&wire::Message::Ping(self.serial as u32)).into_bytes();
         let datagram = self.datagram_from(peer, &ping);
         self.deliver(&datagram);
     }
@@ -143,8 +143,8 @@
             let serial = round * UPDATES + number;
             let subject = 2 + serial % members.saturating_sub(2).max(1);
             let mut body = wire::Body::new(&wire::Message::Gossip);
-            let _ = body.add(&record(subject, GENERATION + 1 + serial as u64));
-            let datagram = self.datagram_from(SENDER, &body.bytes());
+            let _ = body.try_push(&record(subject, GENERATION + 1 + serial as u64));
+            let datagram = self.datagram_from(SENDER, &body.into_bytes());
             let (_, took) = timed(|| self.deliver(&datagram));
             spent += took;
         }
