--- a/crates/ingress/tests/discovery_watch.rs
+++ b/crates/ingress/tests/discovery_watch.rs
@@ -129,7 +129,7 @@
             "{fault:?}: the list was not received"
         );
         // A change counts as notified after 6 s, whether or not it was received. After a migration
-        // only the grace is allowed.
+        // the list arrives at once, so that only the grace is allowed.
         let max_elapsed =
             Duration::from_millis(if unanswered_calls > 0 { 6000 } else { 0 } + grace);
         assert!(
--- a/crates/ingress/tests/endpoint_list_parsing.rs
+++ b/crates/ingress/tests/endpoint_list_parsing.rs
@@ -40,8 +40,8 @@
     );
 }
 
-/// Returns the lists that are found in a text that arrives in these parts.
-fn split_lines(parts: &[&str]) -> Vec<String> {
+/// Feeds the parts of a text to the splitter one by one and returns the lists that it finds.
+fn split_lists(parts: &[&str]) -> Vec<String> {
     let (mut splitter, mut found) = (ListSplitter::default(), Vec::new());
     parts
         .iter()
@@ -62,7 +62,7 @@
         "}\n",
         "]]\n",
     ] {
-        let all = split_lines(&[truncated, "{\"rev\":1}\n", "\n"]);
+        let all = split_lists(&[truncated, "{\"rev\":1}\n", "\n"]);
         assert_eq!(all.len(), 3, "{truncated:?}: {all:?}");
         assert_eq!(all[1..], ["{\"rev\":1}", ""], "{truncated:?}");
     }
@@ -87,7 +87,7 @@
             parts.push(part);
             rest = remainder;
         }
-        let all = split_lines(&parts);
+        let all = split_lists(&parts);
         prop_assert_eq!(all.len(), 2 * names.len());
         for (pair, name) in all.chunks(2).zip(&names) {
             let value: serde_json::Value = serde_json::from_str(&pair[0]).unwrap();
--- a/crates/ingress/tests/endpoint_lists.rs
+++ b/crates/ingress/tests/endpoint_lists.rs
@@ -301,7 +301,7 @@
         harness.read_line(&mut client).starts_with("-BUSY"),
         "the endpoint list of the configuration may be outdated"
     );
-    // Discovery's reply and the next request arrive in the same round.
+    // Discovery's reply and the next request arrive in the same iteration of the event loop.
     let update = endpoint_list(
         42,
         false,
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_drain_is_applied_before_the_requests_of_the_same_round() {
+fn a_drain_is_applied_before_the_requests_of_the_same_iteration() {
     for _ in 0..5 {
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
--- a/crates/ingress/tests/endpoint_races.rs
+++ b/crates/ingress/tests/endpoint_races.rs
@@ -94,7 +94,7 @@
         let mut harness = Harness::new(2);
         let mut client = harness.connect();
         client.send(request("API.WRITE", 1, WRITE_FIELDS));
-        // The ingress begins to connect in one round and sees the connection established in the
+        // The ingress begins to connect in one iteration and sees the connection established in the
         // next.
         let early_endpoint = harness.run_until_contacted(|peer| !peer.connections.is_empty());
         match early.as_str() {
--- a/crates/ingress/tests/endpoint_replies.rs
+++ b/crates/ingress/tests/endpoint_replies.rs
@@ -1,4 +1,4 @@
-//! Replies of endpoints: well-formed, malformed, unsolicited.
+//! Replies of endpoints that are well-formed, malformed or unsolicited.
 
 mod common;
 
@@ -105,7 +105,7 @@
         harness.endpoints[0].connections[connection].send(served_reply("v"));
         harness.expect_reply(&mut client, "$1\r\nv\r\n");
         harness.now += Duration::from_millis(50);
-        // The request and the end or the bytes arrive before the next round.
+        // The request and the end or the bytes arrive before the next iteration.
         client.send(read_request(2));
         match bytes {
             "" => harness.endpoints[0].connections[connection].close(),
--- a/crates/ingress/tests/fleet.rs
+++ b/crates/ingress/tests/fleet.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_killed_member_is_seen_gone_and_rejoins_under_its_name() {
+fn a_killed_member_counts_as_gone_and_rejoins_under_its_name() {
     let mut fleet = start_fleet(3, 1);
     let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
     fleet.kill(2).unwrap();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_member_that_shuts_down_has_left_and_is_not_suspected() {
+fn a_member_that_shuts_down_counts_as_left_and_is_not_suspected() {
     let mut fleet = start_fleet(3, 2);
     let marks: Vec<usize> = fleet.members.iter().map(|m| m.log.line_count()).collect();
     fleet.signal(1, Signal::TERM).unwrap();
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn unauthenticated_and_replayed_datagrams_are_dropped_and_a_flood_has_no_effect() {
+fn forged_and_malformed_datagrams_are_dropped_and_a_flood_has_no_effect() {
     let fleet = start_fleet(3, 7);
     let mark = fleet.members[0].log.line_count();
     let address = fleet.members[0].membership_address.unwrap();
--- a/crates/ingress/tests/http_replies.rs
+++ b/crates/ingress/tests/http_replies.rs
@@ -8,7 +8,7 @@
 }
 
 /// Parses a reply: its status, its body, whether it closes the connection, and its length in bytes.
-fn parsed(text: &str) -> Result<Option<(u16, String, bool, usize)>, Malformed> {
+fn parse_reply(text: &str) -> Result<Option<(u16, String, bool, usize)>, Malformed> {
     let found = reply(text.as_bytes(), false, &limits())?;
     Ok(found.map(|((h, body), used)| {
         (
@@ -24,16 +24,16 @@
 fn a_total_is_read_from_a_body_with_a_content_length_or_in_chunks() {
     let plain = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\nX: y\r\n\r\n12.5HTTP";
     assert_eq!(
-        parsed(plain),
+        parse_reply(plain),
         Ok(Some((200, "12.5".into(), false, plain.len() - 4)))
     );
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n12\r\n0\r\n\r\n";
     assert_eq!(
-        parsed(chunked),
+        parse_reply(chunked),
         Ok(Some((200, "12".into(), false, chunked.len())))
     );
     for end in 0..plain.len() - 4 {
-        assert_eq!(parsed(&plain[..end]), Ok(None), "{end}");
+        assert_eq!(parse_reply(&plain[..end]), Ok(None), "{end}");
     }
 }
 
@@ -41,7 +41,7 @@
 fn a_rejection_may_close_the_connection_and_an_invalid_reply_is_malformed() {
     let rejection = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(
-        parsed(rejection),
+        parse_reply(rejection),
         Ok(Some((503, String::new(), true, rejection.len())))
     );
     for invalid in [
@@ -50,7 +50,7 @@
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
         "SMTP 200\r\n\r\n",
     ] {
-        assert!(parsed(invalid).is_err(), "{invalid:?}");
+        assert!(parse_reply(invalid).is_err(), "{invalid:?}");
     }
 }
 
--- a/crates/ingress/tests/quotas.rs
+++ b/crates/ingress/tests/quotas.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// The true quotas of all customers.
+/// The exact quotas of all customers, by customer.
 struct ExactQuotas(BTreeMap<u64, ExactQuota>);
 
 impl ExactQuotas {
@@ -140,9 +140,9 @@
         self.clients[n] = Connection::connect(self.programs[n].address().unwrap());
     }
 
-    /// Runs one round of all ingresses and peers, and adds the customers whose requests reached an
-    /// endpoint to `reached`.
-    fn round(&mut self, reached: &mut Vec<u64>) {
+    /// Runs one iteration of all ingresses and their peers, and adds the customers whose requests
+    /// reached an endpoint to `reached`.
+    fn run_all_once(&mut self, reached: &mut Vec<u64>) {
         let now = self.now;
         for program in &mut self.programs {
             program.run_iteration(Some(Duration::ZERO), || now).unwrap();
@@ -238,7 +238,7 @@
     let mut rng = fastrand::Rng::with_seed(11);
     let mut fleet = Fleet::new();
     let mut warm_up = Vec::new();
-    (0..20).for_each(|_| fleet.round(&mut warm_up));
+    (0..20).for_each(|_| fleet.run_all_once(&mut warm_up));
     let begin = fleet.now;
     let mut offered = ExactQuotas::new();
     let mut forwarded = ExactQuotas::new();
@@ -264,7 +264,7 @@
             totals.offered += offered.take(customer, elapsed);
         }
         let mut reached = Vec::new();
-        (0..5).for_each(|_| fleet.round(&mut reached));
+        (0..5).for_each(|_| fleet.run_all_once(&mut reached));
         for customer in reached {
             totals.forwarded += 1.0;
             totals.beyond += 1.0 - forwarded.take(customer, elapsed);
--- a/crates/ingress/tests/shutdown.rs
+++ b/crates/ingress/tests/shutdown.rs
@@ -204,14 +204,14 @@
     harness.advance(3001);
     harness.expect_reply(&mut client, "-ERR failed\r\n-ERR failed\r\n");
     harness.run_until_closed(&mut client);
-    let _hangs = &harness.endpoints[endpoint];
+    let _hung_endpoint = &harness.endpoints[endpoint];
     harness.now += Duration::from_millis(501);
     run_until_exit(&mut harness);
 }
 
 #[test]
 fn a_partly_written_reply_is_completed_for_a_reading_client_and_does_not_delay_the_exit() {
-    for reads in [true, false] {
+    for client_reads in [true, false] {
         let mut harness = Harness::new(1);
         let mut client = Connection::with_small_buffers(harness.program.address().unwrap());
         client.send(read_request(1));
@@ -228,7 +228,7 @@
         );
         begin_drain(&mut harness);
         harness.advance(3001);
-        if reads {
+        if client_reads {
             harness.expect_reply(&mut client, &format!("$60000\r\n{value}\r\n"));
             harness.run_until_closed(&mut client);
             drop(client);
--- a/crates/ingress/tests/soak.rs
+++ b/crates/ingress/tests/soak.rs
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn restarts_under_kept_connections_lose_and_repeat_no_request() {
+fn restarts_under_persistent_connections_lose_and_repeat_no_request() {
     assert_no_rule_is_broken(1, false);
 }
 
 #[test]
-fn restarts_in_series_lose_and_repeat_no_request() {
+fn consecutive_restarts_lose_and_repeat_no_request() {
     assert_no_rule_is_broken(2, false);
 }
 
 #[test]
-fn restarts_beside_a_crowd_of_idle_clients_lose_and_repeat_no_request() {
+fn restarts_with_many_idle_clients_lose_and_repeat_no_request() {
     assert_no_rule_is_broken(4, true);
 }
--- a/crates/ingress/tests/stored_status.rs
+++ b/crates/ingress/tests/stored_status.rs
@@ -1,4 +1,4 @@
-//! A status file written by the release before the packages were renamed stays readable.
+//! A status file of an earlier release, from before the packages were renamed, stays readable.
 
 use std::path::Path;
 use std::process::{Command, Output};
