--- a/crates/ingress/tests/scale.rs
+++ b/crates/ingress/tests/scale.rs
@@ -15,9 +15,9 @@
 fn options(sizes: &[usize], seconds: u64, repeats: usize) -> DaemonOptions {
     DaemonOptions {
         daemon: env!("CARGO_BIN_EXE_roseyard-ingress").into(),
-        before: None,
+        baseline_daemon: None,
         all_tenants: false,
-        counter: true,
+        has_counter: true,
         health_checks: true,
         servers_close: false,
         rate: 256.0,
@@ -61,7 +61,7 @@
 #[test]
 fn a_service_without_endpoints_costs_the_others_no_request() {
     for fault in [Fault::ServersDie, Fault::ServersDrain, Fault::ComesBackCold] {
-        let findings = fault.play(&options(&[], 1, 2)).unwrap();
+        let findings = fault.inject(&options(&[], 1, 2)).unwrap();
         let broken: Vec<_> = findings.iter().filter(|f| !f.kept && !f.timed).collect();
         assert!(broken.is_empty(), "{broken:#?}");
     }
@@ -69,6 +69,6 @@
 
 #[test]
 fn moving_routes_loses_and_repeats_no_request() {
-    let findings = Fault::RoutesMove.play(&options(&[], 1, 1)).unwrap();
+    let findings = Fault::RoutesMove.inject(&options(&[], 1, 1)).unwrap();
     assert!(findings.iter().all(|finding| finding.kept), "{findings:#?}");
 }
--- a/crates/testbed/src/cli/flood.rs
+++ b/crates/testbed/src/cli/flood.rs
@@ -38,7 +38,7 @@
     "failed",
     "p50 ms",
     "p99 ms",
-    "p99 / calm",
+    "p99 / baseline",
     "connections",
     "told",
     "connect failed",
@@ -96,7 +96,7 @@
     let launch = LaunchOptions {
         program: daemon_program(args.daemon.as_deref())?,
         operator_file: args.settings.clone(),
-        descriptors: args.sockets,
+        max_descriptors: args.sockets,
     };
     println!(
         "{} descriptors, {} requests a second ({} on connections that close), flood of {} connections a second from {} addresses, seed {}",
@@ -165,8 +165,8 @@
 impl Trial<'_> {
     /// Measures without and under the flood; the rows of the table.
     fn run(&self, shape: FloodShape) -> io::Result<[Vec<String>; 2]> {
-        self.play_clients(self.args.seed + 1, WARM_UP);
-        let calm = self.measure("none")?;
+        self.run_client_load(self.args.seed + 1, WARM_UP);
+        let baseline = self.measure("none")?;
         let flood = Flood {
             shape,
             rate: self.args.flood_rate,
@@ -174,21 +174,21 @@
             addresses: self.args.flood_from,
         };
         let stop = Arc::new(AtomicBool::new(false));
-        let playing = self.runtimes.flood.spawn(flood::play(
+        let flood_task = self.runtimes.flood.spawn(flood::generate(
             flood,
             self.daemon.address,
             Arc::clone(&stop),
             Arc::clone(&self.counters),
         ));
         std::thread::sleep(FLOOD_LEAD);
-        let flooded = self.measure(&format!("{shape:?}"))?;
+        let under_flood = self.measure(&format!("{shape:?}"))?;
         stop.store(true, Ordering::Relaxed);
         // A flood that panicked has made no more connections, which the table shows.
-        let _ = self.runtimes.flood.block_on(playing);
-        Ok([calm.row(&calm), flooded.row(&calm)])
+        let _ = self.runtimes.flood.block_on(flood_task);
+        Ok([baseline.row(&baseline), under_flood.row(&baseline)])
     }
 
-    fn play_clients(&self, seed: u64, length: Duration) -> LoadOutcome {
+    fn run_client_load(&self, seed: u64, length: Duration) -> LoadOutcome {
         let load = OpenLoopLoad {
             rate: self.args.rate,
             customers: CUSTOMERS,
@@ -197,8 +197,8 @@
             idempotent: true,
             seed,
         };
-        let play = client_load::play(load, self.daemon.address, length);
-        self.runtimes.clients.block_on(play)
+        let load_run = client_load::generate(load, self.daemon.address, length);
+        self.runtimes.clients.block_on(load_run)
     }
 
     fn measure(&self, name: &str) -> io::Result<Measurement> {
@@ -207,7 +207,7 @@
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let connected_before = read(&self.counters.connected);
         let length = Duration::from_secs(self.args.seconds);
-        let outcome = self.play_clients(self.args.seed, length);
+        let outcome = self.run_client_load(self.args.seed, length);
         Ok(Measurement {
             name: name.into(),
             outcome,
@@ -233,9 +233,9 @@
     }
 
     /// The cells of [`COLUMNS`], compared with the measurement without a flood.
-    fn row(&self, calm: &Measurement) -> Vec<String> {
-        let p99_ratio = self.latency_ms(0.99) / calm.latency_ms(0.99).max(0.001);
-        let extra_cpu_time = self.cpu_time.saturating_sub(calm.cpu_time);
+    fn row(&self, baseline: &Measurement) -> Vec<String> {
+        let p99_ratio = self.latency_ms(0.99) / baseline.latency_ms(0.99).max(0.001);
+        let extra_cpu_time = self.cpu_time.saturating_sub(baseline.cpu_time);
         let cpu_us_per_connection = match self.connected {
             0 => "-".into(),
             connected => format!(
--- a/crates/testbed/src/cli/scale.rs
+++ b/crates/testbed/src/cli/scale.rs
@@ -74,7 +74,7 @@
     let reports = match args.role.run(&run) {
         Some(report) => vec![report],
         None if args.role == Role::Daemon => daemon::run(&daemon_options(args, &run)?)?,
-        None => measured_roles()
+        None => role_runs()
             .map(|(role, services)| run_in_child_process(args, role, services))
             .collect::<io::Result<_>>()?,
     };
@@ -126,12 +126,14 @@
 }
 
 fn daemon_options(args: &ScaleArgs, run: &RunOptions) -> io::Result<DaemonOptions> {
-    let before = args.daemon_before.as_deref();
+    let baseline = args.daemon_before.as_deref();
     Ok(DaemonOptions {
         daemon: daemon_program(args.daemon.as_deref())?,
-        before: before.map(|path| daemon_program(Some(path))).transpose()?,
+        baseline_daemon: baseline
+            .map(|path| daemon_program(Some(path)))
+            .transpose()?,
         all_tenants: args.all_tenants,
-        counter: !args.without_counter,
+        has_counter: !args.without_counter,
         health_checks: !args.without_probes,
         servers_close: args.servers_close,
         rate: args.rate,
@@ -141,7 +143,7 @@
 }
 
 /// All roles with one service, and those that can be divided into services with them too.
-fn measured_roles() -> impl Iterator<Item = (Role, bool)> {
+fn role_runs() -> impl Iterator<Item = (Role, bool)> {
     Role::each()
         .flat_map(|role| [(role, false), (role, true)])
         .filter(|(role, services)| !services || scale::SERVICE_ROLES.contains(role))
--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -133,8 +133,12 @@
 }
 
 /// Plays a load of idempotent requests for this long, and waits for the responses.
-pub async fn play(load: OpenLoopLoad, destination: SocketAddr, length: Duration) -> LoadOutcome {
-    play_with(load, destination, length, None, |_, customer, id| {
+pub async fn generate(
+    load: OpenLoopLoad,
+    destination: SocketAddr,
+    length: Duration,
+) -> LoadOutcome {
+    generate_with(load, destination, length, None, |_, customer, id| {
         request(customer, id)
     })
     .await
@@ -142,7 +146,7 @@
 
 /// The same with requests that `encode` makes of a customer and an id. Each request and its
 /// response are recorded in the history.
-pub async fn play_with(
+pub async fn generate_with(
     load: OpenLoopLoad,
     destination: SocketAddr,
     length: Duration,
--- a/crates/testbed/src/daemon.rs
+++ b/crates/testbed/src/daemon.rs
@@ -28,7 +28,7 @@
 
 /// Starts the program with a configuration and, if any, an operator's file. The caller reads its
 /// log.
-pub(crate) fn spawn(
+pub(crate) fn spawn_process(
     program: &Path,
     operator_file: Option<&Path>,
     configuration: &Path,
@@ -66,7 +66,7 @@
     /// The operator's file, for a program that takes one.
     pub operator_file: Option<PathBuf>,
     /// Descriptors that its configuration allows.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
 }
 
 /// Reads the log up to the line that contains this text.
@@ -87,7 +87,7 @@
     /// Starts it among the fakes and waits until it is ready. Its log continues on standard error.
     pub fn start(options: &LaunchOptions, platform: &FakePlatform) -> io::Result<Daemon> {
         let configuration = platform
-            .ingress_configuration(options.descriptors)
+            .ingress_configuration(options.max_descriptors)
             .to_string();
         let operator_file = options.operator_file.as_deref();
         let (daemon, mut log) = Daemon::launch(&options.program, operator_file, &configuration)?;
@@ -107,11 +107,11 @@
         let configuration_file = folder.path().join("config.json");
         fs::write(&configuration_file, configuration)?;
         let started_at = Instant::now();
-        let (child, mut log) = spawn(program, operator_file, &configuration_file)?;
-        let not_yet_known = SocketAddr::from(([127, 0, 0, 1], 0));
+        let (child, mut log) = spawn_process(program, operator_file, &configuration_file)?;
+        let placeholder_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut daemon = Daemon {
             child,
-            address: not_yet_known,
+            address: placeholder_address,
             started_at,
             _folder: folder,
         };
@@ -125,16 +125,16 @@
     }
 
     /// Sends it a signal.
-    pub(crate) fn signal(&self, signal: Signal) -> io::Result<()> {
+    pub(crate) fn send_signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
     /// Processor time that its threads have used, by the scheduler's account in nanoseconds.
-    pub(crate) fn scheduled_time(&self) -> io::Result<Duration> {
+    pub(crate) fn scheduler_cpu_time(&self) -> io::Result<Duration> {
         let mut nanos = 0;
         for task in fs::read_dir(self.proc_file("task"))? {
-            let account = fs::read_to_string(task?.path().join("schedstat"))?;
-            let first = account
+            let schedstat = fs::read_to_string(task?.path().join("schedstat"))?;
+            let first = schedstat
                 .split_whitespace()
                 .next()
                 .and_then(|field| field.parse::<u64>().ok());
@@ -165,16 +165,16 @@
 
     /// Its resident memory in KiB.
     pub fn rss_kib(&self) -> io::Result<u64> {
-        self.memory("VmRSS:")
+        self.memory_status_kib("VmRSS:")
     }
 
     /// Its largest resident memory so far, in KiB.
-    pub fn peak_kib(&self) -> io::Result<u64> {
-        self.memory("VmHWM:")
+    pub fn peak_rss_kib(&self) -> io::Result<u64> {
+        self.memory_status_kib("VmHWM:")
     }
 
     /// A line of its memory status, in KiB; 0 where the system has none of this name.
-    fn memory(&self, name: &str) -> io::Result<u64> {
+    fn memory_status_kib(&self, name: &str) -> io::Result<u64> {
         let status = fs::read_to_string(self.proc_file("status"))?;
         let line = status
             .lines()
@@ -192,7 +192,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        let _ = self.signal(Signal::TERM);
+        let _ = self.send_signal(Signal::TERM);
         let _ = self.child.wait();
     }
 }
--- a/crates/testbed/src/fleet/member.rs
+++ b/crates/testbed/src/fleet/member.rs
@@ -1,7 +1,7 @@
 //! One daemon of a fleet.
 
 use super::daemon_log::{DaemonLog, MAX_WAIT};
-use crate::daemon::spawn;
+use crate::daemon::spawn_process;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead};
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
         configuration: &Path,
     ) -> io::Result<usize> {
         let mark = self.log.line_count();
-        let (child, lines) = spawn(program, Some(operator_file), configuration)?;
+        let (child, lines) = spawn_process(program, Some(operator_file), configuration)?;
         self.process = Some(child);
         let log = Arc::clone(&self.log);
         std::thread::spawn(move || {
--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -84,7 +84,7 @@
 }
 
 /// Plays a flood until `stop` is set.
-pub async fn play(
+pub async fn generate(
     flood: Flood,
     destination: SocketAddr,
     stop: Arc<AtomicBool>,
--- a/crates/testbed/src/scale/daemon/case.rs
+++ b/crates/testbed/src/scale/daemon/case.rs
@@ -1,12 +1,12 @@
 //! The cases that are measured: a version of the daemon at a size.
 
-use super::options::{DaemonOptions, ALL_TENANTS, SOME_TENANTS};
+use super::options::{DaemonOptions, ALL_TENANTS, DEFAULT_TENANTS};
 use crate::scale::targets;
 use crate::scale::topology::ServiceTopology;
 
 /// How servers are divided into services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Division {
+pub(super) enum ServiceLayout {
     /// One service without a name, as without a section on services.
     Unnamed,
     /// Services with a long tail, 17 servers in the mean.
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Case {
     /// Is it the earlier version?
-    pub before: bool,
+    pub is_baseline: bool,
     /// How servers are divided.
-    pub division: Division,
+    pub layout: ServiceLayout,
     /// Servers.
     pub servers: u32,
     /// Tenants.
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CaseSeries {
     /// Are they of the earlier version?
-    pub before: bool,
+    pub is_baseline: bool,
     /// How servers are divided.
-    pub division: Division,
+    pub layout: ServiceLayout,
     /// Are tenants varied, and not servers?
     pub tenants_varied: bool,
 }
@@ -40,15 +40,15 @@
 impl Case {
     pub(super) fn series(&self) -> CaseSeries {
         CaseSeries {
-            before: self.before,
-            division: self.division,
-            tenants_varied: self.tenants != SOME_TENANTS,
+            is_baseline: self.is_baseline,
+            layout: self.layout,
+            tenants_varied: self.tenants != DEFAULT_TENANTS,
         }
     }
 
     /// What is varied: servers, or tenants.
     pub(super) fn size(&self) -> usize {
-        if self.tenants == SOME_TENANTS {
+        if self.tenants == DEFAULT_TENANTS {
             self.servers as usize
         } else {
             self.tenants as usize
@@ -57,26 +57,26 @@
 
     /// Services, the largest of them and routes, in proportion to the planned size.
     pub(super) fn topology(&self) -> ServiceTopology {
-        if self.division == Division::Unnamed {
+        if self.layout == ServiceLayout::Unnamed {
             return ServiceTopology::unnamed(self.servers);
         }
-        let in_proportion = |planned: usize| {
+        let scale_to_servers = |planned: usize| {
             let servers = u64::from(self.servers);
             (planned as u64 * servers / targets::SERVERS as u64).max(1) as u32
         };
-        let services = in_proportion(targets::SERVICES);
+        let services = scale_to_servers(targets::SERVICES);
         let mean = self.servers.div_ceil(services);
-        let largest = in_proportion(targets::LARGEST_SERVICE).max(mean);
-        let routes = in_proportion(targets::ROUTES).max(services);
+        let largest = scale_to_servers(targets::LARGEST_SERVICE).max(mean);
+        let routes = scale_to_servers(targets::ROUTES).max(services);
         ServiceTopology::long_tail(self.servers, services, largest, routes)
     }
 }
 
-/// Each size for each version and division, and 1 and all tenants at the largest size.
+/// Each size for each version and layout, and 1 and all tenants at the largest size.
 pub(super) fn cases(options: &DaemonOptions) -> Vec<Case> {
     let mut cases = Vec::new();
     for servers in &options.run.sizes {
-        cases.extend(cases_of_size(options, *servers as u32, SOME_TENANTS));
+        cases.extend(cases_of_size(options, *servers as u32, DEFAULT_TENANTS));
     }
     let largest = options.run.sizes.iter().max();
     if let Some(largest) = largest.filter(|_| options.all_tenants) {
@@ -89,19 +89,19 @@
 
 /// The versions follow one another at each size.
 fn cases_of_size(options: &DaemonOptions, servers: u32, tenants: u64) -> Vec<Case> {
-    let case = |before, division| Case {
-        before,
-        division,
+    let case = |is_baseline, layout| Case {
+        is_baseline,
+        layout,
         servers,
         tenants,
     };
     let mut cases = Vec::new();
-    if options.before.is_some() {
-        cases.push(case(true, Division::Unnamed));
+    if options.baseline_daemon.is_some() {
+        cases.push(case(true, ServiceLayout::Unnamed));
     }
-    cases.push(case(false, Division::Unnamed));
+    cases.push(case(false, ServiceLayout::Unnamed));
     if options.run.services {
-        cases.push(case(false, Division::LongTail));
+        cases.push(case(false, ServiceLayout::LongTail));
     }
     cases
 }
--- a/crates/testbed/src/scale/daemon/faults/flood.rs
+++ b/crates/testbed/src/scale/daemon/faults/flood.rs
@@ -13,7 +13,7 @@
     let flood = testbed.victim.with_rate(FLOOD_RATE);
     let outcomes = testbed.compare(|on| {
         if on {
-            testbed.play_beside(&flood);
+            testbed.spawn_detached_load(&flood);
         }
     });
     Ok(outcomes.findings(Fault::Flood))
--- a/crates/testbed/src/scale/daemon/faults/mod.rs
+++ b/crates/testbed/src/scale/daemon/faults/mod.rs
@@ -15,12 +15,12 @@
 
 impl Fault {
     /// Runs it on a daemon of its own.
-    pub fn play(self, options: &DaemonOptions) -> io::Result<Vec<Finding>> {
+    pub fn inject(self, options: &DaemonOptions) -> io::Result<Vec<Finding>> {
         match self {
             Fault::Start => start::run(options),
             Fault::ServersDie => servers::die(options),
             Fault::ServersDrain => servers::drain(options),
-            Fault::ComesBackCold => servers::come_back_cold(options),
+            Fault::ComesBackCold => servers::restart_cold_servers(options),
             Fault::Flood => flood::run(options),
             Fault::RoutesMove => reload::routes_move(options),
             Fault::Churn => reload::churn(options),
@@ -33,7 +33,7 @@
     let mut findings = Vec::new();
     for fault in Fault::ALL {
         options.run.progress(fault.name());
-        findings.extend(fault.play(options)?);
+        findings.extend(fault.inject(options)?);
     }
     Ok(findings)
 }
--- a/crates/testbed/src/scale/daemon/faults/servers.rs
+++ b/crates/testbed/src/scale/daemon/faults/servers.rs
@@ -11,9 +11,9 @@
 /// Time after which a server that was reported as draining gets nothing more.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 /// Time over which a cold server is observed.
-const COLD_TIME: Duration = Duration::from_secs(3);
+const COLD_LOAD_DURATION: Duration = Duration::from_secs(3);
 /// Largest share of a cold server, compared with a warm one.
-const MAX_COLD_SHARE: f64 = 0.5;
+const MAX_COLD_TO_WARM_RATIO: f64 = 0.5;
 
 pub(super) fn die(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let testbed = FaultTestbed::start_warm(options)?;
@@ -21,7 +21,7 @@
     let outcomes = testbed.compare(|on| {
         if on {
             testbed.platform.servers.kill(service.addresses());
-            testbed.play_beside(&testbed.victim);
+            testbed.spawn_detached_load(&testbed.victim);
         } else {
             testbed.platform.servers.revive(service.addresses());
         }
@@ -33,15 +33,18 @@
     let fault = Fault::ServersDrain;
     let testbed = FaultTestbed::start_warm(options)?;
     let mut late_attempts = 0;
-    let mut mark = 0;
+    let mut first_event = 0;
     let outcomes = testbed.compare(|on| {
         if on {
             testbed.send_victim_state("DRAINING", |_| 0.0);
             std::thread::sleep(DRAIN_GRACE);
-            mark = testbed.events().len();
-            testbed.play_beside(&testbed.victim);
+            first_event = testbed.events().len();
+            testbed.spawn_detached_load(&testbed.victim);
         } else {
-            late_attempts += testbed.attempts_at_victim(mark).values().sum::<u64>();
+            late_attempts += testbed
+                .attempts_at_victim(first_event)
+                .values()
+                .sum::<u64>();
             testbed.send_victim_state("SERVING", |_| 0.0);
         }
     });
@@ -63,16 +66,16 @@
 
 /// All servers of the service die and are removed. Then they come back: every second one has just
 /// started.
-pub(super) fn come_back_cold(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
+pub(super) fn restart_cold_servers(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ComesBackCold;
     let testbed = FaultTestbed::start_warm(options)?;
     let mut attempts = ColdAttempts::default();
     let outcomes = testbed.compare(|on| {
         if on {
-            restart_cold(&testbed);
-            let mark = testbed.events().len();
-            testbed.wait(testbed.play(&testbed.victim, COLD_TIME));
-            attempts.add(&testbed, mark);
+            restart_half_cold(&testbed);
+            let first_event = testbed.events().len();
+            testbed.wait(testbed.spawn_load(&testbed.victim, COLD_LOAD_DURATION));
+            attempts.add(&testbed, first_event);
         }
     });
     let mut findings = outcomes.findings(fault);
@@ -80,10 +83,10 @@
     let share = cold as f64 / (warm as f64).max(1.0);
     findings.push(fault.finding(
         format!(
-            "in {COLD_TIME:?} a cold server gets at most {MAX_COLD_SHARE} of what a warm one gets"
+            "in {COLD_LOAD_DURATION:?} a cold server gets at most {MAX_COLD_TO_WARM_RATIO} of what a warm one gets"
         ),
         format!("{cold} to cold, {warm} to as many warm ones: {share:.2}"),
-        warm > 0 && share <= MAX_COLD_SHARE,
+        warm > 0 && share <= MAX_COLD_TO_WARM_RATIO,
     ));
     Ok(findings)
 }
@@ -92,7 +95,7 @@
     number.is_multiple_of(2)
 }
 
-fn restart_cold(testbed: &FaultTestbed) {
+fn restart_half_cold(testbed: &FaultTestbed) {
     let service = testbed.victim_service();
     testbed.platform.servers.kill(service.addresses());
     testbed.send_victim_state("DELETED", |_| 0.0);
@@ -104,9 +107,9 @@
 
 impl ColdAttempts {
     /// Adds the attempts since this many events.
-    fn add(&mut self, testbed: &FaultTestbed, mark: usize) {
+    fn add(&mut self, testbed: &FaultTestbed, first_event: usize) {
         let addresses: Vec<Ipv4Addr> = testbed.victim_service().addresses().collect();
-        for (slot, attempts) in testbed.attempts_at_victim(mark) {
+        for (slot, attempts) in testbed.attempts_at_victim(first_event) {
             let number = addresses
                 .iter()
                 .position(|address| ServiceTopology::slot(*address) == Some(slot));
--- a/crates/testbed/src/scale/daemon/faults/start.rs
+++ b/crates/testbed/src/scale/daemon/faults/start.rs
@@ -1,26 +1,26 @@
 //! The daemon has just started: requests come before any service was used.
 
 use super::finding::{Fault, Finding};
-use super::testbed::{FaultTestbed, OTHERS_RATE, SERVERS};
-use crate::scale::daemon::options::{DaemonOptions, INGRESSES};
+use super::testbed::{FaultTestbed, OTHER_SERVICES_RATE, SERVERS};
+use crate::scale::daemon::options::{DaemonOptions, PLANNED_INGRESSES};
 use crate::scale::targets;
 use std::io;
 
 /// Ingresses of a small platform, in proportion to the planned size.
-const INGRESSES_IN_PROPORTION: u32 = SERVERS * INGRESSES / targets::SERVERS as u32;
+const SCALED_INGRESSES: u32 = SERVERS * PLANNED_INGRESSES / targets::SERVERS as u32;
 const SEED_OFFSET: u64 = 5;
 
 pub(super) fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
-    [INGRESSES, INGRESSES_IN_PROPORTION]
+    [PLANNED_INGRESSES, SCALED_INGRESSES]
         .into_iter()
-        .map(|ingresses| run_among(ingresses, options))
+        .map(|ingresses| run_with_ingresses(ingresses, options))
         .collect()
 }
 
-fn run_among(ingresses: u32, options: &DaemonOptions) -> io::Result<Finding> {
-    let testbed = FaultTestbed::start_among(ingresses, options)?;
-    let all = testbed.load_of_all(options, OTHERS_RATE, SEED_OFFSET);
-    let outcome = testbed.wait(testbed.play(&all, testbed.length()));
+fn run_with_ingresses(ingresses: u32, options: &DaemonOptions) -> io::Result<Finding> {
+    let testbed = FaultTestbed::start_with_ingresses(ingresses, options)?;
+    let all = testbed.load_on_all_services(options, OTHER_SERVICES_RATE, SEED_OFFSET);
+    let outcome = testbed.wait(testbed.spawn_load(&all, testbed.length()));
     let not_served = outcome.requests - outcome.served;
     Ok(Fault::Start.finding(
         format!("every request is served, {ingresses} ingresses before {SERVERS} servers"),
--- a/crates/testbed/src/scale/daemon/faults/testbed.rs
+++ b/crates/testbed/src/scale/daemon/faults/testbed.rs
@@ -5,7 +5,7 @@
 use crate::client_load::LoadOutcome;
 use crate::scale::daemon::load::{Routes, TenantLoad};
 use crate::scale::daemon::measured_daemon::MeasuredDaemon;
-use crate::scale::daemon::options::{DaemonOptions, Runtimes, INGRESSES, SETTLE_TIME};
+use crate::scale::daemon::options::{DaemonOptions, Runtimes, PLANNED_INGRESSES, SETTLE_TIME};
 use crate::scale::daemon::platform::LoopbackPlatform;
 use crate::scale::daemon::sample::latency_ms;
 use crate::scale::daemon::servers::ServerOptions;
@@ -21,14 +21,14 @@
 pub(super) const SERVERS: u32 = 340;
 const SERVICES: u32 = 20;
 /// Servers of the largest service.
-pub(super) const LARGEST: u32 = 60;
+pub(super) const LARGEST_SERVICE_SERVERS: u32 = 60;
 const ROUTES: u32 = 60;
 /// The service that the fault is of, which is the largest.
 const VICTIM: u32 = 0;
 /// Requests a second of the victim.
 const VICTIM_RATE: f64 = 100.0;
 /// Requests a second of all others together.
-pub(super) const OTHERS_RATE: f64 = 256.0;
+pub(super) const OTHER_SERVICES_RATE: f64 = 256.0;
 const TENANTS: u64 = 400;
 /// Time that a server takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(2);
@@ -48,7 +48,7 @@
     pub daemon: MeasuredDaemon,
     /// The load of the victim.
     pub victim: TenantLoad,
-    others: TenantLoad,
+    other_services: TenantLoad,
     /// Real time of one load.
     length: Duration,
     /// Pairs of loads in a comparison.
@@ -58,26 +58,30 @@
 impl FaultTestbed {
     /// A daemon whose settings name the planned number of ingresses.
     pub(super) fn start(options: &DaemonOptions) -> io::Result<FaultTestbed> {
-        FaultTestbed::start_among(INGRESSES, options)
+        FaultTestbed::start_with_ingresses(PLANNED_INGRESSES, options)
     }
 
     /// A daemon whose settings name this many ingresses.
-    pub(super) fn start_among(ingresses: u32, options: &DaemonOptions) -> io::Result<FaultTestbed> {
-        let topology = ServiceTopology::long_tail(SERVERS, SERVICES, LARGEST, ROUTES);
-        FaultTestbed::start_with(options, topology, ingresses)
+    pub(super) fn start_with_ingresses(
+        ingresses: u32,
+        options: &DaemonOptions,
+    ) -> io::Result<FaultTestbed> {
+        let topology =
+            ServiceTopology::long_tail(SERVERS, SERVICES, LARGEST_SERVICE_SERVERS, ROUTES);
+        FaultTestbed::start_with_topology(options, topology, ingresses)
     }
 
     /// A daemon whose services have been in use for a while.
     pub(super) fn start_warm(options: &DaemonOptions) -> io::Result<FaultTestbed> {
         let testbed = FaultTestbed::start(options)?;
-        let victim = testbed.play(&testbed.victim, WARM_UP);
-        let others = testbed.play(&testbed.others, WARM_UP);
+        let victim = testbed.spawn_load(&testbed.victim, WARM_UP);
+        let other_services = testbed.spawn_load(&testbed.other_services, WARM_UP);
         testbed.wait(victim);
-        testbed.wait(others);
+        testbed.wait(other_services);
         Ok(testbed)
     }
 
-    pub(super) fn start_with(
+    pub(super) fn start_with_topology(
         options: &DaemonOptions,
         topology: ServiceTopology,
         ingresses: u32,
@@ -90,7 +94,7 @@
         let platform = runtimes.platform.block_on(LoopbackPlatform::start(
             &topology,
             server_options,
-            options.counter,
+            options.has_counter,
         ))?;
         let settings = options.settings_for(ingresses);
         let daemon = MeasuredDaemon::start(&options.daemon, &topology, &platform, &settings)?;
@@ -102,7 +106,7 @@
             platform,
             daemon,
             victim: load(options, VICTIM_RATE, 1, victim_routes),
-            others: load(options, OTHERS_RATE, 2, other_routes),
+            other_services: load(options, OTHER_SERVICES_RATE, 2, other_routes),
             length: Duration::from_secs(options.run.seconds),
             repeats: options.run.repeats,
             runtimes,
@@ -110,7 +114,7 @@
     }
 
     /// A load of all services.
-    pub(super) fn load_of_all(
+    pub(super) fn load_on_all_services(
         &self,
         options: &DaemonOptions,
         rate: f64,
@@ -129,23 +133,31 @@
     }
 
     /// Plays a load beside what follows.
-    pub(super) fn play(&self, load: &TenantLoad, length: Duration) -> JoinHandle<LoadOutcome> {
+    pub(super) fn spawn_load(
+        &self,
+        load: &TenantLoad,
+        length: Duration,
+    ) -> JoinHandle<LoadOutcome> {
         let load = load.clone();
         let address = self.address();
         let history = self.platform.servers.history.clone();
-        self.runtimes
-            .clients
-            .spawn(async move { load.play_recorded(address, length, Some(&history)).await })
+        self.runtimes.clients.spawn(async move {
+            load.generate_recorded(address, length, Some(&history))
+                .await
+        })
     }
 
     /// Plays a load beside what follows, without waiting for its end.
-    pub(super) fn play_beside(&self, load: &TenantLoad) {
-        drop(self.play(load, self.length));
+    pub(super) fn spawn_detached_load(&self, load: &TenantLoad) {
+        drop(self.spawn_load(load, self.length));
     }
 
-    pub(super) fn wait(&self, playing: JoinHandle<LoadOutcome>) -> LoadOutcome {
+    pub(super) fn wait(&self, load_task: JoinHandle<LoadOutcome>) -> LoadOutcome {
         // A load that panicked shows as one without requests.
-        self.runtimes.clients.block_on(playing).unwrap_or_default()
+        self.runtimes
+            .clients
+            .block_on(load_task)
+            .unwrap_or_default()
     }
 
     pub(super) fn victim_service(&self) -> Service {
@@ -168,14 +180,14 @@
     }
 
     /// Attempts at the victim's servers since this many events, by the number of their address.
-    pub(super) fn attempts_at_victim(&self, mark: usize) -> HashMap<usize, u64> {
+    pub(super) fn attempts_at_victim(&self, first_event: usize) -> HashMap<usize, u64> {
         let slots: Vec<usize> = self
             .victim_service()
             .addresses()
             .filter_map(ServiceTopology::slot)
             .collect();
         let mut attempts = HashMap::new();
-        for event in &self.events()[mark..] {
+        for event in &self.events()[first_event..] {
             if let Observation::AttemptStarted(slot) = event.observation {
                 if slots.contains(&slot) {
                     *attempts.entry(slot).or_default() += 1;
@@ -190,13 +202,13 @@
     pub(super) fn compare(&self, mut set_fault: impl FnMut(bool)) -> PairedOutcomes {
         let mut outcomes = PairedOutcomes::default();
         for pair in 0..self.repeats as u64 {
-            let play = |turn| {
-                let seed = self.others.seed + 2 * pair + turn + 10;
-                self.wait(self.play(&self.others.with_seed(seed), self.length))
+            let run_load = |turn| {
+                let seed = self.other_services.seed + 2 * pair + turn + 10;
+                self.wait(self.spawn_load(&self.other_services.with_seed(seed), self.length))
             };
-            outcomes.without_fault.push(play(0));
+            outcomes.without_fault.push(run_load(0));
             set_fault(true);
-            outcomes.with_fault.push(play(1));
+            outcomes.with_fault.push(run_load(1));
             set_fault(false);
             std::thread::sleep(SETTLE_TIME);
         }
--- a/crates/testbed/src/scale/daemon/load.rs
+++ b/crates/testbed/src/scale/daemon/load.rs
@@ -1,7 +1,7 @@
 //! What clients request: of tenants evenly, of services by their size.
 
 use crate::checker::History;
-use crate::client_load::{play_with, LoadOutcome, OpenLoopLoad};
+use crate::client_load::{generate_with, LoadOutcome, OpenLoopLoad};
 use crate::request::request_through;
 use crate::scale::topology::ServiceTopology;
 use rand::rngs::StdRng;
@@ -39,11 +39,11 @@
         let mut routes = Vec::new();
         let mut weight_sum = 0;
         for service in services.filter(|_| topology.named) {
-            let of_service: Vec<u32> = topology.routes_of(service).collect();
+            let service_routes: Vec<u32> = topology.routes_of(service).collect();
             let servers = topology.services[service as usize].servers;
             let weight = u64::from(servers) * ROUTE_SHARES;
-            for route in &of_service {
-                weight_sum += weight / of_service.len() as u64;
+            for route in &service_routes {
+                weight_sum += weight / service_routes.len() as u64;
                 routes.push(WeightedRoute {
                     weight_sum,
                     route: *route,
@@ -113,12 +113,12 @@
     }
 
     /// Plays it in an open loop for this long.
-    pub(super) async fn play(&self, destination: SocketAddr, length: Duration) -> LoadOutcome {
-        self.play_recorded(destination, length, None).await
+    pub(super) async fn generate(&self, destination: SocketAddr, length: Duration) -> LoadOutcome {
+        self.generate_recorded(destination, length, None).await
     }
 
     /// The same; requests and responses are recorded in the history.
-    pub(super) async fn play_recorded(
+    pub(super) async fn generate_recorded(
         &self,
         destination: SocketAddr,
         length: Duration,
@@ -126,18 +126,22 @@
     ) -> LoadOutcome {
         let encode = |random: &mut StdRng, tenant, id| self.encode(random, tenant, id);
         let load = self.open_loop(self.rate);
-        play_with(load, destination, length, history, encode).await
+        generate_with(load, destination, length, history, encode).await
     }
 
     /// Sends one request of each tenant at this rate.
-    pub(super) async fn play_each_tenant(&self, destination: SocketAddr, rate: f64) -> LoadOutcome {
+    pub(super) async fn generate_for_each_tenant(
+        &self,
+        destination: SocketAddr,
+        rate: f64,
+    ) -> LoadOutcome {
         let mut tenant = 0;
         let encode = |random: &mut StdRng, _, id| {
             tenant = tenant % self.tenants + 1;
             self.encode(random, tenant, id)
         };
         let length = Duration::from_secs_f64(self.tenants as f64 / rate);
-        play_with(self.open_loop(rate), destination, length, None, encode).await
+        generate_with(self.open_loop(rate), destination, length, None, encode).await
     }
 
     fn open_loop(&self, rate: f64) -> OpenLoopLoad {
--- a/crates/testbed/src/scale/daemon/measured_daemon.rs
+++ b/crates/testbed/src/scale/daemon/measured_daemon.rs
@@ -64,7 +64,7 @@
     pub(super) fn reload(&self, operator_file: &str) -> io::Result<String> {
         fs::write(self.folder.path().join("roseyard.kdl"), operator_file)?;
         while self.log.try_recv().is_ok() {}
-        self.daemon.signal(Signal::HUP)?;
+        self.daemon.send_signal(Signal::HUP)?;
         loop {
             let line = self
                 .log
@@ -79,9 +79,9 @@
     /// Share of a core that the daemon uses over this long.
     pub(super) fn core_share(&self, length: Duration) -> io::Result<f64> {
         let began_at = Instant::now();
-        let before = self.daemon.scheduled_time()?;
+        let before = self.daemon.scheduler_cpu_time()?;
         std::thread::sleep(length);
-        let used = self.daemon.scheduled_time()?.saturating_sub(before);
+        let used = self.daemon.scheduler_cpu_time()?.saturating_sub(before);
         Ok(used.as_secs_f64() / began_at.elapsed().as_secs_f64())
     }
 }
--- a/crates/testbed/src/scale/daemon/mod.rs
+++ b/crates/testbed/src/scale/daemon/mod.rs
@@ -18,7 +18,7 @@
 
 use super::measure;
 use super::report::RoleReport;
-use case::{cases, CaseSeries, Division};
+use case::{cases, CaseSeries, ServiceLayout};
 use quantities::{empty_figures, push_samples, Sample};
 use sample::{direct_latency_note, sample};
 use std::io;
@@ -41,7 +41,7 @@
         push_samples(&mut report.figures, case.size(), &samples);
     }
     let note = direct_latency_note(options)?;
-    let mut reports: Vec<RoleReport> = reports.into_iter().map(|held| held.report).collect();
+    let mut reports: Vec<RoleReport> = reports.into_iter().map(|entry| entry.report).collect();
     for report in &mut reports {
         report.figures.retain(|figure| !figure.points.is_empty());
         report.notes.push(note.clone());
@@ -52,7 +52,7 @@
 
 /// The report of a series, which is added if there is none yet.
 fn report_of(reports: &mut Vec<SeriesReport>, series: CaseSeries) -> &mut RoleReport {
-    let existing = reports.iter().position(|held| held.series == series);
+    let existing = reports.iter().position(|entry| entry.series == series);
     let index = existing.unwrap_or_else(|| {
         let report = empty_report(series);
         reports.push(SeriesReport { series, report });
@@ -62,10 +62,10 @@
 }
 
 fn empty_report(series: CaseSeries) -> RoleReport {
-    let version = if series.before { "before" } else { "now" };
-    let division = match series.division {
-        Division::Unnamed => "all servers in one service",
-        Division::LongTail => "17 servers a service in the mean",
+    let version = if series.is_baseline { "before" } else { "now" };
+    let layout = match series.layout {
+        ServiceLayout::Unnamed => "all servers in one service",
+        ServiceLayout::LongTail => "17 servers a service in the mean",
     };
     let varied = if series.tenants_varied {
         "tenants"
@@ -73,7 +73,7 @@
         "servers"
     };
     RoleReport {
-        role: format!("daemon, {version}, {division}"),
+        role: format!("daemon, {version}, {layout}"),
         varied: varied.into(),
         figures: empty_figures(),
         notes: Vec::new(),
--- a/crates/testbed/src/scale/daemon/options.rs
+++ b/crates/testbed/src/scale/daemon/options.rs
@@ -15,13 +15,13 @@
 use tokio::runtime::Runtime;
 
 /// Ingresses that the settings name.
-pub(super) const INGRESSES: u32 = targets::INGRESSES as u32;
+pub(super) const PLANNED_INGRESSES: u32 = targets::INGRESSES as u32;
 /// Quota of each tenant, so high that no request is rejected for it.
 const QUOTA_UNITS_PER_SECOND: f64 = 1000.0;
 /// Tenants at the planned size.
 pub(super) const ALL_TENANTS: u64 = targets::TENANTS as u64;
 /// Tenants where their number is not varied.
-pub(super) const SOME_TENANTS: u64 = 1_000;
+pub(super) const DEFAULT_TENANTS: u64 = 1_000;
 /// Time after a load or a start until the work that they leave behind is done.
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(500);
 
@@ -31,11 +31,11 @@
     /// The daemon's program.
     pub daemon: PathBuf,
     /// An earlier version of it, measured alternately with the other.
-    pub before: Option<PathBuf>,
+    pub baseline_daemon: Option<PathBuf>,
     /// Are 1 and all tenants measured at the largest size too?
     pub all_tenants: bool,
     /// Does the daemon have a shared counter?
-    pub counter: bool,
+    pub has_counter: bool,
     /// May the daemon check the health of servers?
     pub health_checks: bool,
     /// Do servers close a connection once they have responded to a request on it? Each request then
@@ -67,13 +67,13 @@
         runtimes.platform.block_on(LoopbackPlatform::start(
             topology,
             self.server_options(),
-            self.counter,
+            self.has_counter,
         ))
     }
 
     /// The platform's settings for one of the planned ingresses.
     pub(super) fn settings(&self) -> Value {
-        self.settings_for(INGRESSES)
+        self.settings_for(PLANNED_INGRESSES)
     }
 
     /// The platform's settings for one of this many ingresses.
@@ -87,7 +87,7 @@
     pub(super) fn load(&self, topology: &ServiceTopology, seed: u64) -> TenantLoad {
         TenantLoad {
             rate: self.rate,
-            tenants: SOME_TENANTS,
+            tenants: DEFAULT_TENANTS,
             ingress_count: self.ingress_count,
             idempotent: true,
             seed,
--- a/crates/testbed/src/scale/daemon/quantities.rs
+++ b/crates/testbed/src/scale/daemon/quantities.rs
@@ -32,9 +32,9 @@
     /// Bytes from the counter for a request.
     pub counter_bytes_in: f64,
     /// Bytes from discovery without load.
-    pub discovery_bytes_a_second: f64,
+    pub discovery_bytes_per_second: f64,
     /// Connections opened to servers.
-    pub connections_a_second: f64,
+    pub connections_per_second: f64,
     /// Requests rejected.
     pub rejected_percent: f64,
     /// Requests failed.
@@ -88,10 +88,10 @@
         sample.counter_bytes_in
     }),
     quantity("from discovery at rest", "bytes/s", |sample| {
-        sample.discovery_bytes_a_second
+        sample.discovery_bytes_per_second
     }),
     quantity("connections opened to servers", "1/s", |sample| {
-        sample.connections_a_second
+        sample.connections_per_second
     }),
     quantity("refused", "% of requests", |sample| sample.rejected_percent),
     quantity("failed", "% of requests", |sample| sample.failed_percent),
--- a/crates/testbed/src/scale/daemon/sample.rs
+++ b/crates/testbed/src/scale/daemon/sample.rs
@@ -5,7 +5,7 @@
 use super::load::TenantLoad;
 use super::measured_daemon::MeasuredDaemon;
 use super::metered_listener::Totals;
-use super::options::{DaemonOptions, Runtimes, ALL_TENANTS, SETTLE_TIME, SOME_TENANTS};
+use super::options::{DaemonOptions, Runtimes, ALL_TENANTS, DEFAULT_TENANTS, SETTLE_TIME};
 use super::platform::LoopbackPlatform;
 use super::quantities::Sample;
 use crate::client_load::LoadOutcome;
@@ -16,13 +16,13 @@
 
 /// Requests a second while each tenant sends one: an ingress removes a quota that is unused for
 /// 30 s.
-const TENANTS_RATE: f64 = 4_000.0;
+const ALL_TENANTS_RATE: f64 = 4_000.0;
 /// Load before what is measured.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// Time over which the daemon is measured without load.
 const IDLE_WINDOW: Duration = Duration::from_secs(2);
 /// Changes of one server that discovery sends.
-const CHANGES: u32 = 300;
+const ENDPOINT_CHANGES: u32 = 300;
 /// Time between two changes that are sent alone.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(5);
 /// Added to the seed of the measured load, so that it differs from the load before it.
@@ -33,8 +33,8 @@
     let topology = case.topology();
     let runtimes = Runtimes::start()?;
     let platform = options.start_platform(&topology, &runtimes)?;
-    let program = match &options.before {
-        Some(before) if case.before => before,
+    let program = match &options.baseline_daemon {
+        Some(baseline) if case.is_baseline => baseline,
         _ => &options.daemon,
     };
     let daemon = MeasuredDaemon::start(program, &topology, &platform, &options.settings())?;
@@ -73,11 +73,11 @@
         let sent_before = self.platform.discovery_totals().sent;
         sample.idle_percent = 100.0 * self.daemon.core_share(IDLE_WINDOW)?;
         let sent = self.platform.discovery_totals().sent - sent_before;
-        sample.discovery_bytes_a_second = sent as f64 / IDLE_WINDOW.as_secs_f64();
+        sample.discovery_bytes_per_second = sent as f64 / IDLE_WINDOW.as_secs_f64();
         let address = self.daemon.daemon.address;
         self.runtimes
             .clients
-            .block_on(self.load.play(address, WARM_UP));
+            .block_on(self.load.generate(address, WARM_UP));
         let measurement = self.measure_load()?;
         std::thread::sleep(SETTLE_TIME);
         let idle_share = self.daemon.core_share(IDLE_WINDOW)?;
@@ -87,24 +87,24 @@
         sample.change_burst_us = self.change_us(Duration::ZERO)?;
         sample.resident_mib = mib(self.daemon.daemon.rss_kib()?);
         sample.all_tenants_mib = self.all_tenants_mib(case)?;
-        sample.peak_mib = mib(self.daemon.daemon.peak_kib()?);
+        sample.peak_mib = mib(self.daemon.daemon.peak_rss_kib()?);
         Ok(sample)
     }
 
     fn measure_load(&self) -> io::Result<LoadMeasurement> {
         let load = self.load.with_seed(self.load.seed + MEASURED_SEED_OFFSET);
         let began_at = Instant::now();
-        let used_before = self.daemon.daemon.scheduled_time()?;
+        let used_before = self.daemon.daemon.scheduler_cpu_time()?;
         let counter_before = self.platform.counter_totals();
         let connections_before = self.platform.servers.connections();
         let length = Duration::from_secs(self.options.run.seconds);
-        let play = load.play(self.daemon.daemon.address, length);
-        let outcome = self.runtimes.clients.block_on(play);
+        let load_run = load.generate(self.daemon.daemon.address, length);
+        let outcome = self.runtimes.clients.block_on(load_run);
         let counter = self.platform.counter_totals().since(counter_before);
-        let used = self.daemon.daemon.scheduled_time()?;
+        let used = self.daemon.daemon.scheduler_cpu_time()?;
         Ok(LoadMeasurement {
             outcome,
-            processor_time: used.saturating_sub(used_before),
+            cpu_time: used.saturating_sub(used_before),
             duration: began_at.elapsed(),
             counter,
             connections: self.platform.servers.connections() - connections_before,
@@ -117,9 +117,9 @@
         // Health checks have ceased since the load.
         let idle_share = self.daemon.core_share(IDLE_WINDOW)?;
         let began_at = Instant::now();
-        let used_before = self.daemon.daemon.scheduled_time()?;
+        let used_before = self.daemon.daemon.scheduler_cpu_time()?;
         let address = self.topology.spare_address();
-        for number in 0..CHANGES {
+        for number in 0..ENDPOINT_CHANGES {
             let state = if number.is_multiple_of(2) {
                 "SERVING"
             } else {
@@ -130,20 +130,22 @@
             std::thread::sleep(interval);
         }
         std::thread::sleep(SETTLE_TIME);
-        let used = self.daemon.daemon.scheduled_time()?;
+        let used = self.daemon.daemon.scheduler_cpu_time()?;
         let used = used.saturating_sub(used_before);
-        let changes_s = used.as_secs_f64() - idle_share * began_at.elapsed().as_secs_f64();
-        Ok(changes_s * 1e6 / f64::from(CHANGES))
+        let change_cpu_seconds = used.as_secs_f64() - idle_share * began_at.elapsed().as_secs_f64();
+        Ok(change_cpu_seconds * 1e6 / f64::from(ENDPOINT_CHANGES))
     }
 
     /// Memory once each of all tenants has sent a request; NaN for other cases.
     fn all_tenants_mib(&self, case: &Case) -> io::Result<f64> {
-        if case.tenants != ALL_TENANTS || case.before {
+        if case.tenants != ALL_TENANTS || case.is_baseline {
             return Ok(f64::NAN);
         }
         let address = self.daemon.daemon.address;
-        let play = self.load.play_each_tenant(address, TENANTS_RATE);
-        self.runtimes.clients.block_on(play);
+        let load_run = self
+            .load
+            .generate_for_each_tenant(address, ALL_TENANTS_RATE);
+        self.runtimes.clients.block_on(load_run);
         Ok(mib(self.daemon.daemon.rss_kib()?))
     }
 }
@@ -156,7 +158,7 @@
 struct LoadMeasurement {
     outcome: LoadOutcome,
     /// Of the daemon.
-    processor_time: Duration,
+    cpu_time: Duration,
     duration: Duration,
     counter: Totals,
     /// Connections opened to servers.
@@ -170,13 +172,13 @@
         let outcome = &self.outcome;
         let seconds = self.duration.as_secs_f64();
         let requests = outcome.requests.max(1) as f64;
-        let requests_s = self.processor_time.as_secs_f64() - idle_share * seconds;
-        sample.request_us = requests_s * 1e6 / requests;
+        let request_cpu_seconds = self.cpu_time.as_secs_f64() - idle_share * seconds;
+        sample.request_us = request_cpu_seconds * 1e6 / requests;
         sample.p50_ms = latency_ms(outcome, 0.5);
         sample.p99_ms = latency_ms(outcome, 0.99);
         sample.counter_bytes_out = self.counter.received as f64 / requests;
         sample.counter_bytes_in = self.counter.sent as f64 / requests;
-        sample.connections_a_second = self.connections as f64 / seconds;
+        sample.connections_per_second = self.connections as f64 / seconds;
         sample.rejected_percent = 100.0 * outcome.rejected as f64 / requests;
         sample.failed_percent = 100.0 * outcome.failed as f64 / requests;
     }
@@ -198,12 +200,12 @@
     };
     let address = SocketAddr::from((server, platform.port));
     let load = TenantLoad {
-        tenants: SOME_TENANTS,
+        tenants: DEFAULT_TENANTS,
         ingress_count: 1,
         ..options.load(&topology, options.run.seed)
     };
     let length = Duration::from_secs(options.run.seconds);
-    let outcome = runtimes.clients.block_on(load.play(address, length));
+    let outcome = runtimes.clients.block_on(load.generate(address, length));
     Ok(format!(
         "straight from the client to a server, without the daemon: p50 {:.2} ms, p99 {:.2} ms",
         latency_ms(&outcome, 0.5),
