--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -73,8 +73,8 @@
 
 fn connections(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("connect, evict, close");
-    // All remembered addresses connect in turn, or only some of them: the others take memory but
-    // no processor cache.
+    // All remembered addresses connect in turn, or only some of them: the others take memory but no
+    // processor cache.
     for (tracked, connecting) in [
         (100, 100),
         (10_000, 100),
--- a/crates/admission/src/address.rs
+++ b/crates/admission/src/address.rs
@@ -1,15 +1,16 @@
-//! Addresses and address prefixes as keys. An IPv4 address and its IPv4-mapped IPv6 form (RFC 4291,
-//! section 2.5.5.2) have the same key. Prevents a client from doubling its limits when it connects
-//! under both forms.
+//! Keys of client addresses and networks, and sets of address ranges.
+//!
+//! An IPv4 address and its IPv4-mapped IPv6 form (RFC 4291, section 2.5.5.2) have the same key.
+//! Otherwise a client could double its limits by connecting with both forms.
 
 use ipnet::IpNet;
 use std::collections::HashSet;
 use std::net::IpAddr;
 
-/// Length of the IPv6 prefix under which IPv4 addresses are mapped, in bits.
+/// The length of the IPv6 prefix `::ffff:0:0/96`, which IPv4-mapped addresses start with.
 const IPV4_MAPPED_PREFIX_BITS: u8 = 96;
 
-/// An address as 128 bits: IPv6 as it is, IPv4 in its mapped form.
+/// Returns an address as 128 bits; an IPv4 address is converted to its IPv4-mapped form.
 fn to_bits(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(v4) => v4.to_ipv6_mapped().to_bits(),
@@ -17,11 +18,12 @@
     }
 }
 
+/// Whether the bits are those of an IPv4-mapped address.
 fn is_ipv4(bits: u128) -> bool {
     bits >> 32 == 0xffff
 }
 
-/// The first `prefix_len` bits, the others 0.
+/// Clears all bits after the first `prefix_len` bits.
 fn mask(bits: u128, prefix_len: u8) -> u128 {
     match prefix_len {
         0 => 0,
@@ -29,16 +31,16 @@
     }
 }
 
-/// How many bits of an address identify a client, and how many identify its network.
+/// The numbers of leading address bits that identify a client and its network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixLengths {
-    /// Bits of an IPv4 address that identify a network, 8 to 32; 24 by default. An IPv4 client is
-    /// identified by all 32.
+    /// The prefix length of an IPv4 network, 8 to 32; 24 by default. An IPv4 client is identified
+    /// by all 32 bits of its address.
     pub ipv4_network: u8,
-    /// Bits of an IPv6 address that identify one client, 32 to 128; 64 by default, as a client
+    /// The prefix length that identifies an IPv6 client, 32 to 128; 64 by default, because a client
     /// usually has a /64 of its own.
     pub ipv6_client: u8,
-    /// Bits of an IPv6 address that identify a network, 16 to 128; 48 by default.
+    /// The prefix length of an IPv6 network, 16 to 128; 48 by default.
     pub ipv6_network: u8,
 }
 
@@ -53,7 +55,7 @@
 }
 
 impl PrefixLengths {
-    /// The key of the client at an address.
+    /// Returns the key of the client with this address.
     #[must_use]
     pub fn client_key(&self, address: IpAddr) -> u128 {
         let bits = to_bits(address);
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The key of the network that an address belongs to.
+    /// Returns the key of the network that contains this address.
     #[must_use]
     pub fn network_key(&self, address: IpAddr) -> u128 {
         let bits = to_bits(address);
@@ -76,8 +78,8 @@
     }
 }
 
-/// A set of addresses and ranges of addresses. A look-up takes one step for each prefix length in
-/// use, however many ranges there are.
+/// A set of address ranges. A lookup takes one hash table access per distinct prefix length,
+/// regardless of the number of ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AddressList {
     prefix_lengths: Vec<u8>,
@@ -85,7 +87,7 @@
 }
 
 impl AddressList {
-    /// A list of these ranges. A single address is a range of full prefix length.
+    /// Creates a list of these ranges. A single address is a range with the full prefix length.
     #[must_use]
     pub fn new(ranges: impl IntoIterator<Item = IpNet>) -> AddressList {
         let mut list = AddressList::default();
@@ -103,8 +105,8 @@
         list
     }
 
-    /// Is this address within one of the ranges? An IPv4 range also holds the mapped form of its
-    /// addresses, and a range within the mapped addresses holds IPv4 ones.
+    /// Whether one of the ranges contains this address. An IPv4 range also contains the IPv4-mapped
+    /// form of its addresses, and a range of IPv4-mapped addresses contains their IPv4 form.
     #[must_use]
     pub fn contains(&self, address: IpAddr) -> bool {
         let bits = to_bits(address);
@@ -113,13 +115,13 @@
             .any(|len| self.prefixes.contains(&(*len, mask(bits, *len))))
     }
 
-    /// The number of distinct ranges.
+    /// Returns the number of distinct ranges.
     #[must_use]
     pub fn len(&self) -> usize {
         self.prefixes.len()
     }
 
-    /// Are there no ranges?
+    /// Whether the list has no ranges, so that it contains no address.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.prefixes.is_empty()
--- a/crates/admission/src/controller/client_histories.rs
+++ b/crates/admission/src/controller/client_histories.rs
@@ -1,4 +1,4 @@
-//! The histories of client addresses, of their networks and of customers.
+//! The histories of client addresses, networks and customers.
 
 use crate::decaying_score::DecayingScore;
 use crate::history_cache::{ClientHistory, HistoryCache};
@@ -8,32 +8,32 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Served requests, decayed, below which a client is not stored in a snapshot.
-const MIN_STORED_SERVED: f32 = 0.5;
-/// Served requests that a snapshot's record counts at most.
-const MAX_RESTORED_SERVED: f32 = 1e6;
+/// The decayed number of served requests below which a client is not stored in a snapshot.
+const MIN_STORED_SERVED_REQUESTS: f32 = 0.5;
+/// The maximum number of served requests that a record of a snapshot is restored with.
+const MAX_RESTORED_SERVED_REQUESTS: f32 = 1e6;
 
-/// The indexes of an address in the caches.
+/// The indexes of an address and its network in the caches.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AddressEntries {
     pub client: u32,
     pub network: u32,
 }
 
-/// How many client histories are kept.
+/// The number of histories that are kept, and the memory that they take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheSizes {
-    /// Client addresses.
+    /// The number of client addresses.
     pub clients: usize,
-    /// Networks of client addresses.
+    /// The number of networks.
     pub networks: usize,
-    /// Customers.
+    /// The number of customers.
     pub customers: usize,
-    /// Memory of all of them, in bytes.
+    /// The memory of all three caches, in bytes.
     pub bytes: usize,
 }
 
-/// The three caches of client histories.
+/// The caches of the histories of client addresses, networks and customers.
 pub(super) struct ClientHistories {
     pub clients: HistoryCache<u128>,
     pub networks: HistoryCache<u128>,
@@ -41,7 +41,7 @@
     secret: u64,
 }
 
-/// The hash secret of each cache.
+/// Derives the hash secret of a cache from the controller's secret.
 fn hash_secret(secret: u64, cache_number: u64) -> (u64, u64) {
     (
         secret,
@@ -50,7 +50,7 @@
 }
 
 impl ClientHistories {
-    /// Empty caches of this capacity each.
+    /// Creates empty caches with this capacity each.
     pub(super) fn new(capacity: usize, secret: u64) -> ClientHistories {
         ClientHistories {
             clients: HistoryCache::new(capacity, hash_secret(secret, 1)),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Drops the histories of addresses and networks, with their counts of connections.
+    /// Drops the histories of addresses and networks, including their counts of open connections.
     pub(super) fn forget_addresses(&mut self, capacity: usize) {
         self.clients = HistoryCache::new(capacity, hash_secret(self.secret, 1));
         self.networks = HistoryCache::new(capacity, hash_secret(self.secret, 2));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The entries of an address, made if they are missing.
+    /// Returns the entries of an address and its network, which are inserted if they are missing.
     pub(super) fn address_entries(
         &mut self,
         policy: &AdmissionPolicy,
@@ -117,13 +117,15 @@
         self.networks.connection_closed(address.network, false);
     }
 
-    /// A connection of the address was rejected.
+    /// Assigns the entries of an address to their segments. Called when its connection is rejected,
+    /// as no closing will follow that assigns them.
     pub(super) fn connection_rejected(&mut self, address: AddressEntries, is_known: bool) {
         self.clients.assign_segment(address.client, is_known);
         self.networks.assign_segment(address.network, false);
     }
 
-    /// Up to `max_records` addresses, and as many customers, that were served.
+    /// Returns a snapshot of up to `max_records` addresses, and as many customers, that had
+    /// requests served.
     pub(super) fn snapshot(
         &self,
         max_records: usize,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Adds what a snapshot of this age holds.
+    /// Adds the records of a snapshot that was written `age` ago.
     pub(super) fn restore(
         &mut self,
         snapshot: &Snapshot,
@@ -164,7 +166,7 @@
             key,
             served: history.served.at(now, half_life),
         })
-        .filter(|record| record.served >= MIN_STORED_SERVED)
+        .filter(|record| record.served >= MIN_STORED_SERVED_REQUESTS)
 }
 
 fn restore_records<K: Hash + Eq + Copy>(
@@ -174,9 +176,10 @@
     now: Duration,
     policy: &AdmissionPolicy,
 ) {
-    // Records are in the order of the latest first: the latest is inserted last.
+    // The records are ordered from the most recent to the oldest. The most recent are inserted
+    // last, so that they are evicted last.
     for record in records.iter().rev() {
-        let served_when_written = record.served.clamp(0.0, MAX_RESTORED_SERVED);
+        let served_when_written = record.served.clamp(0.0, MAX_RESTORED_SERVED_REQUESTS);
         let served =
             DecayingScore::new(served_when_written, Duration::ZERO).at(age, policy.known_half_life);
         let index = cache.find_or_insert(record.key);
--- a/crates/admission/src/controller/connect.rs
+++ b/crates/admission/src/controller/connect.rs
@@ -1,4 +1,4 @@
-//! New connections: limits by address, and capacity.
+//! Admission of new connections: the limits by address, and the capacity.
 
 use super::client_histories::AddressEntries;
 use super::connection_table::Connection;
@@ -8,13 +8,14 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// What a connection beyond the rate of its address adds to the faults of the address.
-const CONNECT_RATE_FAULT: f32 = 0.25;
+/// The amount by which a connection that exceeds the rate of its address increases the address's
+/// number of faults.
+const CONNECT_RATE_FAULT_AMOUNT: f32 = 0.25;
 
-/// A limit that a new connection is beyond.
+/// A limit because of which a new connection is rejected.
 struct ExceededLimit {
     reason: RejectionReason,
-    /// Time after which the limit would admit it; zero if that is not known.
+    /// The time after which the limit would admit the connection; zero if it is not known.
     wait: Duration,
 }
 
@@ -23,7 +24,8 @@
 struct NewConnection {
     id: ConnectionId,
     address: Option<AddressEntries>,
-    /// The reputation on which it is admitted: new, known or allowlisted.
+    /// The reputation that decides which connections may be evicted for this one: new, known or
+    /// allowlisted.
     reputation: Reputation,
 }
 
@@ -35,7 +37,8 @@
         peer_address: IpAddr,
         actions: &mut Vec<Action>,
     ) {
-        // Prevents a leak of the counts of an open connection when the caller reuses its id.
+        // If the caller reuses the id of an open connection, that connection must be removed from
+        // the counts.
         self.remove(id, now);
         let new = self.identify(id, peer_address, now);
         let exceeded = new
@@ -60,6 +63,7 @@
         self.queue_idle(id, now, actions);
     }
 
+    /// Looks up the history of the client's address, if limits apply to the address.
     fn identify(&mut self, id: ConnectionId, peer_address: IpAddr, now: Duration) -> NewConnection {
         if self.policy.allowlist.contains(peer_address) {
             return NewConnection {
@@ -89,8 +93,8 @@
         }
     }
 
-    /// The first limit that the address or its network is beyond: caps before rates, and the client
-    /// before its network.
+    /// Returns the first limit that one more connection of the address would exceed. The caps are
+    /// checked before the rates, and the limits of the client before those of its network.
     fn exceeded_limit(&mut self, address: AddressEntries, now: Duration) -> Option<ExceededLimit> {
         if let Some(reason) = self.reached_cap(address) {
             return Some(ExceededLimit {
@@ -106,7 +110,7 @@
         {
             client
                 .faults
-                .add(CONNECT_RATE_FAULT, now, policy.suspect_half_life);
+                .add(CONNECT_RATE_FAULT_AMOUNT, now, policy.suspect_half_life);
             return Some(ExceededLimit {
                 reason: RejectionReason::ClientRate,
                 wait,
@@ -125,7 +129,8 @@
         None
     }
 
-    /// The cap that leaves no connection more to an address.
+    /// Returns the cap that the address or its network has reached, so that it may open no further
+    /// connection.
     fn reached_cap(&self, address: AddressEntries) -> Option<RejectionReason> {
         let is_reached = |cap: Option<u32>, open: u32| cap.is_some_and(|cap| open >= cap);
         let client = self.histories.client(address);
@@ -137,7 +142,8 @@
             .then_some(RejectionReason::NetworkCap)
     }
 
-    /// The cap that an open connection's address is beyond, after it was lowered.
+    /// Returns the cap that the address of an open connection, or its network, exceeds. This
+    /// happens only after a cap was lowered.
     pub(super) fn exceeded_cap(&self, id: ConnectionId) -> Option<RejectionReason> {
         let address = self.connections.get(id)?.address?;
         let is_exceeded = |cap: Option<u32>, open: u32| cap.is_some_and(|cap| open > cap);
@@ -150,7 +156,8 @@
             .then_some(RejectionReason::NetworkCap)
     }
 
-    /// Is there capacity for one more connection? If need be, an idle one is evicted for it.
+    /// Ensures that there is capacity for one more connection, for which an idle one is evicted if
+    /// necessary. Returns false if none may be evicted.
     fn ensure_capacity(
         &mut self,
         reputation: Reputation,
--- a/crates/admission/src/controller/connection_table.rs
+++ b/crates/admission/src/controller/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of open connections, with the idle ones in the order of eviction.
+//! The table of open connections, with queues of the idle ones in eviction order.
 
 use super::client_histories::AddressEntries;
 use crate::event::ConnectionId;
@@ -6,40 +6,42 @@
 use crate::reputation::{Reputation, REPUTATIONS};
 use std::time::Duration;
 
-/// What a connection is doing.
+/// Whether a connection has open requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Activity {
-    /// It has no request open.
+    /// The connection has no open request.
     Idle,
-    /// It has requests open; `as_new_client` if it was a new client's when the first was opened.
+    /// The connection has open requests. `as_new_client` tells whether it belonged to a new client
+    /// when the first of them was admitted.
     Busy { as_new_client: bool },
 }
 
 /// An open connection.
 pub(super) struct Connection {
     pub id: ConnectionId,
-    /// The history entries of its address, if limits go by address.
+    /// The history entries of its address; `None` if no limits apply to the address.
     pub address: Option<AddressEntries>,
-    /// The history entry of the first customer that it named, if customers are trusted.
+    /// The history entry of the first customer that it named; `None` if it has named none, or if
+    /// the policy trusts no customers.
     pub customer: Option<u32>,
-    /// Was it trusted for its customer?
+    /// Whether it is trusted because its customer is known.
     pub is_trusted_by_customer: bool,
-    /// Requests and other commands so far.
+    /// The number of requests and other commands so far.
     pub command_count: u32,
-    /// Requests served so far.
+    /// The number of served requests so far.
     pub served_count: u32,
-    /// Protocol errors so far.
+    /// The number of protocol errors so far.
     pub fault_count: u32,
-    /// Is its address on the allowlist?
+    /// Whether its address was on the allowlist when it was accepted.
     pub is_allowlisted: bool,
     pub is_half_closed: bool,
     pub activity: Activity,
-    /// When it became idle last.
+    /// When it was accepted or last became idle.
     pub idle_since: Duration,
 }
 
 impl Connection {
-    /// A connection that was just accepted, and is idle.
+    /// Creates an idle connection that was accepted at `now`.
     pub(super) fn new(
         id: ConnectionId,
         address: Option<AddressEntries>,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Does it count among the new clients with requests open?
+    /// Whether it counts as a new client's connection with open requests.
     pub(super) fn is_busy_new_client(&self) -> bool {
         self.activity
             == Activity::Busy {
@@ -70,17 +72,17 @@
     }
 }
 
-/// Open connections by their slot.
+/// The open connections by slot.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: Vec<Option<Connection>>,
     len: usize,
-    /// Slots of idle connections by reputation, the longest idle first.
+    /// The slots of idle connections, in one list per reputation, the longest idle first.
     idle: LinkedLists<{ REPUTATIONS.len() }>,
 }
 
 impl ConnectionTable {
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.len
     }
@@ -116,27 +118,27 @@
         Some(connection)
     }
 
-    /// Queues an idle connection behind those of its reputation.
+    /// Appends an idle connection to the queue of its reputation.
     pub(super) fn push_idle(&mut self, id: ConnectionId, reputation: Reputation) {
         self.idle.push_back(reputation as usize, id.slot());
     }
 
-    /// Removes a connection from the idle ones, as it has requests open.
+    /// Removes a connection from the queue of idle ones. Called when it gets an open request.
     pub(super) fn remove_idle(&mut self, id: ConnectionId) {
         self.idle.remove(id.slot());
     }
 
-    /// The number of idle connections of a reputation.
+    /// Returns the number of idle connections of this reputation.
     pub(super) fn idle_len(&self, reputation: Reputation) -> usize {
         self.idle.len(reputation as usize)
     }
 
-    /// The connection of a reputation that has been idle for longest.
+    /// Returns the connection of this reputation that has been idle for longest.
     pub(super) fn longest_idle_of(&self, reputation: Reputation) -> Option<&Connection> {
         self.get_slot(self.idle.first(reputation as usize)?)
     }
 
-    /// The first idle connection in the order of eviction, whatever its idle time.
+    /// Returns the first idle connection in eviction order, regardless of its idle time.
     pub(super) fn first_to_evict(&self) -> Option<ConnectionId> {
         let first = REPUTATIONS
             .into_iter()
@@ -144,7 +146,7 @@
         Some(first.id)
     }
 
-    /// All idle connections, in the order of eviction.
+    /// Returns all idle connections in eviction order.
     pub(super) fn idle_in_eviction_order(&self) -> Vec<ConnectionId> {
         let idle_slots_of = |reputation: Reputation| {
             std::iter::successors(self.idle.first(reputation as usize), |slot| {
@@ -158,7 +160,8 @@
             .collect()
     }
 
-    /// Drops the history entries of all addresses.
+    /// Removes the references to the histories of addresses from all connections. Called before the
+    /// histories are dropped.
     pub(super) fn forget_addresses(&mut self) {
         for connection in self.slots.iter_mut().flatten() {
             connection.address = None;
--- a/crates/admission/src/controller/eviction.rs
+++ b/crates/admission/src/controller/eviction.rs
@@ -1,4 +1,4 @@
-//! Idle connections, and which of them is closed when capacity is needed.
+//! The queues of idle connections, and the selection of those that are closed to free capacity.
 
 use super::connection_table::Activity;
 use super::AdmissionController;
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Queues an idle connection behind those of its reputation. If these are too many, the first
-    /// one is closed.
+    /// Appends an idle connection to the queue of its reputation. If the queue exceeds its maximum
+    /// length, closes the connection that has been idle for longest, which may be the same one.
     pub(super) fn queue_idle(
         &mut self,
         id: ConnectionId,
@@ -68,6 +68,7 @@
         }
     }
 
+    /// Returns the maximum number of idle connections of this reputation.
     fn max_idle(&self, reputation: Reputation) -> usize {
         match reputation {
             Reputation::NoCommand => self.policy.max_idle_without_command,
@@ -76,8 +77,9 @@
         }
     }
 
-    /// The idle connection that is evicted first for one of this reputation; none if none may be.
-    /// Only the connection that has been idle for longest is considered of each reputation.
+    /// Returns the idle connection that is evicted for a connection of the reputation
+    /// `evicted_for`; `None` if none may be evicted. Of each reputation, only the connection that
+    /// has been idle for longest is considered.
     pub(super) fn eviction_candidate(
         &self,
         evicted_for: Reputation,
@@ -91,7 +93,8 @@
         })
     }
 
-    /// May a connection of this reputation and idle time be evicted for another?
+    /// Whether a connection of this reputation and idle time may be evicted for a connection of the
+    /// reputation `evicted_for`.
     fn may_evict(
         &self,
         reputation: Reputation,
@@ -107,9 +110,10 @@
                 evicted_for >= Reputation::Known
                     || idle_time >= self.policy.first_command_grace_period
             }
-            // While connections without a command are idle, a new client waits for the end of their
-            // grace. Prevents the eviction of known clients when a flood connects so fast that all
-            // of its connections are in their grace.
+            // While there are idle connections without a command, a new client is admitted only
+            // once the grace period of one of them has ended. Otherwise a flood that connects so
+            // fast that all of its connections are in their grace periods would evict known
+            // clients.
             Reputation::Known => {
                 let has_idle_without_command = self.connections.idle_len(Reputation::NoCommand) > 0;
                 evicted_for >= Reputation::Known
@@ -120,6 +124,7 @@
         }
     }
 
+    /// Closes an idle connection, and counts it under this reason.
     pub(super) fn close(
         &mut self,
         id: ConnectionId,
@@ -135,7 +140,7 @@
         });
     }
 
-    /// Removes a connection that is closed, if it is in the table.
+    /// Removes a connection from the table and from the histories' counts, if it is open.
     pub(super) fn remove(&mut self, id: ConnectionId, now: Duration) {
         let Some(connection) = self.connections.remove(id) else {
             return;
--- a/crates/admission/src/controller/mod.rs
+++ b/crates/admission/src/controller/mod.rs
@@ -1,8 +1,9 @@
-//! The state machine of admission.
+//! The admission controller, a state machine.
 //!
-//! [`connect`] decides on new connections, [`request`] on requests, with what they say of a
-//! client's reputation, and [`eviction`] on which idle connection is closed. [`client_histories`]
-//! keeps the histories of clients, and [`connection_table`] the open connections.
+//! [`connect`] admits or rejects new connections. [`request`] admits or rejects requests, and
+//! records their results for the reputation of the client. [`eviction`] selects the idle
+//! connections that are closed. [`client_histories`] holds the histories of clients, and
+//! [`connection_table`] the open connections.
 
 mod client_histories;
 mod connect;
@@ -21,21 +22,25 @@
 
 pub use client_histories::CacheSizes;
 
-/// Shortest pause of accepting, if the policy's `first_command_grace_period` is shorter.
+/// The minimum time for which accepting is paused; applies if the policy's
+/// `first_command_grace_period` is shorter.
 const MIN_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
 
-/// Served requests that make a connection known, in the time of warm-up. Many requests are rejected
-/// then that would be served later.
-const SERVED_TO_BE_KNOWN_IN_WARM_UP: u32 = 1;
-/// Served requests that make a connection known, after the time of warm-up.
-const SERVED_TO_BE_KNOWN: u32 = 2;
+/// The number of served requests at which a connection becomes known during the warm-up period. It
+/// is lower than [`MIN_SERVED_REQUESTS_OF_KNOWN`] because many requests are rejected in that period
+/// that would be served later.
+const MIN_SERVED_REQUESTS_OF_KNOWN_IN_WARM_UP: u32 = 1;
+/// The number of served requests at which a connection becomes known after the warm-up period.
+const MIN_SERVED_REQUESTS_OF_KNOWN: u32 = 2;
 
-/// What was rejected or closed since the controller was made.
+/// The numbers of rejections since the controller was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts {
-    /// Connections rejected or closed, in the order of [`REJECTION_REASONS`].
+    /// The number of connections that were rejected or closed for each reason, in the order of
+    /// [`REJECTION_REASONS`].
     pub connections: [u64; REJECTION_REASONS.len()],
-    /// Requests rejected: beyond the capacity for new clients, or beyond their rate.
+    /// The number of new clients' requests that were rejected, because they exceeded the capacity
+    /// for new clients or their request rate.
     pub requests: u64,
 }
 
@@ -45,56 +50,57 @@
     policy: AdmissionPolicy,
     connections: ConnectionTable,
     histories: ClientHistories,
-    /// Connections of new clients with requests open.
+    /// The number of new clients' connections with open requests.
     busy_new_clients: usize,
-    /// End of the time of warm-up.
-    warm_until: Duration,
+    /// The end of the warm-up period.
+    warm_up_end: Duration,
     rejection_counts: RejectionCounts,
-    /// Rate limiter of the requests of all new clients.
+    /// The rate limiter of the requests of all new clients together.
     new_client_request_limiter: Gcra,
 }
 
 impl AdmissionController {
-    /// A controller without connections or histories. `secret` is the key of its hash tables: where
-    /// it is not known, nobody can choose addresses that collide.
+    /// Creates a controller without connections or histories. The warm-up period begins at `now`.
+    /// `secret` is the key of the hash tables; clients that do not know it cannot choose addresses
+    /// that collide.
     #[must_use]
     pub fn new(policy: AdmissionPolicy, secret: u64, now: Duration) -> AdmissionController {
         AdmissionController {
             connections: ConnectionTable::default(),
             histories: ClientHistories::new(policy.history_cache_capacity, secret),
             busy_new_clients: 0,
-            warm_until: now + policy.warm_up_period,
+            warm_up_end: now + policy.warm_up_period,
             rejection_counts: RejectionCounts::default(),
             new_client_request_limiter: Gcra::default(),
             policy,
         }
     }
 
-    /// The policy in force.
+    /// Returns the current policy.
     #[must_use]
     pub fn policy(&self) -> &AdmissionPolicy {
         &self.policy
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// What was rejected or closed so far.
+    /// Returns the numbers of rejections since the controller was created.
     #[must_use]
     pub fn rejection_counts(&self) -> RejectionCounts {
         self.rejection_counts
     }
 
-    /// How many client histories are kept.
+    /// Returns the number of client histories that are kept, and the memory that they take.
     #[must_use]
     pub fn cache_sizes(&self) -> CacheSizes {
         self.histories.sizes()
     }
 
-    /// The reputation of a connection; none if it is not open.
+    /// Returns the reputation of a connection; `None` if it is not open.
     #[must_use]
     pub fn reputation(&self, id: ConnectionId, now: Duration) -> Option<Reputation> {
         self.connections
@@ -102,7 +108,7 @@
             .map(|connection| self.reputation_of(connection, now))
     }
 
-    /// The time after which the caller closes a connection that is idle.
+    /// Returns the time after which the caller closes the connection if it stays idle.
     #[must_use]
     pub fn idle_timeout_of(&self, id: ConnectionId) -> Duration {
         let Some(connection) = self.connections.get(id) else {
@@ -116,9 +122,9 @@
         }
     }
 
-    /// The time until which no connection is to be accepted; none if one may be accepted now. Set
-    /// when all capacity is in use and the only connections that could be evicted are still in
-    /// their `first_command_grace_period`.
+    /// Returns the time until which the caller should accept no connection; `None` if it may accept
+    /// one now. Accepting is paused while the capacity is exhausted and the only connections that
+    /// could be evicted are in their `first_command_grace_period`.
     #[must_use]
     pub fn accept_paused_until(&self, now: Duration) -> Option<Duration> {
         let has_capacity = self.open_connections() < self.policy.capacity;
@@ -130,7 +136,7 @@
         Some(grace_end).filter(|until| *until > now)
     }
 
-    /// Handles an event; what the caller is to do is appended to `actions`, in order.
+    /// Handles an event. Appends the actions that the caller must perform to `actions`, in order.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Connected {
@@ -174,8 +180,8 @@
         }
     }
 
-    /// Replaces the policy. Idle connections beyond lowered limits are closed at once, busy ones
-    /// when they become idle.
+    /// Replaces the policy. Idle connections that exceed a lowered limit are closed at once, and
+    /// busy connections when they become idle.
     pub fn set_policy(
         &mut self,
         policy: AdmissionPolicy,
@@ -183,8 +189,8 @@
         actions: &mut Vec<Action>,
     ) {
         if policy.prefix_lengths != self.policy.prefix_lengths {
-            // Keys of other prefix lengths are never found again: their histories are dropped, with
-            // their counts of connections.
+            // Keys of the previous prefix lengths would never be found again, so their histories
+            // are dropped together with the counts of open connections.
             self.connections.forget_addresses();
             self.histories
                 .forget_addresses(policy.history_cache_capacity);
@@ -204,22 +210,24 @@
         }
     }
 
-    /// What to store over a restart: up to `max_records` client addresses and as many customers
-    /// that were served; those with an open connection first, then the latest first.
+    /// Returns a snapshot of up to `max_records` client addresses and as many customers that had
+    /// requests served. Those with open connections come first, then the others from the most
+    /// recent to the oldest.
     #[must_use]
     pub fn snapshot(&self, max_records: usize, now: Duration) -> Snapshot {
         self.histories
             .snapshot(max_records, now, self.policy.known_half_life)
     }
 
-    /// Adds the clients of a snapshot that was written `age` ago.
+    /// Adds the client addresses and customers of a snapshot that was written `age` ago.
     pub fn restore(&mut self, snapshot: &Snapshot, age: Duration, now: Duration) {
         self.histories.restore(snapshot, age, now, &self.policy);
     }
 
-    /// The reputation of a connection. Its own behaviour counts before its address's history, which
-    /// counts only after the first command. Prevents connections from a known address that send
-    /// nothing from being protected.
+    /// Returns the reputation of a connection. An address can make its connection known only after
+    /// the first command; otherwise connections of a known address that send nothing would be
+    /// protected from eviction. Once a request was served, faults of the address no longer make the
+    /// connection suspect.
     fn reputation_of(&self, connection: &Connection, now: Duration) -> Reputation {
         match connection {
             c if c.is_half_closed => Reputation::HalfClosed,
@@ -243,17 +251,17 @@
     }
 
     fn is_known(&self, connection: &Connection, now: Duration) -> bool {
-        let served_to_be_known = if now < self.warm_until {
-            SERVED_TO_BE_KNOWN_IN_WARM_UP
+        let min_served_requests = if now < self.warm_up_end {
+            MIN_SERVED_REQUESTS_OF_KNOWN_IN_WARM_UP
         } else {
-            SERVED_TO_BE_KNOWN
+            MIN_SERVED_REQUESTS_OF_KNOWN
         };
         let is_address_known = || {
             connection
                 .address
                 .is_some_and(|address| self.policy.is_known(self.histories.client(address), now))
         };
-        connection.command_count > 1 && connection.served_count >= served_to_be_known
+        connection.command_count > 1 && connection.served_count >= min_served_requests
             || is_address_known()
     }
 }
--- a/crates/admission/src/controller/request.rs
+++ b/crates/admission/src/controller/request.rs
@@ -1,4 +1,5 @@
-//! Requests on open connections, and what they add to a client's reputation.
+//! Admission of requests on open connections, and the recording of their results for the reputation
+//! of the client.
 
 use super::connection_table::Activity;
 use super::AdmissionController;
@@ -19,7 +20,7 @@
         };
         connection.command_count = connection.command_count.saturating_add(1);
         if connection.activity == Activity::Idle {
-            if let Err(wait) = self.begin_request(id, now) {
+            if let Err(wait) = self.admit_request_on_idle(id, now) {
                 self.rejection_counts.requests += 1;
                 actions.push(Action::RejectRequest {
                     retry_after: wait.max(self.policy.retry_after),
@@ -30,16 +31,16 @@
         self.record_customer(id, customer, now);
     }
 
-    /// Begins the first request of an idle connection. The error is the time after which a request
-    /// that is not admitted could be; zero if that is not known.
-    fn begin_request(&mut self, id: ConnectionId, now: Duration) -> Result<(), Duration> {
+    /// Admits a request on an idle connection, which becomes busy. If the request is not admitted,
+    /// returns the time after which it could be; zero if that time is not known.
+    fn admit_request_on_idle(&mut self, id: ConnectionId, now: Duration) -> Result<(), Duration> {
         let Some(connection) = self.connections.get(id) else {
             return Ok(());
         };
         let as_new_client = self.reputation_of(connection, now) < Reputation::Known;
         if as_new_client {
             let capacity = self.new_client_capacity(connection.command_count);
-            self.limit_new_client_request(now)?;
+            self.check_new_client_request_rate(now)?;
             if self.busy_new_clients >= capacity {
                 return Err(Duration::ZERO);
             }
@@ -52,10 +53,11 @@
         Ok(())
     }
 
-    /// Connections of new clients that may have requests open. On the reserve they may only be
-    /// idle, so that they can be evicted at once. A client that has sent several commands may use
-    /// half of the reserve. Prevents a flood of first requests from keeping a client that lost its
-    /// connection from being served, and so from becoming known again.
+    /// Returns the maximum number of new clients' connections with open requests. New clients may
+    /// use the reserve only for idle connections, which can be evicted at once. A client that has
+    /// sent several commands may also use half of the reserve for open requests; otherwise, during
+    /// a flood of first requests, a client that lost its connection would not be served and could
+    /// not become known again.
     fn new_client_capacity(&self, command_count: u32) -> usize {
         let reserve = if command_count > 1 {
             self.policy.reserve / 2
@@ -65,7 +67,9 @@
         self.policy.capacity.saturating_sub(reserve)
     }
 
-    fn limit_new_client_request(&mut self, now: Duration) -> Result<(), Duration> {
+    /// Applies the rate limit of new clients' requests. If the request exceeds it, returns the time
+    /// after which it would be admitted.
+    fn check_new_client_request_rate(&mut self, now: Duration) -> Result<(), Duration> {
         match self.policy.new_client_request_rate {
             Some(rate) => self.new_client_request_limiter.take(now, rate),
             None => Ok(()),
@@ -73,7 +77,7 @@
     }
 
     /// Records the first customer that a connection names, and whether the connection is trusted
-    /// for it.
+    /// because that customer is known.
     fn record_customer(&mut self, id: ConnectionId, customer: u64, now: Duration) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Counts a fault against the address of a connection.
+    /// Adds a fault to the history of a connection's address.
     pub(super) fn record_fault(&mut self, id: ConnectionId, now: Duration) {
         let Some(connection) = self.connections.get(id) else {
             return;
--- a/crates/admission/src/decaying_score.rs
+++ b/crates/admission/src/decaying_score.rs
@@ -1,33 +1,35 @@
-//! A score that decays exponentially with time.
+//! A score that decays exponentially over time.
 
 use std::time::Duration;
 
-/// Shortest half-life, in seconds. Keeps the exponent finite when a half-life is set to 0.
-const MIN_HALF_LIFE_S: f32 = 1e-3;
+/// The minimum half-life; prevents a division by zero if the half-life is set to 0.
+const MIN_HALF_LIFE_SECONDS: f32 = 1e-3;
 
-/// A sum of amounts, each of which counts half after every half-life.
+/// A sum of amounts that halves with every half-life.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingScore {
-    /// The score at `updated_at_s`.
+    /// The score at `updated_at_seconds`.
     value: f32,
-    /// Time of the last update, in seconds.
-    updated_at_s: f32,
+    /// The time of the last update, in seconds.
+    updated_at_seconds: f32,
 }
 
 impl DecayingScore {
+    /// Creates a score that has this value at `now`.
     pub(crate) fn new(value: f32, now: Duration) -> DecayingScore {
         DecayingScore {
             value,
-            updated_at_s: now.as_secs_f32(),
+            updated_at_seconds: now.as_secs_f32(),
         }
     }
 
-    /// The score at a time. Times before the last update count as the last update.
+    /// Returns the score at `now`. A time before the last update counts as that of the last update.
     pub(crate) fn at(&self, now: Duration, half_life: Duration) -> f32 {
-        let age_s = (now.as_secs_f32() - self.updated_at_s).max(0.0);
-        self.value * (-age_s / half_life.as_secs_f32().max(MIN_HALF_LIFE_S)).exp2()
+        let age_seconds = (now.as_secs_f32() - self.updated_at_seconds).max(0.0);
+        self.value * (-age_seconds / half_life.as_secs_f32().max(MIN_HALF_LIFE_SECONDS)).exp2()
     }
 
+    /// Adds an amount to the score, which has decayed up to `now`.
     pub(crate) fn add(&mut self, amount: f32, now: Duration, half_life: Duration) {
         *self = DecayingScore::new(self.at(now, half_life) + amount, now);
     }
--- a/crates/admission/src/descriptor_budget.rs
+++ b/crates/admission/src/descriptor_budget.rs
@@ -1,30 +1,32 @@
-//! The budget of file descriptors of the process.
+//! The budget of the process's file descriptors.
 //!
-//! Each use has a guaranteed minimum and a maximum. Between the two it borrows what other uses
-//! leave unused, and never what another use is guaranteed.
+//! Each use has a guaranteed minimum and a maximum. Beyond its minimum, a use may borrow
+//! descriptors that are neither in use nor guaranteed to another use.
 
-/// What a descriptor is used for.
+/// The purpose that a descriptor is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DescriptorUse {
-    /// Standard streams, readiness, listener and signals: taken once at the start.
+    /// The standard streams, the poller, the listener and the signal handler; acquired once at
+    /// startup.
     Fixed,
-    /// Connections of clients.
+    /// Client connections.
     Clients,
-    /// Connections to servers.
+    /// Connections to endpoints.
     Upstream,
     /// Connections to the counter.
     Counter,
-    /// The discovery watch.
+    /// The connection that watches discovery.
     Discovery,
-    /// Files, such as a snapshot that is being written.
+    /// Open files, such as a snapshot that is being written.
     Files,
-    /// Held unused, to be closed when the system has none left.
+    /// A spare descriptor, which is closed to free one when the system has none left.
     Spare,
-    /// The socket for other ingresses.
+    /// The socket for membership messages from other ingresses.
     Peers,
 }
 
-/// All uses, in the order of their indexes.
+/// All uses in the order of their indexes, which is that of the limits in
+/// [`DescriptorBudget::new`].
 pub const DESCRIPTOR_USES: [DescriptorUse; 8] = [
     DescriptorUse::Fixed,
     DescriptorUse::Clients,
@@ -36,17 +38,17 @@
     DescriptorUse::Peers,
 ];
 
-/// How many descriptors one use may hold.
+/// The minimum and maximum number of descriptors of one use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DescriptorLimits {
-    /// Descriptors that are always available to the use.
+    /// The number of descriptors that are always available to the use.
     pub guaranteed: usize,
-    /// Descriptors that the use may hold at most, however many are unused.
+    /// The number of descriptors that the use never exceeds, even if more are unused.
     pub max: usize,
 }
 
 impl DescriptorLimits {
-    /// The use always has exactly this many.
+    /// Returns limits whose minimum and maximum are both `count`.
     #[must_use]
     pub fn exactly(count: usize) -> DescriptorLimits {
         DescriptorLimits {
@@ -56,17 +58,18 @@
     }
 }
 
-/// The guaranteed minima are more than the descriptors of the process.
+/// Error for guaranteed minima whose sum exceeds the total number of descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{guaranteed} descriptors are guaranteed, and there are {total}")]
+#[error("the guaranteed minima add up to {guaranteed} descriptors, but the total is {total}")]
 pub struct InsufficientDescriptors {
-    /// The sum of the minima.
+    /// The sum of the guaranteed minima.
     pub guaranteed: usize,
-    /// The descriptors of the process.
+    /// The total number of descriptors.
     pub total: usize,
 }
 
-/// Descriptors in use and their limits, by use.
+/// Counts the descriptors of each use against its limits and the total. It opens and closes none
+/// itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
     total: usize,
@@ -75,11 +78,12 @@
 }
 
 impl DescriptorBudget {
-    /// A budget of `total` descriptors; `limits` are in the order of [`DESCRIPTOR_USES`].
+    /// Creates a budget of `total` descriptors, none of which is in use. `limits` are in the order
+    /// of [`DESCRIPTOR_USES`].
     ///
     /// # Errors
     ///
-    /// If the sum of the guaranteed minima is above `total`.
+    /// Returns an error if the sum of the guaranteed minima exceeds `total`.
     pub fn new(
         total: usize,
         limits: [DescriptorLimits; DESCRIPTOR_USES.len()],
@@ -95,19 +99,19 @@
         })
     }
 
-    /// The limits of a use.
+    /// Returns the limits of a use.
     #[must_use]
     pub fn limits(&self, descriptor_use: DescriptorUse) -> DescriptorLimits {
         self.limits[descriptor_use as usize]
     }
 
-    /// Descriptors that a use holds.
+    /// Returns the number of descriptors that a use holds.
     #[must_use]
     pub fn used(&self, descriptor_use: DescriptorUse) -> usize {
         self.used[descriptor_use as usize]
     }
 
-    /// Could one more descriptor be taken for this use?
+    /// Whether [`Self::try_acquire`] would succeed for this use.
     #[must_use]
     pub fn is_available(&self, descriptor_use: DescriptorUse) -> bool {
         let limits = self.limits(descriptor_use);
@@ -122,7 +126,8 @@
         is_guaranteed || can_borrow
     }
 
-    /// Takes one descriptor for this use; false, and nothing taken, if none is available to it.
+    /// Acquires one descriptor for this use. Returns false, without acquiring one, if none is
+    /// available to this use.
     #[must_use]
     pub fn try_acquire(&mut self, descriptor_use: DescriptorUse) -> bool {
         let is_available = self.is_available(descriptor_use);
@@ -130,17 +135,19 @@
         is_available
     }
 
-    /// Returns one descriptor of this use, which was closed.
+    /// Releases one descriptor of this use. Called when the descriptor has been closed.
     pub fn release(&mut self, descriptor_use: DescriptorUse) {
         let used = &mut self.used[descriptor_use as usize];
         *used = used.saturating_sub(1);
     }
 
-    /// Replaces the limits. Descriptors held beyond the new ones stay until they are released.
+    /// Replaces the total and the limits. Descriptors that exceed the new limits stay in use until
+    /// they are released.
     ///
     /// # Errors
     ///
-    /// If the sum of the guaranteed minima is above `total`; the limits then stay as they were.
+    /// Returns an error, and leaves the limits unchanged, if the sum of the guaranteed minima
+    /// exceeds `total`.
     pub fn set_limits(
         &mut self,
         total: usize,
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,85 +1,91 @@
-//! Input and output of the state machine: what happens to connections and what is to be done.
+//! The input and output of the admission controller: events on connections, and actions that the
+//! caller performs.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Identifies a connection. The lower 32 bits are its slot in the caller's table, which is reused
-/// once it has closed; the others are the slot's generation, which distinguishes its users.
+/// Identifies a connection. The lower 32 bits are its slot in the caller's table; the slot is
+/// reused after the connection is closed. The upper 32 bits are the slot's generation, which
+/// differs for each connection in the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
 impl ConnectionId {
-    /// The connection's slot in the caller's table.
+    /// Returns the connection's slot in the caller's table.
     pub(crate) fn slot(self) -> u32 {
         self.0 as u32
     }
 }
 
-/// What has happened. Events of connections that are not open are ignored.
+/// Something that happened to a connection. Apart from [`Event::Connected`], events on connections
+/// that are not open are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A connection was accepted. Answered by [`Action::RejectConnection`] if it is not kept; if
-    /// the id is that of an open connection, that one counts as closed first.
+    /// A connection was accepted. Results in [`Action::RejectConnection`] if it is not admitted. If
+    /// the id is that of an open connection, the open one first counts as closed.
     Connected {
         /// The connection.
         connection: ConnectionId,
-        /// The client's address.
+        /// The address of the client.
         peer_address: IpAddr,
     },
-    /// A complete request was read. Answered by [`Action::RejectRequest`] if it is not admitted.
+    /// A complete request was read. Results in [`Action::RejectRequest`] if it is not admitted.
     RequestReceived {
-        /// The connection that it was read from.
+        /// The connection that the request was read from.
         connection: ConnectionId,
-        /// The number of the customer that it names.
+        /// The number of the customer that the request names.
         customer: u64,
     },
-    /// Another complete command was read and is answered at once.
+    /// A complete command other than a request was read, and was answered immediately.
     CommandHandled(ConnectionId),
-    /// Something was read that is malformed or cannot be carried out.
+    /// A malformed or invalid command was read.
     ProtocolError(ConnectionId),
-    /// A request got its final answer.
+    /// The final reply to a request was determined.
     RequestAnswered {
         /// The connection of the request.
         connection: ConnectionId,
-        /// Was it served, with a value as its answer?
+        /// Whether the request was served, as opposed to rejected or failed.
         served: bool,
     },
-    /// The connection became idle: no request is open, and all answers are written.
+    /// The connection became idle: it has no open request, and all replies are written.
     BecameIdle(ConnectionId),
-    /// No further command is read from the connection; only the client's end of it is awaited.
+    /// The connection was shut down for writing. No further command is read from it; the caller
+    /// waits for the client to close it.
     HalfClosed(ConnectionId),
     /// The connection was closed.
     Closed {
         /// The connection.
         connection: ConnectionId,
-        /// Was it closed for a timeout before the first command or amid one? Such a fault counts
-        /// against the client's address.
+        /// Whether the client is at fault, for example because it did not send its first command in
+        /// time. The fault counts against the client's address.
         client_fault: bool,
     },
-    /// The system had no file descriptor for a connection that waits to be accepted.
+    /// No file descriptor was left for a connection that waits to be accepted.
     DescriptorsExhausted,
 }
 
-/// Why a connection is closed or rejected. Ids in log lines are those of [`Self::as_str`].
+/// The reason why a connection is closed or rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// The client has as many connections as one client may have.
+    /// The client has reached the maximum number of connections per client.
     ClientCap,
-    /// The client's network has as many connections as one network may have.
+    /// The client's network has reached the maximum number of connections per network.
     NetworkCap,
-    /// The client connects faster than one client may.
+    /// The client has exceeded its rate of new connections.
     ClientRate,
-    /// The client's network connects faster than one network may.
+    /// The client's network has exceeded its rate of new connections.
     NetworkRate,
-    /// All capacity is in use and no connection may be evicted for this one.
+    /// The capacity is exhausted, and no connection may be evicted for this one.
     AtCapacity,
-    /// Evicted for another connection.
+    /// The connection was evicted for another one, or because the capacity was lowered.
     Evicted,
-    /// Too many idle connections have the same low reputation.
+    /// The maximum number of idle connections of this reputation was exceeded, and this one had
+    /// been idle for longest.
     IdleCap,
 }
 
-/// All reasons, by their index in [`RejectionCounts::connections`](crate::RejectionCounts).
+/// All reasons, in the order of
+/// [`RejectionCounts::connections`](crate::RejectionCounts::connections).
 pub const REJECTION_REASONS: [RejectionReason; 7] = [
     RejectionReason::ClientCap,
     RejectionReason::NetworkCap,
@@ -91,7 +97,7 @@
 ];
 
 impl RejectionReason {
-    /// The reason's id in log lines.
+    /// Returns the id of the reason in log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -106,34 +112,35 @@
     }
 }
 
-/// What the caller is to do.
+/// Something that the caller must do in response to an event or a new policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Close this idle connection. It counts as closed already: no [`Event::Closed`] is due.
+    /// Close this idle connection. The controller has already removed it, so the caller reports no
+    /// [`Event::Closed`] for it.
     Close {
         /// The connection.
         connection: ConnectionId,
-        /// Why.
+        /// The reason for closing it.
         reason: RejectionReason,
     },
-    /// Reject the connection that was just accepted, with a retry time, and close it. It counts as
-    /// closed already.
+    /// Reject the connection that was just accepted, with a retry time, and close it. The caller
+    /// reports no [`Event::Closed`] for it.
     RejectConnection {
         /// The connection.
         connection: ConnectionId,
-        /// Time after which the client may connect again, as far as is known now.
+        /// The time after which the client should connect again.
         retry_after: Duration,
-        /// Why.
+        /// The reason for rejecting it.
         reason: RejectionReason,
     },
-    /// Reject the request that was just received, with a retry time; its connection stays open.
+    /// Reject the request that was just received, with a retry time. Its connection stays open.
     RejectRequest {
-        /// Time after which the client may send it again, as far as is known now.
+        /// The time after which the client should send the request again.
         retry_after: Duration,
     },
-    /// Accept no connections for a while.
+    /// Stop accepting connections for a short time, because no descriptor can be freed now.
     PauseAccepting {
-        /// When to accept again, on the caller's clock.
+        /// When to accept connections again, on the clock of the event's time.
         until: Duration,
     },
 }
--- a/crates/admission/src/gcra.rs
+++ b/crates/admission/src/gcra.rs
@@ -1,29 +1,29 @@
-//! Rate limits with a burst: the generic cell rate algorithm (GCRA; ITU-T I.371, virtual scheduling
-//! form), which keeps its state in one time.
+//! Rate limiting by the generic cell rate algorithm (GCRA; ITU-T I.371, virtual scheduling form),
+//! whose only state is one timestamp.
 
 use std::time::Duration;
 
-/// The limit of a rate limiter.
+/// The rate and the burst that a rate limiter allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Events a second in the long run; above 0.
+    /// The sustained number of events per second; must be greater than 0.
     pub per_second: f64,
-    /// Events that may come at once after a pause; less than 1 counts as 1.
+    /// The number of events that are admitted at once after a pause; values below 1 count as 1.
     pub burst: f64,
 }
 
-/// The state of a rate limiter: the theoretical arrival time, in microseconds. It is the time at
-/// which the next event would come if all events so far had come evenly.
+/// The state of a rate limiter: the theoretical arrival time in microseconds, which is when the
+/// next event would arrive if events were evenly spaced at the rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gcra(u64);
 
 impl Gcra {
-    /// Admits an event at `now` under `rate`.
+    /// Admits an event at `now` if it conforms to `rate`.
     ///
     /// # Errors
     ///
-    /// The time after which the event would be admitted, if it is beyond the rate and its burst. An
-    /// event that is not admitted does not count.
+    /// Returns the time after which the event would be admitted, if it exceeds the rate and the
+    /// burst. An event that is not admitted leaves the state unchanged.
     pub fn take(&mut self, now: Duration, rate: Rate) -> Result<(), Duration> {
         let now_us = now.as_micros() as u64;
         let interval_us = (1e6 / rate.per_second).clamp(1.0, 1e12) as u64;
--- a/crates/admission/src/history_cache.rs
+++ b/crates/admission/src/history_cache.rs
@@ -1,13 +1,15 @@
-//! A bounded cache of client histories: a segmented LRU (Karedla et al., 1994) with second chances
-//! as in CLOCK.
+//! A bounded cache of client histories: a segmented LRU cache (Karedla et al., 1994) with second
+//! chances as in the CLOCK algorithm.
 //!
-//! A key with an open connection is never evicted. Of the other keys, those that became known are
-//! in the protected segment and the rest in the probationary one, which is evicted first: the
-//! addresses of a flood evict one another. Within a segment the oldest entry goes, unless its key
-//! was looked up since it was placed there; such an entry goes to the end of its segment once. A
-//! full LRU order would write to the neighbouring entries on every look-up, at the price of cache
-//! misses. Keys are hashed with a secret (SipHash-1-3), so that nobody can choose keys that
-//! collide.
+//! A key with an open connection is never evicted. The keys of known clients without a connection
+//! are in the protected segment, all others in the probationary segment, which is evicted first.
+//! The addresses of a flood therefore evict one another and not known clients.
+//!
+//! Each segment evicts its oldest entry first. An entry whose key was looked up again gets a second
+//! chance: it moves to the end of its segment instead. A strict LRU order would write to the
+//! neighbouring entries on every lookup and cause processor cache misses.
+//!
+//! Keys are hashed with a secret (SipHash-1-3), so that clients cannot choose colliding keys.
 
 use crate::decaying_score::DecayingScore;
 use crate::gcra::Gcra;
@@ -16,51 +18,52 @@
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// List of entries whose keys are not known clients.
-const PROBATIONARY: usize = 0;
-/// List of entries whose keys are known clients.
-const PROTECTED: usize = 1;
+/// The list of entries whose keys are not those of known clients.
+const PROBATIONARY_SEGMENT: usize = 0;
+/// The list of entries whose keys are those of known clients.
+const PROTECTED_SEGMENT: usize = 1;
 
-/// Entries that one eviction gives a second chance at most.
+/// The maximum number of second chances per call of [`HistoryCache::evict_down_to`].
 const MAX_SECOND_CHANCES: usize = 64;
-/// Entries that one eviction skips at most, for second chances or open connections.
+/// The maximum number of entries that one call of [`HistoryCache::evict_down_to`] skips because of
+/// second chances or open connections. Bounds the time of a call.
 const MAX_SKIPPED_ENTRIES: usize = 2 * MAX_SECOND_CHANCES;
 
-/// Bytes of one node of the segments' lists.
+/// The size of one node of [`LinkedLists`].
 const LIST_NODE_BYTES: usize = 12;
-/// Bytes of one slot of the hash table: an index and a control byte.
+/// The size of one slot of the hash table: an index and a control byte.
 const TABLE_SLOT_BYTES: usize = 5;
 
-/// The history of one client address, network or customer.
+/// The history of one client address, network or customer, from which its reputation follows.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ClientHistory {
-    /// Connections that are open.
+    /// The number of open connections.
     pub open_connections: u32,
-    /// Rate limiter of new connections.
+    /// The rate limiter of new connections.
     pub connect_limiter: Gcra,
-    /// Requests that were served.
+    /// The decaying number of served requests.
     pub served: DecayingScore,
-    /// Faults, such as protocol errors.
+    /// The decaying number of faults, such as protocol errors.
     pub faults: DecayingScore,
-    /// Was the key looked up since its entry was last put into a segment?
+    /// Whether the key was looked up since its entry was created or got its last second chance.
     referenced: bool,
 }
 
-/// One key, on one cache line.
+/// A key and its history, aligned to a processor cache line.
 #[repr(align(64))]
 struct Entry<K> {
     key: K,
     history: ClientHistory,
 }
 
-/// Client histories by key.
+/// A bounded cache of client histories by key.
 pub(crate) struct HistoryCache<K> {
-    /// Indexes of `entries` by the hash of their keys.
+    /// The index in `entries` of each key.
     table: HashTable<u32>,
     hash_secret: (u64, u64),
     entries: Vec<Entry<K>>,
     free_entries: Vec<u32>,
-    /// All entries in use by segment, the oldest first.
+    /// The entries in use by segment, oldest first.
     segments: LinkedLists<2>,
     capacity: usize,
 }
@@ -72,7 +75,8 @@
 }
 
 impl<K: Hash + Eq + Copy> HistoryCache<K> {
-    /// An empty cache of up to `capacity` keys, beside those that have a connection open.
+    /// Creates an empty cache for up to `capacity` keys, in addition to those with open
+    /// connections.
     pub(crate) fn new(capacity: usize, hash_secret: (u64, u64)) -> HistoryCache<K> {
         HistoryCache {
             table: HashTable::new(),
@@ -84,22 +88,24 @@
         }
     }
 
-    /// The number of keys.
+    /// Returns the number of keys, including those with open connections.
     pub(crate) fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// The history at an index from [`Self::find`] or [`Self::find_or_insert`].
+    /// Returns the history at an index from [`Self::find`] or [`Self::find_or_insert`].
     pub(crate) fn get(&self, index: u32) -> &ClientHistory {
         &self.entries[index as usize].history
     }
 
-    /// As [`Self::get`], to be changed.
+    /// Returns the history at an index from [`Self::find`] or [`Self::find_or_insert`], for
+    /// changes.
     pub(crate) fn get_mut(&mut self, index: u32) -> &mut ClientHistory {
         &mut self.entries[index as usize].history
     }
 
-    /// The index of a key, if it is in the cache.
+    /// Returns the index of a key; `None` if it is not in the cache. Does not count as a lookup for
+    /// the second chance.
     pub(crate) fn find(&self, key: &K) -> Option<u32> {
         let is_same = |index: &u32| self.entries[*index as usize].key == *key;
         self.table
@@ -107,8 +113,8 @@
             .copied()
     }
 
-    /// The index of a key, which is inserted if it is missing. The index stays valid while the key
-    /// has a connection open; without one, until the next key is inserted.
+    /// Returns the index of a key, which is inserted if it is missing. The index is valid while the
+    /// key has open connections; otherwise until the next insertion, resize or segment change.
     pub(crate) fn find_or_insert(&mut self, key: K) -> u32 {
         if let Some(index) = self.find(&key) {
             self.entries[index as usize].history.referenced = true;
@@ -123,7 +129,7 @@
         let secret = self.hash_secret;
         let rehash = |index: &u32| hash(secret, &entries[*index as usize].key);
         self.table.insert_unique(hash(secret, &key), index, rehash);
-        self.segments.push_back(PROBATIONARY, index);
+        self.segments.push_back(PROBATIONARY_SEGMENT, index);
         index
     }
 
@@ -140,13 +146,13 @@
         }
     }
 
-    /// Counts an open connection of this key, which prevents its eviction.
+    /// Counts a new connection of the key. The key is not evicted until it is closed.
     pub(crate) fn connection_opened(&mut self, index: u32) {
         self.entries[index as usize].history.open_connections += 1;
     }
 
-    /// Counts a connection of this key as closed. With the last one the key goes to the protected
-    /// segment if `is_known`, else to the probationary one.
+    /// Counts a connection of the key as closed. When the last connection is closed, assigns the
+    /// key to a segment as [`Self::assign_segment`] does.
     pub(crate) fn connection_closed(&mut self, index: u32, is_known: bool) {
         let history = &mut self.entries[index as usize].history;
         history.open_connections = history.open_connections.saturating_sub(1);
@@ -155,10 +161,14 @@
         }
     }
 
-    /// Puts a key without open connections into the protected segment if `is_known`, else into the
-    /// probationary one.
+    /// Moves a key without open connections to the protected segment if `is_known`, or else to the
+    /// probationary segment.
     pub(crate) fn assign_segment(&mut self, index: u32, is_known: bool) {
-        let segment = if is_known { PROTECTED } else { PROBATIONARY };
+        let segment = if is_known {
+            PROTECTED_SEGMENT
+        } else {
+            PROBATIONARY_SEGMENT
+        };
         let has_connections = self.get(index).open_connections > 0;
         if has_connections || self.segments.list_of(index) == Some(segment) {
             return;
@@ -168,34 +178,37 @@
         self.evict_down_to(self.capacity);
     }
 
-    /// Keeps the protected segment at three quarters of the capacity. Prevents known clients of
-    /// long ago from leaving no entries for new ones.
+    /// Limits the protected segment to three quarters of the capacity, so that clients that became
+    /// known long ago do not occupy the whole cache.
     fn demote_oldest(&mut self) {
-        if self.segments.len(PROTECTED) > self.capacity.div_ceil(4) * 3 {
-            if let Some(oldest) = self.segments.first(PROTECTED) {
-                self.segments.push_back(PROBATIONARY, oldest);
+        if self.segments.len(PROTECTED_SEGMENT) > self.capacity.div_ceil(4) * 3 {
+            if let Some(oldest) = self.segments.first(PROTECTED_SEGMENT) {
+                self.segments.push_back(PROBATIONARY_SEGMENT, oldest);
             }
         }
     }
 
-    /// Changes the capacity; evicts what is beyond it.
+    /// Changes the capacity, and evicts the entries that exceed it.
     pub(crate) fn resize(&mut self, capacity: usize) {
         self.capacity = capacity;
         self.evict_down_to(capacity);
     }
 
-    /// Evicts entries down to `target`, or until [`MAX_SKIPPED_ENTRIES`] could not be evicted.
+    /// Evicts entries until the segments hold at most `target` entries, or until more than
+    /// [`MAX_SKIPPED_ENTRIES`] were skipped.
     fn evict_down_to(&mut self, target: usize) {
         let mut skipped = 0;
-        while self.segments.len(PROBATIONARY) + self.segments.len(PROTECTED) > target {
+        while self.segments.len(PROBATIONARY_SEGMENT) + self.segments.len(PROTECTED_SEGMENT)
+            > target
+        {
             let Some(index) = self
                 .segments
-                .first(PROBATIONARY)
-                .or(self.segments.first(PROTECTED))
+                .first(PROBATIONARY_SEGMENT)
+                .or(self.segments.first(PROTECTED_SEGMENT))
             else {
                 return;
             };
-            if !self.is_kept(index, skipped) {
+            if !self.should_keep(index, skipped) {
                 self.evict(index);
                 continue;
             }
@@ -203,13 +216,14 @@
             if skipped > MAX_SKIPPED_ENTRIES {
                 return;
             }
-            let segment = self.segments.list_of(index).unwrap_or(PROBATIONARY);
+            let segment = self.segments.list_of(index).unwrap_or(PROBATIONARY_SEGMENT);
             self.segments.push_back(segment, index);
         }
     }
 
-    /// Is an entry kept for an open connection or by its second chance, which it uses up?
-    fn is_kept(&mut self, index: u32, skipped: usize) -> bool {
+    /// Whether an entry must not be evicted now, because it has open connections or a second
+    /// chance. Uses up the second chance.
+    fn should_keep(&mut self, index: u32, skipped: usize) -> bool {
         let history = &mut self.entries[index as usize].history;
         history.open_connections > 0
             || std::mem::take(&mut history.referenced) && skipped < MAX_SECOND_CHANCES
@@ -225,7 +239,8 @@
         self.free_entries.push(index);
     }
 
-    /// Keys with a connection open, then those of the protected segment, the latest first.
+    /// Iterates over the keys with open connections, and then over those without in the protected
+    /// segment, most recent first.
     pub(crate) fn open_and_protected(&self) -> impl Iterator<Item = (K, &ClientHistory)> {
         let entry = |index: u32| {
             let entry = &self.entries[index as usize];
@@ -233,14 +248,14 @@
         };
         let is_open = |index: &u32| self.get(*index).open_connections > 0;
         let open = self.table.iter().copied().filter(is_open);
-        let protected = std::iter::successors(self.segments.last(PROTECTED), |index| {
+        let protected = std::iter::successors(self.segments.last(PROTECTED_SEGMENT), |index| {
             self.segments.previous(*index)
         });
         let closed = protected.filter(move |index| !is_open(index));
         open.chain(closed).map(entry)
     }
 
-    /// Memory of the cache in bytes, allocations included.
+    /// Returns the memory that the cache has allocated, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.entries.capacity() * (size_of::<Entry<K>>() + LIST_NODE_BYTES)
             + self.table.capacity() * TABLE_SLOT_BYTES
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,11 +1,13 @@
-//! Admission of client connections: which are accepted, how many, and which idle one is closed
-//! when there is no capacity left. Decisions without I/O and without a clock.
+//! Admission control for client connections: decides which connections are accepted, and which idle
+//! connection is evicted when the capacity is exhausted.
 //!
-//! [`AdmissionController`] is a state machine: the caller reports what happens to connections
-//! ([`Event`]) and carries out what comes back ([`Action`]). [`AdmissionPolicy`] holds its limits.
-//! [`DescriptorBudget`] divides the file descriptors of the process among their uses.
-//! [`Snapshot`] stores client reputations over a restart. Times are counted from any fixed moment;
-//! all times of one controller must be counted from the same one.
+//! [`AdmissionController`] is a state machine that performs no I/O and reads no clock: the caller
+//! reports each [`Event`] with the current time and performs the returned [`Action`]s.
+//! [`AdmissionPolicy`] holds its limits. [`DescriptorBudget`] divides the file descriptors of the
+//! process among their uses. [`Snapshot`] preserves client reputations across restarts.
+//!
+//! A time is a [`Duration`](std::time::Duration) since an arbitrary epoch, which must be the same
+//! for all calls to one controller.
 //!
 //! ```
 //! use roseyard_admission::{
--- a/crates/admission/src/linked_lists.rs
+++ b/crates/admission/src/linked_lists.rs
@@ -1,18 +1,18 @@
-//! Doubly linked lists threaded through one table of nodes: each node is on one list at most, and
-//! every operation takes constant time.
+//! Doubly linked lists that share one table of nodes. Each node is on at most one list, and every
+//! operation takes amortized constant time.
 
-/// Stands for the missing neighbour of a node at an end of its list.
+/// The index that marks a missing neighbour at either end of a list.
 const NO_NODE: u32 = u32::MAX;
 
 #[derive(Clone, Copy)]
 struct Node {
     previous: u32,
     next: u32,
-    /// The list that the node is on; `N` or above if it is on none.
+    /// The list that the node is on; `N` or greater if it is on no list.
     list: u8,
 }
 
-const UNLINKED: Node = Node {
+const UNLINKED_NODE: Node = Node {
     previous: NO_NODE,
     next: NO_NODE,
     list: u8::MAX,
@@ -25,7 +25,7 @@
     len: usize,
 }
 
-/// `N` lists over nodes numbered from 0.
+/// `N` lists of nodes, which the caller numbers from 0. The table grows to the highest number.
 pub(crate) struct LinkedLists<const N: usize> {
     nodes: Vec<Node>,
     lists: [ListEnds; N],
@@ -44,37 +44,38 @@
     }
 }
 
-fn existing(node: u32) -> Option<u32> {
+/// Converts an index to `None` if it is [`NO_NODE`].
+fn to_option(node: u32) -> Option<u32> {
     Some(node).filter(|node| *node != NO_NODE)
 }
 
 impl<const N: usize> LinkedLists<N> {
-    /// The number of nodes on a list.
+    /// Returns the number of nodes on a list.
     pub(crate) fn len(&self, list: usize) -> usize {
         self.lists[list].len
     }
 
-    /// The node that has been on a list for longest.
+    /// Returns the first node of a list, which was added before all others.
     pub(crate) fn first(&self, list: usize) -> Option<u32> {
-        existing(self.lists[list].first)
+        to_option(self.lists[list].first)
     }
 
-    /// The node that follows another on its list.
+    /// Returns the node that follows this node on its list.
     pub(crate) fn next(&self, node: u32) -> Option<u32> {
-        existing(self.nodes.get(node as usize)?.next)
+        to_option(self.nodes.get(node as usize)?.next)
     }
 
-    /// The node that was added last to a list.
+    /// Returns the last node of a list, which was added after all others.
     pub(crate) fn last(&self, list: usize) -> Option<u32> {
-        existing(self.lists[list].last)
+        to_option(self.lists[list].last)
     }
 
-    /// The node that precedes another on its list.
+    /// Returns the node that precedes this node on its list.
     pub(crate) fn previous(&self, node: u32) -> Option<u32> {
-        existing(self.nodes.get(node as usize)?.previous)
+        to_option(self.nodes.get(node as usize)?.previous)
     }
 
-    /// The list that a node is on.
+    /// Returns the list that a node is on; `None` if it is on no list.
     pub(crate) fn list_of(&self, node: u32) -> Option<usize> {
         self.nodes
             .get(node as usize)
@@ -82,12 +83,12 @@
             .filter(|list| *list < N)
     }
 
-    /// Moves a node to the end of a list, from whichever list it was on.
+    /// Appends a node to a list, after removing it from the list that it is on.
     pub(crate) fn push_back(&mut self, list: usize, node: u32) {
         self.remove(node);
         let index = node as usize;
         if index >= self.nodes.len() {
-            self.nodes.resize(index + 1, UNLINKED);
+            self.nodes.resize(index + 1, UNLINKED_NODE);
         }
         let ends = &mut self.lists[list];
         self.nodes[index] = Node {
@@ -103,7 +104,7 @@
         ends.len += 1;
     }
 
-    /// Takes a node off its list, if it is on one.
+    /// Removes a node from its list, if it is on a list.
     pub(crate) fn remove(&mut self, node: u32) {
         let Some(list) = self.list_of(node) else {
             return;
@@ -119,6 +120,6 @@
             next => self.nodes[next as usize].previous = removed.previous,
         }
         ends.len -= 1;
-        self.nodes[node as usize] = UNLINKED;
+        self.nodes[node as usize] = UNLINKED_NODE;
     }
 }
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -5,87 +5,95 @@
 use crate::history_cache::ClientHistory;
 use std::time::Duration;
 
-/// The limits of admission. Counts are connections unless stated otherwise; defaults are those of
-/// [`AdmissionPolicy::with_capacity`].
+/// The limits of an [`AdmissionController`](crate::AdmissionController). The defaults stated here
+/// are those of [`AdmissionPolicy::with_capacity`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Client connections in all. At the limit a new connection evicts an idle one of lower
-    /// reputation or is rejected.
+    /// Maximum number of client connections. When it is reached, a new connection either evicts an
+    /// idle one, as [`Reputation`](crate::Reputation) allows, or is rejected.
     pub capacity: usize,
-    /// Part of `capacity` on which new clients may be connected but have no requests open, so that
-    /// it can be given to known clients at once; requests of new clients beyond the rest of the
-    /// capacity are rejected. Clients that have sent several commands may use half of it. By
-    /// default an eighth of the capacity.
+    /// Number of connections, as part of `capacity`, on which new clients may only be idle, so that
+    /// they can be evicted for known clients at once. If the new clients' connections with open
+    /// requests fill the rest of the capacity, further requests of new clients are rejected.
+    /// Clients that have sent several commands may use half of the reserve. By default an eighth of
+    /// the capacity.
     pub reserve: usize,
-    /// Idle connections that have sent no command. Beyond it the one that has been idle for longest
-    /// is closed. By default half of the capacity, at least 1.
+    /// Maximum number of idle connections that have sent no command. When it is exceeded, the one
+    /// that has been idle for longest is closed. By default half of the capacity, at least 1.
     pub max_idle_without_command: usize,
-    /// Idle connections that have sent one command. Beyond it the one that has been idle for
-    /// longest is closed. By default three tenths of the capacity, at least 1.
+    /// Maximum number of idle connections that have sent one command. When it is exceeded, the one
+    /// that has been idle for longest is closed. By default three tenths of the capacity, at least
+    /// 1.
     pub max_idle_after_one_command: usize,
-    /// Does the address tell clients apart? False by default, for a proxy in front that connects
-    /// for all clients from a few addresses; then no limit or history goes by address.
+    /// Whether clients are distinguished by address. If not, no limit or history applies to
+    /// addresses, as is necessary behind a proxy that connects for all clients from a few
+    /// addresses. False by default.
     pub identify_clients_by_address: bool,
-    /// Connections of one client address. At the limit new ones are rejected. No limit by default.
+    /// Maximum number of connections per client address. When it is reached, new connections are
+    /// rejected. No limit by default.
     pub max_per_client: Option<u32>,
-    /// Connections of one network. At the limit new ones are rejected. No limit by default.
+    /// Maximum number of connections per network. When it is reached, new connections are rejected.
+    /// No limit by default.
     pub max_per_network: Option<u32>,
-    /// New connections of one client address. Those beyond it are rejected with the time after
-    /// which one is admitted, and count against the address. No limit by default.
+    /// Maximum rate of new connections per client address. Excess connections are rejected with the
+    /// time after which one is admitted, and count as faults of the address. No limit by default.
     pub client_connect_rate: Option<Rate>,
-    /// New connections of one network. Those beyond it are rejected with the time after which one
-    /// is admitted. No limit by default.
+    /// Maximum rate of new connections per network. Excess connections are rejected with the time
+    /// after which one is admitted. No limit by default.
     pub network_connect_rate: Option<Rate>,
-    /// Requests of all new clients together, as far as their connections were idle; those beyond it
-    /// are rejected. Prevents a flood within its customers' quotas, which reconnects whenever it is
-    /// closed, from taking the known clients' part of the servers. No limit by default.
+    /// Maximum rate of requests on idle connections of all new clients together; excess requests
+    /// are rejected. Protects the known clients' share of the servers from a flood that stays
+    /// within its customers' quotas and reconnects whenever its connections are closed. No limit by
+    /// default.
     pub new_client_request_rate: Option<Rate>,
-    /// How many bits of an address identify a client and a network.
+    /// The numbers of address bits that identify a client and a network.
     pub prefix_lengths: PrefixLengths,
-    /// The operator's own addresses: exempt from limits by address, and evicted last. Empty by
-    /// default.
+    /// Addresses that are exempt from the limits by address, and whose connections are evicted
+    /// last. Empty by default.
     pub allowlist: AddressList,
-    /// Requests served, decaying with `known_half_life`, from which on an address or a customer is
-    /// known; 3 by default.
+    /// The number of served requests, decaying with `known_half_life`, at which an address or a
+    /// customer becomes known; 3 by default.
     pub known_after_served_requests: f32,
-    /// Half-life of requests served; 1 hour by default.
+    /// Half-life of the number of served requests; 1 hour by default.
     pub known_half_life: Duration,
-    /// Faults, decaying with `suspect_half_life`, from which on an address is suspect; 5 by
-    /// default.
+    /// The number of faults, decaying with `suspect_half_life`, at which an address becomes
+    /// suspect; 5 by default.
     pub suspect_after_faults: f32,
-    /// Half-life of faults; 30 s by default.
+    /// Half-life of the number of faults; 30 s by default.
     pub suspect_half_life: Duration,
-    /// Open connections of one customer up to which a new one counts as [`Reputation::New`] at its
-    /// first request because the customer is known. 0, the default, trusts no customer: anybody can
-    /// send a customer's name.
+    /// A connection gets [`Reputation::New`] at its first request if the customer that it names is
+    /// known and has fewer open connections than this. 0, the default, trusts no customer, because
+    /// any client can name any customer.
     ///
     /// [`Reputation::New`]: crate::Reputation::New
     pub max_trusted_connections_per_customer: u32,
-    /// Addresses without an open connection whose history is kept, and as many networks and
-    /// customers; 16,384 by default. Beyond it old ones are evicted, new clients first.
+    /// Maximum number of addresses without an open connection whose history is kept; the same
+    /// maximum applies to networks and to customers. When it is exceeded, the oldest histories are
+    /// evicted, those of new clients first. 16,384 by default.
     pub history_cache_capacity: usize,
-    /// Idle time after which a connection that has sent no command is closed; 2.2 s by default.
+    /// Idle timeout of a connection that has sent no command; 2.2 s by default.
     pub idle_timeout_without_command: Duration,
-    /// Idle time after which a connection that has sent one command is closed; 2.2 s by default.
+    /// Idle timeout of a connection that has sent one command; 2.2 s by default.
     pub idle_timeout_after_one_command: Duration,
-    /// Idle time after which any other connection is closed; 6 s by default.
+    /// Idle timeout of a connection that has sent several commands or whose address is on the
+    /// allowlist; 6 s by default.
     pub idle_timeout: Duration,
-    /// Idle time before which a known client's connection is not evicted for a new client's; 1 s by
-    /// default.
+    /// Idle time before which a known client's connection is not evicted for a new client's
+    /// connection; 1 s by default.
     pub known_client_grace_period: Duration,
-    /// Time that a connection has to send its first command before it is evicted for a new
-    /// client's; 10 ms by default.
+    /// Time that a connection has to send its first command before it may be evicted for a new
+    /// client's connection; 10 ms by default.
     pub first_command_grace_period: Duration,
-    /// Shortest time after which rejected clients are asked to retry; 500 ms by default.
+    /// Minimum time after which rejected clients are told to retry; 500 ms by default.
     pub retry_after: Duration,
-    /// Time after the start in which one served request, instead of two, makes a connection that
-    /// has sent several commands known; 10 s by default.
+    /// Time after the start in which one served request, instead of two, is enough for a connection
+    /// that has sent several commands to become known; 10 s by default.
     pub warm_up_period: Duration,
 }
 
 impl AdmissionPolicy {
-    /// The defaults at this capacity: no limits by address; connections are evicted by their own
-    /// behaviour.
+    /// Returns the default policy for this capacity. It has no limits by address, so that the
+    /// reputation of a connection follows from its own behaviour alone.
     #[must_use]
     pub fn with_capacity(capacity: usize) -> AdmissionPolicy {
         AdmissionPolicy {
@@ -117,12 +125,12 @@
         }
     }
 
-    /// Does a history make its address or customer known?
+    /// Whether the address or the customer with this history is known.
     pub(crate) fn is_known(&self, history: &ClientHistory, now: Duration) -> bool {
         history.served.at(now, self.known_half_life) >= self.known_after_served_requests
     }
 
-    /// Does a history make its address suspect?
+    /// Whether the address with this history is suspect.
     pub(crate) fn is_suspect(&self, history: &ClientHistory, now: Duration) -> bool {
         history.faults.at(now, self.suspect_half_life) >= self.suspect_after_faults
     }
--- a/crates/admission/src/reputation.rs
+++ b/crates/admission/src/reputation.rs
@@ -1,25 +1,27 @@
-//! The reputation of a connection, which follows from its own behaviour and its address's history.
+//! The reputation of a connection, which follows from its behaviour and the history of its address.
 
-/// The reputation of a connection. Its order is the order of eviction: the lowest is closed first.
+/// The reputation of a connection. Idle connections are evicted in this order, [`Self::Suspect`]
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reputation {
-    /// It had more faults than served requests, or its address has a record of faults.
+    /// The connection has caused more faults than it had requests served, or none was served and
+    /// its address has a history of faults.
     Suspect,
-    /// It has sent no command yet.
+    /// The connection has sent no command yet.
     NoCommand,
-    /// Its client or this side has ended sending.
+    /// No further command is read from the connection; it is open only until the client closes it.
     HalfClosed,
-    /// It has sent one command.
+    /// The connection has sent one command.
     OneCommand,
-    /// It has sent several commands, or its customer is trusted.
+    /// The connection has sent several commands, or has sent one and is trusted for its customer.
     New,
-    /// It, or its address, was served before.
+    /// The connection has sent a command, and it or its address had enough requests served.
     Known,
-    /// Its address is on the operator's allowlist.
+    /// The address is on the operator's allowlist.
     Allowlisted,
 }
 
-/// All reputations, in the order of eviction.
+/// All reputations in eviction order, which is also the order of their indexes.
 pub(crate) const REPUTATIONS: [Reputation; 7] = [
     Reputation::Suspect,
     Reputation::NoCommand,
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -65,7 +65,7 @@
     served_by_address: BTreeMap<u8, u32>,
     faults_by_address: BTreeMap<u8, u32>,
     queue_order: u64,
-    warm_until: Duration,
+    warm_up_end: Duration,
     generation: u64,
     /// What the controller is expected to do in the current step.
     expected: Vec<Action>,
@@ -79,7 +79,7 @@
             served_by_address: BTreeMap::new(),
             faults_by_address: BTreeMap::new(),
             queue_order: 0,
-            warm_until: now + policy.warm_up_period,
+            warm_up_end: now + policy.warm_up_period,
             generation: 0,
             expected: Vec::new(),
             policy,
@@ -100,9 +100,9 @@
 
     fn reputation(&self, connection: &ModelConnection) -> Reputation {
         let c = connection;
-        let served_to_be_known = if self.now < self.warm_until { 1 } else { 2 };
+        let min_served_requests = if self.now < self.warm_up_end { 1 } else { 2 };
         let is_known =
-            c.commands > 1 && c.served >= served_to_be_known || self.is_address_known(c.address);
+            c.commands > 1 && c.served >= min_served_requests || self.is_address_known(c.address);
         match () {
             () if c.half_closed => Reputation::HalfClosed,
             () if c.faults > c.served => Reputation::Suspect,
--- a/crates/admission/tests/snapshot.rs
+++ b/crates/admission/tests/snapshot.rs
@@ -60,6 +60,6 @@
             .to_string()
             .split(':')
             .next(),
-        Some("torn")
+        Some("wrong snapshot length")
     );
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -164,7 +164,7 @@
     .unwrap();
     let error = file.resolve(&MACHINE).unwrap_err().to_string();
     assert!(
-        error.contains("descriptors are guaranteed, and there are 1024"),
+        error.contains("descriptors, but the total is 1024"),
         "{error}"
     );
     let small = file
