--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! Time of one decision and memory of one address, by the number of addresses tracked.
+//! Measures the time of one decision and the memory per address, by the number of addresses whose
+//! history is kept.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use roseyard_admission::*;
@@ -7,14 +8,15 @@
 use std::time::Duration;
 
 fn peer(n: u64) -> IpAddr {
-    // In 4,096 networks of 256: a million addresses fill as many /24.
+    // One million addresses are spread over 4,096 networks of 256 addresses, which are /24
+    // networks.
     let n = n as u32;
     IpAddr::V4(Ipv4Addr::from_bits(
         0x0a00_0000 | ((n % 4096) << 8) | (n / 4096),
     ))
 }
 
-/// A controller that remembers so many addresses, with `open` connections.
+/// Returns a controller with the histories of `tracked` addresses, and with `open` connections.
 fn controller(tracked: usize, open: usize) -> AdmissionController {
     let rate = Some(Rate {
         per_second: 1e6,
@@ -73,8 +75,8 @@
 
 fn connections(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("connect, evict, close");
-    // All remembered addresses connect in turn, or only some of them: the others take memory but no
-    // processor cache.
+    // Either all addresses in the cache connect in turn, or only some of them; the histories of the
+    // others then take memory but no processor cache.
     for (tracked, connecting) in [
         (100, 100),
         (10_000, 100),
--- a/crates/admission/tests/controller.rs
+++ b/crates/admission/tests/controller.rs
@@ -1,4 +1,5 @@
-//! Named cases of the controller, one for each situation that operators meet.
+//! The behaviour of the controller in single situations, such as a flood of new clients or a
+//! restart.
 
 use roseyard_admission::*;
 use std::net::IpAddr;
@@ -13,7 +14,7 @@
 struct Harness {
     controller: AdmissionController,
     now: Duration,
-    next: u64,
+    next_id: u64,
 }
 
 impl Harness {
@@ -21,7 +22,7 @@
         Harness {
             controller: AdmissionController::new(policy, 3, START),
             now: START,
-            next: 0,
+            next_id: 0,
         }
     }
 
@@ -32,8 +33,8 @@
     }
 
     fn connect(&mut self, peer_address: &str) -> (ConnectionId, Vec<Action>) {
-        let connection = ConnectionId(self.next);
-        self.next += 1;
+        let connection = ConnectionId(self.next_id);
+        self.next_id += 1;
         (
             connection,
             self.handle(Event::Connected {
@@ -50,7 +51,7 @@
         })
     }
 
-    /// Sends so many requests, each of which is served.
+    /// Sends requests one after another, each of which is admitted and served.
     fn serve(&mut self, connection: ConnectionId, times: usize) {
         for _ in 0..times {
             assert_eq!(self.request(connection, 9), []);
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_known_client_is_served_at_once_while_new_clients_hold_the_reserve_and_send_requests() {
+fn a_known_client_is_served_at_once_while_new_clients_fill_the_capacity_and_the_reserve() {
     let policy = AdmissionPolicy {
         identify_clients_by_address: true,
         reserve: 2,
@@ -92,12 +93,12 @@
     let mut rejected = 0;
     for n in 0..10 {
         let (connection, actions) = harness.connect(&format!("198.51.100.{n}"));
-        assert_eq!(actions, [], "the reserve is available to new clients");
+        assert_eq!(actions, [], "a new client may connect on the reserve");
         rejected += harness.request(connection, n).len();
     }
     assert_eq!(
         rejected, 2,
-        "two of the ten may connect but not have requests open"
+        "two of the ten connections are on the reserve and may not have open requests"
     );
     let (returning, actions) = harness.connect("192.0.2.1");
     assert!(
@@ -115,9 +116,9 @@
     let (_, actions) = harness.connect("198.51.100.77");
     assert!(
         matches!(actions[..], [Action::Close { .. }]),
-        "{actions:?}: the rest of the reserve goes to a new client"
+        "{actions:?}: a new client should evict the other idle connection on the reserve"
     );
-    // Only busy and known clients' connections are left, and none of them is evicted.
+    // Only connections that are busy or belong to known clients are left, and none is evicted.
     let (connection, _) = harness.connect("192.0.2.1");
     assert_eq!(harness.request(connection, 9), []);
     let (_, actions) = harness.connect("198.51.100.78");
@@ -129,8 +130,7 @@
 }
 
 #[test]
-fn a_known_client_is_accepted_after_a_restart_with_a_snapshot_while_new_clients_hold_all_capacity()
-{
+fn a_restored_client_is_known_after_a_restart_while_new_clients_fill_the_capacity() {
     let policy = AdmissionPolicy {
         identify_clients_by_address: true,
         max_idle_without_command: 8,
@@ -154,7 +154,7 @@
             harness.handle(Event::CommandHandled(connection));
             harness.handle(Event::BecameIdle(connection));
         }
-        // At the same moment: no connection has been idle for any time.
+        // The clock has not advanced, so no connection has been idle for any time.
         let (connection, actions) = harness.connect("2001:db8::5:1");
         assert!(matches!(
             actions[..],
@@ -174,19 +174,19 @@
 }
 
 #[test]
-fn without_a_snapshot_one_served_request_makes_a_connection_of_several_requests_known_in_warm_up() {
+fn during_warm_up_one_served_request_makes_a_connection_with_several_commands_known() {
     let mut harness = Harness::new(AdmissionPolicy {
         max_idle_without_command: 4,
         max_idle_after_one_command: 4,
         ..AdmissionPolicy::with_capacity(4)
     });
-    let serve_once_and_fail_once = |harness: &mut Harness| {
+    let serve_one_of_two_requests = |harness: &mut Harness| {
         let (connection, _) = harness.connect("127.0.0.1");
         harness.serve(connection, 1);
         assert_eq!(
             harness.controller.reputation(connection, harness.now),
             Some(Reputation::OneCommand),
-            "one command on a connection is not enough"
+            "one command does not make the connection known"
         );
         harness.request(connection, 9);
         harness.handle(Event::RequestAnswered {
@@ -196,9 +196,11 @@
         harness.handle(Event::BecameIdle(connection));
         connection
     };
-    let regular = serve_once_and_fail_once(&mut harness);
+    let served_connection = serve_one_of_two_requests(&mut harness);
     assert_eq!(
-        harness.controller.reputation(regular, harness.now),
+        harness
+            .controller
+            .reputation(served_connection, harness.now),
         Some(Reputation::Known)
     );
     for _ in 0..40 {
@@ -208,21 +210,23 @@
         harness.handle(Event::BecameIdle(connection));
     }
     assert_eq!(
-        harness.controller.reputation(regular, harness.now),
+        harness
+            .controller
+            .reputation(served_connection, harness.now),
         Some(Reputation::Known),
-        "none was accepted at its cost"
+        "the known connection is not evicted for new ones"
     );
     harness.now += Duration::from_secs(20);
-    let late = serve_once_and_fail_once(&mut harness);
+    let late_connection = serve_one_of_two_requests(&mut harness);
     assert_eq!(
-        harness.controller.reputation(late, harness.now),
+        harness.controller.reputation(late_connection, harness.now),
         Some(Reputation::New),
-        "after the warm-up two are needed"
+        "two served requests are required after the warm-up period"
     );
 }
 
 #[test]
-fn caps_hold_for_a_client_and_its_network_in_each_form_of_the_address() {
+fn connection_caps_apply_to_a_client_and_its_network_in_both_forms_of_an_address() {
     let policy = AdmissionPolicy {
         identify_clients_by_address: true,
         max_per_client: Some(2),
@@ -259,7 +263,7 @@
 }
 
 #[test]
-fn a_client_beyond_its_connect_rate_gets_a_retry_time_and_becomes_suspect() {
+fn a_client_that_exceeds_its_connect_rate_gets_a_retry_time_and_becomes_suspect() {
     let rate = Some(Rate {
         per_second: 2.0,
         burst: 4.0,
@@ -270,11 +274,11 @@
         suspect_after_faults: 5.0,
         ..AdmissionPolicy::with_capacity(100)
     });
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     for _ in 0..60 {
         let (connection, actions) = harness.connect("192.0.2.1");
         match actions[..] {
-            [] => taken.push(connection),
+            [] => accepted.push(connection),
             [Action::RejectConnection {
                 retry_after,
                 reason: RejectionReason::ClientRate,
@@ -283,20 +287,20 @@
             _ => panic!("{actions:?}"),
         }
     }
-    assert_eq!(taken.len(), 4);
+    assert_eq!(accepted.len(), 4);
     assert_eq!(
-        harness.controller.reputation(taken[0], harness.now),
+        harness.controller.reputation(accepted[0], harness.now),
         Some(Reputation::Suspect)
     );
     assert!(
         rejection_reason(&harness.connect("192.0.2.2").1).is_none(),
-        "another client of its network is not"
+        "another client of the network is not rejected"
     );
     harness.now += Duration::from_secs(60);
     assert_eq!(
-        harness.controller.reputation(taken[0], harness.now),
+        harness.controller.reputation(accepted[0], harness.now),
         Some(Reputation::NoCommand),
-        "and its faults decay"
+        "the faults of the address have decayed"
     );
 }
 
@@ -327,15 +331,15 @@
         })
     };
     harness.now += ms(1000);
-    let of = (0..20)
+    let rejected_count = (0..20)
         .filter(|n| is_rejected(&mut harness, &format!("198.51.100.{n}")))
         .count();
-    assert_eq!(of, 16, "a burst of four passes");
+    assert_eq!(rejected_count, 16, "a burst of four is admitted");
     assert!(!(0..20).any(|_| is_rejected(&mut harness, "192.0.2.1")));
 }
 
 #[test]
-fn a_cap_lowered_below_what_is_open_closes_idle_connections_now_and_busy_ones_once_they_are_idle() {
+fn a_lowered_cap_closes_idle_connections_at_once_and_busy_ones_when_they_become_idle() {
     let policy = AdmissionPolicy {
         identify_clients_by_address: true,
         ..AdmissionPolicy::with_capacity(10)
@@ -364,7 +368,8 @@
         [closed(3)]
     );
     assert_eq!(harness.handle(Event::BecameIdle(connections[4])), []);
-    // A capacity below what is open: the busy connection stays until it is idle.
+    // If the capacity is lowered below the number of open connections, a busy connection stays open
+    // until it is idle.
     let connection = harness.connect("192.0.2.2").0;
     harness.request(connection, 1);
     harness.request(connections[4], 1);
@@ -388,7 +393,7 @@
 }
 
 #[test]
-fn a_known_customer_s_name_lifts_the_reputation_of_no_more_connections_than_the_limit() {
+fn a_known_customer_makes_no_more_connections_trusted_than_the_policy_allows() {
     let policy = AdmissionPolicy {
         max_trusted_connections_per_customer: 2,
         max_idle_without_command: 50,
@@ -397,10 +402,10 @@
         ..AdmissionPolicy::with_capacity(50)
     };
     let mut harness = Harness::new(policy);
-    let (regular, _) = harness.connect("127.0.0.1");
-    harness.serve(regular, 4);
+    let (served_connection, _) = harness.connect("127.0.0.1");
+    harness.serve(served_connection, 4);
     harness.handle(Event::Closed {
-        connection: regular,
+        connection: served_connection,
         client_fault: false,
     });
     let reputations: Vec<_> = (0..20)
@@ -435,7 +440,7 @@
 }
 
 #[test]
-fn at_capacity_without_commands_accepting_pauses_for_the_grace_but_not_for_allowlisted_addresses() {
+fn accepting_pauses_during_the_first_command_grace_period_but_allowlisted_addresses_connect() {
     let allowlist = AddressList::new(["10.0.0.0/8".parse().unwrap()]);
     let mut harness = Harness::new(AdmissionPolicy {
         allowlist,
@@ -448,7 +453,7 @@
     assert_eq!(
         harness.controller.accept_paused_until(harness.now),
         Some(START + ms(10)),
-        "no connection is past its grace"
+        "all connections are in their grace periods"
     );
     let (_, actions) = harness.connect("127.0.0.1");
     assert_eq!(
--- a/crates/admission/tests/descriptor_budget.rs
+++ b/crates/admission/tests/descriptor_budget.rs
@@ -1,10 +1,10 @@
-//! The descriptor budget against its invariants, under random steps.
+//! The invariants of the descriptor budget under random sequences of steps.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use roseyard_admission::*;
 
-/// The runner prints it with every failure; another seed plays other steps.
+/// The seed of the random steps. It is fixed, so that a failure can be reproduced.
 const SEED: u64 = 20_261_201;
 
 proptest! {
@@ -32,7 +32,7 @@
                 let granted = budget.try_acquire(descriptor_use);
                 prop_assert!(
                     granted || used_before >= budget.limits(descriptor_use).guaranteed,
-                    "a guaranteed minimum was denied"
+                    "a descriptor within the guaranteed minimum was denied"
                 );
                 prop_assert_eq!(
                     budget.used(descriptor_use),
--- a/crates/admission/tests/gcra.rs
+++ b/crates/admission/tests/gcra.rs
@@ -1,10 +1,10 @@
-//! Rate limits with a burst.
+//! Rate limiting with a burst.
 
 use roseyard_admission::*;
 use std::time::Duration;
 
 #[test]
-fn a_burst_is_admitted_and_then_the_rate_holds() {
+fn a_burst_is_admitted_and_later_events_are_limited_to_the_rate() {
     let rate = Rate {
         per_second: 10.0,
         burst: 5.0,
@@ -21,6 +21,6 @@
     assert_eq!(
         admitted.count(),
         9,
-        "10 a second, less the time that the burst used up"
+        "10 per second, except for the first interval, which the burst used up"
     );
 }
--- a/crates/admission/tests/history_cache.rs
+++ b/crates/admission/tests/history_cache.rs
@@ -1,4 +1,4 @@
-//! The cache of client histories, as its module.
+//! The cache of client histories. Its module is private, so this test includes the source files.
 
 #[allow(dead_code)]
 #[path = "../src/decaying_score.rs"]
@@ -20,7 +20,7 @@
 const HOUR: Duration = Duration::from_secs(3600);
 
 #[test]
-fn a_flood_of_new_keys_evicts_its_own_and_no_known_key() {
+fn a_flood_of_new_keys_evicts_new_keys_and_no_known_key() {
     let mut cache = HistoryCache::new(1000, (1, 2));
     for key in 0..500u64 {
         let index = cache.find_or_insert(key);
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -1,5 +1,5 @@
-//! The controller against a reference model, under random steps. The model holds a plain list of
-//! connections and scans all of it for every decision.
+//! Compares the controller with a reference model under random sequences of steps. The model keeps
+//! a plain list of connections and scans all of it for every decision.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -8,10 +8,10 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// The runner prints it with every failure; another seed plays other steps.
+/// The seed of the random steps. It is fixed, so that a failure can be reproduced.
 const SEED: u64 = 20_261_201;
 
-/// One step; a `usize` selects a connection among the open ones.
+/// A step of a test case. A step on a connection selects it among the open ones by a number.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Connect(u8),
@@ -50,10 +50,11 @@
     served: u32,
     faults: u32,
     half_closed: bool,
-    /// Some while requests are open; true if they count as a new client's.
+    /// `Some` while the connection has open requests; true if they count as those of a new client.
     busy_as_new_client: Option<bool>,
-    /// The reputation under which it was queued as idle, and its place in the order of queueing.
+    /// The reputation in whose queue the connection was last put as idle.
     queued_reputation: Reputation,
+    /// Increases with each connection that is put into a queue.
     queue_order: u64,
     idle_since: Duration,
 }
@@ -67,7 +68,7 @@
     queue_order: u64,
     warm_up_end: Duration,
     generation: u64,
-    /// What the controller is expected to do in the current step.
+    /// The actions that the controller is expected to return in the current step.
     expected: Vec<Action>,
 }
 
@@ -233,7 +234,7 @@
         }
     }
 
-    /// An id in the first free slot, of a generation of its own.
+    /// Returns an id in the first free slot, with a generation that no other id has.
     fn next_id(&mut self) -> ConnectionId {
         self.generation += 1;
         let is_free = |slot: &u32| self.connections.iter().all(|c| c.id.0 as u32 != *slot);
@@ -341,9 +342,9 @@
     }
 }
 
-/// Plays one step on the controller and on the model; what the controller does is returned, what it
-/// should do stands in `model.expected`.
-fn play(step: Step, controller: &mut AdmissionController, model: &mut Model) -> Vec<Action> {
+/// Applies a step to the controller and to the model. Returns the controller's actions; the
+/// expected actions are in `model.expected`.
+fn apply(step: Step, controller: &mut AdmissionController, model: &mut Model) -> Vec<Action> {
     let mut actions = Vec::new();
     let now = model.now;
     let mut handle = |event| controller.handle(now, event, &mut actions);
@@ -373,15 +374,15 @@
         | Step::HalfClose(n)
         | Step::Close(n) => {
             if let Some(connection) = model.get(n) {
-                play_on_connection(step, &connection, model, handle);
+                apply_to_connection(step, &connection, model, handle);
             }
         }
     }
     actions
 }
 
-/// Plays a step on an open connection, if it can happen in the connection's state.
-fn play_on_connection(
+/// Applies a step to an open connection, if it is possible in the connection's state.
+fn apply_to_connection(
     step: Step,
     connection: &ModelConnection,
     model: &mut Model,
@@ -441,7 +442,7 @@
     })]
 
     #[test]
-    fn every_decision_is_that_of_the_reference_model(
+    fn the_controller_returns_the_same_actions_as_the_reference_model(
         identify_clients_by_address in any::<bool>(),
         max_per_client in prop::option::of(1u32..5),
         reserve in 0usize..4,
@@ -456,7 +457,7 @@
             max_idle_after_one_command: 3,
             max_idle_without_command: 4,
             known_half_life: Duration::from_secs(1 << 30),
-            // Low enough that the few protocol errors of a run make addresses suspect.
+            // Low enough for the few protocol errors of a test case to make an address suspect.
             suspect_after_faults: 2.0,
             suspect_half_life: Duration::from_secs(1 << 30),
             warm_up_period: Duration::from_secs(5),
@@ -466,7 +467,7 @@
         let mut model = Model::new(policy, now);
         for step in steps {
             model.expected.clear();
-            let actions = play(step, &mut controller, &mut model);
+            let actions = apply(step, &mut controller, &mut model);
             prop_assert_eq!(&actions, &model.expected, "{:?}", step);
             let open = controller.open_connections();
             prop_assert_eq!(open, model.connections.len());
@@ -474,7 +475,7 @@
             let busy = model.connections.iter().filter(is_busy).count();
             prop_assert!(
                 open <= model.policy.capacity.max(busy),
-                "only connections with requests open may be beyond the capacity"
+                "only connections with open requests may exceed the capacity"
             );
             let sizes = controller.cache_sizes();
             prop_assert!(sizes.clients <= 8 + open);
--- a/crates/admission/tests/snapshot.rs
+++ b/crates/admission/tests/snapshot.rs
@@ -1,9 +1,9 @@
-//! The stored form of snapshots.
+//! Encoding and decoding of snapshots.
 
 use roseyard_admission::*;
 
 #[test]
-fn a_written_snapshot_is_read_and_each_kind_of_damage_has_its_error() {
+fn an_encoded_snapshot_is_decoded_and_each_kind_of_damage_returns_its_own_error() {
     let clients = (0..40)
         .map(|n| ClientRecord {
             key: n << 90,
@@ -34,14 +34,14 @@
         };
         assert!(is_expected, "{len}: {error}");
     }
-    for at in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut damaged = bytes.clone();
-        damaged[at] ^= 0x10;
+        damaged[offset] ^= 0x10;
         // The two reserved bytes of the header are not checked.
         assert_eq!(
             Snapshot::decode(&damaged).is_err(),
-            !(10..12).contains(&at),
-            "byte {at}"
+            !(10..12).contains(&offset),
+            "byte {offset}"
         );
     }
     let mut newer = bytes.clone();
--- a/crates/admission/tests/stored_snapshot.rs
+++ b/crates/admission/tests/stored_snapshot.rs
@@ -1,5 +1,5 @@
-//! A snapshot file of version 1, written by the release before the packages were renamed, stays
-//! readable and is written again byte for byte.
+//! Compatibility with stored snapshots: a file of version 1, which an earlier release wrote, is
+//! decoded, and its contents are encoded to the same bytes.
 
 use roseyard_admission::{ClientRecord, Snapshot, StoredSnapshot};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_stored_snapshot_is_read() {
+fn a_stored_snapshot_is_decoded() {
     assert_eq!(
         Snapshot::decode(STORED),
         Ok(StoredSnapshot {
@@ -30,6 +30,6 @@
 }
 
 #[test]
-fn a_snapshot_is_written_as_before() {
+fn a_snapshot_is_encoded_to_the_stored_bytes() {
     assert_eq!(expected().encode(WRITTEN_UNIX_MS), STORED);
 }
