--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,63 +1,64 @@
-//! Input and output of the state machine.
+//! Events that the caller passes to [`Swim`](crate::Swim), and actions that it returns.
 
 use crate::record::{Metadata, Name, Record};
 use crate::view::MemberState;
 use crate::wire::Message;
 use std::net::SocketAddr;
 
-/// What has happened.
+/// An input of [`Swim::handle`](crate::Swim::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The deadline of [`Swim::next_timeout`](crate::Swim::next_timeout) is over; also the first event of all.
+    /// The time of [`Swim::next_timeout`](crate::Swim::next_timeout) has come. Also the first event
+    /// that a caller passes.
     Timeout,
     /// An authentic datagram was received.
     Received(Received),
-    /// This ingress's own metadata changed to this.
+    /// The metadata of this member changed to this value.
     MetadataChanged(Metadata),
-    /// This ingress leaves for good.
+    /// This member leaves the cluster for the rest of its generation.
     Leave,
 }
 
-/// An authentic datagram.
+/// An authentic, decoded datagram.
 #[derive(Clone, Debug)]
 pub struct Received {
-    /// The address that it came from.
+    /// The address that the datagram was sent from.
     pub source: SocketAddr,
-    /// The member that sent it.
+    /// The name of the sender.
     pub sender: Name,
     /// The sender's generation.
     pub generation: u64,
-    /// The message.
+    /// The message that the datagram carries.
     pub message: Message,
-    /// The records that were piggybacked on it.
+    /// The records that were piggybacked on the message.
     pub updates: Vec<Record>,
 }
 
-/// What is to be done.
+/// What the caller has to do, or has to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Seal this body and send it.
+    /// Seal this body and send it as one datagram.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
-        /// The body.
+        /// The encoded body.
         body: Vec<u8>,
     },
-    /// The state of a member has changed.
+    /// The state of another member has changed.
     StateChanged {
-        /// The member.
+        /// The name of the member.
         name: Name,
-        /// Its state before.
+        /// The previous state.
         from: MemberState,
-        /// Its state from now on.
+        /// The new state.
         to: MemberState,
     },
-    /// This process's name is in use by another one that runs; this one stays outside and keeps
-    /// requesting to join.
+    /// Another running process uses this member's name. This member stays outside the cluster and
+    /// keeps sending requests to join.
     NameConflict {
-        /// Where the other listens.
+        /// The address of the other process.
         holder: SocketAddr,
     },
-    /// This member has joined: another one answered.
+    /// This member has joined the cluster: another one sent it records or a request to join.
     Joined,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,17 @@
-//! Group membership of the ingresses: which ones there are, as far as this one can know.
+//! Group membership and failure detection for a cluster of ingresses.
 //!
 //! [`Swim`] is the protocol: SWIM with suspicion and incarnations (Das, Gupta, Motivala 2002) and
 //! local health (Dadgar, Phillips, Currey 2017, "Lifeguard"). It performs no I/O and reads no
 //! clock: [`Swim::handle`] takes one event at a time and appends the actions to perform,
-//! [`Swim::next_timeout`] is the deadline of the next call. [`Authenticator`] authenticates datagrams and drops
-//! forged and replayed ones. [`wire`] packs a datagram of at most 256 bytes.
+//! [`Swim::next_timeout`] is the deadline of the next call. [`Authenticator`] authenticates
+//! datagrams and drops those that are forged or replayed. [`wire`] encodes the bodies, so that a
+//! datagram has at most 256 bytes.
 //!
-//! What a caller sees is a [`MemberState`]: a member without any record is `NeverSeen`, not `Dead`,
-//! and each view carries the time since the member's latest datagram. [`Swim::quorum`] says whether
-//! this ingress sees more than half of the expected members. A view alone is no base for a limit
-//! that must never be exceeded.
+//! Callers see each member as a [`MemberView`]. A member without any record is in the state
+//! `NeverSeen`, not `Dead`, and each view carries the time since the member's latest datagram.
+//! [`Swim::quorum`] tells whether this ingress sees more than half of the expected members. Views
+//! differ between members and lag behind, so a limit that must never be exceeded cannot rely on
+//! them alone.
 
 mod event;
 mod guard;
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,53 +1,55 @@
-//! Records of members, and which of two records of a member is the newer one.
+//! Records of members, and the order that decides which of two records is newer.
 
 use arrayvec::{ArrayString, ArrayVec};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
-/// A member's name: the same after a restart, 1 to 16 bytes.
+/// A member's name: 1 to 16 bytes, which stay the same over restarts.
 pub type Name = ArrayString<16>;
 
-/// The stage of a member's lifecycle, set by the member itself.
+/// The stage of a member's lifecycle, which the member publishes itself.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Stage {
-    /// It does not serve yet.
+    /// The member does not serve requests yet.
     #[default]
     Starting,
-    /// It serves.
+    /// The member serves requests.
     Serving,
-    /// It finishes its open requests.
+    /// The member finishes its open requests and accepts no new ones.
     Leaving,
 }
 
-/// What a member publishes of itself; only it changes its metadata.
+/// Data that a member publishes about itself, and that no other member changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Its zone; empty for none.
+    /// The member's zone; empty if it has none.
     pub zone: ArrayString<12>,
-    /// The stage of its lifecycle.
+    /// The stage of the member's lifecycle.
     pub stage: Stage,
-    /// Bytes of other components, in their own format.
+    /// Opaque bytes for other components, which define the format.
     pub extension: ArrayVec<u8, 16>,
 }
 
-/// The status of a member. The later one in this order wins within one generation and incarnation.
+/// The status of a member. Within one generation and incarnation, a later variant overrides an
+/// earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// A probe by the member of this name hash was not answered: it may be dead.
+    /// The member did not answer a probe and may be dead. The value is the name hash of the member
+    /// that probed it.
     Suspect(u32),
-    /// Its suspicion timed out; it becomes alive again only by its own refutation.
+    /// The suspicion timed out. Only a refutation by the member itself makes it alive again.
     Dead,
-    /// It announced that it leaves. Final for this generation.
+    /// The member announced that it leaves. This status is final for its generation.
     Left,
 }
 
 impl Status {
-    fn rank(self) -> u8 {
+    fn severity(self) -> u8 {
         match self {
             Status::Alive => 0,
             Status::Suspect(_) => 1,
@@ -57,56 +59,58 @@
     }
 }
 
-/// What a suspicion belongs to: one incarnation of one generation of a member.
+/// An incarnation of a member within a generation. Each suspicion refers to one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IncarnationId {
     generation: u64,
     incarnation: u32,
 }
 
-/// A record of a member, as members exchange it.
+/// The state of a member as the members exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name.
+    /// The name of the member.
     pub name: Name,
-    /// Where it listens.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// When this process of that name began, Unix time in milliseconds: a restart overrides its old
-    /// records.
+    /// The start time of the member's process, Unix time in milliseconds. After a restart, the new
+    /// records override those of the previous process.
     pub generation: u64,
-    /// Counts the suspicions that it has refuted in this generation.
+    /// Incremented by the member with each suspicion that it refutes in this generation.
     pub incarnation: u32,
-    /// Its status.
+    /// The status of the member.
     pub status: Status,
-    /// Counts the changes of its metadata in this generation.
+    /// Incremented by the member with each change of its metadata in this generation.
     pub metadata_version: u32,
-    /// Its metadata.
+    /// The metadata that the member published.
     pub metadata: Metadata,
 }
 
 impl Record {
-    /// Which record of one member has the newer status: a later generation; within a generation,
-    /// that it left; then the later incarnation; then the graver status. Prevents old updates from
-    /// bringing back a member that left.
+    /// Compares the age of the statuses of two records of one member. The later generation is
+    /// newer; within a generation, the status `Left` is newer than any other; then the later
+    /// incarnation, then the more severe status. `Left` comes before the incarnation so that old
+    /// updates do not bring back a member that left.
     pub fn cmp_status(&self, other: &Record) -> Ordering {
         let key = |r: &Record| {
             (
                 r.generation,
                 r.status == Status::Left,
                 r.incarnation,
-                r.status.rank(),
+                r.status.severity(),
             )
         };
         key(self).cmp(&key(other))
     }
 
-    /// Which record has the newer metadata.
+    /// Compares the age of the metadata of two records of one member.
     pub fn cmp_metadata(&self, other: &Record) -> Ordering {
         (self.generation, self.metadata_version).cmp(&(other.generation, other.metadata_version))
     }
 
-    /// Merges another record of the same member. Status and metadata go by their own order, so that
-    /// records may come in any order and any number of times. True if anything is new.
+    /// Merges another record of the same member, and returns whether it held anything new. Status
+    /// and metadata are ordered independently, so that records can be merged in any order and any
+    /// number of times.
     pub fn merge(&mut self, update: &Record) -> bool {
         let newer_metadata = update.cmp_metadata(self) == Ordering::Greater;
         if newer_metadata {
@@ -123,12 +127,12 @@
         newer_metadata || newer_status
     }
 
-    /// Does the member run, as far as is known?
+    /// Whether the member runs as far as is known; suspects are included.
     pub fn is_running(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Suspect(_))
     }
 
-    /// The incarnation that the record is of.
+    /// Returns the generation and incarnation of the record.
     pub(crate) fn incarnation_id(&self) -> IncarnationId {
         IncarnationId {
             generation: self.generation,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,51 +1,51 @@
-//! Intervals, timeouts and bounds of the protocol.
+//! Intervals, timeouts and limits of the protocol.
 
 use crate::record::Name;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Intervals, timeouts and bounds; the defaults of [`Settings::new`] are for members that reach
-/// each other directly.
+/// Intervals, timeouts and limits. The defaults of [`Settings::new`] suit members that reach each
+/// other directly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Time between two probes; 1 s by default.
     pub probe_interval: Duration,
-    /// Time that a direct ack is awaited before other members probe too; under half of the
-    /// interval, 300 ms by default.
+    /// Time to wait for a direct ack before other members are requested to ping the target; less
+    /// than half of the probe interval, 300 ms by default.
     pub probe_timeout: Duration,
-    /// Members that are requested to ping one that did not answer; 3 by default.
+    /// Number of members that are requested to ping a member that did not answer; 3 by default.
     pub indirect_probes: usize,
-    /// Time between two rounds of gossip, which send queued updates; 200 ms by default.
+    /// Time between two rounds of gossip, in which queued updates are sent; 200 ms by default.
     pub gossip_interval: Duration,
-    /// Members that each round of gossip is sent to; 3 by default.
+    /// Number of members to which each round of gossip is sent; 3 by default.
     pub gossip_fanout: usize,
-    /// Mean time between two comparisons of all records with one member (anti-entropy); 5 s by
-    /// default.
+    /// Mean time between two rounds of anti-entropy, in each of which all records are compared with
+    /// those of one member; 5 s by default.
     pub sync_interval: Duration,
-    /// Shortest suspicion timeout, in probe intervals times the logarithm (base ten, at least one)
-    /// of the number of members; 4 by default.
+    /// Shortest suspicion timeout, in units of the probe interval times the decimal logarithm (at
+    /// least one) of the number of members; 4 by default.
     pub suspicion_multiplier: u32,
-    /// Longest suspicion timeout, that of a suspicion without confirmation, as a multiple of the
-    /// shortest one; 6 by default.
+    /// Longest suspicion timeout, which applies to a suspicion without confirmations, as a multiple
+    /// of the shortest one; 6 by default.
     pub suspicion_max_multiplier: u32,
-    /// Does local health slow this ingress's probes? Prevents a slow ingress from suspecting the
-    /// others. True by default.
+    /// Whether the local health score stretches this member's probe intervals and timeouts, so that
+    /// a slow member does not suspect the others; true by default.
     pub local_health: bool,
-    /// Members that there should be, this one included.
+    /// Number of members that the cluster should have, including this one.
     pub expected_members: usize,
-    /// Records of other members that are kept at most; further ones are dropped and counted. 1,024
-    /// by default.
+    /// Maximum number of other members whose records are kept; 1,024 by default. Records of further
+    /// members are dropped and counted.
     pub max_members: usize,
-    /// Addresses that this member sends its requests to join to.
+    /// Addresses to which this member sends its requests to join.
     pub seeds: Vec<SocketAddr>,
-    /// Addresses at which members are reached from here, where these differ from those in their
-    /// records.
+    /// Addresses at which this member reaches others, where they differ from the addresses in the
+    /// others' records.
     pub address_overrides: BTreeMap<Name, SocketAddr>,
 }
 
 impl Settings {
-    /// The defaults for this many members.
+    /// Returns the default settings for a cluster of this many members.
     pub fn new(expected_members: usize) -> Settings {
         let ms = Duration::from_millis;
         Settings {
--- a/crates/membership/src/swim/apply.rs
+++ b/crates/membership/src/swim/apply.rs
@@ -1,4 +1,4 @@
-//! Updates: records of members are merged, whichever message they were received with.
+//! Merging of updates, which are records of members that arrive with any message.
 
 use super::members::Member;
 use super::Swim;
@@ -8,12 +8,13 @@
 use std::time::Duration;
 
 impl Swim {
-    /// Merges a record.
+    /// Merges a record, queues it for gossip if it holds anything new, and reports a change of
+    /// state.
     pub(super) fn apply(&mut self, update: &Record, now: Duration, actions: &mut Vec<Action>) {
         if update.name == self.local.name {
             return self.apply_to_self(update, actions);
         }
-        if self.is_premature_claim(update) {
+        if self.claims_name_in_use(update) {
             return;
         }
         let Some(member) = self.members.get_mut(&update.name) else {
@@ -34,9 +35,9 @@
         }
     }
 
-    /// Is this a newer process that claims a name while another one uses it? That one has to be
-    /// dead or have left first.
-    fn is_premature_claim(&self, update: &Record) -> bool {
+    /// Whether the record is of a newer process whose name another running process uses. The record
+    /// is ignored until that process is dead or has left.
+    fn claims_name_in_use(&self, update: &Record) -> bool {
         let known = self.members.get(&update.name);
         let is_newer = known.is_some_and(|member| update.generation > member.record.generation);
         is_newer && self.name_holder(update).is_some()
@@ -76,18 +77,19 @@
         }
     }
 
-    /// Others have a record of this name with a later generation than this process.
+    /// Handles a record of this member's name with a later generation than its own.
     fn on_newer_generation(&mut self, update: &Record, actions: &mut Vec<Action>) {
         if update.address != self.local.address {
-            // They hold this member dead, and another process joined under its name.
+            // The others saw this member dead, and another process has joined under its name.
             return self.set_name_conflict(update.address, actions);
         }
-        // The clock went back over a restart: this generation must override the one that they know.
+        // The clock was set back before a restart. The generation has to exceed the one that the
+        // others know.
         self.local.generation = update.generation + 1;
         self.updates.enqueue(self.local.name);
     }
 
-    /// Refutes a suspicion, or a report of death, by a later incarnation.
+    /// Refutes a suspicion or a report of death by moving to a later incarnation.
     fn refute(&mut self, update: &Record) {
         self.local.incarnation = update.incarnation + 1;
         self.counts.refutations += 1;
--- a/crates/membership/src/swim/gossip.rs
+++ b/crates/membership/src/swim/gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination: updates are piggybacked on all messages and sent in rounds of gossip, each a
-//! bounded number of times.
+//! Dissemination: updates are piggybacked on all messages, and also sent in periodic rounds of
+//! gossip. Each update is sent a limited number of times.
 
 use super::Swim;
 use crate::event::Action;
@@ -8,14 +8,14 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// An update is sent this many times the logarithm (base ten, rounded up, at least one) of the
+/// Number of transmissions of an update, per decimal logarithm (rounded up, at least one) of the
 /// number of members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
-/// Names whose records are still to be sent, the least sent first.
+/// The members whose records have to be sent, ordered by the number of transmissions so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UpdateQueue {
-    /// Transmissions so far, and the name.
+    /// The number of transmissions so far, and the name of the member.
     queue: BTreeSet<(u32, Name)>,
 }
 
@@ -24,7 +24,7 @@
         self.queue.is_empty()
     }
 
-    /// Queues a member's record as sent to nobody yet.
+    /// Queues a member's record with no transmissions so far.
     pub(super) fn enqueue(&mut self, name: Name) {
         self.remove(&name);
         self.queue.insert((0, name));
@@ -34,7 +34,8 @@
         self.queue.retain(|(_, queued)| queued != name);
     }
 
-    /// Adds as many records to a body as fit.
+    /// Appends queued records to a body until one does not fit. A record leaves the queue after
+    /// `max_transmissions`.
     fn piggyback<'a>(
         &mut self,
         body: &mut Body,
@@ -58,7 +59,7 @@
 }
 
 impl Swim {
-    /// Sends a round of gossip, if there are updates.
+    /// Sends queued updates, if there are any, to random members.
     pub(super) fn gossip(&mut self, actions: &mut Vec<Action>) {
         if self.updates.is_empty() {
             return;
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Sends a message with as many updates as fit.
+    /// Sends a message with as many piggybacked updates as fit.
     pub(super) fn send(&mut self, to: SocketAddr, message: &Message, actions: &mut Vec<Action>) {
-        self.send_about(to, message, None, actions);
+        self.send_with_suspicion(to, message, None, actions);
     }
 
-    /// As [`Swim::send`], with the record of a member first if that is a suspect, so that it can
-    /// refute the suspicion.
-    pub(super) fn send_about(
+    /// Sends a message like [`Swim::send`], with the record of `subject` first if that member is a
+    /// suspect, so that it learns of the suspicion and can refute it.
+    pub(super) fn send_with_suspicion(
         &mut self,
         to: SocketAddr,
         message: &Message,
@@ -88,7 +89,7 @@
             let _ = body.try_push(&member.record);
         }
         if *message == Message::Join {
-            // A request to join is answered by the sender's own record.
+            // The receiver compares this record with its own to detect a name conflict.
             let _ = body.try_push(&self.local);
         }
         if self.join.name_conflict.is_none() {
--- a/crates/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -1,11 +1,13 @@
-//! Local health (Lifeguard): a member that misses acks or stalls slows down its own probes.
+//! Local health (Lifeguard): a member that misses acks, or whose process stalls, lengthens its own
+//! probe intervals and timeouts, as the fault may be its own.
 
 use std::time::Duration;
 
-/// Worst score; probes then take this and one times as long.
-pub(super) const MAX_SCORE: u32 = 8;
+/// The score of the worst local health, at which probe intervals and timeouts are multiplied by
+/// this plus one.
+pub(super) const MAX_HEALTH_SCORE: u32 = 8;
 
-/// The local health score; 0 is healthy.
+/// The local health score, from 0 (healthy) to [`MAX_HEALTH_SCORE`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalHealth {
     score: u32,
@@ -13,7 +15,7 @@
 }
 
 impl LocalHealth {
-    /// A healthy score; it never changes unless it is enabled.
+    /// Creates a healthy score, which stays at 0 if local health is not enabled.
     pub(super) fn new(enabled: bool) -> LocalHealth {
         LocalHealth { score: 0, enabled }
     }
@@ -22,19 +24,19 @@
         self.score
     }
 
-    /// Counts signs of a fault of this process itself.
+    /// Raises the score after signs of a fault in this process itself.
     pub(super) fn degrade(&mut self, by: u32) {
         if self.enabled {
-            self.score = self.score.saturating_add(by).min(MAX_SCORE);
+            self.score = self.score.saturating_add(by).min(MAX_HEALTH_SCORE);
         }
     }
 
-    /// A probe was answered.
+    /// Lowers the score after a probe was answered.
     pub(super) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// The timeout or interval of a probe at this score.
+    /// Returns the probe timeout or interval `time`, lengthened according to the score.
     pub(super) fn scale(&self, time: Duration) -> Duration {
         time * (self.score + 1)
     }
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -1,5 +1,5 @@
-//! Joining: requests go to all seeds until one answers. A name that a live process uses is refused
-//! to another one.
+//! Joining: a member sends requests to all seeds until another member answers. A request is refused
+//! while another running process uses the same name.
 
 use super::Swim;
 use crate::event::Action;
@@ -8,17 +8,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest backoff between two rounds of requests to join, in probe intervals.
+/// Maximum backoff between two rounds of requests to join, in probe intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 8;
-/// Time to the next round, as a ratio of the backoff: the minimum, and the range above it.
+/// The time to the next round is the backoff times a random ratio from this minimum up, within the
+/// range.
 const BACKOFF_JITTER_MIN: f64 = 0.5;
 const BACKOFF_JITTER_RANGE: f64 = 0.5;
 
-/// The state of joining.
+/// Whether this member has joined, and the retries of its requests to join.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JoinState {
     pub joined: bool,
-    /// Where a process listens that uses this one's name, while this one cannot join for that.
+    /// The address of another process that uses this member's name, while that prevents this member
+    /// from joining.
     pub name_conflict: Option<SocketAddr>,
     backoff: Duration,
 }
@@ -34,23 +36,24 @@
 }
 
 impl Swim {
-    /// Is this member to send requests to join?
+    /// Whether this member has to send requests to join.
     pub(super) fn should_join(&self) -> bool {
         !self.leaving
             && (!self.join.joined
                 || self.join.name_conflict.is_some()
-                || self.has_no_running_member())
+                || self.knows_no_running_member())
             && !self.settings.seeds.is_empty()
     }
 
-    fn has_no_running_member(&self) -> bool {
+    fn knows_no_running_member(&self) -> bool {
         self.members.running().next().is_none()
     }
 
-    /// Sends a request to join to all seeds, with an exponential backoff that has no end.
+    /// Sends a request to join to all seeds, and schedules the next one after an exponential
+    /// backoff. The number of requests is unlimited.
     pub(super) fn send_join_requests(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let longest = self.settings.probe_interval * MAX_BACKOFF_INTERVALS;
-        self.join.backoff = (self.join.backoff * 2).min(longest);
+        let max_backoff = self.settings.probe_interval * MAX_BACKOFF_INTERVALS;
+        self.join.backoff = (self.join.backoff * 2).min(max_backoff);
         self.timers.join = now
             + self
                 .join
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Another member requests to join: all records are sent to it.
+    /// Handles another member's request to join by sending all records to it.
     pub(super) fn on_join(&mut self, source: SocketAddr, actions: &mut Vec<Action>) {
         if !self.join.joined {
             self.join.joined = true;
@@ -70,7 +73,7 @@
         self.send_pages(source, Name::new(), actions);
     }
 
-    /// A page of records was received: this member has joined.
+    /// Handles a page of records, which shows that this member has joined.
     pub(super) fn on_page(&mut self, source: SocketAddr, after: Name, actions: &mut Vec<Action>) {
         if !self.join.joined || self.join.name_conflict.take().is_some() {
             self.join.joined = true;
@@ -80,9 +83,9 @@
         self.continue_sync(source, after, actions);
     }
 
-    /// A seed answers that this member's name is in use by another process.
+    /// Handles a seed's answer that another process uses this member's name.
     pub(super) fn on_name_conflict(&mut self, holder: SocketAddr, actions: &mut Vec<Action>) {
-        // An answer to a request from before this member joined is out of date.
+        // Once this member has joined, the answer belongs to an earlier request and is outdated.
         if !self.join.joined {
             self.set_name_conflict(holder, actions);
         }
@@ -95,9 +98,10 @@
         }
     }
 
-    /// A datagram of a process of this member's own name: of itself, if a seed is its own address,
-    /// or of another one.
-    pub(super) fn on_same_name(
+    /// Handles a datagram whose sender has this member's own name. The sender is this member itself
+    /// if one of the seeds is its own address, and another process otherwise. A request to join by
+    /// a newer process is refused.
+    pub(super) fn on_own_name(
         &mut self,
         source: SocketAddr,
         generation: u64,
@@ -110,8 +114,9 @@
         }
     }
 
-    /// The address of a live member that uses the name of this record at another address. At the
-    /// same address it is a restart, as two processes cannot listen there.
+    /// Returns the address of the running member that uses the name of this record, if it is
+    /// another process. A record with the same address belongs to a restart, as two processes
+    /// cannot listen at one address.
     pub(super) fn name_holder(&self, claimant: &Record) -> Option<SocketAddr> {
         let known = &self.members.get(&claimant.name)?.record;
         let is_other = known.generation != claimant.generation && known.address != claimant.address;
--- a/crates/membership/src/swim/members.rs
+++ b/crates/membership/src/swim/members.rs
@@ -6,23 +6,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Suspecters of a member that count; with this many the suspicion has its shortest timeout.
+/// The maximum number of suspecters that are counted for a member. With this many, the suspicion
+/// has its shortest timeout.
 pub(super) const MAX_SUSPECTERS: usize = 3;
 
-/// Another member, as seen from here.
+/// The state of another member.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub record: Record,
-    /// When its latest datagram was received, or the first record of it if it sent none.
+    /// When the member's latest datagram was received, or the first record of it if it sent none.
     pub last_received_at: Duration,
-    /// When it entered its state.
+    /// When the member entered its current state or incarnation.
     pub state_since: Duration,
-    /// Name hashes of the members that suspect it in this incarnation.
+    /// Name hashes of the members that suspect this one in its current incarnation.
     suspecters: ArrayVec<u32, MAX_SUSPECTERS>,
 }
 
 impl Member {
-    /// A member without any record before.
+    /// Creates a member from the first record of it.
     pub(super) fn new(record: Record, now: Duration) -> Member {
         let mut member = Member {
             record,
@@ -30,7 +31,7 @@
             state_since: now,
             suspecters: ArrayVec::new(),
         };
-        member.enter_state(now);
+        member.on_state_entered(now);
         member
     }
 
@@ -42,24 +43,26 @@
         matches!(self.record.status, Status::Suspect(_))
     }
 
-    /// Members that suspect it, as far as is known.
+    /// Returns the known number of members that suspect this one, up to [`MAX_SUSPECTERS`].
     pub(super) fn suspecter_count(&self) -> usize {
         self.suspecters.len()
     }
 
-    /// Merges another record of it; true if that holds anything new, which is to be gossiped.
+    /// Merges another record of the member, and returns whether it held anything new, which then
+    /// has to be gossiped.
     pub(super) fn merge(&mut self, update: &Record, now: Duration) -> bool {
         let state = self.state();
         let incarnation = self.record.incarnation_id();
         let confirmed = self.confirm_suspicion(update);
         let changed = self.record.merge(update);
         if self.state() != state || self.record.incarnation_id() != incarnation {
-            self.enter_state(now);
+            self.on_state_entered(now);
         }
         changed || confirmed
     }
 
-    /// Counts another member's suspicion of the same incarnation.
+    /// Counts the suspicion of the same incarnation by another member, and returns whether it is
+    /// new.
     fn confirm_suspicion(&mut self, update: &Record) -> bool {
         let Status::Suspect(suspecter) = update.status else {
             return false;
@@ -70,14 +73,15 @@
         let confirmed =
             !self.suspecters.contains(&suspecter) && self.suspecters.try_push(suspecter).is_ok();
         if confirmed {
-            // Gossiped with the new suspecter, so that others count it too.
+            // The record is gossiped with the new suspecter, so that other members count it too.
             self.record.status = update.status;
         }
         confirmed
     }
 
-    /// Its state or incarnation changed: a suspicion starts anew.
-    fn enter_state(&mut self, now: Duration) {
+    /// Called when the state or incarnation changes: restarts the suspicion timeout and the list of
+    /// suspecters.
+    fn on_state_entered(&mut self, now: Duration) {
         self.state_since = now;
         self.suspecters.clear();
         if let Status::Suspect(suspecter) = self.record.status {
@@ -86,7 +90,7 @@
     }
 }
 
-/// All other members that there are records of, by name.
+/// All other members that this one has records of, by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberTable {
     members: BTreeMap<Name, Member>,
@@ -125,12 +129,12 @@
         self.members.values().map(|member| &member.record)
     }
 
-    /// Records of members that run, as far as is known.
+    /// Returns the records of the members that run as far as is known; suspects are included.
     pub(super) fn running(&self) -> impl Iterator<Item = &Record> {
         self.records().filter(|record| record.is_running())
     }
 
-    /// Records of the names that follow this one.
+    /// Returns the records of the names that follow this one, in the order of names.
     pub(super) fn records_after(&self, name: Name) -> impl Iterator<Item = &Record> {
         self.members
             .range(name..)
@@ -138,7 +142,7 @@
             .filter(move |record| record.name != name)
     }
 
-    /// Moves all times by a stall of this process.
+    /// Moves all times forward by the duration of a stall of this process.
     pub(super) fn postpone(&mut self, stall: Duration) {
         for member in self.members.values_mut() {
             member.state_since += stall;
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,10 +1,17 @@
 //! SWIM with suspicion, incarnations and local health, as a state machine.
 //!
-//! Each part of the protocol has a module: [`probe`] and [`relay`] are the failure detector (ping,
-//! ping-req, ack, nack), [`suspicion`] times out suspects, [`gossip`] disseminates updates,
-//! [`sync`] is anti-entropy, [`join`] finds the others, [`receive`] handles datagrams, [`apply`]
-//! merges records, [`timers`] runs what is due, [`health`] is local health and [`members`] the
-//! table of members.
+//! Each part of the protocol has a module:
+//!
+//! - `probe`, `relay`: the failure detector (ping, ping-req, ack, nack)
+//! - `suspicion`: the timeouts of suspicions
+//! - `gossip`: the dissemination of updates
+//! - `sync`: anti-entropy
+//! - `join`: requests to join, and name conflicts
+//! - `receive`: received datagrams
+//! - `apply`: the merging of records
+//! - `timers`: periodic tasks and their deadlines
+//! - `health`: the local health score
+//! - `members`: the table of the other members
 
 mod apply;
 mod gossip;
@@ -33,7 +40,7 @@
 use std::time::Duration;
 use timers::Timers;
 
-/// One member's part of the protocol.
+/// The protocol state of one member.
 #[derive(Clone, Debug)]
 pub struct Swim {
     settings: Settings,
@@ -45,7 +52,7 @@
     probe: Option<Probe>,
     probe_order: ProbeOrder,
     relays: RelayTable,
-    /// The last sequence number of a ping.
+    /// The sequence number of the latest ping.
     sequence: u32,
     health: LocalHealth,
     join: JoinState,
@@ -56,8 +63,9 @@
 }
 
 impl Swim {
-    /// A member of this name that listens at this address; `generation` is the Unix time of its
-    /// start in milliseconds, and `seed` that of its random choices.
+    /// Creates the state of a member that receives datagrams at `address`. `generation` is the
+    /// start time of the process, Unix time in milliseconds. `seed` initializes the random number
+    /// generator.
     pub fn new(
         settings: Settings,
         name: Name,
@@ -94,35 +102,36 @@
         }
     }
 
-    /// This member's own record.
+    /// Returns this member's own record.
     pub fn local(&self) -> &Record {
         &self.local
     }
 
-    /// Counters since the start.
+    /// Returns the protocol counters since the start of the process.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The local health score: 0 is healthy; the probes of this ingress take the score and one
-    /// times as long.
+    /// Returns the local health score, where 0 is healthy. The probe intervals and timeouts of this
+    /// member are multiplied by the score plus one.
     pub fn local_health(&self) -> u32 {
         self.health.score()
     }
 
-    /// The process that uses this one's name, while this one cannot join for that.
+    /// Returns the address of another process that uses this member's name, while that prevents
+    /// this member from joining.
     pub fn name_conflict(&self) -> Option<SocketAddr> {
         self.join.name_conflict
     }
 
-    /// The state of a member.
+    /// Returns the state of another member as seen by this one.
     pub fn state(&self, name: &Name) -> MemberState {
         self.members
             .get(name)
             .map_or(MemberState::NeverSeen, members::Member::state)
     }
 
-    /// A member as seen from here.
+    /// Returns the view of another member at the time `now`.
     pub fn view(&self, name: &Name, now: Duration) -> MemberView {
         match self.members.get(name) {
             None => MemberView {
@@ -138,14 +147,14 @@
         }
     }
 
-    /// All other members that there are records of.
+    /// Returns the views of all other members that this one has records of.
     pub fn views(&self, now: Duration) -> impl Iterator<Item = (Name, MemberView)> + '_ {
         self.members
             .names()
             .map(move |name| (*name, self.view(name, now)))
     }
 
-    /// How many of the expected members this one sees; none while it has a name conflict.
+    /// Returns how many of the expected members this one sees: 0 while it has a name conflict.
     pub fn quorum(&self) -> Quorum {
         let alive = self
             .members
@@ -163,7 +172,8 @@
         }
     }
 
-    /// The address at which a member is reached from here.
+    /// Returns the address at which this member reaches another one: the configured override, or
+    /// else the address in its record.
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
         let recorded = || self.members.get(name).map(|member| member.record.address);
         self.settings
@@ -173,12 +183,13 @@
             .or_else(recorded)
     }
 
-    /// Handles an event; what the caller is to do is appended to `actions`.
+    /// Handles an event, runs the periodic tasks that are due, and appends to `actions` what the
+    /// caller has to do.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.start(now);
         }
-        self.absorb_stall(now);
+        self.compensate_for_stall(now);
         match event {
             Event::Timeout => {}
             Event::Received(received) => self.on_received(received, now, actions),
@@ -211,7 +222,8 @@
         self.sequence
     }
 
-    /// Addresses of up to `count` random members whose records are eligible.
+    /// Returns the addresses of up to `count` random members whose records are eligible. There are
+    /// fewer if a member is drawn twice.
     fn random_addresses(
         &mut self,
         count: usize,
--- a/crates/membership/src/swim/probe.rs
+++ b/crates/membership/src/swim/probe.rs
@@ -1,4 +1,5 @@
-//! The failure detector: in each interval one member is pinged, directly and then through others.
+//! The failure detector: in each probe interval one member is pinged directly, and then, if it does
+//! not answer in time, through other members.
 
 use super::members::MemberTable;
 use super::suspicion::name_hash;
@@ -13,30 +14,31 @@
 pub(super) struct Probe {
     target: Name,
     sequence: u32,
-    /// Members that were requested to ping the target.
+    /// Number of members that were requested to ping the target.
     ping_reqs: u32,
-    /// Members that answered that they have no ack of it.
+    /// Number of these members that answered with a nack.
     nacks: u32,
-    /// When other members are requested to ping the target; none once they were.
-    indirect_at: Option<Duration>,
+    /// When other members will be requested to ping the target; `None` once that is done.
+    indirect_probe_at: Option<Duration>,
     ends_at: Duration,
 }
 
 impl Probe {
-    /// The time of its next step.
+    /// Returns when the indirect probe begins or, if that has begun, when the probe ends.
     pub(super) fn next_deadline(&self) -> Duration {
-        self.ends_at.min(self.indirect_at.unwrap_or(Duration::MAX))
+        self.ends_at
+            .min(self.indirect_probe_at.unwrap_or(Duration::MAX))
     }
 
-    /// Moves its deadlines by a stall of this process.
+    /// Moves the deadlines forward by the duration of a stall of this process.
     pub(super) fn postpone(&mut self, stall: Duration) {
         self.ends_at += stall;
-        self.indirect_at = self.indirect_at.map(|at| at + stall);
+        self.indirect_probe_at = self.indirect_probe_at.map(|at| at + stall);
     }
 }
 
-/// The order in which members are probed: each once in a round, in a random order. This bounds the
-/// time until a failure is detected.
+/// The order in which members are probed. Each member is probed once in a round, in random order,
+/// which bounds the time until a failure is detected.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProbeOrder {
     names: Vec<Name>,
@@ -44,13 +46,13 @@
 }
 
 impl ProbeOrder {
-    /// Adds a new member at a random place in the rest of the round.
+    /// Inserts a new member at a random position in the rest of the round.
     pub(super) fn insert(&mut self, name: Name, rng: &mut fastrand::Rng) {
-        let at = rng.usize(self.next.min(self.names.len())..=self.names.len());
-        self.names.insert(at, name);
+        let position = rng.usize(self.next.min(self.names.len())..=self.names.len());
+        self.names.insert(position, name);
     }
 
-    /// The member to probe next; none if no other member runs.
+    /// Returns the member to probe next; `None` if no other member runs.
     fn next(&mut self, members: &MemberTable, rng: &mut fastrand::Rng) -> Option<Name> {
         if let Some(name) = self.next_in_round(members) {
             return Some(name);
@@ -93,18 +95,19 @@
             sequence,
             ping_reqs: 0,
             nacks: 0,
-            indirect_at: Some(now + self.health.scale(self.settings.probe_timeout)),
+            indirect_probe_at: Some(now + self.health.scale(self.settings.probe_timeout)),
             ends_at: now + self.health.scale(self.settings.probe_interval),
         });
         self.counts.probes += 1;
-        self.send_about(to, &Message::Ping(sequence), Some(target), actions);
+        self.send_with_suspicion(to, &Message::Ping(sequence), Some(target), actions);
     }
 
-    /// Probes through others once the direct ack is late, and ends the probe once its time is over.
+    /// Requests indirect probes if the direct ack is late, and ends the probe when its time is
+    /// over.
     pub(super) fn advance_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(probe) = &mut self.probe else { return };
-        if probe.indirect_at.is_some_and(|at| now >= at) {
-            probe.indirect_at = None;
+        if probe.indirect_probe_at.is_some_and(|at| now >= at) {
+            probe.indirect_probe_at = None;
             self.probe_indirectly(actions);
         }
         self.end_probe(now, actions);
@@ -120,12 +123,12 @@
         else {
             return;
         };
-        let helpers = self.random_addresses(self.settings.indirect_probes, |record| {
+        let relay_addresses = self.random_addresses(self.settings.indirect_probes, |record| {
             record.status == Status::Alive && record.name != target
         });
-        let ping_reqs = helpers.len() as u32;
-        for to in helpers {
-            self.send_about(
+        let ping_reqs = relay_addresses.len() as u32;
+        for to in relay_addresses {
+            self.send_with_suspicion(
                 to,
                 &Message::PingReq {
                     sequence,
@@ -141,13 +144,13 @@
         }
     }
 
-    /// Suspects the target of a probe that nobody answered in time.
+    /// Ends a probe without an ack when its time is over, and suspects its target.
     fn end_probe(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.take_if(|probe| now >= probe.ends_at) else {
             return;
         };
         self.counts.failed_probes += 1;
-        // Helpers that sent neither ack nor nack: the fault may be this member's own.
+        // A relay that sent neither ack nor nack suggests that the fault is this member's own.
         self.health
             .degrade(1 + probe.ping_reqs.saturating_sub(probe.nacks));
         let target = self.members.get(&probe.target).map(|member| &member.record);
@@ -161,7 +164,7 @@
         self.apply(&suspicion, now, actions);
     }
 
-    /// Handles the ack of a ping: of this member's own, or of one that it relays.
+    /// Handles the ack of this member's own ping, or of one that it relays.
     pub(super) fn on_ack(&mut self, sequence: u32, now: Duration, actions: &mut Vec<Action>) {
         if let Some(relay) = self.relays.remove(sequence) {
             return self.send(relay.requester, &Message::Ack(relay.sequence), actions);
--- a/crates/membership/src/swim/receive.rs
+++ b/crates/membership/src/swim/receive.rs
@@ -1,5 +1,5 @@
-//! Received datagrams: the sender is checked, its updates are applied, then its message is
-//! answered.
+//! Handling of received datagrams: first the sender is checked, then its updates are applied, then
+//! its message is handled.
 
 use super::Swim;
 use crate::event::{Action, Received};
@@ -15,7 +15,7 @@
         actions: &mut Vec<Action>,
     ) {
         if received.sender == self.local.name {
-            return self.on_same_name(
+            return self.on_own_name(
                 received.source,
                 received.generation,
                 &received.message,
@@ -30,14 +30,15 @@
             self.apply(update, now, actions);
         }
         if self.counts.refutations > refutations {
-            // The refutation goes to the sender of the suspicion first.
+            // The member that sent the suspicion gets the refutation first.
             self.send(received.source, &Message::Gossip, actions);
         }
         self.on_message(received.source, received.message, now, actions);
     }
 
-    /// Notes the time of a known member's datagram. A request to join is refused, and false
-    /// returned, while its name is in use by another process.
+    /// Records when a known member's datagram was received. Returns whether the datagram has to be
+    /// handled. A request to join is ignored if it lacks the sender's own record, and refused while
+    /// another process uses its name.
     fn accept_sender(
         &mut self,
         received: &Received,
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicions: their timeout, and reminders to suspects; and the removal of departed members.
+//! Suspicion timeouts, reminders to suspects, and the removal of members that are dead or have
+//! left.
 
 use super::members::MAX_SUSPECTERS;
 use super::Swim;
@@ -9,20 +10,20 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Probe intervals for which the record of a member that is dead or left is kept. Prevents old
-/// updates from bringing it back.
-const DEPARTED_RETENTION_INTERVALS: u32 = 600;
+/// Number of probe intervals for which the record of a member that is dead or has left is kept, so
+/// that old updates do not bring the member back.
+const RETENTION_INTERVALS: u32 = 600;
 
-/// The hash that identifies a suspecter in a record.
+/// Returns the hash that identifies a suspecter in a record.
 pub(super) fn name_hash(name: &Name) -> u32 {
     let mut hasher = SipHasher13::new();
     name.hash(&mut hasher);
     hasher.finish() as u32
 }
 
-/// The timeout of a suspicion with this many suspecters: from the longest down to the shortest, by
-/// the logarithm of the confirmations (the Lifeguard paper's formula).
-fn timeout(shortest: Duration, max_multiplier: u32, suspecter_count: usize) -> Duration {
+/// Returns the timeout of a suspicion with this many suspecters. It falls from the longest to the
+/// shortest with the logarithm of the number of confirmations, as in the Lifeguard paper.
+fn suspicion_timeout(shortest: Duration, max_multiplier: u32, suspecter_count: usize) -> Duration {
     let longest = shortest * max_multiplier;
     let confirmations = suspecter_count.saturating_sub(1) as f64;
     let ratio = (confirmations + 1.0).ln() / (MAX_SUSPECTERS as f64).ln();
@@ -32,7 +33,7 @@
 }
 
 impl Swim {
-    /// Declares members dead whose suspicion has timed out.
+    /// Declares members dead if the suspicion of them has timed out.
     pub(super) fn expire_suspicions(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let shortest = self.min_suspicion_timeout();
         let max_multiplier = self.settings.suspicion_max_multiplier.max(1);
@@ -42,7 +43,8 @@
             .filter(|member| member.is_suspect())
             .filter(|member| {
                 let suspected_for = now.saturating_sub(member.state_since);
-                suspected_for >= timeout(shortest, max_multiplier, member.suspecter_count())
+                suspected_for
+                    >= suspicion_timeout(shortest, max_multiplier, member.suspecter_count())
             })
             .map(|member| Record {
                 status: Status::Dead,
@@ -60,9 +62,10 @@
         (self.settings.probe_interval * self.settings.suspicion_multiplier).mul_f64(logarithm)
     }
 
-    /// Sends suspects the record of their suspicion, and each time one other member, which will
-    /// send it to them too. Prevents a suspicion from never reaching its subject when the partition
-    /// that caused it drops its updates, which are sent a bounded number of times.
+    /// Sends the records of random suspects to the suspects themselves, and to one other member
+    /// each, which then sends reminders too. Updates are sent only a limited number of times, so a
+    /// suspect would never learn of the suspicion if the partition that caused it drops all of
+    /// them.
     pub(super) fn remind_suspects(&mut self, actions: &mut Vec<Action>) {
         let suspects: Vec<Name> = self
             .members
@@ -75,24 +78,24 @@
             let Some(to) = self.address(&name) else {
                 continue;
             };
-            self.send_about(to, &Message::Gossip, Some(name), actions);
+            self.send_with_suspicion(to, &Message::Gossip, Some(name), actions);
             for to in self.random_addresses(1, |record| record.status == Status::Alive) {
-                self.send_about(to, &Message::Gossip, Some(name), actions);
+                self.send_with_suspicion(to, &Message::Gossip, Some(name), actions);
             }
         }
     }
 
-    /// Removes the records of members that have been dead or left for long.
-    pub(super) fn remove_departed(&mut self, now: Duration) {
-        let retention = self.settings.probe_interval * DEPARTED_RETENTION_INTERVALS;
-        let departed: Vec<Name> = self
+    /// Removes the records of members that have been dead, or have left, for the retention time.
+    pub(super) fn remove_expired_members(&mut self, now: Duration) {
+        let retention = self.settings.probe_interval * RETENTION_INTERVALS;
+        let expired_names: Vec<Name> = self
             .members
             .iter()
             .filter(|member| !member.record.is_running())
             .filter(|member| now.saturating_sub(member.state_since) >= retention)
             .map(|member| member.record.name)
             .collect();
-        for name in departed {
+        for name in expired_names {
             self.members.remove(&name);
             self.updates.remove(&name);
         }
--- a/crates/membership/src/swim/sync.rs
+++ b/crates/membership/src/swim/sync.rs
@@ -1,5 +1,6 @@
-//! Anti-entropy: the digests of all records are compared with one member at a time, and the records
-//! are exchanged where the digests differ. It also heals partitions.
+//! Anti-entropy: a member compares the digest of all its records with that of one other member at a
+//! time, and the two exchange their records if the digests differ. Each round also sends requests
+//! to join to dead and unknown members, so that the sides of a partition find each other again.
 
 use super::Swim;
 use crate::event::Action;
@@ -9,12 +10,13 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Pages sent in answer to one request; the requester continues from the last one.
-const MAX_PAGES: usize = 8;
-/// Records that are collected for a page; more than fit on one.
-const RECORDS_PER_PAGE: usize = 16;
+/// Maximum number of pages in answer to one request. The requester asks for the remaining ones.
+const MAX_PAGES_PER_REPLY: usize = 8;
+/// Number of records to collect for a page; more than a page can hold.
+const COLLECTED_RECORDS_PER_PAGE: usize = 16;
 
-/// The digest of one record. A suspicion counts as alive, as it lasts only for a short time.
+/// Returns the digest of one record. A suspect counts as alive, as a suspicion lasts only for a
+/// short time.
 fn record_digest(record: &Record) -> u64 {
     let status = match record.status {
         Status::Alive | Status::Suspect(_) => 0u8,
@@ -34,8 +36,8 @@
 }
 
 impl Swim {
-    /// The digest of all records, this member's own included; equal on members with the same
-    /// records.
+    /// Returns the digest of all records, including this member's own. Members with the same
+    /// records have the same digest.
     pub fn digest(&self) -> u64 {
         self.members
             .records()
@@ -44,7 +46,7 @@
             })
     }
 
-    /// A round of anti-entropy.
+    /// Runs a round of anti-entropy with one random member.
     pub(super) fn sync(&mut self, actions: &mut Vec<Action>) {
         let request = Message::Sync {
             digest: self.digest(),
@@ -57,9 +59,9 @@
         self.heal_partition(actions);
     }
 
-    /// Prevents the sides of a partition from holding each other dead for ever: in each round one
-    /// dead member gets a request to join, and so does a seed, through which unknown members are
-    /// found.
+    /// Sends a request to join to one dead member, and to one seed if members are missing.
+    /// Otherwise the sides of a partition would see each other as dead for ever. A seed also leads
+    /// to members of which there is no record.
     fn heal_partition(&mut self, actions: &mut Vec<Action>) {
         for to in self.random_addresses(1, |record| record.status == Status::Dead) {
             self.send(to, &Message::Join, actions);
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Answers another member's digest, if it differs, with the records, and requests the other's.
+    /// Answers a sync whose digest differs from this member's: sends the records, and requests
+    /// those of the other member.
     pub(super) fn on_sync(
         &mut self,
         source: SocketAddr,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Requests the pages that follow the one that ended at this name.
+    /// Requests the pages that follow a page with this last name, unless the name is empty.
     pub(super) fn continue_sync(
         &mut self,
         source: SocketAddr,
@@ -115,17 +118,18 @@
         }
     }
 
-    /// Sends the records of the names after this one, in up to [`MAX_PAGES`] pages.
+    /// Sends the records of the names that follow `after`, in up to [`MAX_PAGES_PER_REPLY`] pages.
     pub(super) fn send_pages(&self, to: SocketAddr, after: Name, actions: &mut Vec<Action>) {
         let records = self.records_to_send(after);
         let mut rest = &records[..];
-        for page in 1..=MAX_PAGES {
+        for page in 1..=MAX_PAGES_PER_REPLY {
             let (body, sent) = fill_page(&Message::Page(Name::new()), rest);
             let Some(last) = sent.checked_sub(1).map(|index| &rest[index]) else {
                 return;
             };
             let complete = sent == rest.len();
-            let truncated = page == MAX_PAGES && !complete && last.name != self.local.name;
+            let truncated =
+                page == MAX_PAGES_PER_REPLY && !complete && last.name != self.local.name;
             let body = if truncated {
                 last_page(&rest[..sent])
             } else {
@@ -142,18 +146,19 @@
         }
     }
 
-    /// More records than the pages hold, so that it is known whether more pages follow.
+    /// Returns the records of the names that follow `after`: more than [`MAX_PAGES_PER_REPLY`]
+    /// pages can hold, so that the sender knows whether more pages follow.
     fn records_to_send(&self, after: Name) -> Vec<Record> {
         let local = after.is_empty().then_some(&self.local);
         let others = self
             .members
             .records_after(after)
-            .take(MAX_PAGES * RECORDS_PER_PAGE);
+            .take(MAX_PAGES_PER_REPLY * COLLECTED_RECORDS_PER_PAGE);
         local.into_iter().chain(others).cloned().collect()
     }
 }
 
-/// A body with as many of the records as fit, and their number.
+/// Returns a body with as many of the records as fit, and the number of these records.
 fn fill_page(message: &Message, records: &[Record]) -> (Body, usize) {
     let mut body = Body::new(message);
     let sent = records
@@ -163,8 +168,8 @@
     (body, sent)
 }
 
-/// The last page, if more records follow: it names the one after which to continue. As that name
-/// takes space too, the last record goes to the next page.
+/// Returns the last page of an incomplete answer, which names the record after which the requester
+/// has to continue. The last record is left to the next page, as the name takes up its space.
 fn last_page(records: &[Record]) -> Body {
     let records = &records[..(records.len() - 1).max(1)];
     let after = records.last().map_or(Name::new(), |record| record.name);
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -1,15 +1,15 @@
-//! The deadlines of recurring tasks, and what is done at each.
+//! The periodic tasks and their deadlines.
 
 use super::Swim;
 use crate::event::Action;
 use std::time::Duration;
 
-/// Time between two rounds of anti-entropy, as a ratio of its interval: the minimum, and the range
-/// above it. Prevents members from comparing their records at the same times.
+/// The time between two rounds of anti-entropy is the interval times a random ratio from this
+/// minimum up, within the range, so that members do not compare their records all at the same time.
 const SYNC_JITTER_MIN: f64 = 0.75;
 const SYNC_JITTER_RANGE: f64 = 0.5;
 
-/// When each recurring task is next due.
+/// The time at which each periodic task is next due.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Timers {
     pub probe: Duration,
@@ -21,7 +21,8 @@
 }
 
 impl Swim {
-    /// The time of the next [`Event::Timeout`](crate::Event::Timeout).
+    /// Returns the time at which the caller has to pass the next
+    /// [`Event::Timeout`](crate::Event::Timeout).
     pub fn next_timeout(&self) -> Option<Duration> {
         if !self.started {
             return Some(Duration::ZERO);
@@ -41,25 +42,25 @@
         Some(due)
     }
 
-    /// Sets the first deadlines. They are random, so that members that start together do not act
-    /// together.
+    /// Sets the first deadlines to random times, so that members that start at the same time do not
+    /// run their tasks at the same times.
     pub(super) fn start(&mut self, now: Duration) {
         self.started = true;
-        let random_time =
+        let random_deadline =
             |rng: &mut fastrand::Rng, interval: Duration| now + interval.mul_f64(rng.f64());
         self.timers = Timers {
-            probe: random_time(&mut self.rng, self.settings.probe_interval),
-            gossip: random_time(&mut self.rng, self.settings.gossip_interval),
-            sync: random_time(&mut self.rng, self.settings.sync_interval),
+            probe: random_deadline(&mut self.rng, self.settings.probe_interval),
+            gossip: random_deadline(&mut self.rng, self.settings.gossip_interval),
+            sync: random_deadline(&mut self.rng, self.settings.sync_interval),
             join: now,
             reminder: now,
             cleanup: now + self.settings.gossip_interval,
         };
     }
 
-    /// Prevents this process from suspecting the others when it was stopped itself: its deadlines
-    /// are moved by the time of its stall.
-    pub(super) fn absorb_stall(&mut self, now: Duration) {
+    /// Moves the deadlines forward by the duration of a stall, if this process was not running when
+    /// a deadline passed. Otherwise it would suspect the others for its own stall.
+    pub(super) fn compensate_for_stall(&mut self, now: Duration) {
         let stall = self
             .next_timeout()
             .map_or(Duration::ZERO, |due| now.saturating_sub(due));
@@ -76,7 +77,7 @@
         self.health.degrade(1 + missed_probes as u32);
     }
 
-    /// Runs the tasks that are due.
+    /// Runs the periodic tasks that are due.
     pub(super) fn run_timers(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.should_join() && now >= self.timers.join {
             self.send_join_requests(now, actions);
@@ -87,7 +88,7 @@
         }
         self.advance_probe(now, actions);
         if self.join.name_conflict.is_some() {
-            return self.postpone_protocol(now);
+            return self.postpone_tasks(now);
         }
         if now >= self.timers.probe && self.probe.is_none() {
             self.timers.probe = now + self.health.scale(self.settings.probe_interval);
@@ -107,22 +108,24 @@
         }
     }
 
-    /// While it has a name conflict, a member does nothing but request to join.
-    fn postpone_protocol(&mut self, now: Duration) {
+    /// Postpones the tasks of a member that has a name conflict, and so only sends requests to
+    /// join.
+    fn postpone_tasks(&mut self, now: Duration) {
         let later = now + self.settings.probe_interval;
         self.timers.probe = later;
         self.timers.gossip = later;
         self.timers.sync = later;
     }
 
-    /// Ends what has timed out: suspicions, records of departed members, and relayed pings.
+    /// Expires suspicions, records of members that are dead or have left, and relayed pings, and
+    /// reminds suspects.
     fn cleanup(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.expire_suspicions(now, actions);
         if now >= self.timers.reminder && self.join.name_conflict.is_none() {
             self.timers.reminder = now + self.settings.probe_interval;
             self.remind_suspects(actions);
         }
-        self.remove_departed(now);
+        self.remove_expired_members(now);
         self.expire_relays(now, actions);
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,20 +1,20 @@
-//! What a caller sees: states of members, the quorum and counters.
+//! The caller's view of the cluster: states of members, the quorum, and counters.
 
 use crate::record::{Record, Status};
 use std::time::Duration;
 
-/// The state of a member as seen from here.
+/// The state of a member as seen by this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MemberState {
-    /// No record of it was ever received: nothing is known of it, not even that it is dead.
+    /// No record of the member was received, so that it is not known whether it runs.
     NeverSeen,
-    /// It answers, by the latest record.
+    /// The member answers probes according to its latest record.
     Alive,
-    /// It did not answer a probe and has not refuted the suspicion yet.
+    /// The member did not answer a probe, and has not refuted the suspicion yet.
     Suspect,
-    /// Its suspicion timed out. It may still run, behind a network partition.
+    /// The suspicion timed out. The member may still run on the other side of a network partition.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl MemberState {
-    /// The text for log lines and status output.
+    /// Returns the text for log lines and status output.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::NeverSeen => "never seen",
@@ -42,44 +42,47 @@
     }
 }
 
-/// A member as seen from here.
+/// A member as seen by this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// The latest record of it, if there is one.
+    /// The latest record of the member; `None` if it was never seen.
     pub record: Option<Record>,
-    /// Time since its own latest datagram, or since the first record of it if it sent none.
+    /// The time since the member's latest datagram, or since the first record of it was received if
+    /// it sent none; `None` if it was never seen.
     pub age: Option<Duration>,
 }
 
 /// How many of the expected members this ingress sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quorum {
-    /// Members that are alive, this one included; suspects do not count.
+    /// Number of members that are alive, including this one but not suspects.
     pub seen: usize,
-    /// Members that there should be, this one included.
+    /// Number of members that the cluster should have, including this one.
     pub expected: usize,
 }
 
 impl Quorum {
-    /// Does this ingress see more than half of them? No two sides of a partition do at once.
+    /// Whether this ingress sees more than half of the expected members. Once failures are
+    /// detected, this holds on at most one side of a partition.
     pub fn has_majority(&self) -> bool {
         2 * self.seen > self.expected
     }
 }
 
-/// Counters since the start.
+/// Counters of protocol events since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Probes started.
+    /// Number of probes that were started.
     pub probes: u64,
-    /// Probes that nobody answered.
+    /// Number of probes that ended without an ack, direct or relayed.
     pub failed_probes: u64,
-    /// Suspicions of this ingress that it has refuted.
+    /// Number of suspicions and death reports about this member that it refuted.
     pub refutations: u64,
-    /// Stalls of this process that were detected.
+    /// Number of detected stalls of this process, in which a deadline was missed by at least the
+    /// probe timeout.
     pub stalls: u64,
-    /// Records that were dropped at the maximum of members.
+    /// Number of records that were dropped because `max_members` was reached.
     pub rejected_records: u64,
 }
