--- a/crates/admission/src/controller/eviction.rs
+++ b/crates/admission/src/controller/eviction.rs
@@ -43,7 +43,8 @@
     }
 
     /// Appends an idle connection to the queue of its reputation. If the queue exceeds its maximum
-    /// length, closes the connection that has been idle for longest, which may be the same one.
+    /// length, closes the first connection in it, unless that connection is still in the grace
+    /// period for its first command.
     pub(super) fn queue_idle(
         &mut self,
         id: ConnectionId,
--- a/crates/admission/src/descriptor_budget.rs
+++ b/crates/admission/src/descriptor_budget.rs
@@ -25,8 +25,8 @@
     Peers,
 }
 
-/// All uses in the order of their indexes, which is that of the limits in
-/// [`DescriptorBudget::new`].
+/// All uses in the order of their discriminants, which is also the order of the limits that
+/// [`DescriptorBudget::new`] takes.
 pub const DESCRIPTOR_USES: [DescriptorUse; 8] = [
     DescriptorUse::Fixed,
     DescriptorUse::Clients,
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -140,7 +140,7 @@
     },
     /// Stop accepting connections for a short time, because no descriptor can be freed now.
     PauseAccepting {
-        /// When to accept connections again, on the clock of the event's time.
+        /// When to accept connections again, since the same epoch as the time of the event.
         until: Duration,
     },
 }
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,4 +1,4 @@
-//! The limits of admission.
+//! The configurable limits of the admission controller.
 
 use crate::address::{AddressList, PrefixLengths};
 use crate::gcra::Rate;
@@ -12,11 +12,11 @@
     /// Maximum number of client connections. When it is reached, a new connection either evicts an
     /// idle one, as [`Reputation`](crate::Reputation) allows, or is rejected.
     pub capacity: usize,
-    /// Number of connections, as part of `capacity`, on which new clients may only be idle, so that
-    /// they can be evicted for known clients at once. If the new clients' connections with open
-    /// requests fill the rest of the capacity, further requests of new clients are rejected.
-    /// Clients that have sent several commands may use half of the reserve. By default an eighth of
-    /// the capacity.
+    /// The part of `capacity`, in connections, that new clients may use only for idle connections,
+    /// which can be evicted for known clients at once. When new clients' connections with open
+    /// requests fill the rest of the capacity, requests on further connections of new clients are
+    /// rejected. Clients that have sent several commands may also use half of the reserve for open
+    /// requests. By default an eighth of the capacity.
     pub reserve: usize,
     /// Maximum number of idle connections that have sent no command. When it is exceeded, the one
     /// that has been idle for longest is closed. By default half of the capacity, at least 1.
--- a/crates/admission/src/reputation.rs
+++ b/crates/admission/src/reputation.rs
@@ -21,7 +21,7 @@
     Allowlisted,
 }
 
-/// All reputations in eviction order, which is also the order of their indexes.
+/// All reputations in eviction order, which is the order of their discriminants.
 pub(crate) const REPUTATIONS: [Reputation; 7] = [
     Reputation::Suspect,
     Reputation::NoCommand,
--- a/crates/admission/tests/gcra.rs
+++ b/crates/admission/tests/gcra.rs
@@ -21,6 +21,6 @@
     assert_eq!(
         admitted.count(),
         9,
-        "10 per second, except for the first interval, which the burst used up"
+        "one event per 100 ms is admitted, the first one after 100 ms"
     );
 }
--- a/crates/admission/tests/model.rs
+++ b/crates/admission/tests/model.rs
@@ -11,7 +11,7 @@
 /// The seed of the random steps. It is fixed, so that a failure can be reproduced.
 const SEED: u64 = 20_261_201;
 
-/// A step of a test case. A step on a connection selects it among the open ones by a number.
+/// A step of a test case. The `usize` in a step on a connection selects one of the open ones.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Connect(u8),
