--- a/crates/testbed/src/checker/history.rs
+++ b/crates/testbed/src/checker/history.rs
@@ -1,58 +1,61 @@
-//! The history of what clients and form servers observe.
+//! The history of a run: the events that clients and form servers observe.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What was observed of a request.
+/// An observation of a request by a client or a form server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A client sent it.
+    /// A client sent the request.
     RequestSent {
-        /// May it be executed more than once?
+        /// Whether the request may be executed more than once.
         idempotent: bool,
     },
     /// The client received a response.
     ResponseReceived(ResponseKind),
-    /// The client's connection ended, or its time was over, without a response.
+    /// The client's connection ended, or the client timed out, without a response.
     NoResponse {
-        /// The ingress was killed or stopped meanwhile, so that no response was possible.
+        /// Whether the ingress was killed or stopped during the request, so that it could not
+        /// respond.
         excused_by_fault: bool,
     },
-    /// Its connection was closed without a response, and the client sends it once more on another.
+    /// The connection was closed without a response, and the client resends the request on
+    /// another connection.
     RequestResent,
-    /// An attempt arrived completely at this form server.
+    /// The form server with this index received all bytes of an attempt.
     AttemptStarted(usize),
-    /// This form server responded to it.
+    /// The form server with this index executed the attempt and responds to it.
     AttemptFinished(usize),
-    /// The attempt's connection ended before this form server responded.
+    /// The connection of the attempt ended before the form server with this index responded.
     AttemptAbandoned(usize),
 }
 
-/// A response by its kind.
+/// The kind of a response that a client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// Its own value.
+    /// The value that belongs to the request.
     Served,
-    /// Another value.
+    /// A value that does not belong to the request.
     WrongValue,
-    /// Rejected: it was never executed.
+    /// A `-BUSY` error, which guarantees that the request was not executed.
     Rejected,
-    /// Failed: whether it was executed is unknown.
+    /// Any other error; the request may have been executed.
     Failed,
 }
 
 /// One entry of a [`History`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Time since the history began.
+    /// The time since the history was created.
     pub at: Duration,
-    /// The request.
+    /// The id of the request.
     pub id: u64,
-    /// What was observed.
+    /// The observation.
     pub observation: Observation,
 }
 
-/// All that clients and form servers observed, in the order of recording. Clones share one history.
+/// The observations of clients and form servers, in the order in which they were recorded. Clones
+/// share the same events.
 #[derive(Clone, Debug)]
 pub struct History {
     began_at: Instant,
@@ -69,10 +72,10 @@
 }
 
 impl History {
-    /// Records an observation of a request.
+    /// Appends an observation of the request with this id, at the current time.
     pub fn record(&self, id: u64, observation: Observation) {
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
-        // Read under the lock, so that times are in the order of the events.
+        // The clock is read under the lock so that events are sorted by time.
         let at = self.began_at.elapsed();
         events.push(Event {
             at,
@@ -81,7 +84,7 @@
         });
     }
 
-    /// All events so far.
+    /// Returns a copy of all events recorded so far.
     #[must_use]
     pub fn events(&self) -> Vec<Event> {
         self.events
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -1,5 +1,5 @@
-//! The checker: holds the history of what clients and form servers observed against the rules of
-//! the service. It uses nothing of the daemon's own state.
+//! Checks the history of what clients and form servers observed against the rules of the service.
+//! The checker does not use any state or log of the daemons.
 
 mod history;
 mod rules;
@@ -10,30 +10,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Within this time of an attempt's start the end of an earlier one's connection is seen.
-const ABANDON_SETTLE_TIME: Duration = Duration::from_millis(50);
+/// How long after the start of an attempt a form server may still notice that the connection of an
+/// earlier attempt has ended.
+const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Counts of a history, and the rules that it violates.
+/// The result of checking a history: counts and rule violations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Requests sent.
+    /// The number of requests that clients sent.
     pub requests: u64,
-    /// Requests served.
+    /// The number of responses with the value of the request.
     pub served: u64,
-    /// Requests rejected.
+    /// The number of `-BUSY` responses.
     pub rejected: u64,
-    /// Requests failed.
+    /// The number of other error responses.
     pub failed: u64,
-    /// Requests without a response whose ingress was killed or stopped.
+    /// The number of requests without a response whose ingress was killed or stopped meanwhile.
     pub excused_by_fault: u64,
-    /// Attempts at form servers.
+    /// The number of attempts that form servers received.
     pub attempts: u64,
-    /// Violations in the order of the history.
+    /// The violations in the order of the history, followed by requests that had no response by
+    /// its end.
     pub violations: Vec<Violation>,
 }
 
 impl Verdict {
-    /// The counts by their names in reports.
+    /// Returns the counts with the names that reports print.
     #[must_use]
     pub fn counts(&self) -> [(&'static str, u64); 6] {
         [
@@ -47,9 +49,10 @@
     }
 }
 
-/// Checks a history: exactly one final response to a request unless a fault excuses its absence, no
-/// second attempt of a request that is not idempotent, never two attempts in flight at once,
-/// nothing served that no form server executed, and nothing rejected that was executed.
+/// Checks a history against every [`Rule`]: a request has exactly one final response unless a fault
+/// excuses its absence, a request that is not idempotent has at most one attempt and is not
+/// rejected once that attempt has started, a request never has two attempts in flight, and a served
+/// request was executed by a form server.
 #[must_use]
 pub fn check(events: &[Event]) -> Verdict {
     let mut checker = Checker::default();
@@ -59,7 +62,7 @@
     checker.finish()
 }
 
-/// The state of one request during the check.
+/// What the history has shown of one request so far.
 #[derive(Default)]
 struct RequestState {
     idempotent: bool,
@@ -67,7 +70,7 @@
     served: bool,
     in_flight: u32,
     started: u32,
-    /// The form server of the last attempt.
+    /// The form server at which the latest attempt started.
     last_started_at: Option<usize>,
     finished: u32,
 }
@@ -86,7 +89,7 @@
         }
         match event.observation {
             Observation::RequestSent { idempotent } => {
-                violated.extend(self.on_request(event.id, idempotent));
+                violated.extend(self.on_request_sent(event.id, idempotent));
             }
             observation => match self.requests.get_mut(&event.id) {
                 Some(request) => request.observe(observation, &mut self.verdict, &mut violated),
@@ -101,9 +104,10 @@
         self.verdict.violations.extend(violations);
     }
 
-    /// An attempt was abandoned. Form servers see the end of its connection and the next attempt at
-    /// about the same time, in any order: two that overlapped so briefly were not out at once. The
-    /// end of the later attempt says nothing of the earlier one, which is still out.
+    /// Withdraws a [`Rule::ConcurrentAttempts`] violation that an abandoned attempt explains. One
+    /// form server notices the end of the connection at about the time at which another receives
+    /// the next attempt, so the two may be recorded in either order. The violation stands if the
+    /// abandoned attempt is the latest one, because the earlier attempt is then still in flight.
     fn on_attempt_abandoned(&mut self, event: &Event, server: usize) {
         let request = self.requests.get(&event.id);
         if request.is_none_or(|request| request.last_started_at == Some(server)) {
@@ -111,12 +115,12 @@
         }
         self.verdict.violations.retain(|violation| {
             let is_overlap = violation.id == event.id && violation.rule == Rule::ConcurrentAttempts;
-            let since = violation.at.map(|at| event.at.saturating_sub(at));
-            !(is_overlap && since.is_some_and(|since| since <= ABANDON_SETTLE_TIME))
+            let overlap = violation.at.map(|at| event.at.saturating_sub(at));
+            !(is_overlap && overlap.is_some_and(|overlap| overlap <= MAX_DISCONNECT_DELAY))
         });
     }
 
-    fn on_request(&mut self, id: u64, idempotent: bool) -> Option<Rule> {
+    fn on_request_sent(&mut self, id: u64, idempotent: bool) -> Option<Rule> {
         self.verdict.requests += 1;
         let request = RequestState {
             idempotent,
@@ -142,7 +146,7 @@
 }
 
 impl RequestState {
-    /// Adds an observation to the counts; pushes each rule that it violates.
+    /// Updates the state and the counts, and pushes each rule that the observation violates.
     fn observe(
         &mut self,
         observation: Observation,
@@ -168,7 +172,7 @@
             Observation::AttemptStarted(server) => {
                 counts.attempts += 1;
                 self.last_started_at = Some(server);
-                self.on_attempt(violated);
+                self.on_attempt_started(violated);
             }
             Observation::AttemptFinished(_) => {
                 self.finished += 1;
@@ -204,7 +208,7 @@
         }
     }
 
-    fn on_attempt(&mut self, violated: &mut Vec<Rule>) {
+    fn on_attempt_started(&mut self, violated: &mut Vec<Rule>) {
         self.started += 1;
         self.in_flight += 1;
         if self.started > 1 && !self.idempotent {
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -1,57 +1,58 @@
-//! The rules that a history can violate.
+//! The rules that the checker enforces, and their violations.
 
 use std::fmt;
 use std::time::Duration;
 
-/// A rule that a history can violate.
+/// A rule of the service. Its `Display` text describes the violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rule {
-    /// A request id is used once.
-    #[error("asked twice under one id")]
+    /// A request id is used for one request.
+    #[error("request id used more than once")]
     DuplicateId,
-    /// Attempts and responses belong to a request.
-    #[error("nobody asked for it")]
+    /// Attempts and responses belong to a request that a client sent.
+    #[error("no client sent a request with this id")]
     UnknownRequest,
     /// A request has at most one final response.
-    #[error("a second final answer")]
+    #[error("more than one final response")]
     SecondResponse,
-    /// A served request was executed.
-    #[error("served, and no form server answered it")]
+    /// A served request was executed by a form server.
+    #[error("served, but no form server executed the request")]
     ServedWithoutExecution,
-    /// A rejected request that is not idempotent was not executed.
-    #[error("refused after it may have run")]
+    /// A request that is not idempotent is not rejected once an attempt has started.
+    #[error("rejected although a form server may have executed the request")]
     RejectedAfterExecution,
-    /// A request has a final response unless a fault excuses it.
-    #[error("no final answer")]
+    /// A request has a final response unless its ingress was killed or stopped.
+    #[error("no final response")]
     NoResponse,
-    /// A served request has the value that its form server returned.
-    #[error("answered with another value")]
+    /// A response that carries a value has the value that belongs to the request.
+    #[error("response has the wrong value")]
     WrongValue,
-    /// A connection with a request that was forwarded is not closed without a response.
-    #[error("its connection was closed without an answer after it was sent on")]
+    /// The ingress does not close a connection without a response after it has forwarded the
+    /// request.
+    #[error("the connection was closed without a response after the request was forwarded")]
     ClosedAfterForward,
-    /// A request that is not idempotent has one attempt.
-    #[error("sent on again, and it must not run twice")]
+    /// A request that is not idempotent is not retried.
+    #[error("a request that is not idempotent was forwarded again")]
     NonIdempotentRetry,
     /// No attempt begins after the request was served.
-    #[error("sent on after it was served")]
+    #[error("forwarded after the request was served")]
     AttemptAfterResponse,
     /// A request has at most one attempt in flight.
-    #[error("two attempts out at once")]
+    #[error("two attempts in flight at once")]
     ConcurrentAttempts,
-    /// The history does not end before the final response.
-    #[error("no final answer by the end")]
+    /// A request has a final response before the history ends.
+    #[error("no final response by the end")]
     NoResponseByEnd,
 }
 
-/// A violated rule, and where.
+/// A violation of a rule by one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The request.
+    /// The id of the request.
     pub id: u64,
-    /// Time since the history began; none at the history's end.
+    /// The time since the history was created; `None` if the violation was found at its end.
     pub at: Option<Duration>,
-    /// The rule.
+    /// The rule that the request violated.
     pub rule: Rule,
 }
 
--- a/crates/testbed/src/scenario/client.rs
+++ b/crates/testbed/src/scenario/client.rs
@@ -1,4 +1,4 @@
-//! The clients of a scenario: each request on a connection of its own, at a daemon that runs.
+//! The clients of a scenario. Each request is sent on its own connection to a running daemon.
 
 use super::model::Scenario;
 use crate::checker::{History, Observation, ResponseKind};
@@ -9,36 +9,36 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Requests a second of one client thread at most.
-const MAX_THREAD_RATE: f64 = 5.0;
-/// A client thread checks this often whether the scenario is over.
+/// The maximum request rate of one client thread.
+const MAX_REQUESTS_PER_SECOND_PER_THREAD: f64 = 5.0;
+/// The time between two checks of a client thread for the end of the scenario.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A client waits this long for a response.
+/// How long a client waits for more bytes of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long a client looks for data after the response.
+/// How long a client waits for unexpected bytes after a complete response.
 const EXCESS_DATA_TIMEOUT: Duration = Duration::from_millis(1);
-/// Customers of the clients.
-const CUSTOMERS: u64 = 200;
+/// The number of customers among which the requests are spread.
+const CUSTOMER_COUNT: u64 = 200;
 
-/// The daemons that clients may use, and the faults of each.
+/// The daemons to which clients connect, and the number of faults of each.
 #[derive(Default)]
 struct Targets {
-    /// The addresses of the daemons that run.
+    /// The client address of each member; `None` while clients do not connect to it.
     addresses: Vec<Option<SocketAddr>>,
-    /// Faults of each process so far. A request during which the count changes may remain without a
-    /// response.
+    /// The number of faults of each member so far. A request without a response is excused if this
+    /// count changes between connecting and the end of the request.
     faults: Vec<u64>,
 }
 
-/// One daemon that a client has chosen.
+/// The daemon that a client has chosen for a request.
 struct Target {
     member: usize,
     address: SocketAddr,
-    /// Its faults when it was chosen.
+    /// The number of faults of the member when it was chosen.
     faults: u64,
 }
 
-/// [`Targets`], shared by clients and steps.
+/// [`Targets`] that the client threads share with the thread that runs the steps.
 pub(super) struct ClientTargets(Mutex<Targets>);
 
 impl ClientTargets {
@@ -51,20 +51,21 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A fault of a member's process: clients use this address from now on, if any, and requests
-    /// that are in flight may remain without a response.
+    /// Sets the address of a member after a fault of its process; with `None`, clients do not
+    /// connect to it. Requests in flight are excused if they remain without a response.
     pub(super) fn set_after_fault(&self, member: usize, address: Option<SocketAddr>) {
         let mut targets = self.lock();
         targets.addresses[member] = address;
         targets.faults[member] += 1;
     }
 
-    /// Clients use this member no more; requests that are in flight must be answered.
+    /// Stops clients from connecting to this member. Requests in flight still need a response.
     pub(super) fn remove(&self, member: usize) {
         self.lock().addresses[member] = None;
     }
 
-    /// The member whose turn it is, or the next one that runs.
+    /// Returns the first member from number `turn` on, modulo their number, to which clients may
+    /// connect; `None` if there is none.
     fn choose(&self, turn: usize) -> Option<Target> {
         let targets = self.lock();
         let members = targets.addresses.len();
@@ -79,12 +80,12 @@
             })
     }
 
-    fn had_fault_since(&self, target: &Target) -> bool {
+    fn has_failed_since(&self, target: &Target) -> bool {
         self.lock().faults[target.member] != target.faults
     }
 }
 
-/// The clients of a scenario.
+/// The client threads of a scenario.
 pub(super) struct Clients<'a> {
     scenario: &'a Scenario,
     targets: &'a ClientTargets,
@@ -108,18 +109,20 @@
         }
     }
 
-    /// Client threads: each has an interval of its own, so that one that waits for a response does
-    /// not slow the others.
+    /// Returns the number of client threads. Each thread sends at its own interval, so that one
+    /// that waits for a response does not delay the others.
     pub(super) fn threads(&self) -> usize {
-        (self.scenario.rate / MAX_THREAD_RATE).ceil().max(1.0) as usize
+        (self.scenario.rate / MAX_REQUESTS_PER_SECOND_PER_THREAD)
+            .ceil()
+            .max(1.0) as usize
     }
 
-    /// Ends [`Clients::run`] in all threads.
+    /// Makes [`Clients::run`] return in all threads.
     pub(super) fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Sends the requests of one thread until stopped.
+    /// Sends the requests of one thread until [`Clients::stop`] is called.
     pub(super) fn run(&self, thread: usize) {
         if self.scenario.rate <= 0.0 {
             return;
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Sends the next request; the ids decide its member and whether it is idempotent.
+    /// Sends the next request. Its id determines the member and whether the request is idempotent.
     fn send_next(&self) {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let turn = id as usize % self.scenario.members;
@@ -146,7 +149,7 @@
         let Some(target) = self.targets.choose(turn) else {
             return;
         };
-        // A request that no ingress accepted is not in the history.
+        // A request is not recorded if no ingress accepted its connection.
         let Ok(stream) = TcpStream::connect(target.address) else {
             return;
         };
@@ -154,7 +157,7 @@
     }
 
     fn send(&self, mut stream: TcpStream, target: &Target, id: u64, idempotent: bool) {
-        let customer = 1 + id % CUSTOMERS;
+        let customer = 1 + id % CUSTOMER_COUNT;
         let bytes = if idempotent {
             request(customer, id)
         } else {
@@ -167,14 +170,14 @@
             Ok(()) => read_response(&mut stream),
             Err(_) => Vec::new(),
         };
-        // Nothing may follow the response on this connection.
+        // Any bytes after the response are recorded as a second response.
         let _ = stream.set_read_timeout(Some(EXCESS_DATA_TIMEOUT));
         let has_excess_data =
             is_complete(&response) && matches!(stream.read(&mut [0; 512]), Ok(1..));
         let observation = match response_kind(&response) {
             Some(kind) => Observation::ResponseReceived(kind),
             None => Observation::NoResponse {
-                excused_by_fault: self.targets.had_fault_since(target),
+                excused_by_fault: self.targets.has_failed_since(target),
             },
         };
         self.history.record(id, observation);
@@ -185,7 +188,7 @@
     }
 }
 
-/// Reads until the response is complete or nothing more comes.
+/// Reads until the response is complete, the connection ends or the read times out.
 fn read_response(stream: &mut TcpStream) -> Vec<u8> {
     let mut response = Vec::new();
     let mut buffer = [0; 512];
@@ -207,7 +210,7 @@
     }
 }
 
-/// Is this a complete error line or bulk string?
+/// Whether these bytes contain a complete RESP line or bulk string.
 fn is_complete(response: &[u8]) -> bool {
     let Some(line_end) = response.windows(2).position(|pair| pair == b"\r\n") else {
         return false;
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! A scenario: a fleet, clients, and the faults of its processes and of the paths between them, by
-//! time or by what a member logs. Written in KDL, run on real daemons, and checked by what clients
-//! and form servers observed.
+//! Scenarios: a fleet of real daemons under client load, with faults of its processes and of the
+//! network between them. A fault is triggered at a given time or by a line in the log of a member.
+//! Scenarios are written in KDL, and the checker verifies what clients and form servers observed.
 
 mod client;
 mod model;
--- a/crates/testbed/src/scenario/model.rs
+++ b/crates/testbed/src/scenario/model.rs
@@ -1,65 +1,65 @@
-//! The parts of a scenario.
+//! The data model of a scenario.
 
 use crate::faulty_network::{Direction, Rules};
 use std::time::Duration;
 
-/// When a step is done.
+/// The condition that starts a step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trigger {
-    /// At this time after the start.
+    /// This time has passed since the clients started.
     At(Duration),
-    /// Once this member has logged a line that contains this text, since the step before.
+    /// This member has logged a line that contains this text since the previous step started.
     Logged(usize, String),
 }
 
-/// A fault, or its end. Reports show an action in its `Debug` form.
+/// An action that causes or ends a fault. Reports print its `Debug` form.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// SIGKILL to this member.
+    /// Kills this member with SIGKILL.
     Kill(usize),
-    /// A new process, with nothing in memory.
+    /// Starts a new process for this member, without any state of the previous one.
     Start(usize),
-    /// SIGSTOP.
+    /// Pauses this member with SIGSTOP.
     Stop(usize),
-    /// SIGCONT.
+    /// Resumes this member with SIGCONT.
     Wake(usize),
-    /// SIGTERM, and the end awaited.
+    /// Sends SIGTERM to this member and waits until its process exits.
     Term(usize),
-    /// SIGHUP.
+    /// Sends SIGHUP to this member, which reloads its configuration.
     Hup(usize),
-    /// Cuts the paths between these members and the others.
+    /// Partitions the network between these members and all others.
     Split(Vec<usize>),
-    /// Sets the rules of this direction; without one, of all.
+    /// Sets the fault rules of this direction, or of all directions with `None`.
     Net(Option<Direction>, Rules),
 }
 
-/// One step.
+/// Actions that are run when a trigger fires.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When it is done.
+    /// The condition that starts the step. Steps run one after the other.
     pub trigger: Trigger,
-    /// Its actions, in this order.
+    /// The actions in the order in which they run.
     pub actions: Vec<FaultAction>,
 }
 
-/// A scenario.
+/// A fleet, its client load and the faults to which it is exposed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Daemons, 1 to 12.
+    /// The number of daemons, 1 to 12.
     pub members: usize,
-    /// Form servers.
+    /// The number of form servers, 1 to 64.
     pub servers: usize,
-    /// For faults and clients.
+    /// The seed of the network faults.
     pub seed: u64,
-    /// The protocol period of membership.
+    /// The protocol period of membership, 50 ms to 60 s.
     pub period: Duration,
-    /// Requests a second of the clients, over all daemons; 0 for no clients.
+    /// The request rate of all clients together, per second; 0 sends no requests.
     pub rate: f64,
-    /// Share of the requests that are not idempotent.
+    /// The ratio of requests that are not idempotent, 0 to 1.
     pub non_idempotent_ratio: f64,
-    /// How long it lasts.
+    /// How long the clients run.
     pub duration: Duration,
-    /// The steps, in this order.
+    /// The steps in the order in which they run.
     pub steps: Vec<Step>,
 }
 
--- a/crates/testbed/src/scenario/parser.rs
+++ b/crates/testbed/src/scenario/parser.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario from KDL.
+//! Parses a scenario from KDL.
 
 use super::model::{FaultAction, Scenario, Step, Trigger};
 use crate::faulty_network::Rules;
@@ -6,85 +6,88 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-const MEMBERS: RangeInclusive<u64> = 1..=12;
-const SERVERS: RangeInclusive<u64> = 1..=64;
-const RATES: RangeInclusive<f64> = 0.0..=2000.0;
-const RATIOS: RangeInclusive<f64> = 0.0..=1.0;
-const PERIODS_MS: RangeInclusive<u64> = 50..=60_000;
-const DURATIONS_MS: RangeInclusive<u64> = 100..=3_600_000;
-const STEP_TIMES_MS: RangeInclusive<u64> = 0..=3_600_000;
-const DELAYS_MS: RangeInclusive<u64> = 0..=60_000;
+const ALLOWED_MEMBERS: RangeInclusive<u64> = 1..=12;
+const ALLOWED_SERVERS: RangeInclusive<u64> = 1..=64;
+const ALLOWED_REQUESTS_PER_SECOND: RangeInclusive<f64> = 0.0..=2000.0;
+const ALLOWED_RATIOS: RangeInclusive<f64> = 0.0..=1.0;
+const ALLOWED_PERIODS_MS: RangeInclusive<u64> = 50..=60_000;
+const ALLOWED_DURATIONS_MS: RangeInclusive<u64> = 100..=3_600_000;
+const ALLOWED_STEP_TIMES_MS: RangeInclusive<u64> = 0..=3_600_000;
+const ALLOWED_DELAYS_MS: RangeInclusive<u64> = 0..=60_000;
 
-/// A scenario that cannot be read.
+/// Why a text is not a valid scenario.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not KDL.
-    #[error("no KDL: {0}")]
+    /// The text is not valid KDL.
+    #[error("invalid KDL: {0}")]
     NotKdl(String),
-    /// A node has a value that is not allowed there.
+    /// A node is unknown, or one of its values is missing or not allowed.
     #[error("line {line}: '{node}': {expected}")]
     Node {
-        /// The line, from 1 on.
+        /// The line number, from 1.
         line: usize,
-        /// The node's name.
+        /// The name of the node.
         node: String,
         /// What is allowed.
         expected: Expected,
     },
 }
 
-/// What is allowed at a node.
+/// What a scenario allows in place of an invalid node or value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Expected {
-    /// One of the nodes of a scenario.
-    #[error("there are members, servers, seed, period, lasts, rate, once, at, when")]
+    /// A node of a scenario.
+    #[error(
+        "unknown node; expected members, servers, seed, period, lasts, rate, once, at or when"
+    )]
     ScenarioNode,
-    /// One of the actions of a step.
-    #[error("there are kill, start, stop, wake, term, hup, split, heal, net")]
+    /// An action of a step.
+    #[error("unknown action; expected kill, start, stop, wake, term, hup, split, heal or net")]
     Action,
-    /// Actions in braces.
-    #[error("holds nothing in braces")]
+    /// A block of actions in braces.
+    #[error("missing a block of actions in braces")]
     Actions,
-    /// The property `logs`.
-    #[error("logs= is missing, a part of a line")]
+    /// The property `logs`, which is the text of the log line to wait for.
+    #[error("missing logs=, which takes a part of a log line")]
     LoggedText,
     /// An integer in a range.
     #[error("takes a whole number from {min} to {max}")]
     Integer {
-        /// The smallest.
+        /// The minimum, inclusive.
         min: u64,
-        /// The largest.
+        /// The maximum, inclusive.
         max: u64,
     },
-    /// A number in a range, both as text.
+    /// A number in a range, whose bounds are formatted as text.
     #[error("takes a number from {min} to {max}")]
     Number {
-        /// The smallest.
+        /// The minimum, inclusive.
         min: String,
-        /// The largest.
+        /// The maximum, inclusive.
         max: String,
     },
-    /// A time in a range.
-    #[error("takes a time from \"{min_ms}ms\" to \"{max_ms}ms\"")]
+    /// A duration in a range.
+    #[error("takes a duration from \"{min_ms}ms\" to \"{max_ms}ms\"")]
     Time {
-        /// The shortest, in milliseconds.
+        /// The minimum in milliseconds, inclusive.
         min_ms: u64,
-        /// The longest, in milliseconds.
+        /// The maximum in milliseconds, inclusive.
         max_ms: u64,
     },
     /// The number of a member.
-    #[error("takes a member from 0 to {last}")]
+    #[error("takes a member number from 0 to {last}")]
     Member {
-        /// The last member's number.
+        /// The number of the last member.
         last: usize,
     },
-    /// A shortest delay that is not over the longest.
-    #[error("least= is above most=")]
-    OrderedDelays,
+    /// A minimum delay that does not exceed the maximum delay.
+    #[error("least= exceeds most=")]
+    MinDelayAtMostMax,
 }
 
 impl Scenario {
-    /// Reads a scenario. An error names the line and what is allowed there.
+    /// Parses a scenario. Nodes that are missing keep the values of [`Scenario::default`]. An error
+    /// names the line and what is allowed there.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let document = KdlDocument::parse_v2(text)
             .map_err(|error| ScenarioError::NotKdl(error.to_string()))?;
@@ -97,15 +100,15 @@
 
     fn read(&mut self, node: &Node) -> Result<(), ScenarioError> {
         match node.name() {
-            "members" => self.members = node.integer(&MEMBERS)? as usize,
-            "servers" => self.servers = node.integer(&SERVERS)? as usize,
+            "members" => self.members = node.integer(&ALLOWED_MEMBERS)? as usize,
+            "servers" => self.servers = node.integer(&ALLOWED_SERVERS)? as usize,
             "seed" => self.seed = node.integer(&(0..=i64::MAX as u64))?,
-            "period" => self.period = node.time(node.argument(), &PERIODS_MS)?,
-            "lasts" => self.duration = node.time(node.argument(), &DURATIONS_MS)?,
-            "rate" => self.rate = node.number(node.argument(), &RATES)?,
-            "once" => self.non_idempotent_ratio = node.number(node.argument(), &RATIOS)?,
+            "period" => self.period = node.time(node.argument(), &ALLOWED_PERIODS_MS)?,
+            "lasts" => self.duration = node.time(node.argument(), &ALLOWED_DURATIONS_MS)?,
+            "rate" => self.rate = node.number(node.argument(), &ALLOWED_REQUESTS_PER_SECOND)?,
+            "once" => self.non_idempotent_ratio = node.number(node.argument(), &ALLOWED_RATIOS)?,
             "at" => {
-                let trigger = Trigger::At(node.time(node.argument(), &STEP_TIMES_MS)?);
+                let trigger = Trigger::At(node.time(node.argument(), &ALLOWED_STEP_TIMES_MS)?);
                 self.add_step(trigger, node)?;
             }
             "when" => {
@@ -126,7 +129,7 @@
     }
 }
 
-/// A node, and the text that it stands in.
+/// A node, with the text of the whole scenario, from which its line number is computed.
 struct Node<'a> {
     text: &'a str,
     node: &'a KdlNode,
@@ -150,7 +153,7 @@
         self.node.get(name)
     }
 
-    /// The values without a name.
+    /// The values without a property name.
     fn arguments(&self) -> impl Iterator<Item = &'a KdlValue> {
         let entries = self.node.entries().iter();
         entries
@@ -216,7 +219,7 @@
             .ok_or_else(|| self.error(Expected::Member { last: members - 1 }))
     }
 
-    /// The actions in the braces of a step.
+    /// Parses the actions in the braces of a step.
     fn actions(&self, members: usize) -> Result<Vec<FaultAction>, ScenarioError> {
         let children = self
             .node
@@ -233,14 +236,15 @@
         Ok(actions)
     }
 
-    /// The actions of one node: one for each member that it names.
+    /// Parses one action node. `kill`, `start`, `stop`, `wake`, `term` and `hup` give one action for
+    /// each member that the node lists.
     fn action(&self, members: usize) -> Result<Vec<FaultAction>, ScenarioError> {
-        let named = self
+        let listed_members = self
             .arguments()
             .map(|value| self.member(Some(value), members))
             .collect::<Result<Vec<_>, _>>()?;
         let for_each =
-            |action: fn(usize) -> FaultAction| named.iter().copied().map(action).collect();
+            |action: fn(usize) -> FaultAction| listed_members.iter().copied().map(action).collect();
         Ok(match self.name() {
             "kill" => for_each(FaultAction::Kill),
             "start" => for_each(FaultAction::Start),
@@ -248,7 +252,7 @@
             "wake" => for_each(FaultAction::Wake),
             "term" => for_each(FaultAction::Term),
             "hup" => for_each(FaultAction::Hup),
-            "split" => vec![FaultAction::Split(named)],
+            "split" => vec![FaultAction::Split(listed_members)],
             "heal" => vec![FaultAction::Net(None, Rules::default())],
             "net" => vec![self.network_rules(members)?],
             _ => return Err(self.error(Expected::Action)),
@@ -261,11 +265,11 @@
             (from, to) => Some((self.member(from, members)?, self.member(to, members)?)),
         };
         let ratio = |name: &str| match self.property(name) {
-            Some(value) => self.number(Some(value), &RATIOS),
+            Some(value) => self.number(Some(value), &ALLOWED_RATIOS),
             None => Ok(0.0),
         };
         let delay = |name: &str| match self.property(name) {
-            Some(value) => self.time(Some(value), &DELAYS_MS),
+            Some(value) => self.time(Some(value), &ALLOWED_DELAYS_MS),
             None => Ok(Duration::ZERO),
         };
         let cut = self.property("cut").and_then(KdlValue::as_bool);
@@ -277,7 +281,7 @@
             delay: (delay("least")?, delay("most")?),
         };
         if rules.delay.0 > rules.delay.1 {
-            return Err(self.error(Expected::OrderedDelays));
+            return Err(self.error(Expected::MinDelayAtMostMax));
         }
         Ok(FaultAction::Net(direction, rules))
     }
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario on real daemons.
+//! Runs a scenario on a fleet of real daemons.
 
 use super::client::{ClientTargets, Clients};
 use super::model::{FaultAction, Scenario, Step, Trigger};
@@ -9,31 +9,33 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// What a run has shown.
+/// The result of running a scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioReport {
-    /// The actions that were done, the same for each run of a scenario.
+    /// The actions that were run, each with its trigger. The trace is the same for each run of a
+    /// scenario.
     pub trace: Vec<String>,
-    /// When each action was done, since the start.
+    /// The time at which each action of `trace` was run, since the clients started.
     pub action_times: Vec<Duration>,
-    /// What the checker found.
+    /// The result of the checker.
     pub verdict: Verdict,
-    /// The views of the members that ran at the end.
+    /// How the members saw each other at the end, as in their status files.
     pub membership_views: Vec<MembershipView>,
 }
 
 /// How one member sees another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipView {
-    /// The member whose view it is.
+    /// The name of the member that reports the state.
     pub observer: String,
-    /// The other.
+    /// The name of the member whose state is reported.
     pub member: String,
-    /// The state in which it sees the other.
+    /// The state that the observer reports, such as `alive` or `gone`.
     pub state: String,
 }
 
-/// Runs a scenario on daemons of this program; `on_action` gets a line for each action.
+/// Runs a scenario on daemons started from `program`. Before each action, `on_action` is called
+/// with a line that describes it.
 pub fn run(
     scenario: &Scenario,
     program: PathBuf,
@@ -65,7 +67,7 @@
             let clients = &clients;
             scope.spawn(move || clients.run(thread));
         }
-        let result = run.steps();
+        let result = run.run_steps();
         clients.stop();
         result
     })?;
@@ -82,7 +84,7 @@
     })
 }
 
-/// The views of all members whose status can be read.
+/// Collects the views of all members whose status file can be read.
 fn membership_views(fleet: &Fleet) -> Vec<MembershipView> {
     let mut views = Vec::new();
     for (number, observer) in fleet.members.iter().enumerate() {
@@ -112,26 +114,27 @@
 }
 
 impl<F: FnMut(&str)> ScenarioRun<'_, F> {
-    /// Does all steps, then waits for the scenario's end.
-    fn steps(&mut self) -> io::Result<()> {
+    /// Runs all steps, then waits until the duration of the scenario has passed.
+    fn run_steps(&mut self) -> io::Result<()> {
         let scenario = self.scenario;
-        let mut marks = self.log_marks();
+        let mut line_counts = self.log_line_counts();
         for step in &scenario.steps {
-            self.wait_for(&step.trigger, &marks)?;
-            marks = self.log_marks();
-            self.actions(step)?;
+            self.wait_for_trigger(&step.trigger, &line_counts)?;
+            line_counts = self.log_line_counts();
+            self.run_actions(step)?;
         }
         std::thread::sleep(scenario.duration.saturating_sub(self.began_at.elapsed()));
         Ok(())
     }
 
-    fn log_marks(&self) -> Vec<usize> {
+    fn log_line_counts(&self) -> Vec<usize> {
         let members = self.fleet.members.iter();
         members.map(|member| member.log.line_count()).collect()
     }
 
-    /// Waits for a step's moment; `marks` are the ends of the members' logs at the step before.
-    fn wait_for(&self, trigger: &Trigger, marks: &[usize]) -> io::Result<()> {
+    /// Waits until the trigger of a step fires. `line_counts` are the lengths of the members' logs
+    /// at the start of the previous step.
+    fn wait_for_trigger(&self, trigger: &Trigger, line_counts: &[usize]) -> io::Result<()> {
         match trigger {
             Trigger::At(time) => std::thread::sleep(time.saturating_sub(self.began_at.elapsed())),
             Trigger::Logged(member, text) => {
@@ -139,15 +142,17 @@
                     .scenario
                     .duration
                     .saturating_sub(self.began_at.elapsed());
-                self.fleet.members[*member]
-                    .log
-                    .wait_for_line(marks[*member], text, remaining)?;
+                self.fleet.members[*member].log.wait_for_line(
+                    line_counts[*member],
+                    text,
+                    remaining,
+                )?;
             }
         }
         Ok(())
     }
 
-    fn actions(&mut self, step: &Step) -> io::Result<()> {
+    fn run_actions(&mut self, step: &Step) -> io::Result<()> {
         for action in &step.actions {
             let at = self.began_at.elapsed();
             self.trace.push(format!("{:?}: {action:?}", step.trigger));
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Clients use a member again that has been started or woken.
+    /// Lets clients connect again to a member that has been started or resumed.
     fn restore_target(&self, member: usize) {
         let address = self.fleet.members[member].client_address;
         self.targets.set_after_fault(member, address);
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds each violated rule, and none in a valid history.
+//! The checker reports each violated rule, and no violation in a valid history.
 
 use roseyard_testbed::checker::{check, Event, Observation, ResponseKind, Rule, Verdict};
 use std::time::Duration;
@@ -8,7 +8,6 @@
 const SERVED: Observation = Observation::ResponseReceived(ResponseKind::Served);
 const REJECTED: Observation = Observation::ResponseReceived(ResponseKind::Rejected);
 const FAILED: Observation = Observation::ResponseReceived(ResponseKind::Failed);
-/// An attempt at one form server, and one at another.
 const STARTED: Observation = Observation::AttemptStarted(0);
 const FINISHED: Observation = Observation::AttemptFinished(0);
 const OTHER_STARTED: Observation = Observation::AttemptStarted(1);
@@ -69,34 +68,40 @@
 #[test]
 fn each_violated_rule_is_found() {
     for (steps, expected) in [
-        (&[IDEMPOTENT][..], "no final answer by the end"),
-        (&[IDEMPOTENT, NO_RESPONSE], "no final answer"),
+        (&[IDEMPOTENT][..], "no final response by the end"),
+        (&[IDEMPOTENT, NO_RESPONSE], "no final response"),
         (
             &[IDEMPOTENT, STARTED, FINISHED, SERVED, SERVED],
-            "a second final answer",
+            "more than one final response",
         ),
-        (&[IDEMPOTENT, REJECTED, REJECTED], "a second final answer"),
-        (&[IDEMPOTENT, SERVED], "no form server answered it"),
+        (
+            &[IDEMPOTENT, REJECTED, REJECTED],
+            "more than one final response",
+        ),
+        (&[IDEMPOTENT, SERVED], "no form server executed the request"),
         (
             &[NON_IDEMPOTENT, STARTED, FINISHED, OTHER_STARTED, FAILED],
-            "must not run twice",
+            "not idempotent was forwarded again",
         ),
         (
             &[NON_IDEMPOTENT, STARTED, REJECTED],
-            "refused after it may have run",
+            "rejected although a form server may have executed the request",
         ),
         (
             &[IDEMPOTENT, STARTED, OTHER_STARTED, OTHER_FINISHED, SERVED],
-            "two attempts out at once",
+            "two attempts in flight at once",
         ),
         (
             &[IDEMPOTENT, STARTED, FINISHED, SERVED, OTHER_STARTED],
-            "sent on after it was served",
+            "forwarded after the request was served",
+        ),
+        (
+            &[IDEMPOTENT, IDEMPOTENT, REJECTED],
+            "request id used more than once",
         ),
-        (&[IDEMPOTENT, IDEMPOTENT, REJECTED], "asked twice"),
         (
             &[IDEMPOTENT, STARTED, RESENT, SERVED],
-            "closed without an answer after it was sent on",
+            "closed without a response after the request was forwarded",
         ),
         (
             &[
@@ -107,10 +112,13 @@
                 OTHER_FINISHED,
                 SERVED,
             ],
-            "two attempts out at once",
+            "two attempts in flight at once",
+        ),
+        (
+            &[IDEMPOTENT, STARTED, FINISHED, WRONG],
+            "has the wrong value",
         ),
-        (&[IDEMPOTENT, STARTED, FINISHED, WRONG], "another value"),
-        (&[STARTED], "nobody asked for it"),
+        (&[STARTED], "no client sent a request with this id"),
     ] {
         let violations = checked(steps).violations;
         assert!(
@@ -123,7 +131,7 @@
 }
 
 #[test]
-fn attempts_that_overlap_for_longer_than_an_abandoned_connection_takes_to_be_seen_are_found() {
+fn overlapping_attempts_are_reported_unless_one_is_abandoned_within_the_allowed_delay() {
     let verdict_after = |abandoned_at_ms: u64| {
         let event = |at_ms, observation| Event {
             at: Duration::from_millis(at_ms),
--- a/crates/testbed/tests/scenario.rs
+++ b/crates/testbed/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios are read from KDL.
+//! Parsing of scenarios from KDL.
 
 use roseyard_testbed::faulty_network::Rules;
 use roseyard_testbed::scenario::{FaultAction, Scenario, Trigger};
@@ -41,19 +41,19 @@
         ),
         (
             "members 3\nat \"2s\" { kill 3 }",
-            "line 2: 'kill': takes a member from 0 to 2",
+            "line 2: 'kill': takes a member number from 0 to 2",
         ),
-        ("at \"soon\" { heal }", "'at': takes a time"),
-        ("at \"1s\" { explode 1 }", "there are kill, start, stop"),
-        ("at \"1s\"", "holds nothing in braces"),
-        ("when 0 { heal }", "logs= is missing"),
+        ("at \"soon\" { heal }", "'at': takes a duration"),
+        ("at \"1s\" { explode 1 }", "expected kill, start, stop"),
+        ("at \"1s\"", "missing a block of actions in braces"),
+        ("when 0 { heal }", "missing logs="),
         ("at \"1s\" { net loss=2 }", "takes a number from 0 to 1"),
         (
             "at \"1s\" { net least=\"9ms\" most=\"1ms\" }",
-            "least= is above most=",
+            "least= exceeds most=",
         ),
-        ("mebers 3", "there are members, servers"),
-        ("members {", "no KDL"),
+        ("mebers 3", "expected members, servers"),
+        ("members {", "invalid KDL"),
     ] {
         let error = Scenario::parse(text).unwrap_err().to_string();
         assert!(error.contains(expected), "{text}: {error}");
