--- a/crates/testbed/src/checker/history.rs
+++ b/crates/testbed/src/checker/history.rs
@@ -37,7 +37,7 @@
     Served,
     /// A value that does not belong to the request.
     WrongValue,
-    /// A `-BUSY` error, which guarantees that the request was not executed.
+    /// A `-BUSY` error. The request was not executed, unless it is idempotent.
     Rejected,
     /// Any other error; the request may have been executed.
     Failed,
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -114,9 +114,11 @@
             return;
         }
         self.verdict.violations.retain(|violation| {
-            let is_overlap = violation.id == event.id && violation.rule == Rule::ConcurrentAttempts;
+            let is_concurrency_violation =
+                violation.id == event.id && violation.rule == Rule::ConcurrentAttempts;
             let overlap = violation.at.map(|at| event.at.saturating_sub(at));
-            !(is_overlap && overlap.is_some_and(|overlap| overlap <= MAX_DISCONNECT_DELAY))
+            !(is_concurrency_violation
+                && overlap.is_some_and(|overlap| overlap <= MAX_DISCONNECT_DELAY))
         });
     }
 
@@ -201,7 +203,7 @@
             ResponseKind::Rejected => {
                 counts.rejected += 1;
                 if self.started > 0 && !self.idempotent {
-                    violated.push(Rule::RejectedAfterExecution);
+                    violated.push(Rule::RejectedAfterAttempt);
                 }
             }
             ResponseKind::Failed => counts.failed += 1,
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -20,7 +20,7 @@
     ServedWithoutExecution,
     /// A request that is not idempotent is not rejected once an attempt has started.
     #[error("rejected although a form server may have executed the request")]
-    RejectedAfterExecution,
+    RejectedAfterAttempt,
     /// A request has a final response unless its ingress was killed or stopped.
     #[error("no final response")]
     NoResponse,
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -169,7 +169,7 @@
             if !accepting.is_empty() {
                 let target = accepting[random.random_range(0..accepting.len())];
                 if let Ok(stream) = open(&target) {
-                    // New connections do not go to a daemon that was told to exit meanwhile.
+                    // A load balancer opens no connection to a daemon that was told to exit.
                     if self.targets.is_accepting(&target) {
                         return Some(Connection {
                             stream,
