--- a/crates/membership/benches/fleet.rs
+++ b/crates/membership/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! Members in virtual time: detection, convergence, false reports, traffic and cost, as tables in
-//! Markdown.
+//! Benchmark of simulated fleets in virtual time. Prints detection and convergence times, false
+//! reports, traffic and processing cost as Markdown tables.
 //!
 //!     cargo bench -p roseyard-membership --bench fleet
 
@@ -10,12 +10,12 @@
 use roseyard_membership::*;
 use std::time::{Duration, Instant};
 
-const SEEDS: u64 = 20;
+const SEED_COUNT: u64 = 20;
 
 fn quantile(times: &mut [Duration], q: f64) -> f64 {
     times.sort();
-    let at = ((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1));
-    times.get(at).map_or(f64::NAN, Duration::as_secs_f64)
+    let index = ((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1));
+    times.get(index).map_or(f64::NAN, Duration::as_secs_f64)
 }
 
 fn yes_or_no(flag: bool) -> &'static str {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Times from the death of a member until the first, and the last, of the others see it dead; one
-/// for each seed.
+/// The times from the death of a member until the first, and the last, of the other members saw it
+/// dead. Each list holds one time per seed.
 struct DetectionTimes {
     first: Vec<Duration>,
     last: Vec<Duration>,
@@ -46,15 +46,15 @@
         let begin = fleet.now;
         let dead = members / 2;
         fleet.kill(dead);
-        let all_see_it = |fleet: &Fleet| {
+        let have_all_detected_it = |fleet: &Fleet| {
             fleet
                 .members
                 .keys()
                 .all(|n| fleet.state(*n, dead) == MemberState::Dead)
         };
         fleet
-            .run_until(ms(300_000), all_see_it)
-            .expect("a death is detected");
+            .run_until(ms(300_000), have_all_detected_it)
+            .expect("the death is detected within 300 s");
         let mut detections: Vec<Duration> = fleet
             .changes
             .iter()
@@ -69,8 +69,8 @@
 }
 
 fn print_detection() {
-    println!("## Detection of a death, s ({SEEDS} seeds; 5 at 300 members)\n");
-    println!("| members | loss | first sees it: median, p99 | all see it: median, p99 |");
+    println!("## Detection of a death, s ({SEED_COUNT} seeds; 5 seeds with 300 members)\n");
+    println!("| members | loss | first detection: median, p99 | last detection: median, p99 |");
     println!("| --- | --- | --- | --- |");
     for (members, loss_ratios) in [
         (5, &[0.0, 0.2][..]),
@@ -81,7 +81,7 @@
         for loss_ratio in loss_ratios {
             let seeds = match members {
                 300 => 5,
-                _ => SEEDS,
+                _ => SEED_COUNT,
             };
             let DetectionTimes {
                 mut first,
@@ -98,13 +98,13 @@
     }
 }
 
-fn print_joining_and_healing() {
-    println!("\n## Joining and healing, s\n");
+fn print_convergence() {
+    println!("\n## Convergence after a join and after a partition, s\n");
     println!(
-        "| members | one joins: all converge | a partition into halves, 60 s, heals: all converge, median, max |"
+        "| members | after a join: median | after a partition into halves for 60 s: median, max |"
     );
     println!("| --- | --- | --- |");
-    for (members, seeds) in [(5usize, SEEDS), (10, SEEDS), (100, 5)] {
+    for (members, seeds) in [(5usize, SEED_COUNT), (10, SEED_COUNT), (100, 5)] {
         let mut join_times = Vec::new();
         let mut heal_times = Vec::new();
         for seed in 0..seeds {
@@ -113,7 +113,7 @@
             fleet.start(members);
             fleet
                 .run_until(ms(60_000), Fleet::has_converged)
-                .expect("a new member joins");
+                .expect("a new member joins within 60 s");
             join_times.push(fleet.now - begin);
             let (even, odd): (Vec<usize>, Vec<usize>) = (0..=members).partition(|n| n % 2 == 0);
             fleet.network.partition(&even, &odd);
@@ -122,7 +122,7 @@
             heal_times.push(
                 fleet
                     .run_until(ms(300_000), Fleet::has_converged)
-                    .expect("a partition heals"),
+                    .expect("the partition heals within 300 s"),
             );
         }
         let max = heal_times.iter().max().map_or(0.0, Duration::as_secs_f64);
@@ -135,7 +135,7 @@
 }
 
 fn print_false_reports() {
-    println!("\n## False reports in an hour of one fleet, by loss (delay 1 to 50 ms)\n");
+    println!("\n## False reports per fleet and hour, by packet loss (delay 1 to 50 ms)\n");
     println!("| members | loss | local health | suspected | dead |");
     println!("| --- | --- | --- | --- | --- |");
     for members in [5usize, 10, 100] {
@@ -169,19 +169,19 @@
         dead += fleet.false_reports(MemberState::Dead);
     }
     let hours = (seeds * minutes) as f64 / 60.0;
-    // Each of the other members reports a change of one.
-    let changes_an_hour = |reports: usize| reports as f64 / hours / (members - 1) as f64;
+    // Each change of one member is reported by all of the others.
+    let changes_per_hour = |reports: usize| reports as f64 / hours / (members - 1) as f64;
     println!(
         "| {members} | {loss_ratio} | {} | {:.1} | {:.2} |",
         yes_or_no(local_health),
-        changes_an_hour(suspected),
-        changes_an_hour(dead)
+        changes_per_hour(suspected),
+        changes_per_hour(dead)
     );
 }
 
 fn print_slow_member() {
-    println!("\n## One slow member of ten: paused for 0.9 s of each 1.5 s, an hour\n");
-    println!("| local health | others falsely dead | others suspected by it | it suspected |");
+    println!("\n## One slow member of ten, paused for 0.9 s of each 1.5 s, in one hour\n");
+    println!("| local health | others reported dead | suspected by the slow member | slow member suspected |");
     println!("| --- | --- | --- | --- |");
     for local_health in [true, false] {
         let settings = Settings {
@@ -214,29 +214,30 @@
 }
 
 fn print_traffic() {
-    println!("\n## Traffic and cost of a member, nothing happening, 60 s\n");
+    println!("\n## Traffic and cost per member of an idle fleet, 60 s\n");
     println!(
-        "| members | datagrams/s | bytes/s | longest | handling an event, us | records, KiB |"
+        "| members | datagrams/s | bytes/s | longest datagram, bytes | time per event, us | records, KiB |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for members in [5usize, 10, 100, 300, 1000] {
         let mut fleet = Fleet::converged(members, Settings::new(members), 1);
         fleet.run(ms(10_000));
-        fleet.datagrams = 0;
-        fleet.bytes = 0;
+        fleet.datagram_count = 0;
+        fleet.byte_count = 0;
         let begin = Instant::now();
         fleet.run(ms(60_000));
-        let took = begin.elapsed();
+        let run_time = begin.elapsed();
         let rate = |count: u64| count as f64 / 60.0 / members as f64;
-        // About two events a datagram: the deadline at which it is sent, and its delivery.
-        let events = (2 * fleet.datagrams).max(1) as f64;
+        // Each datagram accounts for about two events: the timeout at which it is sent, and its
+        // delivery.
+        let events = (2 * fleet.datagram_count).max(1) as f64;
         let record_bytes = members * (size_of::<Record>() + size_of::<Name>() + 48);
         println!(
             "| {members} | {:.2} | {:.0} | {} | {:.1} | {} |",
-            rate(fleet.datagrams),
-            rate(fleet.bytes),
-            fleet.longest_datagram,
-            took.as_secs_f64() * 1e6 / events,
+            rate(fleet.datagram_count),
+            rate(fleet.byte_count),
+            fleet.max_datagram_bytes,
+            run_time.as_secs_f64() * 1e6 / events,
             record_bytes / 1024
         );
     }
@@ -244,7 +245,7 @@
 
 fn main() {
     print_detection();
-    print_joining_and_healing();
+    print_convergence();
     print_false_reports();
     print_slow_member();
     print_traffic();
--- a/crates/membership/tests/checker.rs
+++ b/crates/membership/tests/checker.rs
@@ -1,6 +1,6 @@
-//! Model checking: three real state machines, every order of the records that they exchange, which
-//! may be lost, duplicated, late and out of order, with false suspicions, a crash with a restart,
-//! and a leave. Every reachable state is checked.
+//! Model checking of three production state machines. Every reachable state is checked, for every
+//! order in which the members receive each other's records. Records can be lost, duplicated,
+//! delayed and reordered, and members are falsely suspected, crash and restart, or leave.
 
 use roseyard_membership::*;
 use stateright::{Checker, Model, Property};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const MEMBERS: usize = 3;
+const MEMBER_COUNT: usize = 3;
 const NOW: Duration = Duration::ZERO;
 
 fn name(n: usize) -> Name {
@@ -20,14 +20,15 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + n as u16))
 }
 
-/// A state machine. Two are equal if their records are; times and random choices are left out.
+/// A member's state machine. Two nodes are equal if their records are equal: times and the state of
+/// the random number generator are ignored.
 #[derive(Clone, Debug)]
 struct Node(Swim);
 
 impl Node {
     fn start(n: usize, generation: u64) -> Node {
         let mut swim = Swim::new(
-            Settings::new(MEMBERS),
+            Settings::new(MEMBER_COUNT),
             name(n),
             address(n),
             generation,
@@ -38,7 +39,8 @@
         Node(swim)
     }
 
-    /// Its record of a member, itself included, without the suspecter.
+    /// Returns the node's record of a member, which can be the node itself. The suspecter is
+    /// masked.
     fn record_of(&self, subject: usize) -> Option<Record> {
         let local = self.0.local();
         let record = if local.name == name(subject) {
@@ -56,10 +58,10 @@
     }
 
     fn records(&self) -> Vec<Option<Record>> {
-        (0..MEMBERS).map(|n| self.record_of(n)).collect()
+        (0..MEMBER_COUNT).map(|n| self.record_of(n)).collect()
     }
 
-    /// Receives a record in a datagram of this member.
+    /// Handles a gossip datagram from member `from` with this record.
     fn receive(&mut self, from: usize, generation: u64, record: &Record) {
         let message = wire::Message::Gossip;
         let updates = vec![record.clone()];
@@ -91,20 +93,21 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// None: it has crashed or left.
+    /// The members; `None` for one that has crashed or left.
     nodes: Vec<Option<Node>>,
-    /// Every record that was ever sent: each may be received at any time, any number of times, or
+    /// All records that were ever sent. Each can be received at any time, any number of times, or
     /// never.
     sent: BTreeSet<SentRecord>,
-    /// False suspicions, and crashes and leaves of the third member, that may still happen.
-    remaining: Limits,
-    /// Has the third member left?
+    /// The false suspicions, and the crashes and leaves of the third member, that can still occur.
+    remaining_limits: Limits,
+    /// Whether the third member has left.
     has_left: bool,
-    /// Has a member seen the third as left, and the same generation later otherwise?
-    has_returned: bool,
+    /// Whether a member that saw the third one as left saw the same generation in another state
+    /// afterwards.
+    has_left_member_returned: bool,
 }
 
-/// A record, ordered by all that can differ.
+/// A record with an order over all fields that differ between the records of one model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SentRecord(Record);
 
@@ -132,18 +135,18 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// One member suspects another.
+    /// The first member suspects the second one.
     Suspect(usize, usize),
-    /// Its suspicion times out.
+    /// The first member's suspicion of the second one times out.
     DeclareDead(usize, usize),
-    /// A member receives a record.
+    /// The member receives a record.
     Receive(usize, SentRecord),
     Crash,
     Restart,
     Leave,
 }
 
-/// How often things happen at most.
+/// The maximum numbers of false suspicions, crashes and leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Limits {
     suspicions: u8,
@@ -156,7 +159,7 @@
 }
 
 impl Fleet {
-    /// Every running member sends all of its records.
+    /// Adds all records of every running member to the sent records.
     fn send_all(state: &mut State) {
         let nodes = state.nodes.iter().flatten();
         let records = nodes.flat_map(Node::records).flatten();
@@ -164,18 +167,18 @@
         state.sent.extend(sent);
     }
 
-    /// The state after all running members have exchanged all of their records, repeatedly.
-    fn settled(state: &State) -> State {
+    /// Returns the state after all running members have repeatedly exchanged all of their records.
+    fn after_full_exchange(state: &State) -> State {
         let mut state = state.clone();
         for _ in 0..8 {
-            for from in 0..MEMBERS {
+            for from in 0..MEMBER_COUNT {
                 let Some(generation) = state.nodes[from].as_ref().map(|n| n.0.local().generation)
                 else {
                     continue;
                 };
                 let sender = state.nodes[from].as_ref().unwrap();
                 let records: Vec<Record> = sender.records().into_iter().flatten().collect();
-                for to in (0..MEMBERS).filter(|to| *to != from) {
+                for to in (0..MEMBER_COUNT).filter(|to| *to != from) {
                     let Some(node) = &mut state.nodes[to] else {
                         continue;
                     };
@@ -194,15 +197,15 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let nodes: Vec<Option<Node>> = (0..MEMBERS).map(|n| Some(Node::start(n, 1))).collect();
+        let nodes: Vec<Option<Node>> = (0..MEMBER_COUNT).map(|n| Some(Node::start(n, 1))).collect();
         let start = State {
             nodes,
             sent: BTreeSet::new(),
-            remaining: self.limits,
+            remaining_limits: self.limits,
             has_left: false,
-            has_returned: false,
+            has_left_member_returned: false,
         };
-        let mut state = Fleet::settled(&start);
+        let mut state = Fleet::after_full_exchange(&start);
         Fleet::send_all(&mut state);
         vec![state]
     }
@@ -210,9 +213,9 @@
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         for (n, node) in state.nodes.iter().enumerate() {
             let Some(node) = node else { continue };
-            for subject in (0..MEMBERS).filter(|subject| *subject != n) {
+            for subject in (0..MEMBER_COUNT).filter(|subject| *subject != n) {
                 match node.record_of(subject).map(|record| record.status) {
-                    Some(Status::Alive) if state.remaining.suspicions > 0 => {
+                    Some(Status::Alive) if state.remaining_limits.suspicions > 0 => {
                         actions.push(Step::Suspect(n, subject));
                     }
                     Some(Status::Suspect(_)) => actions.push(Step::DeclareDead(n, subject)),
@@ -223,10 +226,10 @@
             actions.extend(received.map(|sent| Step::Receive(n, sent.clone())));
         }
         if state.nodes[2].is_some() {
-            if state.remaining.crashes > 0 {
+            if state.remaining_limits.crashes > 0 {
                 actions.push(Step::Crash);
             }
-            if state.remaining.leaves > 0 {
+            if state.remaining_limits.leaves > 0 {
                 actions.push(Step::Leave);
             }
         } else if !state.has_left {
@@ -238,16 +241,16 @@
         let mut state = last.clone();
         match step {
             Step::Suspect(n, subject) => {
-                state.remaining.suspicions -= 1;
+                state.remaining_limits.suspicions -= 1;
                 report(&mut state, n, subject, Status::Suspect(n as u32 + 1))?;
             }
             Step::DeclareDead(n, subject) => report(&mut state, n, subject, Status::Dead)?,
             Step::Receive(n, sent) => {
-                let from = (n + 1) % MEMBERS;
+                let from = (n + 1) % MEMBER_COUNT;
                 state.nodes[n].as_mut()?.receive(from, 0, &sent.0);
             }
             Step::Crash => {
-                state.remaining.crashes -= 1;
+                state.remaining_limits.crashes -= 1;
                 state.nodes[2] = None;
             }
             Step::Restart => {
@@ -258,7 +261,7 @@
                 state.nodes[2] = Some(Node::start(2, generations.max().unwrap_or(0) + 1));
             }
             Step::Leave => {
-                state.remaining.leaves -= 1;
+                state.remaining_limits.leaves -= 1;
                 state.has_left = true;
                 let mut node = state.nodes[2].take()?;
                 node.0.handle(NOW, Event::Leave, &mut Vec::new());
@@ -270,16 +273,18 @@
             let Some(before) = record_of_third(last, n) else {
                 continue;
             };
-            let has_returned = record_of_third(&state, n).is_some_and(|after| {
+            let has_left_member_returned = record_of_third(&state, n).is_some_and(|after| {
                 after.generation == before.generation && after.status != Status::Left
             });
-            state.has_returned |= before.status == Status::Left && has_returned;
+            state.has_left_member_returned |=
+                before.status == Status::Left && has_left_member_returned;
         }
         (state != *last).then_some(state)
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        // There are no more incarnations than suspicions.
+        // Each suspicion causes at most one further incarnation, and there are at most two
+        // suspicions.
         let mut records = state.sent.iter().map(|sent| &sent.0);
         records.all(|record| record.incarnation <= 2 && record.generation <= 3)
     }
@@ -288,15 +293,15 @@
         vec![
             Property::always(
                 "once all records are exchanged, all running members see one another alive",
-                |_, state: &State| see_one_another_alive(&Fleet::settled(state)),
+                |_, state: &State| see_one_another_alive(&Fleet::after_full_exchange(state)),
             ),
             Property::always(
                 "old records do not bring back a member that left",
-                |_, state: &State| !state.has_returned,
+                |_, state: &State| !state.has_left_member_returned,
             ),
             Property::always(
                 "no record has a generation or incarnation that its member has not had",
-                |_, state: &State| has_no_invented_incarnation(state),
+                |_, state: &State| is_no_record_ahead_of_its_member(state),
             ),
             Property::sometimes("a running member is seen dead", |_, state: &State| {
                 is_running_member_seen_dead(state)
@@ -305,7 +310,7 @@
     }
 }
 
-/// A member reports another as suspect or dead; it merges its own report as any other record.
+/// Member `n` sees another one as suspect or dead, and merges that record like any other.
 fn report(state: &mut State, n: usize, subject: usize, status: Status) -> Option<()> {
     let node = state.nodes[n].as_mut()?;
     let record = Record {
@@ -317,13 +322,15 @@
     Some(())
 }
 
-/// The record that a member has of the third.
+/// Returns a member's record of the third one.
 fn record_of_third(state: &State, n: usize) -> Option<Record> {
     state.nodes[n].as_ref()?.record_of(2)
 }
 
 fn see_one_another_alive(state: &State) -> bool {
-    let running: Vec<usize> = (0..MEMBERS).filter(|n| state.nodes[*n].is_some()).collect();
+    let running: Vec<usize> = (0..MEMBER_COUNT)
+        .filter(|n| state.nodes[*n].is_some())
+        .collect();
     running.iter().all(|n| {
         let node = state.nodes[*n].as_ref().unwrap();
         let mut others = running.iter().filter(|other| *other != n);
@@ -335,7 +342,7 @@
     })
 }
 
-fn has_no_invented_incarnation(state: &State) -> bool {
+fn is_no_record_ahead_of_its_member(state: &State) -> bool {
     state.nodes.iter().enumerate().all(|(n, node)| {
         let Some(own) = node.as_ref().and_then(|node| node.record_of(n)) else {
             return true;
@@ -354,8 +361,8 @@
         let record = node.and_then(|node| node.record_of(subject));
         record.is_some_and(|record| record.status == Status::Dead)
     };
-    (0..MEMBERS).any(|n| {
-        (0..MEMBERS).any(|subject| {
+    (0..MEMBER_COUNT).any(|n| {
+        (0..MEMBER_COUNT).any(|subject| {
             n != subject && state.nodes[subject].is_some() && is_seen_dead(n, subject)
         })
     })
@@ -373,7 +380,10 @@
         checker.unique_state_count(),
         checker.max_depth()
     );
-    assert!(checker.is_done(), "not all states were checked");
+    assert!(
+        checker.is_done(),
+        "the checker did not visit all reachable states"
+    );
     checker.assert_properties();
 }
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of members in virtual time: one seed, one result. Every datagram goes through the real
-//! guard and the real wire format.
+//! A simulated fleet of members in virtual time. A run is determined by its seed. Every datagram
+//! passes through the production authenticator and wire format.
 #![allow(dead_code)]
 
 mod network;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 #[allow(unused_imports)]
-pub(crate) use network::{Conditions, RELIABLE};
+pub(crate) use network::{Conditions, RELIABLE_CONDITIONS};
 
-/// Datagrams that the socket of a paused member buffers.
+/// Capacity of the socket buffer of a paused member, in datagrams; further ones are dropped.
 const MAX_BUFFERED_DATAGRAMS: usize = 200;
 
 pub(crate) fn ms(n: u64) -> Duration {
@@ -31,12 +31,12 @@
 pub(crate) struct Member {
     pub swim: Swim,
     authenticator: Authenticator,
-    /// Paused: datagrams are buffered until it is resumed.
+    /// Whether the process is stopped. Datagrams are buffered until it is resumed.
     pub paused: bool,
     buffered: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-/// A change of how one member sees another.
+/// A change of the state in which one member, the observer, sees another one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Change {
     pub at: Duration,
@@ -51,21 +51,24 @@
     pub members: BTreeMap<usize, Member>,
     pub network: Network,
     pub changes: Vec<Change>,
-    /// Members that were refused for their name, and where the process listens that uses it.
+    /// Members that were refused because of a name conflict, and the addresses of the processes
+    /// that use their names.
     pub name_conflicts: Vec<(usize, SocketAddr)>,
-    pub datagrams: u64,
-    pub bytes: u64,
-    pub longest_datagram: usize,
+    pub datagram_count: u64,
+    pub byte_count: u64,
+    pub max_datagram_bytes: usize,
     settings: Settings,
     rng: fastrand::Rng,
     starts: u64,
-    /// The deadlines of all members that are not paused, and that of each.
+    /// The next timeouts of all members that are not paused, in order.
     deadlines: BTreeSet<(Duration, usize)>,
+    /// The next timeout of each member that is not paused.
     deadline_of: BTreeMap<usize, Duration>,
 }
 
 impl Fleet {
-    /// A fleet without members. The first three numbers are every member's seeds.
+    /// Creates a fleet without members. The addresses of the members 0, 1 and 2 are the seeds of
+    /// every member.
     pub(crate) fn new(settings: Settings, seed: u64) -> Fleet {
         eprintln!("seed {seed}");
         let settings = Settings {
@@ -78,9 +81,9 @@
             network: Network::new(),
             changes: Vec::new(),
             name_conflicts: Vec::new(),
-            datagrams: 0,
-            bytes: 0,
-            longest_datagram: 0,
+            datagram_count: 0,
+            byte_count: 0,
+            max_datagram_bytes: 0,
             settings,
             rng: fastrand::Rng::with_seed(seed),
             starts: 0,
@@ -89,21 +92,24 @@
         }
     }
 
-    /// A fleet of so many members that have converged.
+    /// Creates a fleet of this many members, and runs it until they have converged.
     pub(crate) fn converged(members: usize, settings: Settings, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(settings, seed);
         (0..members).for_each(|n| fleet.start(n));
-        let took = fleet.run_until(ms(60_000), Fleet::has_converged);
-        assert!(took.is_some(), "the fleet has not converged");
+        let convergence_time = fleet.run_until(ms(60_000), Fleet::has_converged);
+        assert!(
+            convergence_time.is_some(),
+            "the fleet did not converge within 60 s"
+        );
         fleet
     }
 
     pub(crate) fn start(&mut self, n: usize) {
-        self.start_as(n, n);
+        self.start_with_name_of(n, n);
     }
 
-    /// Starts member `n` under the name of another.
-    pub(crate) fn start_as(&mut self, n: usize, named: usize) {
+    /// Starts member `n` with the name of member `name_number`.
+    pub(crate) fn start_with_name_of(&mut self, n: usize, name_number: usize) {
         self.starts += 1;
         let metadata = Metadata {
             stage: Stage::Serving,
@@ -113,13 +119,14 @@
         let generation = 1_700_000_000_000 + self.starts;
         let swim = Swim::new(
             self.settings.clone(),
-            name(named),
+            name(name_number),
             address(n),
             generation,
             metadata,
             seed,
         );
-        let authenticator = Authenticator::new("test", vec![Key::new(&[7; 32])], name(named), 4096);
+        let authenticator =
+            Authenticator::new("test", vec![Key::new(&[7; 32])], name(name_number), 4096);
         let member = Member {
             swim,
             authenticator,
@@ -130,12 +137,13 @@
         self.handle(n, Event::Timeout);
     }
 
-    /// Kills a member: it loses all its state.
+    /// Kills a member, which loses all of its state.
     pub(crate) fn kill(&mut self, n: usize) {
         self.members.remove(&n);
         self.schedule(n);
     }
 
+    /// Updates the deadline of a member after a change of its state.
     fn schedule(&mut self, n: usize) {
         if let Some(at) = self.deadline_of.remove(&n) {
             self.deadlines.remove(&(at, n));
@@ -162,7 +170,7 @@
         self.handle(n, Event::Timeout);
     }
 
-    /// Hands an event to a member, and carries out what it does.
+    /// Passes an event to a member, and performs its actions.
     pub(crate) fn handle(&mut self, n: usize, event: Event) {
         let Some(member) = self.members.get_mut(&n) else {
             return;
@@ -196,9 +204,9 @@
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let SocketAddr::V4(v4) = to else { return };
         let [_, _, high, low] = v4.ip().octets();
-        self.datagrams += 1;
-        self.bytes += bytes.len() as u64;
-        self.longest_datagram = self.longest_datagram.max(bytes.len());
+        self.datagram_count += 1;
+        self.byte_count += bytes.len() as u64;
+        self.max_datagram_bytes = self.max_datagram_bytes.max(bytes.len());
         let datagram = Datagram {
             to: usize::from(high) << 8 | usize::from(low),
             source: address(from),
@@ -220,7 +228,7 @@
         let Ok(opened) = member.authenticator.open(bytes) else {
             return;
         };
-        let contents = wire::decode(opened.body).expect("a body that a member wrote");
+        let contents = wire::decode(opened.body).expect("a body that a member encoded");
         let received = Received {
             source,
             sender: opened.sender,
@@ -231,7 +239,7 @@
         self.handle(n, Event::Received(received));
     }
 
-    /// Plays the next delivery or deadline; false if there is none up to `end`.
+    /// Simulates the next delivery or timeout, and returns whether there was one up to `end`.
     fn step(&mut self, end: Duration) -> bool {
         let deadline = self.deadlines.first().copied();
         let arrival = self.network.next_arrival();
@@ -244,7 +252,7 @@
         }
         self.now = self.now.max(next);
         if arrival.is_some_and(|at| at <= next) {
-            let datagram = self.network.take_next().unwrap();
+            let datagram = self.network.take_next_datagram().unwrap();
             self.deliver(datagram.to, datagram.source, &datagram.bytes);
         } else if let Some((_, n)) = deadline {
             self.handle(n, Event::Timeout);
@@ -257,15 +265,16 @@
         while self.step(end) {}
     }
 
-    /// Runs until this holds; the time that it took, none if it was more than `max_time`.
+    /// Runs until the condition is met, and returns the time that passed; `None` if the condition
+    /// was not met within `max_time`.
     pub(crate) fn run_until(
         &mut self,
         max_time: Duration,
-        holds: impl Fn(&Fleet) -> bool,
+        condition: impl Fn(&Fleet) -> bool,
     ) -> Option<Duration> {
         let begin = self.now;
         while self.now < begin + max_time {
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now - begin);
             }
             self.run(ms(50));
@@ -277,7 +286,7 @@
         self.members[&observer].swim.state(&name(subject))
     }
 
-    /// Do all running members see exactly each other alive, with the same records?
+    /// Whether all running members see each other alive and have the same records.
     pub(crate) fn has_converged(&self) -> bool {
         let digests: BTreeSet<u64> = self.members.values().map(|m| m.swim.digest()).collect();
         let running: Vec<usize> = self.members.keys().copied().collect();
@@ -288,7 +297,8 @@
                 .all(|a| running.iter().all(|b| sees_alive(a, b)))
     }
 
-    /// How often a member that runs came to be seen in this state by another.
+    /// Returns the number of changes by which a running member was seen in this state by another
+    /// one.
     pub(crate) fn false_reports(&self, to: MemberState) -> usize {
         let is_running = |name: &Name| {
             self.members
--- a/crates/membership/tests/common/network.rs
+++ b/crates/membership/tests/common/network.rs
@@ -1,10 +1,10 @@
-//! The simulated network: datagrams in flight, and what happens to them.
+//! A simulated network, which delays, loses and duplicates datagrams, or blocks them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the network does to datagrams.
+/// The conditions under which the network delivers datagrams.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
     pub loss_ratio: f64,
@@ -13,14 +13,14 @@
     pub max_delay: Duration,
 }
 
-pub(crate) const RELIABLE: Conditions = Conditions {
+pub(crate) const RELIABLE_CONDITIONS: Conditions = Conditions {
     loss_ratio: 0.0,
     duplicate_ratio: 0.0,
     min_delay: Duration::from_millis(1),
     max_delay: Duration::from_millis(3),
 };
 
-/// A datagram on its way.
+/// A datagram in flight.
 pub(crate) struct Datagram {
     pub to: usize,
     pub source: SocketAddr,
@@ -29,9 +29,9 @@
 
 pub(crate) struct Network {
     pub conditions: Conditions,
-    /// Directions, from and to, in which nothing is delivered.
+    /// Pairs of sender and receiver between which nothing is delivered.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// By the time of delivery, then the order of sending.
+    /// The datagrams in flight, by the time of arrival and then in the order of sending.
     in_flight: BTreeMap<(Duration, u64), Datagram>,
     copies_sent: u64,
 }
@@ -39,24 +39,24 @@
 impl Network {
     pub(crate) fn new() -> Network {
         Network {
-            conditions: RELIABLE,
+            conditions: RELIABLE_CONDITIONS,
             blocked: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             copies_sent: 0,
         }
     }
 
-    /// Blocks both directions between these and those.
-    pub(crate) fn partition(&mut self, these: &[usize], those: &[usize]) {
-        for a in these {
-            for b in those {
+    /// Blocks both directions between the members of the two sides.
+    pub(crate) fn partition(&mut self, side_a: &[usize], side_b: &[usize]) {
+        for a in side_a {
+            for b in side_b {
                 self.blocked.insert((*a, *b));
                 self.blocked.insert((*b, *a));
             }
         }
     }
 
-    /// Sends a datagram, under the conditions.
+    /// Sends a datagram under the current conditions, unless the direction is blocked.
     pub(crate) fn send(
         &mut self,
         now: Duration,
@@ -85,13 +85,13 @@
         }
     }
 
-    /// When the next datagram arrives.
+    /// Returns when the next datagram arrives; `None` if none is in flight.
     pub(crate) fn next_arrival(&self) -> Option<Duration> {
         let ((arrival, _), _) = self.in_flight.first_key_value()?;
         Some(*arrival)
     }
 
-    pub(crate) fn take_next(&mut self) -> Option<Datagram> {
+    pub(crate) fn take_next_datagram(&mut self) -> Option<Datagram> {
         let (_, datagram) = self.in_flight.pop_first()?;
         Some(datagram)
     }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Crashes, pauses, partitions and name conflicts in virtual time, at 3 to 100 members.
+//! Tests with simulated fleets of 3 to 100 members: crashes, pauses, partitions, packet loss and
+//! name conflicts.
 
 mod common;
 use common::*;
@@ -8,8 +9,8 @@
     Settings::new(expected)
 }
 
-/// The longest time until all members see a death: a round of probes, the longest suspicion, and
-/// the gossip.
+/// Returns the maximum time until all members see the death of one: a full round of probes, the
+/// longest suspicion timeout, and four probe intervals for gossip.
 fn max_detection_time(members: usize) -> std::time::Duration {
     let settings = settings(members);
     let logarithm = (members as f64).log10().max(1.0);
@@ -21,19 +22,19 @@
 }
 
 #[test]
-fn all_see_the_death_of_one_of_five_and_of_no_other() {
+fn all_members_detect_a_death_and_report_no_other_member() {
     for seed in 0..10 {
         let mut fleet = Fleet::converged(5, settings(5), seed);
         fleet.changes.clear();
         fleet.kill(3);
-        let took = fleet.run_until(max_detection_time(5), |fleet| {
+        let elapsed = fleet.run_until(max_detection_time(5), |fleet| {
             fleet
                 .members
                 .keys()
                 .all(|n| fleet.state(*n, 3) == MemberState::Dead)
         });
-        println!("all see it after {took:?}");
-        assert!(took.is_some_and(|t| t < ms(20_000)), "{took:?}");
+        println!("all members see the death after {elapsed:?}");
+        assert!(elapsed.is_some_and(|t| t < ms(20_000)), "{elapsed:?}");
         assert_eq!(
             (
                 fleet.false_reports(MemberState::Suspect),
@@ -41,7 +42,7 @@
             ),
             (0, 0)
         );
-        assert!(fleet.longest_datagram <= 256);
+        assert!(fleet.max_datagram_bytes <= 256);
     }
 }
 
@@ -55,9 +56,9 @@
     fleet.run(ms(40_000));
     assert!(
         fleet.has_converged(),
-        "no record of its old generation returns"
+        "a record of the old generation replaced a newer one"
     );
-    // And long after it was seen dead.
+    // A member also returns if it restarts long after it was seen dead.
     fleet.kill(2);
     fleet.run(ms(60_000));
     assert_eq!(fleet.state(0, 2), MemberState::Dead);
@@ -77,12 +78,12 @@
 }
 
 #[test]
-fn the_last_of_five_members_has_no_quorum() {
+fn the_last_running_member_of_five_has_no_quorum() {
     let mut fleet = Fleet::converged(5, settings(5), 3);
     assert!(fleet.members[&4].swim.quorum().has_majority());
     (0..4).for_each(|n| fleet.kill(n));
-    let alone = |fleet: &Fleet| (0..4).all(|n| fleet.state(4, n) == MemberState::Dead);
-    assert!(fleet.run_until(ms(180_000), alone).is_some());
+    let are_others_dead = |fleet: &Fleet| (0..4).all(|n| fleet.state(4, n) == MemberState::Dead);
+    assert!(fleet.run_until(ms(180_000), are_others_dead).is_some());
     assert!(!fleet.members[&4].swim.quorum().has_majority());
     (0..4).for_each(|n| fleet.start(n));
     assert!(fleet.run_until(ms(30_000), Fleet::has_converged).is_some());
@@ -96,19 +97,25 @@
         fleet.pause(1);
         fleet.run(ms(seconds * 1000));
         fleet.resume(1);
-        let took = fleet.run_until(ms(30_000), Fleet::has_converged);
-        assert!(took.is_some(), "{seconds} s: resumed and not converged");
+        let elapsed = fleet.run_until(ms(30_000), Fleet::has_converged);
+        assert!(
+            elapsed.is_some(),
+            "pause of {seconds} s: no convergence within 30 s"
+        );
         let reports = fleet
             .changes
             .iter()
             .filter(|change| change.observer == 1 && change.to != MemberState::Alive)
             .count();
-        assert_eq!(reports, 0, "{seconds} s: it reported its own pause");
+        assert_eq!(
+            reports, 0,
+            "pause of {seconds} s: the paused member reported others"
+        );
     }
 }
 
 #[test]
-fn a_partition_has_a_minority_and_heals_while_a_member_on_each_side_restarts() {
+fn a_partition_leaves_one_side_without_quorum_and_heals_despite_restarts() {
     for seed in 0..6 {
         let mut fleet = Fleet::converged(5, settings(5), seed);
         fleet.network.partition(&[0, 1], &[2, 3, 4]);
@@ -124,9 +131,9 @@
                 && fleet.members[&2].swim.quorum().has_majority()
         );
         fleet.network.blocked.clear();
-        let took = fleet.run_until(ms(40_000), Fleet::has_converged);
-        println!("healed after {took:?}");
-        assert!(took.is_some());
+        let elapsed = fleet.run_until(ms(40_000), Fleet::has_converged);
+        println!("healed after {elapsed:?}");
+        assert!(elapsed.is_some());
     }
 }
 
@@ -143,12 +150,12 @@
     assert_eq!(
         fleet.false_reports(MemberState::Dead),
         0,
-        "2 s are less than the shortest suspicion timeout"
+        "a partition of 2 s is shorter than the shortest suspicion timeout"
     );
 }
 
 #[test]
-fn a_direction_that_is_blocked_is_bridged_by_the_others() {
+fn indirect_probes_prevent_false_deaths_when_a_direction_is_blocked() {
     let mut fleet = Fleet::converged(5, settings(5), 5);
     fleet.changes.clear();
     fleet.network.blocked.insert((1, 0));
@@ -156,9 +163,9 @@
     assert_eq!(
         fleet.false_reports(MemberState::Dead),
         0,
-        "0 gets the acks of 1 through the others"
+        "member 0 receives the acks of member 1 through the others"
     );
-    // A ring of blocked directions.
+    // Every member is blocked from sending to the next one.
     for n in 0..5 {
         fleet.network.blocked.insert((n, (n + 1) % 5));
     }
@@ -183,7 +190,7 @@
             fleet.false_reports(MemberState::Suspect)
         );
         assert_eq!(fleet.false_reports(MemberState::Dead), 0);
-        fleet.network.conditions = RELIABLE;
+        fleet.network.conditions = RELIABLE_CONDITIONS;
         assert!(fleet.run_until(ms(30_000), Fleet::has_converged).is_some());
     }
 }
@@ -206,7 +213,7 @@
     }
     assert_eq!(
         false_deaths, 0,
-        "0 gets the suspicion, and 1 its refutation, through the others"
+        "the suspicion and its refutation reach members 1 and 0 through the others"
     );
 }
 
@@ -214,7 +221,7 @@
 fn old_records_do_not_bring_back_a_member_that_left() {
     for seed in 0..5 {
         let mut fleet = Fleet::converged(6, settings(6), seed);
-        // A member behind a partition still has the record that it is alive.
+        // Member 5 is partitioned and still sees member 2 as alive.
         fleet.network.partition(&[5], &[0, 1, 2, 3, 4]);
         fleet.run(ms(500));
         fleet.handle(2, Event::Leave);
@@ -238,14 +245,14 @@
 }
 
 #[test]
-fn the_newer_of_two_processes_of_one_name_is_refused_until_the_older_is_dead() {
+fn a_process_is_refused_until_an_older_one_with_the_same_name_is_dead() {
     let mut fleet = Fleet::converged(5, settings(5), 6);
-    fleet.start_as(9, 3);
+    fleet.start_with_name_of(9, 3);
     fleet.run(ms(5000));
     assert_eq!(
         fleet.name_conflicts,
         [(9, address(3))],
-        "reported once, with the address that uses the name"
+        "the conflict is reported once, with the address of the older process"
     );
     assert_eq!(fleet.members[&9].swim.quorum().seen, 0);
     assert!([0, 1, 2, 4].iter().all(|n| {
@@ -253,15 +260,17 @@
         view.state == MemberState::Alive && view.record.unwrap().address == address(3)
     }));
     fleet.kill(3);
-    let uses_name = |fleet: &Fleet| {
+    let has_newer_process_joined = |fleet: &Fleet| {
         [0, 1, 2, 4].iter().all(|n| {
             let view = fleet.members[n].swim.view(&name(3), fleet.now);
             view.state == MemberState::Alive && view.record.unwrap().address == address(9)
         })
     };
     assert!(
-        fleet.run_until(ms(60_000), uses_name).is_some(),
-        "the other joins once it is dead"
+        fleet
+            .run_until(ms(60_000), has_newer_process_joined)
+            .is_some(),
+        "the newer process did not join after the death of the older one"
     );
     assert_eq!(fleet.members[&9].swim.name_conflict(), None);
 }
@@ -276,12 +285,12 @@
     );
     assert!(
         fleet.members[&0].swim.quorum().has_majority(),
-        "three of five"
+        "three of five members are a majority"
     );
 }
 
 #[test]
-fn metadata_reaches_all_members_as_its_member_published_it() {
+fn metadata_changes_reach_all_members_unaltered() {
     let mut fleet = Fleet::converged(20, settings(20), 8);
     let metadata = Metadata {
         zone: "east".try_into().unwrap(),
@@ -289,7 +298,7 @@
         ..Metadata::default()
     };
     fleet.handle(7, Event::MetadataChanged(metadata.clone()));
-    let known = |fleet: &Fleet| {
+    let is_metadata_known = |fleet: &Fleet| {
         (0..20).filter(|n| *n != 7).all(|n| {
             fleet.members[&n]
                 .swim
@@ -298,9 +307,9 @@
                 .is_some_and(|record| record.metadata == metadata)
         })
     };
-    let took = fleet.run_until(ms(5000), known);
-    println!("all have it after {took:?}");
-    assert!(took.is_some_and(|t| t <= ms(2000)), "{took:?}");
+    let elapsed = fleet.run_until(ms(5000), is_metadata_known);
+    println!("all members have the metadata after {elapsed:?}");
+    assert!(elapsed.is_some_and(|t| t <= ms(2000)), "{elapsed:?}");
 }
 
 #[test]
@@ -317,33 +326,34 @@
                 .all(|d| fleet.state(*n, *d) == MemberState::Dead)
         })
     };
-    let took = fleet.run_until(max_detection_time(100), is_seen_dead);
-    println!("all see it after {took:?}");
-    assert!(took.is_some());
+    let elapsed = fleet.run_until(max_detection_time(100), is_seen_dead);
+    println!("all members see the deaths after {elapsed:?}");
+    assert!(elapsed.is_some());
     assert_eq!(fleet.false_reports(MemberState::Dead), 0);
 }
 
 #[test]
-fn a_seed_has_one_result() {
-    let play = |seed| {
+fn runs_with_the_same_seed_are_equal() {
+    let outcome = |seed| {
         let mut fleet = Fleet::converged(10, settings(10), seed);
         fleet.network.conditions.loss_ratio = 0.2;
         fleet.kill(4);
         fleet.run(ms(30_000));
         (
-            fleet.datagrams,
-            fleet.bytes,
+            fleet.datagram_count,
+            fleet.byte_count,
             fleet.changes.len(),
             fleet.members[&0].swim.digest(),
         )
     };
-    assert_eq!(play(11), play(11));
-    assert_ne!(play(11), play(12));
+    assert_eq!(outcome(11), outcome(11));
+    assert_ne!(outcome(11), outcome(12));
 }
 
 #[test]
-fn members_join_although_seeds_are_dead_or_themselves() {
-    // 0 and 2 are seeds that do not run; 1 is its own seed.
+fn members_join_when_seeds_are_dead_or_their_own_address() {
+    // The seeds are the addresses of members 0, 1 and 2. Members 0 and 2 do not run, and member 1
+    // is its own seed.
     let mut fleet = Fleet::new(settings(3), 13);
     fleet.start(1);
     fleet.run(ms(20_000));
--- a/crates/membership/tests/guard.rs
+++ b/crates/membership/tests/guard.rs
@@ -1,4 +1,5 @@
-//! The guard drops forged, foreign and replayed datagrams, each for its reason.
+//! Tests that the authenticator drops forged, foreign and replayed datagrams, and reports the
+//! reason.
 
 use roseyard_membership::*;
 
@@ -29,15 +30,18 @@
 #[test]
 fn a_datagram_with_any_changed_byte_is_dropped() {
     let sealed = authenticator("a", &[1]).seal(7, b"body");
-    for at in 0..sealed.len() {
+    for position in 0..sealed.len() {
         let mut bytes = sealed.clone();
-        bytes[at] ^= 0x10;
-        assert!(authenticator("b", &[1]).open(&bytes).is_err(), "byte {at}");
+        bytes[position] ^= 0x10;
+        assert!(
+            authenticator("b", &[1]).open(&bytes).is_err(),
+            "byte {position}"
+        );
     }
     for end in 0..sealed.len() {
         assert!(
             authenticator("b", &[1]).open(&sealed[..end]).is_err(),
-            "cut at {end}"
+            "truncated to {end} bytes"
         );
     }
     assert_eq!(
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn another_key_cluster_or_version_has_its_reason() {
+fn another_key_cluster_or_version_is_dropped_for_its_own_reason() {
     let sealed = authenticator("a", &[1]).seal(7, b"body");
     assert_eq!(
         authenticator("b", &[2]).open(&sealed),
@@ -64,7 +68,7 @@
 }
 
 #[test]
-fn of_two_keys_both_open_and_the_first_seals() {
+fn both_of_two_keys_open_datagrams_and_the_first_seals_them() {
     let (mut old, mut both, mut new) = (
         authenticator("a", &[1]),
         authenticator("b", &[2, 1]),
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn sequence_numbers_are_accepted_once_in_any_order_within_64_of_the_latest_generation() {
+fn sequence_numbers_within_64_of_the_highest_are_accepted_once_in_any_order() {
     let (mut a, mut b) = (authenticator("a", &[1]), authenticator("b", &[1]));
     let sent: Vec<_> = (0..80).map(|_| a.seal(5, b"")).collect();
     assert!(b.open(&sent[79]).is_ok());
@@ -86,13 +90,13 @@
     assert_eq!(
         b.open(&sent[3]),
         Err(DropReason::Replayed),
-        "too old to know"
+        "older than the replay window"
     );
     assert!(b.open(&a.seal(6, b"")).is_ok());
     assert_eq!(
         b.open(&sent[40]),
         Err(DropReason::Replayed),
-        "of the generation before"
+        "from the previous generation"
     );
 }
 
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -1,4 +1,5 @@
-//! Records merge in any order and any number of times; bodies are read to their end or not at all.
+//! Property tests: records can be merged in any order and any number of times, and a body is
+//! decoded either completely or not at all.
 
 use proptest::prelude::*;
 use roseyard_membership::*;
@@ -13,8 +14,8 @@
     (0u64..3, 0u32..3, status, 0u32..3).prop_map(
         |(generation, incarnation, status, metadata_version)| {
             let zone = format!("z{generation}{metadata_version}");
-            // A member publishes one metadata for each version, and has one address in each
-            // generation.
+            // As with real members, the version determines the metadata, and the generation the
+            // address.
             let metadata = Metadata {
                 zone: zone.as_str().try_into().unwrap(),
                 ..Metadata::default()
@@ -38,7 +39,7 @@
     for record in records {
         merged.merge(record);
     }
-    // Which suspecter the status names depends on the order.
+    // The order of the records determines which suspecter the status contains.
     if let Status::Suspect(_) = merged.status {
         merged.status = Status::Suspect(0);
     }
@@ -53,7 +54,7 @@
     })]
 
     #[test]
-    fn the_order_and_number_of_records_do_not_matter(
+    fn merging_depends_on_neither_the_order_nor_the_repetition_of_records(
         records in prop::collection::vec(record(), 1..8),
         rotation in 0usize..8,
     ) {
@@ -76,7 +77,7 @@
     }
 
     #[test]
-    fn random_bytes_are_read_to_their_end_or_not_at_all(
+    fn random_bytes_are_decoded_completely_or_not_at_all(
         bytes in prop::collection::vec(any::<u8>(), 0..230),
     ) {
         if let Some(wire::DecodedBody { message, records }) = wire::decode(&bytes) {
@@ -88,10 +89,10 @@
     }
 
     #[test]
-    fn records_are_read_as_they_were_written(records in prop::collection::vec(record(), 0..12)) {
+    fn encoded_records_are_decoded_unchanged(records in prop::collection::vec(record(), 0..12)) {
         let mut body = wire::Body::new(&wire::Message::Ping(7));
-        let written: Vec<_> = records.into_iter().take_while(|record| body.try_push(record)).collect();
-        let contents = wire::DecodedBody { message: wire::Message::Ping(7), records: written };
+        let encoded: Vec<_> = records.into_iter().take_while(|record| body.try_push(record)).collect();
+        let contents = wire::DecodedBody { message: wire::Message::Ping(7), records: encoded };
         prop_assert_eq!(wire::decode(&body.into_bytes()), Some(contents));
     }
 }
--- a/crates/membership/tests/wire_bytes.rs
+++ b/crates/membership/tests/wire_bytes.rs
@@ -1,4 +1,5 @@
-//! The bytes of datagrams, as members of earlier releases write and read them.
+//! Compatibility with members of earlier releases: the bytes of each datagram must stay as those
+//! members encode and decode them.
 
 use roseyard_membership::wire::{self, Body, DecodedBody, Message};
 use roseyard_membership::{Authenticator, Key, Metadata, Name, Record, Stage, Status};
@@ -29,7 +30,7 @@
     }
 }
 
-// The datagrams that carry each message and one record, in hexadecimal digits.
+// For each message, the datagram that carries it and one record, in hexadecimal digits.
 const PING: &str = concat!(
     "014bb06bdb262b026e3180d8c1a28c34010007026e32000a0102038a3efbd8c1a28c3404",
     "014d02027a3101007610aba19283e1f2e9c1883706f1e2fb",
@@ -67,7 +68,7 @@
     "c1a28c3404014d02027a310100fe0210f2c61fb082dbde4bdec78ba53b",
 );
 
-/// Each message with its datagram.
+/// Returns each message with its datagram.
 fn datagrams() -> [(Message, &'static str); 9] {
     let ping_request = Message::PingReq {
         sequence: 9,
@@ -93,7 +94,7 @@
     ]
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -103,18 +104,18 @@
 }
 
 #[test]
-fn datagrams_are_written_as_before() {
+fn datagrams_are_encoded_as_by_earlier_releases() {
     let mut authenticator = authenticator("n1");
     for (message, expected) in datagrams() {
         let mut body = Body::new(&message);
         assert!(body.try_push(&record()));
         let sealed = authenticator.seal(GENERATION, &body.into_bytes());
-        assert_eq!(hexadecimal(&sealed), expected, "{message:?}");
+        assert_eq!(to_hexadecimal(&sealed), expected, "{message:?}");
     }
 }
 
 #[test]
-fn datagrams_of_before_are_read() {
+fn datagrams_of_earlier_releases_are_decoded() {
     let mut authenticator = authenticator("n2");
     for (message, digits) in datagrams() {
         let datagram = from_hexadecimal(digits);
