--- a/crates/testbed/src/fakes.rs
+++ b/crates/testbed/src/fakes.rs
@@ -206,7 +206,7 @@
     if service_time.slow.is_some() {
         tokio::select! {
             () = tokio::time::sleep(time) => {}
-            () = disconnected(stream) => {
+            () = wait_for_disconnect(stream) => {
                 history.record(number, Observation::AttemptAbandoned(server));
                 return None;
             }
@@ -221,7 +221,7 @@
 
 /// Waits until the peer closes its side of the connection. Never returns if the peer sends data
 /// first.
-async fn disconnected(stream: &TcpStream) {
+async fn wait_for_disconnect(stream: &TcpStream) {
     if let Ok(1..) = stream.peek(&mut [0; 1]).await {
         std::future::pending::<()>().await;
     }
@@ -237,7 +237,7 @@
 
 /// The query parameters of a counter call.
 #[derive(Deserialize)]
-struct Increment {
+struct CounterQuery {
     n: f64,
     keep_ms: f64,
 }
@@ -247,7 +247,7 @@
 async fn increment(
     State(totals): State<Totals>,
     Path(key): Path<String>,
-    Query(call): Query<Increment>,
+    Query(call): Query<CounterQuery>,
 ) -> String {
     let now = Instant::now();
     let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/testbed/src/faulty_network.rs
+++ b/crates/testbed/src/faulty_network.rs
@@ -228,7 +228,8 @@
     async fn run(self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
-            // The error means that an earlier datagram was sent to a closed port.
+            // The error means that an earlier datagram was sent to a closed port. Later datagrams
+            // can still be received.
             let Ok((length, _)) = self.incoming.recv_from(&mut buffer).await else {
                 continue;
             };
--- a/crates/testbed/src/scenario/client.rs
+++ b/crates/testbed/src/scenario/client.rs
@@ -64,8 +64,8 @@
         self.lock().addresses[member] = None;
     }
 
-    /// Returns the first member from number `turn` on, modulo their number, to which clients may
-    /// connect; `None` if there is none.
+    /// Returns the member with number `turn` if clients may connect to it, or else the next such
+    /// member, in cyclic order; `None` if there is none.
     fn choose(&self, turn: usize) -> Option<Target> {
         let targets = self.lock();
         let members = targets.addresses.len();
--- a/crates/testbed/src/scenario/parser.rs
+++ b/crates/testbed/src/scenario/parser.rs
@@ -93,12 +93,12 @@
             .map_err(|error| ScenarioError::NotKdl(error.to_string()))?;
         let mut scenario = Scenario::default();
         for node in document.nodes() {
-            scenario.read(&Node { text, node })?;
+            scenario.apply_node(&Node { text, node })?;
         }
         Ok(scenario)
     }
 
-    fn read(&mut self, node: &Node) -> Result<(), ScenarioError> {
+    fn apply_node(&mut self, node: &Node) -> Result<(), ScenarioError> {
         match node.name() {
             "members" => self.members = node.integer(&ALLOWED_MEMBERS)? as usize,
             "servers" => self.servers = node.integer(&ALLOWED_SERVERS)? as usize,
@@ -243,15 +243,15 @@
             .arguments()
             .map(|value| self.member(Some(value), members))
             .collect::<Result<Vec<_>, _>>()?;
-        let for_each =
+        let action_per_member =
             |action: fn(usize) -> FaultAction| listed_members.iter().copied().map(action).collect();
         Ok(match self.name() {
-            "kill" => for_each(FaultAction::Kill),
-            "start" => for_each(FaultAction::Start),
-            "stop" => for_each(FaultAction::Stop),
-            "wake" => for_each(FaultAction::Wake),
-            "term" => for_each(FaultAction::Term),
-            "hup" => for_each(FaultAction::Hup),
+            "kill" => action_per_member(FaultAction::Kill),
+            "start" => action_per_member(FaultAction::Start),
+            "stop" => action_per_member(FaultAction::Stop),
+            "wake" => action_per_member(FaultAction::Wake),
+            "term" => action_per_member(FaultAction::Term),
+            "hup" => action_per_member(FaultAction::Hup),
             "split" => vec![FaultAction::Split(listed_members)],
             "heal" => vec![FaultAction::Net(None, Rules::default())],
             "net" => vec![self.network_rules(members)?],
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -109,9 +109,15 @@
 
 /// Returns the events of the requests that violated a rule.
 fn evidence(verdict: &Verdict, events: &[Event]) -> Vec<Event> {
-    let violating: BTreeSet<u64> = verdict.violations.iter().map(|found| found.id).collect();
-    let of_violating = events.iter().filter(|event| violating.contains(&event.id));
-    of_violating.copied().collect()
+    let violating_ids: BTreeSet<u64> = verdict
+        .violations
+        .iter()
+        .map(|violation| violation.id)
+        .collect();
+    let violating_events = events
+        .iter()
+        .filter(|event| violating_ids.contains(&event.id));
+    violating_events.copied().collect()
 }
 
 /// An action that is scheduled for a time.
--- a/crates/testbed/tests/faulty_network.rs
+++ b/crates/testbed/tests/faulty_network.rs
@@ -1,10 +1,10 @@
-//! Faults on datagrams follow from the seed, and datagrams reach the listener.
+//! The faulty network derives its faults from the seed, and relays datagrams in both directions.
 
 use roseyard_testbed::faulty_network::{datagram_faults, FaultyNetwork, Rules};
 use std::time::Duration;
 
 #[test]
-fn one_seed_gives_the_same_faults_in_the_same_order() {
+fn equal_seeds_give_equal_faults_in_the_same_order() {
     let ms = Duration::from_millis;
     let rules = Rules {
         cut: false,
@@ -22,20 +22,23 @@
     assert_ne!(
         faults_of(5, (0, 1)),
         faults_of(5, (1, 0)),
-        "each direction has faults of its own"
+        "both directions have the same faults"
     );
     assert_ne!(faults_of(5, (0, 1)), faults_of(6, (0, 1)));
     let lost = faults_of(5, (0, 1))
         .iter()
         .filter(|faults| faults.copy_delays.is_empty())
         .count();
-    assert!((500..700).contains(&lost), "{lost} of 2000 at 0.3");
+    assert!(
+        (500..700).contains(&lost),
+        "{lost} of 2000 datagrams were lost at a ratio of 0.3"
+    );
     let cut = Rules { cut: true, ..rules };
     assert!((0..100).all(|n| datagram_faults(5, (0, 1), n, &cut).copy_delays.is_empty()));
 }
 
 #[test]
-fn datagrams_reach_the_listener_and_come_from_the_return_path() {
+fn datagrams_reach_the_listener_from_the_address_of_the_opposite_relay() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
--- a/crates/testbed/tests/scenario.rs
+++ b/crates/testbed/tests/scenario.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_scenario_is_read_completely() {
+fn a_scenario_with_steps_is_parsed() {
     let text = "members 5; seed 9; lasts \"30s\"\nat \"2s\" { kill 3 4; net from=0 to=1 loss=0.2 most=\"60ms\" }\nwhen 0 logs=\"n3 gone\" { split 0 1; heal; start 3 }\n";
     let scenario = Scenario::parse(text).unwrap();
     assert_eq!(
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The plan of a soak.
+//! Plans of soaks: they depend on the seed, limit pauses and contain every signal.
 
 use roseyard_testbed::soak::{plan, PlannedSignal, SoakSignal};
 use std::time::Duration;
@@ -8,18 +8,18 @@
 const SEEDS: std::ops::Range<u64> = 1..100;
 
 fn count(signals: &[PlannedSignal], signal: SoakSignal) -> usize {
-    let alike = signals.iter().filter(|planned| planned.signal == signal);
-    alike.count()
+    let matching = signals.iter().filter(|planned| planned.signal == signal);
+    matching.count()
 }
 
 #[test]
-fn a_seed_gives_the_same_plan_and_others_give_others() {
+fn equal_seeds_give_equal_plans_and_different_seeds_different_plans() {
     assert_eq!(plan(7, MEMBERS, LENGTH), plan(7, MEMBERS, LENGTH));
     assert_ne!(plan(7, MEMBERS, LENGTH), plan(8, MEMBERS, LENGTH));
 }
 
 #[test]
-fn plans_are_in_order_and_every_pause_ends_within_the_platforms_bound() {
+fn plans_are_sorted_by_time_and_every_pause_ends_within_150_ms() {
     for seed in SEEDS {
         let signals = plan(seed, MEMBERS, LENGTH);
         assert!(
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn plans_hold_every_signal() {
+fn plans_contain_every_signal() {
     let all: Vec<PlannedSignal> = SEEDS.flat_map(|seed| plan(seed, MEMBERS, LENGTH)).collect();
     for signal in [
         SoakSignal::Reload,
