--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -8,8 +8,8 @@
 /// An input of [`Swim::handle`](crate::Swim::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The time of [`Swim::next_timeout`](crate::Swim::next_timeout) has come. Also the first event
-    /// that a caller passes.
+    /// The time returned by [`Swim::next_timeout`](crate::Swim::next_timeout) has come. This is
+    /// also the first event that a caller passes.
     Timeout,
     /// An authentic datagram was received.
     Received(Received),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Swim`] is the protocol: SWIM with suspicion and incarnations (Das, Gupta, Motivala 2002) and
 //! local health (Dadgar, Phillips, Currey 2017, "Lifeguard"). It performs no I/O and reads no
-//! clock: [`Swim::handle`] takes one event at a time and appends the actions to perform,
-//! [`Swim::next_timeout`] is the deadline of the next call. [`Authenticator`] authenticates
+//! clock: [`Swim::handle`] takes one event at a time and appends the actions to perform, and
+//! [`Swim::next_timeout`] returns the deadline of the next call. [`Authenticator`] authenticates
 //! datagrams and drops those that are forged or replayed. [`wire`] encodes the bodies, so that a
 //! datagram has at most 256 bytes.
 //!
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -18,7 +18,7 @@
     Starting,
     /// The member serves requests.
     Serving,
-    /// The member finishes its open requests and accepts no new ones.
+    /// The member finishes its open requests.
     Leaving,
 }
 
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -29,7 +29,7 @@
     /// Longest suspicion timeout, which applies to a suspicion without confirmations, as a multiple
     /// of the shortest one; 6 by default.
     pub suspicion_max_multiplier: u32,
-    /// Whether the local health score stretches this member's probe intervals and timeouts, so that
+    /// Whether the local health score lengthens this member's probe intervals and timeouts, so that
     /// a slow member does not suspect the others; true by default.
     pub local_health: bool,
     /// Number of members that the cluster should have, including this one.
--- a/crates/membership/src/swim/gossip.rs
+++ b/crates/membership/src/swim/gossip.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Number of transmissions of an update, per decimal logarithm (rounded up, at least one) of the
-/// number of members.
+/// An update is sent this many times the decimal logarithm (rounded up, at least one) of the number
+/// of members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
 /// The members whose records have to be sent, ordered by the number of transmissions so far.
--- a/crates/membership/src/swim/health.rs
+++ b/crates/membership/src/swim/health.rs
@@ -3,8 +3,7 @@
 
 use std::time::Duration;
 
-/// The score of the worst local health, at which probe intervals and timeouts are multiplied by
-/// this plus one.
+/// The maximum score, at which probe intervals and timeouts are multiplied by this value plus one.
 pub(super) const MAX_HEALTH_SCORE: u32 = 8;
 
 /// The local health score, from 0 (healthy) to [`MAX_HEALTH_SCORE`].
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -10,10 +10,10 @@
 
 /// Maximum backoff between two rounds of requests to join, in probe intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 8;
-/// The time to the next round is the backoff times a random ratio from this minimum up, within the
-/// range.
-const BACKOFF_JITTER_MIN: f64 = 0.5;
-const BACKOFF_JITTER_RANGE: f64 = 0.5;
+/// The time to the next round is the backoff times a random ratio from this minimum to the minimum
+/// plus [`BACKOFF_JITTER_RATIO_RANGE`].
+const MIN_BACKOFF_JITTER_RATIO: f64 = 0.5;
+const BACKOFF_JITTER_RATIO_RANGE: f64 = 0.5;
 
 /// Whether this member has joined, and the retries of its requests to join.
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +58,7 @@
             + self
                 .join
                 .backoff
-                .mul_f64(BACKOFF_JITTER_MIN + BACKOFF_JITTER_RANGE * self.rng.f64());
+                .mul_f64(MIN_BACKOFF_JITTER_RATIO + BACKOFF_JITTER_RATIO_RANGE * self.rng.f64());
         for seed in self.settings.seeds.clone() {
             self.send(seed, &Message::Join, actions);
         }
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -64,7 +64,7 @@
 
     /// Sends the records of random suspects to the suspects themselves, and to one other member
     /// each, which then sends reminders too. Updates are sent only a limited number of times, so a
-    /// suspect would never learn of the suspicion if the partition that caused it drops all of
+    /// suspect would never learn of the suspicion if the partition that caused it dropped all of
     /// them.
     pub(super) fn remind_suspects(&mut self, actions: &mut Vec<Action>) {
         let suspects: Vec<Name> = self
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Removes the records of members that have been dead, or have left, for the retention time.
+    /// Removes the records of members that have been dead, or have left, for longer than the
+    /// retention time.
     pub(super) fn remove_expired_members(&mut self, now: Duration) {
         let retention = self.settings.probe_interval * RETENTION_INTERVALS;
         let expired_names: Vec<Name> = self
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -4,10 +4,11 @@
 use crate::event::Action;
 use std::time::Duration;
 
-/// The time between two rounds of anti-entropy is the interval times a random ratio from this
-/// minimum up, within the range, so that members do not compare their records all at the same time.
-const SYNC_JITTER_MIN: f64 = 0.75;
-const SYNC_JITTER_RANGE: f64 = 0.5;
+/// The time between two rounds of anti-entropy is the sync interval times a random ratio from this
+/// minimum to the minimum plus [`SYNC_JITTER_RATIO_RANGE`]. The jitter prevents members from
+/// comparing their records all at the same time.
+const MIN_SYNC_JITTER_RATIO: f64 = 0.75;
+const SYNC_JITTER_RATIO_RANGE: f64 = 0.5;
 
 /// The time at which each periodic task is next due.
 #[derive(Clone, Copy, Debug, Default)]
@@ -58,8 +59,9 @@
         };
     }
 
-    /// Moves the deadlines forward by the duration of a stall, if this process was not running when
-    /// a deadline passed. Otherwise it would suspect the others for its own stall.
+    /// Detects a stall of this process, in which a deadline was missed by at least the probe
+    /// timeout, and moves the deadlines forward by the duration of the stall. Otherwise this member
+    /// would suspect the others because of its own stall.
     pub(super) fn compensate_for_stall(&mut self, now: Duration) {
         let stall = self
             .next_timeout()
@@ -103,13 +105,13 @@
                 + self
                     .settings
                     .sync_interval
-                    .mul_f64(SYNC_JITTER_MIN + SYNC_JITTER_RANGE * self.rng.f64());
+                    .mul_f64(MIN_SYNC_JITTER_RATIO + SYNC_JITTER_RATIO_RANGE * self.rng.f64());
             self.sync(actions);
         }
     }
 
-    /// Postpones the tasks of a member that has a name conflict, and so only sends requests to
-    /// join.
+    /// Postpones the periodic tasks while this member has a name conflict. In this state it only
+    /// sends requests to join.
     fn postpone_tasks(&mut self, now: Duration) {
         let later = now + self.settings.probe_interval;
         self.timers.probe = later;
--- a/crates/membership/tests/records.rs
+++ b/crates/membership/tests/records.rs
@@ -91,7 +91,10 @@
     #[test]
     fn encoded_records_are_decoded_unchanged(records in prop::collection::vec(record(), 0..12)) {
         let mut body = wire::Body::new(&wire::Message::Ping(7));
-        let encoded: Vec<_> = records.into_iter().take_while(|record| body.try_push(record)).collect();
+        let encoded: Vec<_> = records
+            .into_iter()
+            .take_while(|record| body.try_push(record))
+            .collect();
         let contents = wire::DecodedBody { message: wire::Message::Ping(7), records: encoded };
         prop_assert_eq!(wire::decode(&body.into_bytes()), Some(contents));
     }
