--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -1,4 +1,4 @@
-//! What admission costs, by the addresses that it remembers.
+//! The cost of admission by the number of client addresses that it remembers.
 
 use super::measure::{resident_bytes, resident_growth_mib, timed};
 use super::report::{RoleReport, SizeSeries};
@@ -7,26 +7,28 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// Open connections, so that each new one displaces one.
-const OPEN: usize = 64;
-/// Connects of a sample.
-const DECISIONS: u64 = 20_000;
-/// Time between two connects.
+/// Open connections. They fill the capacity, so that each new connection displaces another one.
+const OPEN_CONNECTIONS: usize = 64;
+/// New connections in a sample.
+const CONNECTS_PER_SAMPLE: u64 = 20_000;
+/// Virtual time between two new connections.
 const CONNECT_INTERVAL_MS: u64 = 20;
-/// A rate that is never reached.
-const UNLIMITED: Rate = Rate {
+/// A rate limit that is never reached.
+const UNLIMITED_RATE: Rate = Rate {
     per_second: 1e6,
     burst: 1e6,
 };
-/// A number of connections that is never reached.
+/// A connection limit that is never reached.
 const MAX_PER_CLIENT: u32 = 1 << 20;
 
-/// Runs one controller at each number of addresses.
+/// Measures one controller for each number of addresses.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut decision = SizeSeries::measured("processor time of connect, displace and close", "us");
-    let mut tables = SizeSeries::measured("tables by their own count", "MiB");
-    let mut memory = SizeSeries::measured("memory of the gate", "MiB");
-    // Kept to the end, so that the memory of each is its own.
+    let mut tables =
+        SizeSeries::measured("memory of the tables, as counted by the controller", "MiB");
+    let mut memory = SizeSeries::measured("memory of the admission controller", "MiB");
+    // No controller is dropped before the end, because the next one would reuse its memory and the
+    // growth of the resident memory would be too small.
     let mut controllers = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("admission: {size} addresses"));
@@ -55,18 +57,19 @@
 }
 
 impl Controller {
-    /// A controller that remembers this many addresses and has [`OPEN`] connections.
+    /// Returns a controller that remembers this many addresses and has [`OPEN_CONNECTIONS`] open
+    /// connections.
     fn new(addresses: usize) -> Controller {
         let policy = AdmissionPolicy {
             identify_clients_by_address: true,
             max_per_client: Some(MAX_PER_CLIENT),
             max_per_network: Some(MAX_PER_CLIENT),
-            client_connect_rate: Some(UNLIMITED),
-            network_connect_rate: Some(UNLIMITED),
+            client_connect_rate: Some(UNLIMITED_RATE),
+            network_connect_rate: Some(UNLIMITED_RATE),
             history_cache_capacity: addresses,
-            max_idle_after_one_command: OPEN,
-            max_idle_without_command: OPEN,
-            ..AdmissionPolicy::with_capacity(OPEN)
+            max_idle_after_one_command: OPEN_CONNECTIONS,
+            max_idle_without_command: OPEN_CONNECTIONS,
+            ..AdmissionPolicy::with_capacity(OPEN_CONNECTIONS)
         };
         let mut controller = Controller {
             controller: AdmissionController::new(policy, 7, Duration::ZERO),
@@ -77,7 +80,7 @@
             controller.connect(Duration::ZERO, connection, peer(number));
             controller.close(Duration::ZERO, connection);
         }
-        for number in 0..OPEN as u64 {
+        for number in 0..OPEN_CONNECTIONS as u64 {
             controller.connect(Duration::ZERO, ConnectionId(number), peer(number));
         }
         controller
@@ -100,19 +103,19 @@
         self.actions.clear();
     }
 
-    /// Microseconds of processor time of a connect, a displacement and a close.
+    /// Returns the mean processor time of a connect, a displacement and a close, in microseconds.
     fn decision_us(&mut self, addresses: u64, round: u64) -> f64 {
         let (_, took) = timed(|| {
-            for number in 0..DECISIONS {
-                let serial = round * DECISIONS + number + 1;
+            for number in 0..CONNECTS_PER_SAMPLE {
+                let serial = round * CONNECTS_PER_SAMPLE + number + 1;
                 let now = Duration::from_millis(CONNECT_INTERVAL_MS * serial);
-                // Slots are used in turn: the next one is idle for the longest time.
-                let slot = serial % OPEN as u64 + OPEN as u64;
+                // The slots are used in rotation, so the next one has been idle longest.
+                let slot = serial % OPEN_CONNECTIONS as u64 + OPEN_CONNECTIONS as u64;
                 let connection = ConnectionId((serial << 32) + slot);
                 self.connect(now, connection, peer(serial % addresses));
                 self.close(now, connection);
             }
         });
-        took.as_secs_f64() * 1e6 / DECISIONS as f64
+        took.as_secs_f64() * 1e6 / CONNECTS_PER_SAMPLE as f64
     }
 }
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -1,4 +1,5 @@
-//! What the operator's file costs to read, by its length: each change is read as a complete file.
+//! The cost of reading the operator's file by its number of routes. Each change of the
+//! configuration requires the complete file to be read.
 
 use super::measure::{millis, timed};
 use super::report::{RoleReport, SizeSeries};
@@ -7,10 +8,10 @@
 use kdl::KdlDocument;
 use roseyard_operator_config::OperatorFile;
 
-/// Longest file in bytes; the program rejects a longer one.
+/// The largest operator's file that the program accepts.
 const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// Reads a file of this many routes, with services and servers in proportion to the planned size.
+/// Reads a file for each number of routes, with services in proportion to the planned size.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
@@ -20,12 +21,12 @@
         measure(run, size, &text, &mut figures);
         if text.len() > MAX_FILE_BYTES {
             notes.push(format!(
-                "{size} routes are over the bound of the file, {MAX_FILE_BYTES} bytes"
+                "the file with {size} routes exceeds the limit of {MAX_FILE_BYTES} bytes"
             ));
         }
     }
     notes.push(
-        "a change is a file put on each machine and SIGHUP: nothing sends it there (missing)"
+        "a change requires a new file on each machine and SIGHUP; the platform has no means to distribute the file"
             .into(),
     );
     run.report("configuration", "routes", figures.series(), notes)
@@ -36,7 +37,7 @@
     let bytes = text.len() as f64;
     figures.bytes.push(size, &[bytes]);
     figures.byte_rate.push(size, &[bytes * changes_a_second]);
-    let parses_ms = samples(run, || {
+    let parses_ms = samples_ms(run, || {
         KdlDocument::parse_v2(text).expect("the testbed's text parses")
     });
     let share = |ms: &f64| ms / 1e3 * changes_a_second * 100.0;
@@ -44,15 +45,15 @@
         .core_percent
         .push(size, &parses_ms.iter().map(share).collect::<Vec<_>>());
     figures.parse.push(size, &parses_ms);
-    let known = file_of_addresses(size);
-    let checks_ms = samples(run, || {
-        OperatorFile::parse("scale.kdl", &known).map_err(|error| error.lines())
+    let address_file = file_of_addresses(size);
+    let checks_ms = samples_ms(run, || {
+        OperatorFile::parse("scale.kdl", &address_file).map_err(|error| error.lines())
     });
     figures.check.push(size, &checks_ms);
 }
 
-/// Milliseconds of processor time of each repeat.
-fn samples<T>(run: &RunOptions, work: impl Fn() -> T) -> Vec<f64> {
+/// Returns the processor time of each repeat in milliseconds.
+fn samples_ms<T>(run: &RunOptions, work: impl Fn() -> T) -> Vec<f64> {
     let sample = |_| {
         let (_, took) = timed(|| std::hint::black_box(work()));
         millis(took)
@@ -73,14 +74,20 @@
         let measured = SizeSeries::measured;
         let derived = SizeSeries::derived;
         Figures {
-            bytes: measured("file", "bytes"),
-            byte_rate: derived("21,000 changes a day, the file sent at each", "bytes/s"),
+            bytes: measured("size of the file", "bytes"),
+            byte_rate: derived(
+                "sending the file for each of 21,000 changes a day",
+                "bytes/s",
+            ),
             parse: measured("processor time to parse the file", "ms"),
             core_percent: derived(
-                "21,000 changes a day, the file parsed at each",
+                "parsing the file for each of 21,000 changes a day",
                 "% of a core",
             ),
-            check: measured("processor time to parse and check as many addresses", "ms"),
+            check: measured(
+                "processor time to parse and check a file of as many addresses",
+                "ms",
+            ),
         }
     }
 
@@ -95,7 +102,8 @@
     }
 }
 
-/// So many routes, each of one service, and the services with their networks.
+/// Returns a file with `count` routes, which are distributed over services, and a network for each
+/// service.
 fn file_of_routes(count: usize) -> String {
     let services = (count * targets::SERVICES / targets::ROUTES).max(1);
     let mut text = String::from("services {\n");
@@ -112,7 +120,7 @@
     text + "}\n"
 }
 
-/// A file that the program accepts, with a list of addresses in place of routes.
+/// Returns a file that the program accepts, with a list of `count` addresses instead of routes.
 fn file_of_addresses(count: usize) -> String {
     let list: Vec<String> = (0..count)
         .map(|number| {
--- a/crates/testbed/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -1,4 +1,4 @@
-//! What all ingresses together call of the shared counter.
+//! The load of all ingresses together on the shared counter.
 
 use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, timed};
@@ -11,19 +11,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Servers of the one service that the ingresses have here.
+/// Servers of the only service.
 const SERVERS: usize = 17;
-const WARM_UP: Duration = Duration::from_millis(100);
-const LENGTH: Duration = Duration::from_millis(250);
-/// Processor time after which no further sample begins at a size.
+const WARM_UP_DURATION: Duration = Duration::from_millis(100);
+const SAMPLE_TIME: Duration = Duration::from_millis(250);
+/// Processor time at one size after which no further sample is started.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(30);
-const LOAD: RequestLoad = RequestLoad {
+const PEAK_LOAD: RequestLoad = RequestLoad {
     rate: targets::REQUESTS_PER_INGRESS,
     tenants: targets::TENANTS,
     demand: Demand::ByServers,
 };
 
-/// Runs all of this many ingresses under the load of the peak.
+/// Runs a fleet of each size at the peak request rate.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
@@ -31,7 +31,7 @@
         run.progress(&format!("counter: {size} ingresses"));
         measure(run, &endpoints, size, &mut figures);
     }
-    let note = "each ingress at 256 requests a second".to_owned();
+    let note = "each ingress receives 256 requests per second".to_owned();
     run.report("counter", "ingresses", figures.series(), vec![note])
 }
 
@@ -39,8 +39,8 @@
     let mut environment = SimulatedEnvironment::new(run.seed);
     let resident_before = resident_bytes();
     let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
-    let mut now = WARM_UP;
-    fleet.run(now, LOAD, &mut environment);
+    let mut now = WARM_UP_DURATION;
+    fleet.run(now, PEAK_LOAD, &mut environment);
     let grown_kib = resident_bytes().saturating_sub(resident_before) as f64 / 1024.0;
     figures.memory.push(size, &[grown_kib / size as f64]);
     let mut samples = Vec::new();
@@ -48,10 +48,10 @@
     let mut spent = Duration::ZERO;
     while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
         fleet.reset_traffic();
-        now += LENGTH;
-        let (_, took) = timed(|| fleet.run(now, LOAD, &mut environment));
+        now += SAMPLE_TIME;
+        let (_, took) = timed(|| fleet.run(now, PEAK_LOAD, &mut environment));
         samples.push(fleet.traffic());
-        cores.push(took.as_secs_f64() / LENGTH.as_secs_f64());
+        cores.push(took.as_secs_f64() / SAMPLE_TIME.as_secs_f64());
         spent += took;
     }
     figures.push_traffic(size, &samples);
@@ -71,20 +71,20 @@
     fn new() -> Figures {
         let measured = SizeSeries::measured;
         Figures {
-            calls: measured("calls at the counter", "calls/s"),
+            calls: measured("calls to the counter", "calls/s"),
             bytes_in: measured("bytes to the counter", "bytes/s"),
             bytes_out: measured("bytes from the counter", "bytes/s"),
-            per_ingress: measured("bytes of an ingress, to and from", "bytes/s"),
+            per_ingress: measured("bytes per ingress, sent and received", "bytes/s"),
             cores: measured("processor time of all ingresses", "cores"),
-            memory: measured("memory of an ingress", "KiB"),
+            memory: measured("memory per ingress", "KiB"),
         }
     }
 
     fn push_traffic(&mut self, size: usize, samples: &[Traffic]) {
         let push = |series: &mut SizeSeries, count: fn(&Traffic) -> u64, ingresses: f64| {
-            let a_second =
-                |traffic: &Traffic| count(traffic) as f64 / LENGTH.as_secs_f64() / ingresses;
-            series.push(size, &samples.iter().map(a_second).collect::<Vec<_>>());
+            let per_second =
+                |traffic: &Traffic| count(traffic) as f64 / SAMPLE_TIME.as_secs_f64() / ingresses;
+            series.push(size, &samples.iter().map(per_second).collect::<Vec<_>>());
         };
         push(&mut self.calls, |traffic| traffic.counter_calls, 1.0);
         push(&mut self.bytes_in, |traffic| traffic.counter_bytes_out, 1.0);
--- a/crates/testbed/src/scale/decision.rs
+++ b/crates/testbed/src/scale/decision.rs
@@ -1,4 +1,4 @@
-//! What the choice of a server costs, by the servers to choose from.
+//! The cost of selecting a server by the number of servers to select from.
 
 use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, resident_growth_mib, timed};
@@ -12,16 +12,18 @@
 use std::time::Duration;
 
 const TENANTS: usize = 1_000;
-const WARM_UP: Duration = Duration::from_secs(1);
-/// Requests of a sample at least, however few fit in its virtual time.
+const WARM_UP_DURATION: Duration = Duration::from_secs(1);
+/// The minimum number of requests in a sample; a sample lasts longer than its virtual time if it
+/// would contain fewer.
 const MIN_REQUESTS: f64 = 64.0;
-/// Processor time after which no further sample begins at a size.
+/// Processor time at one size and demand after which no further sample is started.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(8);
 
-/// Runs one ingress at each number of servers.
+/// Measures one ingress for each number of servers.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
-    // Kept to the end, so that the memory of each is its own.
+    // No ingress is dropped before the end, because the next one would reuse its memory and the
+    // growth of the resident memory would be too small.
     let mut ingresses = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("decision: {size} servers"));
@@ -54,7 +56,7 @@
         let even = samples(run, &mut ingress, Demand::Even, &mut environment);
         figures
             .request_even
-            .push(size, &each(&even, Sample::request_us));
+            .push(size, &values_of(&even, Sample::request_us));
     }
     ingress
 }
@@ -72,21 +74,27 @@
     fn new() -> Figures {
         let measured = SizeSeries::measured;
         Figures {
-            request: measured("processor time a request", "us"),
-            request_even: measured("processor time a request, services asked alike", "us"),
-            idle: measured("processor time at rest", "% of a core"),
-            busy: SizeSeries::derived("processor time at 256 requests a second", "% of a core"),
-            rejected: measured("requests refused", "%"),
+            request: measured("processor time per request", "us"),
+            request_even: measured(
+                "processor time per request, requests spread evenly over services",
+                "us",
+            ),
+            idle: measured("processor time without load", "% of a core"),
+            busy: SizeSeries::derived("processor time at 256 requests per second", "% of a core"),
+            rejected: measured("requests rejected", "%"),
             memory: measured("memory of the ingress", "MiB"),
         }
     }
 
     fn push(&mut self, size: usize, samples: &[Sample]) {
-        self.request.push(size, &each(samples, Sample::request_us));
-        self.idle.push(size, &each(samples, Sample::idle_percent));
+        self.request
+            .push(size, &values_of(samples, Sample::request_us));
+        self.idle
+            .push(size, &values_of(samples, Sample::idle_percent));
         self.rejected
-            .push(size, &each(samples, Sample::rejected_percent));
-        self.busy.push(size, &each(samples, Sample::busy_percent));
+            .push(size, &values_of(samples, Sample::rejected_percent));
+        self.busy
+            .push(size, &values_of(samples, Sample::busy_percent));
     }
 
     fn series(self) -> Vec<SizeSeries> {
@@ -104,16 +112,16 @@
     }
 }
 
-fn each(samples: &[Sample], value: fn(&Sample) -> f64) -> Vec<f64> {
+fn values_of(samples: &[Sample], value: fn(&Sample) -> f64) -> Vec<f64> {
     samples.iter().map(value).collect()
 }
 
 struct Sample {
-    /// Seconds of processor time in a second without load.
+    /// Seconds of processor time per second without load.
     idle_s: f64,
-    /// Seconds of processor time for a request, beyond those without load.
+    /// Seconds of processor time per request, less the processor time without load.
     request_s: f64,
-    /// Share of the requests that was rejected.
+    /// The ratio of rejected requests to all requests, from 0 to 1.
     rejected_ratio: f64,
 }
 
@@ -146,7 +154,8 @@
         tenants: TENANTS,
         demand,
     };
-    let (_, mut spent) = timed(|| ingress.run(ingress.now() + WARM_UP, Some(load), environment));
+    let (_, mut spent) =
+        timed(|| ingress.run(ingress.now() + WARM_UP_DURATION, Some(load), environment));
     let mut samples = Vec::new();
     while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
         let (sample, took) = sample(run, ingress, load, environment);
@@ -156,7 +165,7 @@
     samples
 }
 
-/// One sample, and the processor time that it took.
+/// Takes one sample and returns it with the processor time that it took.
 fn sample(
     run: &RunOptions,
     ingress: &mut SimulatedIngress,
@@ -164,8 +173,8 @@
     environment: &mut SimulatedEnvironment,
 ) -> (Sample, Duration) {
     let seconds = Duration::from_secs(run.seconds);
-    // Requests in flight end first.
-    ingress.run(ingress.now() + WARM_UP, None, environment);
+    // Requests in flight complete before the idle cost is measured.
+    ingress.run(ingress.now() + WARM_UP_DURATION, None, environment);
     let (_, idle) = timed(|| ingress.run(ingress.now() + seconds, None, environment));
     let min_length = Duration::from_secs_f64(MIN_REQUESTS / load.rate);
     let length = if idle * 4 > seconds {
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery sends to all ingresses together while servers restart.
+//! The traffic from discovery to all ingresses together while servers restart.
 
 use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState, RESTART_STATES};
 use super::measure::{millis, timed};
@@ -8,16 +8,17 @@
 use super::targets;
 use std::sync::Arc;
 
-/// Servers of each ingress here: the cost of a change by the servers is the endpoint list's role.
+/// Servers in the endpoint list. The role of the endpoint list measures how the cost of a change
+/// depends on this number.
 const SERVERS: usize = 170;
-/// Restarts that are measured.
+/// The number of server restarts that are measured.
 const RESTARTS: usize = 20;
-/// An empty line in its chunk, each 2 s.
-const HEARTBEAT_BYTES_A_SECOND: f64 = 3.0;
-/// Framing of a chunk around a line.
-const CHUNK_BYTES: usize = 8;
+/// The heartbeat is an empty line in a chunk, sent every 2 s.
+const HEARTBEAT_BYTES_PER_SECOND: f64 = 3.0;
+/// Bytes that the chunked encoding adds to a line.
+const CHUNK_OVERHEAD_BYTES: usize = 8;
 
-/// Sends the restarts of servers to all of this many ingresses.
+/// Sends the changes of restarting servers to a fleet of each size.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
@@ -25,7 +26,7 @@
         run.progress(&format!("discovery: {size} ingresses"));
         measure(run, &endpoints, size, &mut figures);
     }
-    let note = "relays are reckoned: there are none (missing)".to_owned();
+    let note = "the values for relays are calculated; the platform has no relays".to_owned();
     run.report("discovery", "ingresses", figures.series(), vec![note])
 }
 
@@ -36,7 +37,9 @@
     let mut costs_ms = Vec::new();
     for restart in 0..RESTARTS {
         let lines = restart_lines(endpoints, restart);
-        let line_bytes = lines.iter().map(|line| line.len() + 1 + CHUNK_BYTES);
+        let line_bytes = lines
+            .iter()
+            .map(|line| line.len() + 1 + CHUNK_OVERHEAD_BYTES);
         let sent: usize = line_bytes.sum();
         let (_, took) = timed(|| {
             for ingress in &mut fleet.ingresses {
@@ -68,25 +71,26 @@
         Figures {
             restart_bytes: measured("bytes from discovery for one restart", "bytes"),
             restart_cost: measured("processor time of all ingresses for one restart", "ms"),
-            per_ingress: derived("bytes of an ingress at 6,000 restarts a day", "bytes/s"),
+            per_ingress: derived("bytes per ingress at 6,000 restarts a day", "bytes/s"),
             total: derived(
                 "bytes from discovery at 6,000 restarts a day, with heartbeats",
                 "bytes/s",
             ),
             relay: derived(
-                "bytes of each of 9 relays at 6,000 restarts a day",
+                "bytes per relay with 9 relays at 6,000 restarts a day",
                 "bytes/s",
             ),
-            relay_watches: derived("watches that each of 9 relays holds", "connections"),
+            relay_watches: derived("open watches per relay with 9 relays", "connections"),
         }
     }
 
-    /// Adds the bytes of each restart, for all ingresses.
+    /// Adds the values for one size; `restarts` has the bytes sent to all ingresses for each
+    /// restart.
     fn push_bytes(&mut self, size: usize, restarts: &[f64]) {
         self.restart_bytes.push(size, restarts);
         let restart = restarts.iter().sum::<f64>() / restarts.len() as f64 / size as f64;
         let per_ingress =
-            restart * targets::RESTARTS_A_DAY / targets::SECONDS_A_DAY + HEARTBEAT_BYTES_A_SECOND;
+            restart * targets::RESTARTS_A_DAY / targets::SECONDS_A_DAY + HEARTBEAT_BYTES_PER_SECOND;
         let relay_ingresses = size as f64 / targets::CONTROL_MACHINES as f64;
         self.total.push(size, &[per_ingress * size as f64]);
         self.per_ingress.push(size, &[per_ingress]);
@@ -106,7 +110,7 @@
     }
 }
 
-/// The lines of the restart of one server.
+/// Returns the lines of the watch that report the restart of one server.
 fn restart_lines(endpoints: &EndpointSet, restart: usize) -> Vec<Vec<u8>> {
     let line = |(step, state): (usize, &EndpointState)| {
         let entry = EndpointEntry {
--- a/crates/testbed/src/scale/endpoint_set.rs
+++ b/crates/testbed/src/scale/endpoint_set.rs
@@ -1,5 +1,5 @@
-//! The servers of a simulated platform, each at an address of its own: endpoint lists as discovery
-//! encodes them, and the services that the servers are divided into.
+//! The servers of a simulated platform, each at its own address, and the services that they are
+//! divided into. Builds endpoint lists in the encoding of discovery.
 
 use super::targets;
 use super::topology::ServiceTopology;
@@ -9,46 +9,48 @@
 
 const PORT: u16 = 7000;
 const ZONES: usize = 13;
-/// Servers of the largest service at least, so that it has its multiple of the mean at any size.
+/// The minimum number of servers of the largest service: twice the mean, so that it is larger than
+/// the others in a small set of servers too.
 const MIN_LARGEST_SERVICE: usize = 34;
-const BOUNDS: DirectoryBounds = DirectoryBounds {
+const DIRECTORY_BOUNDS: DirectoryBounds = DirectoryBounds {
     services: 4_096,
     routes: 16_384,
 };
 
-/// State of a server in an endpoint list.
+/// The state of a server in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The server accepts requests.
     Serving,
-    /// It finishes the requests that it has.
+    /// The server completes its open requests and accepts no new ones.
     Draining,
-    /// It is removed.
+    /// The server has been removed.
     Deleted,
 }
 
-/// The states of a server's restart in their order: it drains, is removed, and another serves.
+/// The successive states of a restarting server: the old process drains and is removed, then its
+/// replacement serves.
 pub const RESTART_STATES: [EndpointState; 3] = [
     EndpointState::Draining,
     EndpointState::Deleted,
     EndpointState::Serving,
 ];
 
-/// One server of an endpoint list. A replaced server keeps its address and gets another generation.
+/// A server in an endpoint list. A replacement has the same address and another generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointEntry {
-    /// Which of the servers, from 0.
+    /// The index of the server, from 0.
     pub server: usize,
-    /// Counts the processes that have been this server.
+    /// The number of replacements that the server has had.
     pub generation: u32,
-    /// Its state.
+    /// The state that discovery reports.
     pub state: EndpointState,
-    /// Unix time of its start in milliseconds; 0 for long ago.
+    /// The Unix time at which the server started, in milliseconds; 0 if it started long ago.
     pub started_unix_ms: u64,
 }
 
 impl EndpointEntry {
-    /// A server that started long ago.
+    /// Returns the entry of a serving server that started long ago.
     #[must_use]
     pub fn serving(server: usize) -> EndpointEntry {
         EndpointEntry {
@@ -60,20 +62,21 @@
     }
 }
 
-/// All servers, where they listen, and the service that each belongs to.
+/// All servers with their addresses and services.
 #[derive(Clone, Debug)]
 pub struct EndpointSet {
     topology: ServiceTopology,
     addresses: Vec<Ipv4Addr>,
     service_of: Vec<usize>,
-    /// The server at each address, by the address's number.
+    /// The server at each address, indexed by [`ServiceTopology::slot`]; `usize::MAX` if none.
     server_at: Vec<usize>,
-    /// A route that names each service.
+    /// One route to each service, by the index of the service.
     routes: Vec<String>,
 }
 
 impl EndpointSet {
-    /// So many servers: all in one service, or in services in proportion to the planned size.
+    /// Creates `servers` servers: in services in proportion to the planned size if `by_service`,
+    /// otherwise all in one unnamed service.
     #[must_use]
     pub fn new(servers: usize, by_service: bool) -> EndpointSet {
         if by_service {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// So many servers in one service.
+    /// Creates `servers` servers in one unnamed service.
     #[must_use]
     pub fn single(servers: usize) -> EndpointSet {
         EndpointSet::new(servers, false)
@@ -135,13 +138,13 @@
         }
     }
 
-    /// Servers in all.
+    /// Returns the number of servers.
     #[must_use]
     pub fn servers(&self) -> usize {
         self.addresses.len()
     }
 
-    /// Servers of each service, the largest first.
+    /// Returns the number of servers of each service, in descending order.
     #[must_use]
     pub fn service_sizes(&self) -> Vec<usize> {
         self.topology
@@ -151,7 +154,7 @@
             .collect()
     }
 
-    /// Which server listens at an address.
+    /// Returns the index of the server at an address, or `usize::MAX` if there is none.
     #[must_use]
     pub fn server_at(&self, address: SocketAddr) -> usize {
         let SocketAddr::V4(at) = address else {
@@ -162,31 +165,32 @@
             .unwrap_or(usize::MAX)
     }
 
-    /// Services in all.
+    /// Returns the number of services.
     #[must_use]
     pub fn services(&self) -> usize {
         self.routes.len()
     }
 
-    /// A route that names this service.
+    /// Returns a route to the service with this index.
     #[must_use]
     pub fn route(&self, service: usize) -> &str {
         &self.routes[service]
     }
 
-    /// A route whose service has this server.
+    /// Returns a route to the service of this server.
     #[must_use]
     pub fn route_to(&self, server: usize) -> &str {
         self.route(self.service_of[server])
     }
 
-    /// Services with their routes and networks; none where all servers are of one unnamed service.
+    /// Returns the services with their routes and networks; `None` if all servers are in one
+    /// unnamed service.
     #[must_use]
     pub fn directory(&self) -> Option<Directory> {
         if !self.topology.named {
             return None;
         }
-        let mut directory = Directory::new(BOUNDS);
+        let mut directory = Directory::new(DIRECTORY_BOUNDS);
         let mut apply = |change| {
             directory
                 .apply(change)
@@ -200,7 +204,7 @@
                 name: Arc::clone(name),
             });
             for network in service.network_names() {
-                let network = network.parse().expect("a network of the layout");
+                let network = network.parse().expect("a network of the topology");
                 let (selector, service) = (EndpointSelector::network(network), Arc::clone(name));
                 apply(DirectoryChange::Assign { selector, service });
             }
@@ -215,7 +219,7 @@
         Some(directory)
     }
 
-    /// One line of a watch, without its end.
+    /// Returns a line of a watch, without the line feed.
     #[must_use]
     pub fn watch_line(&self, revision: u64, complete: bool, entries: &[EndpointEntry]) -> Vec<u8> {
         let targets: Vec<String> = entries.iter().map(|entry| self.target(entry)).collect();
@@ -226,7 +230,7 @@
         .into_bytes()
     }
 
-    /// The first line of a watch: the complete list.
+    /// Returns the first line of a watch, which is the complete list with all servers serving.
     #[must_use]
     pub fn complete_list(&self) -> Vec<u8> {
         self.watch_line(
--- a/crates/testbed/src/scale/events/measurement.rs
+++ b/crates/testbed/src/scale/events/measurement.rs
@@ -1,4 +1,4 @@
-//! Figures of the events, and the run of a fleet.
+//! The measured quantities of the events, and running a fleet in virtual time.
 
 use crate::scale::report::SizeSeries;
 use crate::scale::simulated_ingress::{
@@ -7,26 +7,26 @@
 use crate::scale::targets;
 use std::time::Duration;
 
-/// Virtual time for which one ingress runs before the others follow.
+/// Virtual time by which each ingress advances before the next ingress runs.
 const STEP: Duration = Duration::from_millis(100);
-/// The requests of one ingress at the peak.
+/// The request load of an ingress at peak time.
 pub(super) const PEAK_LOAD: RequestLoad = RequestLoad {
     rate: targets::REQUESTS_PER_INGRESS,
     tenants: targets::TENANTS,
     demand: Demand::ByServers,
 };
 
-/// The figures of all events, in the order in which they were first added.
+/// The quantities of all events, in the order in which they were first added.
 #[derive(Default)]
 pub(super) struct Figures(pub Vec<SizeSeries>);
 
 impl Figures {
-    /// Adds a value that was measured.
+    /// Adds a measured value of a quantity at one size.
     pub(super) fn measured(&mut self, quantity: &str, unit: &str, size: usize, value: f64) {
         self.add(SizeSeries::measured(quantity, unit), size, value);
     }
 
-    /// Adds a value that was calculated.
+    /// Adds a calculated value of a quantity at one size.
     pub(super) fn derived(&mut self, quantity: &str, unit: &str, size: usize, value: f64) {
         self.add(SizeSeries::derived(quantity, unit), size, value);
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs all ingresses in step to a virtual time; the traffic meanwhile.
+/// Runs all ingresses in lockstep until a virtual time and returns the traffic of this period.
 pub(super) fn run_until(
     fleet: &mut SimulatedFleet,
     until: Duration,
@@ -60,7 +60,7 @@
     fleet.traffic()
 }
 
-/// Bytes of a line of a watch, with its end.
+/// Returns the bytes of a line of a watch, including the line feed.
 pub(super) fn line_bytes(line: &[u8]) -> f64 {
     line.len() as f64 + 1.0
 }
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -1,4 +1,4 @@
-//! What the endpoint list costs: the complete list of a start, and the change of one server.
+//! The cost of the endpoint list: the complete list at startup, and the change of a single server.
 
 use super::endpoint_set::{EndpointEntry, EndpointSet, EndpointState, RESTART_STATES};
 use super::measure::{millis, resident_bytes, resident_growth_mib, timed};
@@ -13,19 +13,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const RESTARTS_A_SAMPLE: usize = 10;
-const CHANGES_A_SAMPLE: usize = RESTARTS_A_SAMPLE * RESTART_STATES.len();
-/// Memory of an ingress at the planned size.
+const RESTARTS_PER_SAMPLE: usize = 10;
+const CHANGES_PER_SAMPLE: usize = RESTARTS_PER_SAMPLE * RESTART_STATES.len();
+/// Memory of an ingress in the planned deployment.
 const MEMORY_MB: usize = 192;
-/// Descriptors of an ingress at the planned size.
+/// File descriptors of an ingress in the planned deployment.
 const DESCRIPTORS: usize = 1024;
 
-/// Runs one ingress at each number of servers.
+/// Measures one ingress for each number of servers.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = vec![run.division()];
     let max_bytes = limits().protocol.max_list_bytes;
-    // Kept to the end, so that the memory of each is its own.
+    // No ingress is dropped before the end, because the next one would reuse its memory and the
+    // growth of the resident memory would be too small.
     let mut ingresses = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("list: {size} servers"));
@@ -33,7 +34,7 @@
         let line = endpoints.complete_list();
         if line.len() > max_bytes {
             notes.push(format!(
-                "the whole list of {size} servers is a line of {} bytes; the ingress takes {max_bytes} at most and drops it",
+                "the complete list of {size} servers is a line of {} bytes; the ingress accepts at most {max_bytes} bytes and drops it",
                 line.len()
             ));
         }
@@ -62,19 +63,26 @@
     fn new() -> Figures {
         let measured = SizeSeries::measured;
         Figures {
-            bytes: measured("whole list", "bytes"),
-            budget: SizeSeries::derived("whole list over 10 s of the control budget", "times"),
-            decode: measured("finding and decoding the whole list", "ms"),
-            apply: measured("taking the whole list in", "ms"),
+            bytes: measured("complete list", "bytes"),
+            budget: SizeSeries::derived(
+                "complete list, relative to 10 s of the control budget",
+                "times",
+            ),
+            decode: measured("processor time to split and decode the complete list", "ms"),
+            apply: measured("processor time to apply the complete list", "ms"),
             memory: measured("memory of the ingress", "MiB"),
-            change_bytes: measured("change of one server", "bytes"),
-            change: measured("change of one server, all of it", "us"),
+            change_bytes: measured("bytes of a change of one server", "bytes"),
+            change: measured(
+                "processor time to decode and apply a change of one server",
+                "us",
+            ),
         }
     }
 
     fn push_length(&mut self, size: usize, line_bytes: usize) {
         let bytes = line_bytes as f64 + 1.0;
-        let budget = targets::BYTES_PER_SECOND * targets::READY_WITHIN.as_secs_f64();
+        let budget =
+            targets::MAX_CONTROL_BYTES_PER_SECOND * targets::MAX_STARTUP_TIME.as_secs_f64();
         self.bytes.push(size, &[bytes]);
         self.budget.push(size, &[bytes / budget]);
     }
@@ -92,8 +100,8 @@
     }
 }
 
-/// Decodes and applies the complete list at an ingress that starts, for each repeat; returns the
-/// last ingress.
+/// Decodes the complete list and applies it to a new ingress in each repeat. Returns the last
+/// ingress.
 fn complete_lists(
     run: &RunOptions,
     endpoints: &Arc<EndpointSet>,
@@ -124,7 +132,7 @@
     ingress
 }
 
-/// The limits of an ingress of the planned size.
+/// Returns the limits of an ingress in the planned deployment.
 pub(super) fn limits() -> Limits {
     let machine = MachineLimits {
         platform_descriptors: DESCRIPTORS,
@@ -147,12 +155,12 @@
 }
 
 struct Changes {
-    /// Microseconds of a change, decoded and applied; one for each sample.
+    /// Mean processor time to decode and apply a change, in microseconds, for each sample.
     costs_us: Vec<f64>,
     mean_bytes: f64,
 }
 
-/// Restarts random servers.
+/// Restarts random servers and measures the changes that the ingress receives.
 fn changes(
     run: &RunOptions,
     endpoints: &EndpointSet,
@@ -167,7 +175,7 @@
     let mut generations = vec![0u32; endpoints.servers()];
     for _ in 0..run.repeats {
         let mut spent = Duration::ZERO;
-        for _ in 0..RESTARTS_A_SAMPLE {
+        for _ in 0..RESTARTS_PER_SAMPLE {
             let server = random.usize(0..endpoints.servers());
             for state in RESTART_STATES {
                 generations[server] += u32::from(state == EndpointState::Serving);
@@ -184,7 +192,7 @@
                 lines += 1;
             }
         }
-        costs_us.push(spent.as_secs_f64() * 1e6 / CHANGES_A_SAMPLE as f64);
+        costs_us.push(spent.as_secs_f64() * 1e6 / CHANGES_PER_SAMPLE as f64);
     }
     Changes {
         costs_us,
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -3,22 +3,22 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
-/// Processor time that this thread has used. Simulated ingresses run on one thread, and tests run
-/// side by side.
+/// Returns the processor time that the current thread has used. Simulated ingresses run on one
+/// thread, so the time of the process would include that of tests running in parallel.
 #[must_use]
 pub fn processor_time() -> Duration {
     let used = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(used.tv_sec as u64, used.tv_nsec as u32)
 }
 
-/// What `work` returns, and the processor time that it used.
+/// Runs `work` and returns its result and the processor time that it used.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
     let before = processor_time();
     let result = work();
     (result, processor_time() - before)
 }
 
-/// Resident bytes of this process; 0 where the system does not report them.
+/// Returns the resident memory of this process in bytes; 0 if the system does not report it.
 #[must_use]
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -30,7 +30,7 @@
     pages * rustix::param::page_size() as u64
 }
 
-/// Growth of the resident memory since it was `before_bytes`, in MiB.
+/// Returns the growth of the resident memory from `before_bytes`, in MiB; 0 if it has shrunk.
 pub(super) fn resident_growth_mib(before_bytes: u64) -> f64 {
     resident_bytes().saturating_sub(before_bytes) as f64 / f64::from(1 << 20)
 }
@@ -39,8 +39,8 @@
     time.as_secs_f64() * 1e3
 }
 
-/// The exponent of `y = a * x^exponent`, by least squares over the logarithms. None for fewer than
-/// two points.
+/// Fits `y = a * x^exponent` to the points by least squares over the logarithms and returns the
+/// exponent. Points that are not positive are ignored. Returns `None` for fewer than two points.
 #[must_use]
 pub fn exponent(points: &[(f64, f64)]) -> Option<f64> {
     let logs: Vec<(f64, f64)> = points
--- a/crates/testbed/src/scale/membership/fleet.rs
+++ b/crates/testbed/src/scale/membership/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet whose members are all real, in virtual time.
+//! A complete fleet in virtual time, in which each member runs the real protocol.
 
 use super::peers::{authenticator, number_at, swim, Datagram, NETWORK_LATENCY};
 use crate::scale::measure::processor_time;
@@ -6,19 +6,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Processor time after which a fleet that does not agree is given up.
+/// The processor time after which the wait for agreement ends.
 pub(super) const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(60);
-/// Virtual time in which a fleet has to agree.
-pub(super) const AGREE_WITHIN: Duration = Duration::from_secs(120);
-/// A zone's share of the ingresses.
-const ZONE_SHARE: f64 = 330.0 / 4300.0;
-/// Virtual time between two checks whether all agree.
-const AGREE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// The virtual time after which the wait for agreement ends.
+pub(super) const MAX_AGREEMENT_TIME: Duration = Duration::from_secs(120);
+/// The ratio of the ingresses of a zone to all ingresses.
+const ZONE_RATIO: f64 = 330.0 / 4300.0;
+/// The virtual time between two checks whether all members agree.
+const AGREEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 struct FleetMember {
     swim: Swim,
     authenticator: Authenticator,
-    /// When its next timer is due.
+    /// When the next timer of the member is due; `None` if no timer is set.
     due: Option<Duration>,
     dead: bool,
 }
@@ -26,28 +26,31 @@
 pub(super) struct VirtualFleet {
     now: Duration,
     members: Vec<FleetMember>,
-    /// Datagrams by arrival, then by the order of sending.
+    /// Datagrams by arrival time, then by sending order.
     in_flight: BTreeMap<(Duration, u64), Datagram>,
     timers: BTreeSet<(Duration, usize)>,
     datagrams_sent: u64,
-    /// Bytes of all datagrams so far.
+    /// The bytes of all datagrams sent so far.
     pub bytes: u64,
-    /// Members below this number and the others cannot reach each other.
+    /// A network partition between the members below this index and the others; `None` if there is
+    /// no partition.
     split: Option<usize>,
 }
 
-/// What a failure of many members at once costs, in bytes a second of a member, in and out, in the
-/// second with the most of them.
+/// The traffic that a failure of many members causes, and the time until the members agree again.
+/// The peak traffic is that of the busiest second, as the mean of the members, in bytes per second
+/// received and sent.
 pub(super) struct FailureCost {
-    /// While the failure lasts.
+    /// The peak traffic during the failure.
     pub peak: f64,
-    /// After its end.
+    /// The peak traffic after the failure.
     pub peak_after: f64,
-    /// Seconds until all agree again; none if they do not within [`AGREE_WITHIN`].
+    /// The seconds until all members agree again; `None` if they do not agree within
+    /// [`MAX_AGREEMENT_TIME`].
     pub agreed_after_s: Option<f64>,
 }
 
-/// How a fleet came to agree after a failure.
+/// The peak traffic and the time until a fleet agrees again after a failure.
 struct Recovery {
     peak: f64,
     agreed_after_s: Option<f64>,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Handles the next arrival or timer; the virtual time after it.
+    /// Handles the next datagram or timer and returns the virtual time after it.
     fn step(&mut self) -> Duration {
         let timer = self.timers.first().copied();
         let arrival = self.in_flight.keys().next().copied();
@@ -147,12 +150,12 @@
         while self.step() < until {}
     }
 
-    /// Runs until all agree; false if they do not within [`AGREE_WITHIN`] or
-    /// [`MAX_PROCESSOR_TIME`].
+    /// Runs until all members agree. Returns false if they do not agree within
+    /// [`MAX_AGREEMENT_TIME`] or [`MAX_PROCESSOR_TIME`].
     pub(super) fn run_until_agreed(&mut self) -> bool {
         let began = processor_time();
-        while self.now < AGREE_WITHIN && processor_time() - began < MAX_PROCESSOR_TIME {
-            self.run(AGREE_CHECK_INTERVAL);
+        while self.now < MAX_AGREEMENT_TIME && processor_time() - began < MAX_PROCESSOR_TIME {
+            self.run(AGREEMENT_CHECK_INTERVAL);
             if self.agrees() {
                 return true;
             }
@@ -165,7 +168,7 @@
         alive.map(|member| &member.swim)
     }
 
-    /// Do all that are alive have the same records and see as many members as there are?
+    /// Returns whether all live members have the same records and see exactly the live members.
     fn agrees(&self) -> bool {
         let digest = self.alive().next().map(Swim::digest);
         let count = self.alive().count();
@@ -173,12 +176,13 @@
             .all(|swim| Some(swim.digest()) == digest && swim.quorum().seen == count)
     }
 
-    /// Bytes of a member, in and out, since the fleet had sent this many.
+    /// Returns the mean bytes that a member has received and sent since the total of the fleet was
+    /// `since`.
     pub(super) fn bytes_of_member(&self, since: u64) -> f64 {
         2.0 * (self.bytes - since) as f64 / self.members.len() as f64
     }
 
-    /// Runs for a second; the bytes of a member in it, in and out.
+    /// Runs for one second and returns the mean bytes that a member received and sent in it.
     fn run_second(&mut self) -> f64 {
         let before = self.bytes;
         self.run(Duration::from_secs(1));
@@ -187,7 +191,7 @@
 
     fn recover(&mut self) -> Recovery {
         let mut peak = 0.0f64;
-        for second in 1..=AGREE_WITHIN.as_secs() {
+        for second in 1..=MAX_AGREEMENT_TIME.as_secs() {
             peak = peak.max(self.run_second());
             if self.agrees() {
                 return Recovery {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Two halves cannot reach each other for a while.
+    /// Separates the two halves of the fleet for this duration, then waits until all agree.
     pub(super) fn split_for(&mut self, duration: Duration) -> FailureCost {
         self.split = Some(self.members.len() / 2);
         let peak = (0..duration.as_secs())
@@ -217,9 +221,9 @@
         }
     }
 
-    /// A zone's share of the members dies at once.
+    /// Stops the members of one zone at once, then waits until the others agree.
     pub(super) fn lose_zone(&mut self) -> FailureCost {
-        let dying = (self.members.len() as f64 * ZONE_SHARE).ceil() as usize;
+        let dying = (self.members.len() as f64 * ZONE_RATIO).ceil() as usize;
         for (number, member) in self.members.iter_mut().enumerate().take(dying) {
             member.dead = true;
             if let Some(at) = member.due.take() {
--- a/crates/testbed/src/scale/membership/mod.rs
+++ b/crates/testbed/src/scale/membership/mod.rs
@@ -1,5 +1,5 @@
-//! What membership costs each member: a complete fleet up to [`MAX_FLEET`] members, and one member
-//! among simulated peers up to the size at which all records are held.
+//! The cost of the membership protocol for each member. Fleets of up to [`MAX_FLEET_SIZE`] members
+//! are simulated completely; for all sizes one real member runs among simulated peers.
 
 mod fleet;
 mod peers;
@@ -9,40 +9,40 @@
 use super::report::{RoleReport, SizeSeries};
 use super::run_options::RunOptions;
 use super::targets;
-use fleet::{VirtualFleet, AGREE_WITHIN, MAX_PROCESSOR_TIME};
+use fleet::{VirtualFleet, MAX_AGREEMENT_TIME, MAX_PROCESSOR_TIME};
 use roseyard_membership::Settings;
 use single_member::SingleMember;
 use std::time::Duration;
 
-/// Largest complete fleet.
-const MAX_FLEET: usize = 300;
-/// Virtual time until gossip of the start has ended.
+/// The size of the largest fleet that is simulated completely.
+const MAX_FLEET_SIZE: usize = 300;
+/// The virtual time after which the records of the start are no longer gossiped.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
 const SPLIT_DURATION: Duration = Duration::from_secs(300);
 
-/// Runs fleets and single members of each size.
+/// Measures a single member and, up to [`MAX_FLEET_SIZE`], a complete fleet at each size.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("membership: one member of {size}"));
         measure_single_member(run, size, &mut figures);
-        if size > MAX_FLEET {
+        if size > MAX_FLEET_SIZE {
             notes.push(format!(
-                "a whole fleet of {size} is not played: joining grows with more than its square"
+                "a complete fleet of {size} is not simulated: the cost of joining grows faster than the square of its size"
             ));
             continue;
         }
         run.progress(&format!("membership: a fleet of {size}"));
         if !measure_fleet(run, size, &mut figures) {
             notes.push(format!(
-                "{size} members did not agree within {AGREE_WITHIN:?} or {MAX_PROCESSOR_TIME:?} of work"
+                "{size} members did not agree within {MAX_AGREEMENT_TIME:?} or {MAX_PROCESSOR_TIME:?} of processor time"
             ));
         }
     }
     let max_members = Settings::new(targets::INGRESSES).max_members;
     notes.push(format!(
-        "the program remembers {max_members} members at most; here as many as there are"
+        "the program keeps at most {max_members} members; this run keeps all members"
     ));
     run.report("membership", "members", figures.series(), notes)
 }
@@ -52,7 +52,7 @@
     let join = member.receive_all_records(size);
     figures.join.push(size, &[millis(join.processor_time)]);
     figures.join_one_bytes.push(size, &[join.bytes as f64]);
-    // New records are gossiped for a while.
+    // The member gossips new records for some time; the idle cost is measured after that.
     member.run(SETTLE_TIME);
     let length = Duration::from_secs(run.seconds);
     let idle_percent = |_| {
@@ -67,7 +67,7 @@
     figures.update.push(size, &updates_us);
 }
 
-/// Measures a complete fleet; false if it does not agree.
+/// Measures a complete fleet. Returns false if its members do not agree in time.
 fn measure_fleet(run: &RunOptions, size: usize, figures: &mut Figures) -> bool {
     let mut fleet = VirtualFleet::new(size, run.seed);
     let (agreed, spent) = timed(|| fleet.run_until_agreed());
@@ -130,19 +130,28 @@
     fn new() -> Figures {
         let measured = SizeSeries::measured;
         Figures {
-            fleet_idle: measured("fleet at rest: processor time of a member", "% of a core"),
-            fleet_bytes: measured("fleet at rest: bytes of a member, in and out", "bytes/s"),
-            join_bytes: measured("all start at once: bytes until all agree, each", "bytes"),
+            fleet_idle: measured("idle fleet: processor time per member", "% of a core"),
+            fleet_bytes: measured("idle fleet: bytes per member, received and sent", "bytes/s"),
+            join_bytes: measured(
+                "simultaneous start: bytes per member until all agree",
+                "bytes",
+            ),
             split_peak: measured(
-                "halves apart for 300 s: fullest second of a member",
+                "partition into halves for 300 s: peak traffic per member",
+                "bytes/s",
+            ),
+            split_agreed: measured(
+                "partition into halves for 300 s: time after it until all agree",
+                "s",
+            ),
+            zone_peak: measured(
+                "failure of a zone of 7.7%: peak traffic per member",
                 "bytes/s",
             ),
-            split_agreed: measured("halves apart for 300 s: all agree after they met", "s"),
-            zone_peak: measured("a zone of 7.7% dies: fullest second of a member", "bytes/s"),
-            zone_agreed: measured("a zone of 7.7% dies: all hold it gone", "s"),
-            idle: measured("one member at rest: processor time", "% of a core"),
-            update: measured("one member: processor time of a word", "us"),
-            join: measured("one member: processor time to take all records", "ms"),
+            zone_agreed: measured("failure of a zone of 7.7%: time until all agree", "s"),
+            idle: measured("one idle member: processor time", "% of a core"),
+            update: measured("one member: processor time per update", "us"),
+            join: measured("one member: processor time to receive all records", "ms"),
             join_one_bytes: measured("one member: bytes of all records", "bytes"),
         }
     }
--- a/crates/testbed/src/scale/membership/peers.rs
+++ b/crates/testbed/src/scale/membership/peers.rs
@@ -1,4 +1,4 @@
-//! The members by number: their names, addresses, records and protocol states.
+//! The members of a fleet by index: their names, addresses, records and protocol states.
 
 use roseyard_membership::{
     wire, Authenticator, Event, Key, Metadata, Name, Received, Record, Settings, Stage, Status,
@@ -7,28 +7,28 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Time of a datagram on its way.
+/// The time from sending a datagram to its arrival.
 pub(super) const NETWORK_LATENCY: Duration = Duration::from_millis(2);
 pub(super) const GENERATION: u64 = 1_700_000_000_000;
 const PORT: u16 = 7946;
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 1, 0, 0]);
-/// Members that the settings of each name as seeds.
+/// The number of members that are configured as seeds.
 const SEEDS: usize = 3;
-/// Members that a small fleet remembers at most.
+/// The minimum of the configured limit of members, which is larger than a small fleet.
 const MIN_MAX_MEMBERS: usize = 1024;
 
-/// One datagram on its way.
+/// A datagram in flight.
 pub(super) struct Datagram {
-    /// The receiver.
+    /// The index of the receiver.
     pub to: usize,
-    /// The sender.
+    /// The index of the sender.
     pub from: usize,
-    /// Its sealed bytes.
+    /// The sealed contents.
     pub bytes: Vec<u8>,
 }
 
 impl Datagram {
-    /// Verifies and decodes the datagram as its receiver does; none if it is not valid.
+    /// Verifies and decodes the datagram like its receiver. Returns `None` if it is invalid.
     pub(super) fn open(&self, authenticator: &mut Authenticator) -> Option<Event> {
         let opened = authenticator.open(&self.bytes).ok()?;
         let contents = wire::decode(opened.body)?;
@@ -80,12 +80,12 @@
     }
 }
 
-/// The authenticator of a member that has this many peers.
+/// Returns the authenticator of a member that can receive from `members` peers.
 pub(super) fn authenticator(number: usize, members: usize) -> Authenticator {
     Authenticator::new("scale", vec![Key::new(&[7; 32])], name(number), members + 1)
 }
 
-/// The protocol state of a member of a fleet of this size.
+/// Returns the initial protocol state of a member in a fleet of `members`.
 pub(super) fn swim(number: usize, members: usize, seed: u64) -> Swim {
     let local = record(number, GENERATION);
     Swim::new(
--- a/crates/testbed/src/scale/membership/single_member.rs
+++ b/crates/testbed/src/scale/membership/single_member.rs
@@ -1,4 +1,4 @@
-//! One real member whose pings are answered by simulated peers in the real wire form.
+//! One real member among simulated peers that answer its pings in the real wire format.
 
 use super::peers::{authenticator, number_at, record, swim, Datagram, GENERATION, NETWORK_LATENCY};
 use crate::scale::measure::timed;
@@ -6,13 +6,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Updates of a sample.
+/// The number of updates in a sample.
 const UPDATES: usize = 40;
-/// The fleet size for which the authenticator of a simulated peer is created.
+/// The fleet size that the authenticator of a simulated peer is created for; peers only send, so a
+/// small one is sufficient.
 const PEER_FLEET_SIZE: usize = 4;
-/// The protocol period, in which one of the peers pings the member.
+/// The protocol period; one of the peers pings the member in each period.
 const PERIOD: Duration = Duration::from_secs(1);
-/// The peer that sends pages and updates.
+/// The index of the peer that sends pages and updates.
 const SENDER: usize = 1;
 
 pub(super) struct SingleMember {
@@ -20,19 +21,19 @@
     swim: Swim,
     authenticator: Authenticator,
     peers: Vec<Authenticator>,
-    /// Replies of the peers by arrival, then by the order of sending.
+    /// Replies of the peers by arrival time, then by sending order.
     replies: BTreeMap<(Duration, u64), Datagram>,
     serial: u64,
 }
 
-/// The cost of the records of all members.
+/// The cost of receiving the records of all members when joining.
 pub(super) struct JoinCost {
     pub bytes: usize,
     pub processor_time: Duration,
 }
 
 impl SingleMember {
-    /// A member of a fleet of this size.
+    /// Creates member 0 of a fleet of `members`.
     pub(super) fn new(members: usize, seed: u64) -> SingleMember {
         let peer = |number| authenticator(number, PEER_FLEET_SIZE);
         SingleMember {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Receives the records of all members, as pages in reply to its join.
+    /// Receives the records of all members, as the pages that a joining member receives.
     pub(super) fn receive_all_records(&mut self, members: usize) -> JoinCost {
         let mut cost = JoinCost {
             bytes: 0,
@@ -66,7 +67,7 @@
         cost
     }
 
-    /// A datagram of a peer to the member.
+    /// Returns a sealed datagram from a peer to the member.
     fn datagram_from(&mut self, peer: usize, body: &[u8]) -> Datagram {
         Datagram {
             to: 0,
@@ -88,7 +89,8 @@
             let Action::Send { to, body } = action else {
                 continue;
             };
-            // Sealed in any case, as its cost is measured.
+            // Each message is sealed, including those without a reply, because the measured cost
+            // includes sealing.
             let sealed = self.authenticator.seal(GENERATION, &body);
             let message = wire::decode(&body).map(|contents| contents.message);
             let Some(wire::Message::Ping(number)) = message else {
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Runs for this long. In each period one of the peers pings the member, as in a fleet where
-    /// each pings one.
+    /// Runs for this duration. One of the peers pings the member in each period, like in a fleet
+    /// whose members each ping one other.
     pub(super) fn run(&mut self, length: Duration) {
         let until = self.now + length;
         let mut ping_at = self.now;
@@ -136,7 +138,8 @@
         self.deliver(&datagram);
     }
 
-    /// Microseconds of processor time of an update that a peer gossips: the restart of another.
+    /// Returns the mean processor time to handle an update, in microseconds. Each update is gossip
+    /// from a peer about the restart of another peer.
     pub(super) fn update_us(&mut self, members: usize, round: usize) -> f64 {
         let mut spent = Duration::ZERO;
         for number in 0..UPDATES {
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,8 +1,9 @@
-//! What each role of the platform costs at size: the real state machines and codecs, many in one
-//! process, without sockets and in virtual time from a seed. Messages are counted in encoded bytes,
-//! cost in processor time.
+//! Scale measurements: the cost of each part of the platform in large deployments. The real state
+//! machines and codecs of many ingresses run in one process, without sockets and in virtual time
+//! that is reproducible from a seed. Traffic is counted in encoded bytes, and cost is measured in
+//! processor time.
 //!
-//! A role is an entry of [`Role`]: its name, its sizes, and a function that runs it.
+//! Each [`Role`] has a name, the sizes that it accepts, and a function that runs it.
 
 mod admission;
 mod configuration;
@@ -30,7 +31,7 @@
 
 use std::io::IsTerminal;
 
-/// Is standard error a terminal, where progress can be read?
+/// Returns whether standard error is a terminal; progress is written only there.
 #[must_use]
 pub fn stderr_is_terminal() -> bool {
     std::io::stderr().is_terminal()
--- a/crates/testbed/src/scale/quotas.rs
+++ b/crates/testbed/src/scale/quotas.rs
@@ -1,4 +1,4 @@
-//! What tenants' quotas cost an ingress: memory, processor time and calls to the counter.
+//! The cost of the tenants' quotas at an ingress: memory, processor time and calls to the counter.
 
 use super::endpoint_set::EndpointSet;
 use super::measure::{resident_bytes, resident_growth_mib, timed};
@@ -11,21 +11,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Few servers, so that the choice among them costs little.
-const SERVERS: usize = 17;
-/// All tenants come within this time: an ingress removes a quota that is unused for 30 s.
-const FILL_TIME: Duration = Duration::from_secs(20);
+/// A small number of servers, so that selecting a server costs little.
+const FEW_SERVERS: usize = 17;
+/// The time within which each tenant sends its first request. It is less than 30 s, after which an
+/// ingress removes an unused quota.
+const RAMP_UP_DURATION: Duration = Duration::from_secs(20);
 
-/// Runs one ingress at each number of tenants, each of whom has sent a request.
+/// Measures one ingress for each number of tenants, after each tenant has sent a request.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
-    // Kept to the end, so that the memory of each is its own.
+    // No ingress is dropped before the end, because the next one would reuse its memory and the
+    // growth of the resident memory would be too small.
     let mut ingresses = Vec::new();
     for &size in &run.sizes {
         run.progress(&format!("quotas: {size} tenants"));
         ingresses.push(measure(run, size, &mut figures));
     }
-    let note = "bytes are those of the calls and answers alone, without TCP's and IP's".to_owned();
+    let note =
+        "bytes are those of the calls and replies, without the headers of TCP and IP".to_owned();
     let notes = vec![run.division(), note];
     run.report("quotas", "tenants", figures.series(), notes)
 }
@@ -35,14 +38,14 @@
     let servers = if run.services {
         targets::SERVERS
     } else {
-        SERVERS
+        FEW_SERVERS
     };
     let endpoints = Arc::new(EndpointSet::new(servers, run.services));
     let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
     ingress.receive_line(&endpoints.complete_list(), &mut environment);
     let resident_before = resident_bytes();
     for tenant in 0..size {
-        let at = FILL_TIME.mul_f64((tenant + 1) as f64 / size as f64);
+        let at = RAMP_UP_DURATION.mul_f64((tenant + 1) as f64 / size as f64);
         ingress.run(at, None, &mut environment);
         ingress.request(tenant as u64, Demand::ByServers, &mut environment);
     }
@@ -54,7 +57,7 @@
     ingress
 }
 
-/// Measures an ingress without and under load in turn; returns its traffic under load.
+/// Measures an ingress alternately without and under load. Returns its traffic under load.
 fn samples(
     run: &RunOptions,
     size: usize,
@@ -102,14 +105,14 @@
     fn new() -> Figures {
         let measured = SizeSeries::measured;
         Figures {
-            request: measured("processor time a request", "us"),
-            idle: measured("processor time at rest", "% of a core"),
-            memory: measured("memory of all ledgers", "MiB"),
-            calls: measured("calls to the counter a request", "calls"),
-            call_bytes: measured("bytes of a call", "bytes"),
-            reply_bytes: measured("bytes of its answer", "bytes"),
+            request: measured("processor time per request", "us"),
+            idle: measured("processor time without load", "% of a core"),
+            memory: measured("memory of all quotas", "MiB"),
+            calls: measured("calls to the counter per request", "calls"),
+            call_bytes: measured("bytes per call", "bytes"),
+            reply_bytes: measured("bytes per reply", "bytes"),
             byte_rate: SizeSeries::derived(
-                "to and from the counter at 256 requests a second",
+                "bytes to and from the counter at 256 requests per second",
                 "bytes/s",
             ),
         }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,59 +1,60 @@
-//! The result of a run: figures by size with their ranges and growth exponents, as tables and as
-//! JSON.
+//! The report of a role: each quantity at each size with the range of its samples and its growth
+//! exponent, printed as a Markdown table or as JSON.
 
 use super::measure;
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
 use serde::{Deserialize, Serialize};
 
-/// Where a figure comes from.
+/// Whether a value was measured or calculated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Provenance {
     /// Counted or timed in this run.
     Measured,
-    /// Calculated from what was measured.
+    /// Calculated from measured values and planned sizes.
     #[serde(rename = "reckoned")]
     Derived,
 }
 
-/// A figure at one size: the median of the samples and their range.
+/// A quantity at one size: the median and the range of its samples.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size.
+    /// The size, in the unit that [`RoleReport::varied`] names.
     pub size: usize,
-    /// The median.
+    /// The median sample; the upper of the two middle ones if their number is even.
     pub median: f64,
-    /// The smallest.
+    /// The smallest sample.
     pub low: f64,
-    /// The largest.
+    /// The largest sample.
     pub high: f64,
     /// The number of samples.
     pub runs: usize,
 }
 
-/// One quantity over the sizes.
+/// The values of one quantity at all sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SizeSeries {
-    /// What it is.
+    /// The title of the quantity; unique within a report.
     pub quantity: String,
-    /// Its unit.
+    /// The unit of the values.
     pub unit: String,
-    /// Where it comes from.
+    /// Whether the values were measured or calculated.
     pub basis: Provenance,
-    /// Its values by size.
+    /// The values, in the order in which the sizes were run.
     pub points: Vec<Point>,
-    /// Its growth as an exponent of the size; none for fewer than two sizes.
+    /// The exponent of the power of the size with which the median grows; `None` for fewer than two
+    /// sizes.
     pub exponent: Option<f64>,
 }
 
 impl SizeSeries {
-    /// A figure that this run measures.
+    /// Returns an empty series for a quantity that the run measures.
     #[must_use]
     pub fn measured(quantity: &str, unit: &str) -> SizeSeries {
         SizeSeries::new(quantity, unit, Provenance::Measured)
     }
 
-    /// A figure that this run calculates.
+    /// Returns an empty series for a quantity that the run calculates.
     #[must_use]
     pub fn derived(quantity: &str, unit: &str) -> SizeSeries {
         SizeSeries::new(quantity, unit, Provenance::Derived)
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Adds the samples at one size; nothing if there are none.
+    /// Adds a point for the samples at one size and updates the exponent; does nothing if there are
+    /// no samples.
     pub fn push(&mut self, size: usize, samples: &[f64]) {
         let mut sorted = samples.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -92,7 +94,7 @@
         self.exponent = measure::exponent(&medians);
     }
 
-    /// The median at a size.
+    /// Returns the median at a size; `None` if the quantity has no value at this size.
     #[must_use]
     pub fn at(&self, size: usize) -> Option<f64> {
         self.points
@@ -102,23 +104,23 @@
     }
 }
 
-/// The result of one role's run.
+/// The result of running one role.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoleReport {
-    /// The role.
+    /// The name of the role, with " by service" if the servers were divided into services.
     pub role: String,
-    /// What the sizes count.
+    /// What the sizes count, such as "servers".
     pub varied: String,
-    /// The figures.
+    /// The measured and calculated quantities.
     pub figures: Vec<SizeSeries>,
-    /// Remarks on the figures.
+    /// Assumptions and limits of the run that a reader of the values needs to know.
     pub notes: Vec<String>,
-    /// Bytes of this process that were resident when the run ended.
+    /// Resident memory of the process at the end of the run, in bytes.
     pub resident_bytes: u64,
 }
 
 impl RoleReport {
-    /// The figure of that name.
+    /// Returns the series of a quantity by its title.
     #[must_use]
     pub fn figure(&self, quantity: &str) -> Option<&SizeSeries> {
         self.figures
@@ -126,12 +128,13 @@
             .find(|figure| figure.quantity == quantity)
     }
 
-    /// As a table in Markdown: a line for each figure, a column for each size.
+    /// Returns the report as Markdown: a table with a row for each quantity and a column for each
+    /// size, followed by the notes.
     #[must_use]
     pub fn table(&self) -> String {
         let sizes = self.sizes();
         let columns = sizes.iter().map(|size| format!("{size} {}", self.varied));
-        let header = ["figure", "unit", "basis"].map(String::from);
+        let header = ["quantity", "unit", "basis"].map(String::from);
         let mut table = Table::new();
         table
             .load_preset(ASCII_MARKDOWN)
@@ -146,12 +149,12 @@
             .collect();
         let resident = self.resident_bytes >> 20;
         format!(
-            "## {}\n\n{table}\n\n{notes}- resident at the end: {resident} MiB\n",
+            "## {}\n\n{table}\n\n{notes}- resident memory at the end: {resident} MiB\n",
             self.role
         )
     }
 
-    /// The sizes of all figures, the smallest first.
+    /// Returns the sizes of all series in ascending order, without duplicates.
     fn sizes(&self) -> Vec<usize> {
         let points = self.figures.iter().flat_map(|figure| &figure.points);
         let mut sizes: Vec<usize> = points.map(|point| point.size).collect();
--- a/crates/testbed/src/scale/role.rs
+++ b/crates/testbed/src/scale/role.rs
@@ -1,4 +1,4 @@
-//! The roles, and the sizes that each takes.
+//! The roles that `roseyard-testbed scale` measures, and the sizes that each role accepts.
 
 use super::report::RoleReport;
 use super::run_options::RunOptions;
@@ -8,39 +8,40 @@
 };
 use std::ops::RangeInclusive;
 
-/// A part of the platform whose cost is measured by size.
+/// A part of the platform whose cost is measured at several sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Role {
-    /// The choice of a server.
+    /// Selecting a server for a request.
     Decision,
-    /// The endpoint list.
+    /// Decoding and applying the endpoint list.
     #[value(name = "list")]
     EndpointList,
-    /// The quotas of tenants.
+    /// Enforcing the quotas of tenants.
     Quotas,
-    /// Membership of the ingresses.
+    /// The membership protocol among the ingresses.
     Membership,
-    /// Admission of connections.
+    /// Admitting client connections.
     Admission,
-    /// The operator's file.
+    /// Parsing and checking the operator's file.
     Configuration,
-    /// The shared counter, called by all ingresses.
+    /// The load of all ingresses on the shared counter.
     Counter,
-    /// Discovery, watched by all ingresses.
+    /// The load of all ingresses on discovery.
     Discovery,
-    /// Form servers, which get connections and health checks of all ingresses.
+    /// The connections and health checks that form servers receive from all ingresses.
     Servers,
-    /// Failures and restarts at size.
+    /// Failures and restarts in a large deployment.
     Events,
-    /// The real daemon on loopback; see `--daemon`.
+    /// The real daemon on the loopback interface; needs `--daemon`.
     Daemon,
-    /// Faults of one service on the real daemon, by what the others notice; see `--daemon`.
+    /// The effect of faults in one service on the other services of the real daemon; needs
+    /// `--daemon`.
     Faults,
-    /// All of them but the real daemon, each in a process of its own.
+    /// All roles that do not need the real daemon, each in a separate process.
     All,
 }
 
-/// The roles whose servers can be divided into services.
+/// The roles that can divide their servers into services.
 pub const SERVICE_ROLES: &[Role] = &[
     Role::Decision,
     Role::EndpointList,
@@ -48,9 +49,9 @@
     Role::Events,
 ];
 
-/// The sizes of a role.
+/// The sizes that a role accepts.
 struct Sizes {
-    /// What they count.
+    /// What the sizes count.
     varied: &'static str,
     allowed: RangeInclusive<usize>,
     default: &'static [usize],
@@ -63,7 +64,7 @@
     run: fn(&RunOptions) -> RoleReport,
 }
 
-/// All roles that run in this process.
+/// The roles that run in this process, in the order in which [`Role::All`] runs them.
 const ROLES: &[Entry] = &[
     Entry {
         role: Role::Decision,
@@ -157,41 +158,41 @@
     },
 ];
 
-/// Sizes of the real daemon.
+/// The sizes for the real daemon.
 const DAEMON_SIZES: Sizes = Sizes {
     varied: "servers",
     allowed: 1..=targets::SERVERS,
     default: &[17, 1_000, 4_000, 16_000, 54_000],
 };
 
-/// Sizes that a role does not take.
+/// Why the values of `--sizes` were rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SizeError {
-    /// A size outside of the role's range.
-    #[error("--sizes: {size} {varied}: {} to {} are allowed", allowed.start(), allowed.end())]
+    /// A size is outside the range that the role accepts.
+    #[error("--sizes: {size} {varied} is out of range: {} to {} are allowed", allowed.start(), allowed.end())]
     OutOfRange {
-        /// The size.
+        /// The rejected size.
         size: usize,
         /// What the sizes count.
         varied: &'static str,
-        /// The smallest and the largest that are allowed.
+        /// The range of accepted sizes.
         allowed: RangeInclusive<usize>,
     },
-    /// Sizes with all roles at once, whose sizes count different things.
-    #[error("--sizes goes with one role: each counts something else")]
+    /// Sizes were given for all roles at once, although each role counts something else.
+    #[error("--sizes can only be used with one role, because the sizes of each role count something else")]
     AllRoles,
-    /// Sizes with a role that has only one.
-    #[error("--sizes: this role has a size of its own")]
+    /// Sizes were given for a role that runs at a fixed size.
+    #[error("--sizes cannot be used with this role, which runs at a fixed size")]
     Fixed,
 }
 
 impl Role {
-    /// The roles that run in this process, in their order.
+    /// Returns the roles that run in this process, in the order in which [`Role::All`] runs them.
     pub fn each() -> impl Iterator<Item = Role> {
         ROLES.iter().map(|entry| entry.role)
     }
 
-    /// Its name on the command line.
+    /// Returns the name of the role on the command line.
     #[must_use]
     pub fn argument(self) -> String {
         clap::ValueEnum::to_possible_value(&self)
@@ -202,7 +203,8 @@
         ROLES.iter().find(|entry| entry.role == self)
     }
 
-    /// The sizes to run it with, the smallest first: those given, or its own if none are.
+    /// Returns the sizes to run the role at, in ascending order: the given sizes, or the defaults
+    /// of the role if `given` is empty.
     pub fn sizes(self, given: &[usize]) -> Result<Vec<usize>, SizeError> {
         let sizes = match self {
             Role::Daemon => &DAEMON_SIZES,
@@ -231,7 +233,8 @@
         Ok(chosen)
     }
 
-    /// Runs it in this process; nothing for [`Role::All`], [`Role::Daemon`] and [`Role::Faults`].
+    /// Runs the role in this process. Returns `None` for [`Role::All`], [`Role::Daemon`] and
+    /// [`Role::Faults`], which run elsewhere.
     #[must_use]
     pub fn run(self, run: &RunOptions) -> Option<RoleReport> {
         self.entry().map(|entry| (entry.run)(run))
--- a/crates/testbed/src/scale/run_options.rs
+++ b/crates/testbed/src/scale/run_options.rs
@@ -1,22 +1,22 @@
-//! What a role is run with.
+//! The options of a run, and the report that is built from them.
 
 use super::report::{RoleReport, SizeSeries};
 use super::{measure, targets};
 
-/// What a role is run with.
+/// The options with which a role is run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Sizes, the smallest first.
+    /// The sizes to run at, in ascending order.
     pub sizes: Vec<usize>,
-    /// Virtual seconds of a sample, where it is one of time.
+    /// The duration of a sample in virtual seconds, for roles that sample over time.
     pub seconds: u64,
-    /// The seed of all random numbers.
+    /// The seed of all random number generators.
     pub seed: u64,
-    /// Samples at each size.
+    /// The number of samples at each size.
     pub repeats: usize,
-    /// Are the servers divided into services, in proportion to the planned size?
+    /// Whether the servers are divided into services, in proportion to the planned size.
     pub services: bool,
-    /// Is progress written to standard error?
+    /// Whether progress is written to standard error.
     pub progress: bool,
 }
 
@@ -27,15 +27,15 @@
         }
     }
 
-    /// How the servers are divided into services, for the notes of a report.
+    /// Describes how the servers are divided into services, for the notes of a report.
     pub(super) fn division(&self) -> String {
         if self.services {
             let (services, servers) = (targets::SERVICES, targets::SERVERS);
             format!(
-                "servers in services by a power law: {services} for {servers} servers, fewer in proportion"
+                "services have sizes by a power law: {services} services for {servers} servers, and proportionally fewer for fewer servers"
             )
         } else {
-            "all servers in one service".into()
+            "all servers are in one service".into()
         }
     }
 
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -1,4 +1,5 @@
-//! What the form servers of one service get from all ingresses: connections and health checks.
+//! The connections and health checks that the form servers of one service receive from all
+//! ingresses.
 
 use super::endpoint_set::EndpointSet;
 use super::report::{RoleReport, SizeSeries};
@@ -11,16 +12,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A service of the mean size.
+/// Servers of a service of the mean size.
 const SERVERS: usize = 17;
-/// An ingress closes a connection to a server that has been idle for this long, by the testbed's
-/// settings.
+/// The time after which an ingress closes an idle connection to a server, as in the settings of the
+/// test bed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(12);
-const WARM_UP: Duration = IDLE_TIMEOUT;
-const LENGTH: Duration = Duration::from_secs(6);
+const WARM_UP_DURATION: Duration = IDLE_TIMEOUT;
+const SAMPLE_TIME: Duration = Duration::from_secs(6);
 const STEP: Duration = Duration::from_secs(1);
 
-/// Runs one service's share of the traffic through all of this many ingresses.
+/// Runs the traffic of one service through a fleet of each size.
 pub(super) fn run(run: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
@@ -29,14 +30,14 @@
         measure(run, &endpoints, size, &mut figures);
     }
     let notes = vec![
-        "traffic of an ingress is even over 3,200 services, and each service's goes through every ingress"
+        "the traffic of each ingress is spread evenly over 3,200 services, and every ingress has traffic for each service"
             .into(),
     ];
     run.report("servers", "ingresses", figures.series(), notes)
 }
 
 fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
-    // Of an ingress's requests each service gets an even share.
+    // The requests of an ingress are spread evenly over all services.
     let load = RequestLoad {
         rate: targets::REQUESTS_PER_INGRESS / targets::SERVICES as f64,
         tenants: targets::TENANTS,
@@ -46,7 +47,7 @@
     environment.arrivals = Some(Vec::new());
     let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
     let mut now = Duration::ZERO;
-    while now < WARM_UP + LENGTH {
+    while now < WARM_UP_DURATION + SAMPLE_TIME {
         now += STEP;
         fleet.run(now, load, &mut environment);
     }
@@ -73,16 +74,16 @@
     fn new() -> Figures {
         let measured = SizeSeries::measured;
         Figures {
-            open_mean: measured("connections open at a server, mean", "connections"),
-            open_max: measured("connections open at a server, most", "connections"),
-            opened: measured("connections opened at a server", "connections/s"),
-            reused: measured("requests on a connection that was open", "% of requests"),
+            open_mean: measured("open connections per server, mean", "connections"),
+            open_max: measured("open connections per server, maximum", "connections"),
+            opened: measured("new connections per server", "connections/s"),
+            reused: measured("requests on a reused connection", "% of requests"),
             per_ingress: SizeSeries::derived(
-                "connections open at an ingress with 3,200 such services",
+                "open connections per ingress with 3,200 such services",
                 "connections",
             ),
-            health_checks: measured("probes at a server", "probes/s"),
-            rejected: measured("requests refused", "%"),
+            health_checks: measured("health checks per server", "checks/s"),
+            rejected: measured("requests rejected", "%"),
         }
     }
 
@@ -94,7 +95,7 @@
         self.open_max.push(size, &[max as f64]);
         let opened = connections.opened as f64;
         self.opened
-            .push(size, &[opened / SERVERS as f64 / LENGTH.as_secs_f64()]);
+            .push(size, &[opened / SERVERS as f64 / SAMPLE_TIME.as_secs_f64()]);
         let reused = 1.0 - opened / connections.requests.max(1) as f64;
         self.reused.push(size, &[100.0 * reused]);
         let per_ingress = mean * SERVERS as f64 / size as f64 * targets::SERVICES as f64;
@@ -114,18 +115,18 @@
     }
 }
 
-/// The connections that the measured attempts need.
+/// The connections that are needed for the measured attempts.
 struct Connections {
     requests: usize,
     opened: usize,
-    /// Connections that each server has open at the end.
+    /// The number of open connections of each server at the end.
     open: Vec<usize>,
 }
 
 impl Connections {
     fn of(mut arrivals: Vec<Arrival>) -> Connections {
         arrivals.sort_by_key(|arrival| arrival.at);
-        let end = WARM_UP + LENGTH;
+        let end = WARM_UP_DURATION + SAMPLE_TIME;
         let mut last_use: HashMap<(usize, usize), Duration> = HashMap::new();
         let mut connections = Connections {
             requests: 0,
@@ -139,7 +140,7 @@
         } in arrivals
         {
             let before = last_use.insert((ingress, server), at);
-            if at >= WARM_UP {
+            if at >= WARM_UP_DURATION {
                 let is_new = before.is_none_or(|before| before + IDLE_TIMEOUT < at);
                 connections.requests += 1;
                 connections.opened += usize::from(is_new);
--- a/crates/testbed/src/scale/simulated_ingress/environment.rs
+++ b/crates/testbed/src/scale/simulated_ingress/environment.rs
@@ -1,42 +1,42 @@
-//! What is around simulated ingresses: the counter's totals and the servers.
+//! The environment of the simulated ingresses: the shared counter and the form servers.
 
 use roseyard_decision::{CounterKey, Outcome};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// A connect to a server that does not listen fails after this time.
+/// The time until a connection to a server that does not listen is refused.
 const CONNECT_REFUSED_AFTER: Duration = Duration::from_micros(200);
-/// A connect to a server out of reach is given up after this time.
+/// The time until a connection to an unreachable server times out.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const MEAN_SERVICE_TIME_S: f64 = 0.020;
 
-/// An attempt as its server observes it.
+/// An attempt or a health check that an ingress starts at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Virtual time.
+    /// The virtual time at which it starts.
     pub at: Duration,
-    /// The ingress that it comes from.
+    /// The index of the ingress.
     pub ingress: usize,
-    /// The server.
+    /// The index of the server.
     pub server: usize,
 }
 
 /// How an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptEnd {
-    /// Time from its begin to its end.
+    /// The time from the start of the attempt to its end.
     pub after: Duration,
-    /// Its outcome.
+    /// The outcome that the ingress observes.
     pub outcome: Outcome,
 }
 
-/// Two regions that cannot reach each other: the first has the ingresses and servers of lower
-/// numbers.
+/// A network partition between two regions. The first region has the ingresses and servers with the
+/// lower indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Split {
-    /// Ingresses of the first region.
+    /// The number of ingresses in the first region.
     pub ingresses: usize,
-    /// Servers of the first region.
+    /// The number of servers in the first region.
     pub servers: usize,
 }
 
@@ -46,20 +46,21 @@
     }
 }
 
-/// What is around the ingresses: the counter's totals, the servers, and what the servers observe.
+/// The environment of the ingresses: the totals of the shared counter, the state of the servers,
+/// and the attempts that the servers receive.
 pub struct SimulatedEnvironment {
     random: fastrand::Rng,
     totals: HashMap<CounterKey, f64>,
-    /// Servers that do not listen.
+    /// The indices of servers that do not listen.
     pub down: HashSet<usize>,
-    /// Regions that cannot reach each other, if any.
+    /// The network partition; `None` if all servers are reachable.
     pub split: Option<Split>,
-    /// The attempts at all servers, if they are recorded.
+    /// The attempts and health checks at all servers; `None` if they are not recorded.
     pub arrivals: Option<Vec<Arrival>>,
 }
 
 impl SimulatedEnvironment {
-    /// One in which everything runs.
+    /// Returns an environment without failures.
     #[must_use]
     pub fn new(seed: u64) -> SimulatedEnvironment {
         SimulatedEnvironment {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes an attempt in and decides how it ends.
+    /// Records an attempt or a health check and returns how it ends.
     pub(super) fn attempt(&mut self, arrival: Arrival) -> AttemptEnd {
         if let Some(arrivals) = &mut self.arrivals {
             arrivals.push(arrival);
@@ -94,7 +95,7 @@
         }
     }
 
-    /// How an attempt ends whose server the engine does not know any more.
+    /// Returns the end of an attempt at a server that the engine has removed.
     pub(super) fn not_started() -> AttemptEnd {
         AttemptEnd {
             after: CONNECT_REFUSED_AFTER,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Adds to the counter's total of a key and returns it.
+    /// Adds an amount to the counter's total for a key and returns the new total.
     pub(super) fn increment(&mut self, key: CounterKey, amount: f64) -> f64 {
         let total = self.totals.entry(key).or_default();
         *total += amount;
@@ -110,7 +111,7 @@
     }
 }
 
-/// A time of exponential distribution.
+/// Returns an exponentially distributed duration.
 pub(super) fn exponential(random: &mut fastrand::Rng, mean_s: f64) -> Duration {
     Duration::from_secs_f64(-mean_s * (1.0 - random.f64()).ln())
 }
--- a/crates/testbed/src/scale/simulated_ingress/fleet.rs
+++ b/crates/testbed/src/scale/simulated_ingress/fleet.rs
@@ -1,4 +1,4 @@
-//! Several simulated ingresses that run in step.
+//! A fleet of simulated ingresses that advance together in virtual time.
 
 use super::environment::SimulatedEnvironment;
 use super::ingress::SimulatedIngress;
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// All ingresses of a platform, by their numbers.
+/// All ingresses of a platform.
 pub(crate) struct SimulatedFleet {
-    /// The ingresses.
+    /// The ingresses, by index.
     pub ingresses: Vec<SimulatedIngress>,
 }
 
 impl SimulatedFleet {
-    /// So many ingresses that have received the complete endpoint list.
+    /// Creates a fleet of `ingresses` ingresses that have received the complete endpoint list.
     pub(crate) fn new(
         endpoints: &Arc<EndpointSet>,
         ingresses: usize,
@@ -29,14 +29,14 @@
         fleet
     }
 
-    /// Each ingress receives a line of its watch.
+    /// Delivers a line of the watch to each ingress.
     pub(crate) fn receive_line(&mut self, line: &[u8], environment: &mut SimulatedEnvironment) {
         for ingress in &mut self.ingresses {
             ingress.receive_line(line, environment);
         }
     }
 
-    /// Each ingress runs to this time under this load.
+    /// Runs each ingress until this virtual time under this load.
     pub(crate) fn run(
         &mut self,
         until: Duration,
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Forgets the traffic so far.
+    /// Resets the traffic statistics of all ingresses to zero.
     pub(crate) fn reset_traffic(&mut self) {
         for ingress in &mut self.ingresses {
             ingress.traffic = Traffic::default();
         }
     }
 
-    /// The traffic of all ingresses.
+    /// Returns the traffic of all ingresses since the last reset.
     pub(crate) fn traffic(&self) -> Traffic {
         self.ingresses.iter().map(|ingress| ingress.traffic).sum()
     }
--- a/crates/testbed/src/scale/simulated_ingress/ingress.rs
+++ b/crates/testbed/src/scale/simulated_ingress/ingress.rs
@@ -1,4 +1,4 @@
-//! One simulated ingress.
+//! A simulated ingress: the engine, its pending results, and its virtual time.
 
 use super::environment::{exponential, SimulatedEnvironment};
 use super::pending::Pending;
@@ -13,9 +13,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Unix time in milliseconds at which virtual time begins.
+/// The Unix time at which virtual time begins, in milliseconds.
 pub const VIRTUAL_START_UNIX_MS: u64 = 3_600_000;
-/// Time that a request has until its deadline.
+/// The time from the arrival of a request to its deadline.
 const REQUEST_TIME_LEFT: Duration = Duration::from_millis(2000);
 const REQUEST_BYTES: usize = 200;
 const ENGINE_LIMITS: EngineLimits = EngineLimits {
@@ -23,7 +23,7 @@
     bytes: 64 << 20,
 };
 
-/// The platform's settings for one of this many ingresses.
+/// Returns the platform's settings for the ingress with this index in a fleet of `ingresses`.
 #[must_use]
 pub fn settings_of_ingress(ingresses: usize, number: usize) -> PlatformSettings {
     let mut settings = platform_settings::settings();
@@ -32,11 +32,11 @@
     PlatformSettings::parse(settings.to_string().as_bytes()).expect("the testbed's settings parse")
 }
 
-/// One ingress without sockets.
+/// An ingress without sockets, which runs in virtual time.
 pub struct SimulatedIngress {
-    /// The engine.
+    /// The request engine of the ingress.
     pub engine: RequestEngine<(), (), ()>,
-    /// What has gone in and out.
+    /// The traffic since the statistics were last reset.
     pub traffic: Traffic,
     pub(super) endpoints: Arc<EndpointSet>,
     pub(super) number: usize,
@@ -50,7 +50,8 @@
 }
 
 impl SimulatedIngress {
-    /// Number `number` of this many ingresses, which knows the services and no server yet.
+    /// Creates the ingress with index `number` in a fleet of `ingresses`. It has the services, but
+    /// no servers until it receives an endpoint list.
     #[must_use]
     pub fn new(
         endpoints: &Arc<EndpointSet>,
@@ -87,13 +88,13 @@
         }
     }
 
-    /// The virtual time that this ingress has reached.
+    /// Returns the virtual time that this ingress has reached.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Receives a line of the watch as its bytes, without the line's end.
+    /// Decodes and applies a line of the watch, which is given without the line feed.
     pub fn receive_line(&mut self, line: &[u8], environment: &mut SimulatedEnvironment) {
         self.traffic.list_bytes_in += line.len() as u64 + 1;
         let mut lists = list::ListSplitter::default();
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Applies an endpoint list that is decoded already.
+    /// Applies a decoded endpoint list.
     pub fn apply_endpoint_list(
         &mut self,
         message: &EndpointListMessage,
@@ -121,7 +122,7 @@
         self.process_outputs(environment);
     }
 
-    /// Receives one request of a tenant.
+    /// Receives a request of a tenant for a random service.
     pub fn request(&mut self, tenant: u64, demand: Demand, environment: &mut SimulatedEnvironment) {
         let route = match demand {
             Demand::ByServers => {
@@ -156,7 +157,7 @@
         self.process_outputs(environment);
     }
 
-    /// Runs to a virtual time, under this load if any.
+    /// Runs until a virtual time; without new requests if `load` is `None`.
     pub fn run(
         &mut self,
         until: Duration,
--- a/crates/testbed/src/scale/simulated_ingress/mod.rs
+++ b/crates/testbed/src/scale/simulated_ingress/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated ingress: the real engine with its decision module and its endpoint list, and the
-//! real codecs, without sockets and in virtual time. What would go over a socket is encoded and
-//! counted.
+//! Simulated ingresses: the real engine with its decision module and endpoint list, and the real
+//! codecs, without sockets and in virtual time. Messages to the counter and from discovery are
+//! encoded to count their bytes.
 
 mod environment;
 mod fleet;
--- a/crates/testbed/src/scale/simulated_ingress/outputs.rs
+++ b/crates/testbed/src/scale/simulated_ingress/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out the engine's outputs in virtual time, and gives it the results.
+//! Executes the outputs of the engine in virtual time and passes the results back to it.
 
 use super::environment::{Arrival, AttemptEnd, SimulatedEnvironment};
 use super::ingress::SimulatedIngress;
@@ -79,7 +79,7 @@
         endpoint: EndpointId,
         environment: &mut SimulatedEnvironment,
     ) {
-        let AttemptEnd { after, outcome } = self.arrive(endpoint, environment);
+        let AttemptEnd { after, outcome } = self.contact_server(endpoint, environment);
         self.traffic.attempts += 1;
         self.traffic.failed_attempts += u64::from(outcome == Outcome::ConnectFailed);
         let end = Pending::AttemptEnd {
@@ -91,12 +91,12 @@
     }
 
     fn check_health(&mut self, endpoint: EndpointId, environment: &mut SimulatedEnvironment) {
-        let AttemptEnd { after, outcome } = self.arrive(endpoint, environment);
+        let AttemptEnd { after, outcome } = self.contact_server(endpoint, environment);
         self.traffic.health_checks += 1;
         self.schedule(after, Pending::HealthCheckEnd { endpoint, outcome });
     }
 
-    fn arrive(
+    fn contact_server(
         &mut self,
         endpoint: EndpointId,
         environment: &mut SimulatedEnvironment,
--- a/crates/testbed/src/scale/simulated_ingress/pending.rs
+++ b/crates/testbed/src/scale/simulated_ingress/pending.rs
@@ -1,10 +1,10 @@
-//! Results that a simulated ingress waits for.
+//! The results that a simulated ingress will receive at a later virtual time.
 
 use roseyard_decision::{CounterKey, EndpointId, Outcome};
 use roseyard_request_engine::Key;
 use std::time::Duration;
 
-/// What an ingress waits for.
+/// A result that is passed to the engine when its virtual time has come.
 pub(super) enum Pending {
     CounterReply {
         key: CounterKey,
--- a/crates/testbed/src/scale/simulated_ingress/traffic.rs
+++ b/crates/testbed/src/scale/simulated_ingress/traffic.rs
@@ -1,64 +1,65 @@
-//! What clients request of a simulated ingress, and what goes in and out of it.
+//! The request load of a simulated ingress, and the statistics of its traffic.
 
-/// Which service a request is for.
+/// How requests are distributed over the services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Demand {
-    /// In proportion to the servers of a service.
+    /// In proportion to the number of servers of each service.
     ByServers,
-    /// All services alike.
+    /// Evenly over all services.
     Even,
 }
 
-/// What clients request of one ingress.
+/// The requests that clients send to one ingress.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLoad {
-    /// Requests a second.
+    /// The mean number of requests per second; the intervals are exponentially distributed.
     pub rate: f64,
-    /// Tenants, whose requests are as many.
+    /// The number of tenants; each request is from a random one.
     pub tenants: usize,
-    /// Which services they are for.
+    /// How the requests are distributed over the services.
     pub demand: Demand,
 }
 
-/// What has gone in and out of an ingress, and what became of its requests.
+/// Statistics of the traffic of an ingress and of the results of its requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Calls to the counter.
+    /// The number of calls to the counter.
     pub counter_calls: u64,
-    /// Bytes of the calls.
+    /// The bytes of the calls to the counter.
     pub counter_bytes_out: u64,
-    /// Bytes of the counter's replies.
+    /// The bytes of the counter's replies.
     pub counter_bytes_in: u64,
-    /// Bytes of endpoint lists.
+    /// The bytes of the lines received from discovery.
     pub list_bytes_in: u64,
-    /// Attempts started at servers.
+    /// The number of attempts, including those at servers that the engine has removed.
     pub attempts: u64,
-    /// Attempts that could not connect.
+    /// The number of attempts that could not connect.
     pub failed_attempts: u64,
-    /// Health checks started at servers.
+    /// The number of health checks that were started.
     pub health_checks: u64,
-    /// Requests served.
+    /// The number of requests that were served.
     pub served: u64,
-    /// Requests rejected.
+    /// The number of requests that were rejected.
     pub rejected: u64,
-    /// Requests failed.
+    /// The number of requests that failed after they had been accepted.
     pub failed: u64,
 }
 
 impl Traffic {
-    /// Requests that have ended.
+    /// Returns the number of requests that were served, rejected, or failed.
     #[must_use]
     pub fn ended(&self) -> u64 {
         self.served + self.rejected + self.failed
     }
 
-    /// Requests that were rejected or failed, in percent of those that have ended.
+    /// Returns the percentage of rejected and failed requests among all ended requests; 0 if none
+    /// has ended.
     #[must_use]
     pub fn not_served_percent(&self) -> f64 {
         100.0 * (self.rejected + self.failed) as f64 / self.ended().max(1) as f64
     }
 
-    /// Attempts that could not connect, in percent of all.
+    /// Returns the percentage of attempts that could not connect; 0 if there were no attempts.
     #[must_use]
     pub fn failed_attempts_percent(&self) -> f64 {
         100.0 * self.failed_attempts as f64 / self.attempts.max(1) as f64
--- a/crates/testbed/src/scale/targets.rs
+++ b/crates/testbed/src/scale/targets.rs
@@ -1,30 +1,30 @@
-//! The planned size of the platform, and what control may cost each ingress there.
+//! The planned size of the platform, and the budget of each ingress for control traffic.
 
 use std::time::Duration;
 
-/// Ingresses.
+/// The number of ingresses.
 pub const INGRESSES: usize = 4_300;
-/// Form servers.
+/// The number of form servers.
 pub const SERVERS: usize = 54_000;
-/// Services.
+/// The number of services that the form servers are divided into.
 pub const SERVICES: usize = 3_200;
-/// Servers of the largest service.
+/// The number of servers of the largest service.
 pub const LARGEST_SERVICE: usize = 2_000;
-/// Routes.
+/// The number of routes to the services.
 pub const ROUTES: usize = 11_000;
-/// Tenants, each with its own quota.
+/// The number of tenants, each with its own quota.
 pub const TENANTS: usize = 95_000;
-/// Requests a second at one ingress at the peak, in the mean.
+/// The mean number of requests per second at an ingress at peak time.
 pub const REQUESTS_PER_INGRESS: f64 = 256.0;
-/// Servers and ingresses that are restarted or replaced on an ordinary day.
+/// The number of servers and ingresses that are restarted or replaced on an ordinary day.
 pub const RESTARTS_A_DAY: f64 = 6_000.0;
-/// Changes of configuration a day.
+/// The number of configuration changes per day.
 pub const CHANGES_A_DAY: f64 = 21_000.0;
-/// Machines set aside for control.
+/// The number of machines that are reserved for the control plane.
 pub const CONTROL_MACHINES: usize = 9;
-/// Bytes a second that control may move at each ingress.
-pub const BYTES_PER_SECOND: f64 = 12_000.0;
-/// Time in which a started ingress is ready.
-pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Seconds of a day.
+/// The maximum rate of control traffic at each ingress.
+pub const MAX_CONTROL_BYTES_PER_SECOND: f64 = 12_000.0;
+/// The maximum time from the start of an ingress until it is ready.
+pub const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
+/// The number of seconds in a day, for rates per second.
 pub const SECONDS_A_DAY: f64 = 86_400.0;
--- a/crates/testbed/src/scale/topology.rs
+++ b/crates/testbed/src/scale/topology.rs
@@ -1,70 +1,71 @@
-//! The servers of a platform: their division into services, their addresses, and the daemon's files
-//! that name them.
+//! The division of servers into services, the addresses of the servers, and the files of the daemon
+//! that contain both.
 
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Where the first network of servers begins.
+/// The first address of the first network of servers.
 const FIRST_NETWORK: u32 = u32::from_be_bytes([127, 1, 0, 0]);
-/// Servers in one network of 256 addresses: all but its first and last address.
-const NETWORK_SERVERS: u32 = 254;
-/// Addresses of a network.
-const NETWORK_SIZE: u32 = 256;
-/// Descriptors of the daemon.
+/// The number of servers in a network; its first and last address are not used.
+const SERVERS_PER_NETWORK: u32 = 254;
+/// The number of addresses in a network.
+const ADDRESSES_PER_NETWORK: u32 = 256;
+/// The file descriptor limit in the daemon's configuration.
 const DESCRIPTORS: usize = 4096;
-/// Memory in the daemon's configuration, in MB.
+/// The memory limit in the daemon's configuration.
 const MEMORY_MB: usize = 192;
-/// Bisections for the exponent of a long tail.
-const BISECTIONS: usize = 60;
-/// The steepest long tail.
-const STEEPEST_EXPONENT: f64 = 8.0;
+/// The number of bisections to find the exponent of the power law.
+const BISECTION_STEPS: usize = 60;
+/// The upper end of the range in which the exponent of the power law is searched.
+const MAX_EXPONENT: f64 = 8.0;
 
-/// One service.
+/// A service, which owns a range of consecutive networks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Service {
-    /// Its servers.
+    /// The number of servers.
     pub servers: u32,
-    /// Number of its first network; the others follow it.
+    /// The index of the first network of the service.
     first_network: u32,
 }
 
 impl Service {
     fn networks(&self) -> u32 {
-        self.servers.div_ceil(NETWORK_SERVERS)
+        self.servers.div_ceil(SERVERS_PER_NETWORK)
     }
 
-    /// Its networks, as the operator's file has them.
+    /// Returns the networks of the service in the notation of the operator's file.
     pub(crate) fn network_names(&self) -> impl Iterator<Item = String> + '_ {
         (0..self.networks()).map(|network| {
-            let first = FIRST_NETWORK + (self.first_network + network) * NETWORK_SIZE;
+            let first = FIRST_NETWORK + (self.first_network + network) * ADDRESSES_PER_NETWORK;
             format!("{}/24", Ipv4Addr::from(first))
         })
     }
 
-    /// Where its servers listen.
+    /// Returns the addresses of the servers.
     pub(crate) fn addresses(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
         (0..self.servers).map(|number| {
-            let network = self.first_network + number / NETWORK_SERVERS;
-            let host = 1 + number % NETWORK_SERVERS;
-            Ipv4Addr::from(FIRST_NETWORK + network * NETWORK_SIZE + host)
+            let network = self.first_network + number / SERVERS_PER_NETWORK;
+            let host = 1 + number % SERVERS_PER_NETWORK;
+            Ipv4Addr::from(FIRST_NETWORK + network * ADDRESSES_PER_NETWORK + host)
         })
     }
 }
 
-/// Servers by service; each service has networks of its own.
+/// The services of a platform with their servers and routes.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceTopology {
-    /// The services, the largest first.
+    /// The services, in descending order of size.
     pub services: Vec<Service>,
-    /// Routes; the n-th names the service of number n modulo the number of services.
+    /// The number of routes. Route n belongs to service n modulo the number of services.
     pub routes: u32,
-    /// Does the operator's file name services?
+    /// Whether the operator's file has a `services` section.
     pub named: bool,
 }
 
 impl ServiceTopology {
-    /// All servers in one service without a name, as without a section on services.
+    /// Puts all servers in one unnamed service, for an operator's file without a `services`
+    /// section.
     pub(crate) fn unnamed(servers: u32) -> ServiceTopology {
         ServiceTopology {
             named: false,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// So many servers in this many services by a power law, the largest of this size.
+    /// Divides `servers` servers into `services` services whose sizes follow a power law; the first
+    /// has `largest` servers.
     pub(crate) fn long_tail(
         servers: u32,
         services: u32,
@@ -99,35 +101,35 @@
         }
     }
 
-    /// The number of a server's address among those of all networks; none for an address below
-    /// them.
+    /// Returns the index of an address among the addresses of all networks; `None` for an address
+    /// below the first network.
     pub(crate) fn slot(address: Ipv4Addr) -> Option<usize> {
         u32::from(address)
             .checked_sub(FIRST_NETWORK)
             .map(|slot| slot as usize)
     }
 
-    /// The number of addresses of all networks.
+    /// Returns an exclusive upper bound of [`ServiceTopology::slot`] for the addresses of servers.
     pub(crate) fn slots(&self) -> usize {
         let networks: u32 = self.services.iter().map(Service::networks).sum();
-        ((networks + 1) * NETWORK_SIZE) as usize
+        ((networks + 1) * ADDRESSES_PER_NETWORK) as usize
     }
 
-    /// An address that no server has, in the last network of the last service.
+    /// Returns an address in the last network of the last service that no server uses.
     pub(crate) fn spare_address(&self) -> Ipv4Addr {
         let last = self
             .services
             .last()
             .map_or(0, |service| service.first_network + service.networks() - 1);
-        Ipv4Addr::from(FIRST_NETWORK + last * NETWORK_SIZE + NETWORK_SIZE - 1)
+        Ipv4Addr::from(FIRST_NETWORK + last * ADDRESSES_PER_NETWORK + ADDRESSES_PER_NETWORK - 1)
     }
 
-    /// The routes that name a service.
+    /// Returns the routes of a service.
     pub(crate) fn routes_of(&self, service: u32) -> impl Iterator<Item = u32> {
         (service..self.routes).step_by(self.services.len())
     }
 
-    /// The complete endpoint list, as discovery sends it.
+    /// Returns the complete endpoint list in the encoding of discovery.
     pub(crate) fn list(&self, port: u16) -> Value {
         let addresses = self.services.iter().flat_map(Service::addresses);
         let targets: Vec<Value> = addresses
@@ -136,7 +138,8 @@
         json!({"rev": 1, "all": true, "targets": targets})
     }
 
-    /// The daemon's configuration; `known` is the endpoint list that it has at its start.
+    /// Returns the daemon's configuration; `known` is the endpoint list that the daemon has at
+    /// startup.
     pub(crate) fn configuration(
         &self,
         counter: Option<SocketAddr>,
@@ -153,17 +156,17 @@
         .to_string()
     }
 
-    /// The operator's file: services with their networks and routes, where they are named.
+    /// Returns the operator's file, with the networks and routes of the services if they are named.
     pub(crate) fn operator_file(&self) -> String {
         self.operator_file_of("s")
     }
 
-    /// The same with other names of services: this prefix and a number.
+    /// Returns the operator's file with services named by this prefix and an index.
     pub(crate) fn operator_file_of(&self, prefix: &str) -> String {
         self.file(prefix, |route| route % self.services.len() as u32)
     }
 
-    /// The same with each route moved to the service after its own.
+    /// Returns the operator's file with each route moved to the next service.
     pub(crate) fn operator_file_moved(&self) -> String {
         self.file("s", |route| (route + 1) % self.services.len() as u32)
     }
@@ -193,13 +196,14 @@
     }
 }
 
-/// One server as discovery encodes it.
+/// Returns the endpoint list entry of a server in the encoding of discovery.
 pub(crate) fn target(address: Ipv4Addr, port: u16, state: &str, boot_ms: f64) -> Value {
     json!({"uid": format!("s-{address}"), "endpoint": SocketAddr::from((address, port)).to_string(), "az": "lab",
         "model": "m", "pod_group": u32::from(address) as u16, "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms})
 }
 
-/// Sizes of this sum that fall by a power of their rank from the largest on, each at least 1.
+/// Returns `count` sizes with this sum. The size decreases from `largest` by a power of its rank
+/// and is at least 1.
 fn long_tail(sum: u32, count: u32, largest: u32) -> Vec<u32> {
     let sizes_by = |exponent: f64| {
         let size = |rank: u32| {
@@ -210,8 +214,8 @@
         (1..=count).map(size).collect::<Vec<_>>()
     };
     let mut flat = 0.0;
-    let mut steep = STEEPEST_EXPONENT;
-    for _ in 0..BISECTIONS {
+    let mut steep = MAX_EXPONENT;
+    for _ in 0..BISECTION_STEPS {
         let middle = (flat + steep) / 2.0;
         let total: u64 = sizes_by(middle).into_iter().map(u64::from).sum();
         if total > u64::from(sum) {
@@ -222,7 +226,7 @@
     }
     let mut sizes = sizes_by(steep);
     let missing = sum.saturating_sub(sizes.iter().sum());
-    // Servers left by rounding go to the services after the largest, one each.
+    // The servers that remain due to rounding are distributed over the services after the largest.
     let receivers = (sizes.len() - 1).max(1);
     for number in 0..missing as usize {
         let receiver = sizes.len().min(2) - 1 + number % receivers;
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -174,12 +174,12 @@
 #[test]
 fn quota_cost_is_independent_of_the_number_of_tenants() {
     let report = run(Role::Quotas, &[10, 4_000], 3);
-    let request = ratio(&report, "processor time a request", 4_000, 10);
+    let request = ratio(&report, "processor time per request", 4_000, 10);
     assert!(
         request < 12.0,
         "{request:.1} times as much with 4,000 tenants as with 10: a walk is 400"
     );
-    let calls = ratio(&report, "bytes of a call", 4_000, 10);
+    let calls = ratio(&report, "bytes per call", 4_000, 10);
     assert!(
         (0.9..1.1).contains(&calls),
         "a call's bytes do not grow with the tenants: {calls:.2}"
@@ -191,7 +191,7 @@
     let report = run(Role::Membership, &[10, 60], 1);
     let bytes = ratio(
         &report,
-        "fleet at rest: bytes of a member, in and out",
+        "idle fleet: bytes per member, received and sent",
         60,
         10,
     );
@@ -237,7 +237,7 @@
 #[test]
 fn counter_and_discovery_bytes_of_an_ingress_are_constant() {
     let report = run(Role::Counter, &[3, 90], 1);
-    let bytes = ratio(&report, "bytes of an ingress, to and from", 90, 3);
+    let bytes = ratio(&report, "bytes per ingress, sent and received", 90, 3);
     assert!(
         (0.8..1.25).contains(&bytes),
         "{bytes:.2} times the bytes of an ingress among 90"
@@ -265,7 +265,7 @@
     };
     let report = roseyard_testbed::scale::zone_returns(&run);
     let mean = report
-        .figure("zone: sends at a cold server in its first 3 s, mean")
+        .figure("zone: attempts at a cold server in its first 3 s, mean")
         .and_then(|figure| figure.at(10));
     // A cold server may get 0.15 of its capacity, times an overload multiple of 3, for 3 s.
     assert!(
