--- a/crates/testbed/src/fleet/wait.rs
+++ b/crates/testbed/src/fleet/wait.rs
@@ -69,7 +69,7 @@
         };
         let found: Vec<String> = (0..self.members.len()).map(read).collect();
         Err(io::Error::other(format!(
-            "not within {max_wait:?}: {expectation}; status files:\n{}",
+            "condition not met within {max_wait:?}: {expectation}; status files:\n{}",
             found.join("\n")
         )))
     }
--- a/crates/testbed/src/scenario/parser.rs
+++ b/crates/testbed/src/scenario/parser.rs
@@ -82,7 +82,7 @@
     },
     /// A minimum delay that does not exceed the maximum delay.
     #[error("least= exceeds most=")]
-    MinDelayAtMostMax,
+    OrderedDelays,
 }
 
 impl Scenario {
@@ -281,7 +281,7 @@
             delay: (delay("least")?, delay("most")?),
         };
         if rules.delay.0 > rules.delay.1 {
-            return Err(self.error(Expected::MinDelayAtMostMax));
+            return Err(self.error(Expected::OrderedDelays));
         }
         Ok(FaultAction::Net(direction, rules))
     }
