--- a/crates/testbed/src/cli/fleet.rs
+++ b/crates/testbed/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! `roseyard-testbed fleet`: a scenario of faults on a fleet of real daemons.
+//! `roseyard-testbed fleet`: runs a fault scenario against a fleet of real daemons.
 
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
 use roseyard_testbed::checker::{Verdict, Violation};
@@ -10,17 +10,18 @@
 use std::io;
 use std::path::PathBuf;
 
+/// The arguments of `roseyard-testbed fleet`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct FleetArgs {
-    /// The scenario (KDL).
+    /// The scenario file (KDL).
     pub(super) scenario: PathBuf,
-    /// The daemon's program; by default the one beside this one.
+    /// Path of the daemon's executable; by default `roseyard-ingress` in this program's directory.
     #[arg(long)]
     pub(super) daemon: Option<PathBuf>,
-    /// Replaces the scenario's seed.
+    /// Seed to use instead of the scenario's.
     #[arg(long)]
     pub(super) seed: Option<u64>,
-    /// The result as JSON.
+    /// Print the result as JSON instead of tables.
     #[arg(long)]
     pub(super) json: bool,
 }
@@ -29,7 +30,7 @@
     let scenario = read_scenario(args)?;
     let program = daemon_program(args.daemon.as_deref())?;
     eprintln!(
-        "{} daemons for {:?}, seed {}",
+        "running {} daemons for {:?} with seed {}",
         scenario.members, scenario.duration, scenario.seed
     );
     let report = scenario::run(&scenario, program, |line| eprintln!("{line}"))?;
@@ -40,7 +41,7 @@
     }
     match report.verdict.violations.len() {
         0 => Ok(()),
-        violated => Err(io::Error::other(format!("{violated} rules broken"))),
+        violated => Err(io::Error::other(format!("{violated} rules violated"))),
     }
 }
 
@@ -81,13 +82,13 @@
     let mut views = Table::new();
     views
         .load_preset(ASCII_MARKDOWN)
-        .set_header(["by", "of", "standing"]);
+        .set_header(["observer", "member", "standing"]);
     for view in &report.membership_views {
         views.add_row([&view.observer, &view.member, &view.state]);
     }
     println!("{views}");
     for violation in &report.verdict.violations {
-        println!("broken: {violation}");
+        println!("violated: {violation}");
     }
 }
 
@@ -97,7 +98,7 @@
     let mut table = Table::new();
     table
         .load_preset(ASCII_MARKDOWN)
-        .set_header(names.into_iter().chain(["rules broken"]));
+        .set_header(names.into_iter().chain(["rules violated"]));
     table.add_row(counts.iter().map(u64::to_string).chain([violations]));
     table
 }
--- a/crates/testbed/src/cli/flood.rs
+++ b/crates/testbed/src/cli/flood.rs
@@ -1,4 +1,4 @@
-//! `roseyard-testbed flood`: clients without a flood, then under each shape of flood.
+//! `roseyard-testbed flood`: measures clients without a flood, then under each kind of flood.
 
 use super::parse_rate;
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
@@ -17,10 +17,10 @@
 const FORM_SERVERS: usize = 12;
 const CUSTOMERS: u64 = 60;
 const CLIENT_ADDRESSES: u8 = 20;
-/// Load before the first measurement.
+/// Duration of the load before the first measurement.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// From the start of a flood to the measurement under it.
-const FLOOD_LEAD: Duration = Duration::from_secs(1);
+/// Time from the start of a flood to the start of the measurement.
+const FLOOD_LEAD_TIME: Duration = Duration::from_secs(1);
 const DEFAULT_SHAPES: [FloodShape; 7] = [
     FloodShape::Silent,
     FloodShape::Drip,
@@ -32,57 +32,58 @@
 ];
 const COLUMNS: [&str; 14] = [
     "flood",
-    "asked",
+    "requests",
     "served",
-    "refused",
+    "rejected",
     "failed",
     "p50 ms",
     "p99 ms",
     "p99 / baseline",
     "connections",
-    "told",
+    "busy replies",
     "connect failed",
     "cpu %",
     "cpu us / connection",
     "rss MiB",
 ];
 
+/// The arguments of `roseyard-testbed flood`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct FloodArgs {
-    /// The daemon's program; by default the one beside this one.
+    /// Path of the daemon's executable; by default `roseyard-ingress` in this program's directory.
     #[arg(long)]
     pub(super) daemon: Option<PathBuf>,
-    /// The operator's file; none for a program that takes none.
+    /// The operator's file; omit it for a daemon that does not support one.
     #[arg(long)]
     pub(super) settings: Option<PathBuf>,
-    /// Descriptors of the daemon.
+    /// Maximum number of file descriptors that the daemon may use.
     #[arg(long, default_value_t = 384)]
     pub(super) sockets: usize,
-    /// Shapes of flood, one after another.
+    /// Kinds of flood to run, one after another.
     #[arg(long, value_enum, value_delimiter = ',', default_values_t = DEFAULT_SHAPES)]
     pub(super) shapes: Vec<FloodShape>,
-    /// New connections a second of the flood.
+    /// New connections per second that the flood opens.
     #[arg(long, default_value_t = 3000.0, value_parser = parse_rate)]
     pub(super) flood_rate: f64,
-    /// Connections that the flood holds at most.
+    /// Maximum number of connections that the flood holds open.
     #[arg(long, default_value_t = 4000)]
     pub(super) flood_most: usize,
-    /// Addresses that the flood comes from.
+    /// Number of source addresses of the flood.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     pub(super) flood_from: u32,
-    /// Requests a second of the clients.
+    /// Requests per second that the clients send.
     #[arg(long, default_value_t = 200.0, value_parser = parse_rate)]
     pub(super) rate: f64,
-    /// Share of these after which the connection is closed.
+    /// Share of the clients' requests, from 0 to 1, after which the connection is closed.
     #[arg(long, default_value_t = 0.0)]
     pub(super) fresh: f64,
-    /// Seconds of each measured interval.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=600))]
     pub(super) seconds: u64,
     /// Service time of a form server, in milliseconds.
     #[arg(long, default_value_t = 20)]
     pub(super) work_ms: u64,
-    /// For the clients' times.
+    /// Seed of the clients' request times and customers.
     #[arg(long, default_value_t = 11)]
     pub(super) seed: u64,
 }
@@ -99,13 +100,13 @@
         max_descriptors: args.sockets,
     };
     println!(
-        "{} descriptors, {} requests a second ({} on connections that close), flood of {} connections a second from {} addresses, seed {}",
+        "{} descriptors, {} requests per second (share that closes its connection: {}), flood of {} connections per second from {} addresses, seed {}",
         args.sockets, args.rate, args.fresh, args.flood_rate, args.flood_from, args.seed
     );
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header(COLUMNS);
     for shape in &args.shapes {
-        // A daemon for each shape, so that what one flood leaves behind does not affect the next.
+        // Each kind of flood gets a new daemon, so that no state of the previous flood affects it.
         let daemon = Daemon::start(&launch, &platform)?;
         let trial = Trial {
             args,
@@ -121,7 +122,8 @@
     Ok(())
 }
 
-/// A thread for each side, so that a flood does not slow the clients that are measured.
+/// The runtimes of the platform, the clients and the flood. Each has its own thread, so that the
+/// flood does not delay the measured clients.
 struct Runtimes {
     platform: Runtime,
     clients: Runtime,
@@ -138,23 +140,24 @@
     }
 }
 
-/// What one measured interval has shown.
+/// The results of one measurement.
 struct Measurement {
+    /// The kind of flood, or "none".
     name: String,
     outcome: LoadOutcome,
-    /// Processor time of the daemon.
+    /// CPU time that the daemon used during the measurement.
     cpu_time: Duration,
     duration: Duration,
     rss_kib: u64,
-    /// Connections that the flood made in the interval.
+    /// Connections that the flood opened during the measurement.
     connected: u64,
-    /// `-BUSY` replies to the flood since it began.
+    /// `-BUSY` replies to the flood since its start.
     busy_replies: u64,
-    /// Connects of the flood that failed since it began.
+    /// Failed connection attempts of the flood since its start.
     connect_failures: u64,
 }
 
-/// One shape of flood on a daemon of its own.
+/// The measurements of one kind of flood, on a daemon of its own.
 struct Trial<'a> {
     args: &'a FloodArgs,
     runtimes: &'a Runtimes,
@@ -163,7 +166,7 @@
 }
 
 impl Trial<'_> {
-    /// Measures without and under the flood; the rows of the table.
+    /// Measures the clients without the flood and then under it; returns a table row for each.
     fn run(&self, shape: FloodShape) -> io::Result<[Vec<String>; 2]> {
         self.run_client_load(self.args.seed + 1, WARM_UP);
         let baseline = self.measure("none")?;
@@ -180,10 +183,10 @@
             Arc::clone(&stop),
             Arc::clone(&self.counters),
         ));
-        std::thread::sleep(FLOOD_LEAD);
+        std::thread::sleep(FLOOD_LEAD_TIME);
         let under_flood = self.measure(&format!("{shape:?}"))?;
         stop.store(true, Ordering::Relaxed);
-        // A flood that panicked has made no more connections, which the table shows.
+        // If the flood panicked, the table shows fewer connections.
         let _ = self.runtimes.flood.block_on(flood_task);
         Ok([baseline.row(&baseline), under_flood.row(&baseline)])
     }
@@ -226,13 +229,13 @@
         self.outcome.latency_from_due.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// The share of the requests that these are.
+    /// Returns the ratio of this count to all requests, as text.
     fn ratio(&self, requests: u64) -> String {
         let ratio = requests as f64 / self.outcome.requests.max(1) as f64;
         format!("{ratio:.4}")
     }
 
-    /// The cells of [`COLUMNS`], compared with the measurement without a flood.
+    /// Returns the cells of [`COLUMNS`]; `baseline` is the measurement without a flood.
     fn row(&self, baseline: &Measurement) -> Vec<String> {
         let p99_ratio = self.latency_ms(0.99) / baseline.latency_ms(0.99).max(0.001);
         let extra_cpu_time = self.cpu_time.saturating_sub(baseline.cpu_time);
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `roseyard-testbed`.
 
 mod fleet;
 mod flood;
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use std::io;
 
-/// Fakes, load and floods around the real daemon, on loopback.
+/// Tests and measures the real daemon on loopback, with fake servers, client load and floods.
 #[derive(Debug, Parser)]
 #[command(name = "roseyard-testbed", version)]
 pub(crate) struct Cli {
@@ -18,16 +18,16 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Clients without a flood, then under each shape of flood.
+    /// Measure clients without a flood, then under each kind of flood.
     Flood(flood::FloodArgs),
-    /// A fleet of real daemons through a scenario of faults, checked by what clients and form
+    /// Run a fault scenario against a fleet of real daemons, and check what clients and form
     /// servers observed.
     Fleet(fleet::FleetArgs),
-    /// Real daemons that are restarted, reloaded, paused and killed by a seeded plan, under clients
-    /// that keep their connections.
+    /// Restart, reload, pause and kill real daemons in a seeded random order, while clients keep
+    /// their connections open.
     Soak(soak::SoakArgs),
-    /// What each role costs by size: simulated ingresses, the real state machines and codecs in
-    /// virtual time.
+    /// Measure the cost of each role at several sizes, with simulated ingresses that run the real
+    /// state machines and codecs in virtual time, or with the real daemon.
     #[command(after_help = scale::EXAMPLES)]
     Scale(scale::ScaleArgs),
 }
@@ -44,16 +44,16 @@
     }
 }
 
-/// A rate on the command line that is not allowed.
+/// Why a rate on the command line was rejected. clap's message adds the value and the argument.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 enum RateError {
-    #[error("not a number")]
+    #[error("expected a number")]
     NotANumber,
-    #[error("a rate from 0.1 to 100000")]
+    #[error("expected a rate from 0.1 to 100000 per second")]
     OutOfRange,
 }
 
-/// Events a second.
+/// Parses a rate in events per second.
 fn parse_rate(text: &str) -> Result<f64, RateError> {
     let rate = text.parse().map_err(|_| RateError::NotANumber)?;
     if (0.1..=100_000.0).contains(&rate) {
--- a/crates/testbed/src/cli/scale.rs
+++ b/crates/testbed/src/cli/scale.rs
@@ -1,4 +1,4 @@
-//! `roseyard-testbed scale`: what each role costs by size.
+//! `roseyard-testbed scale`: measures the cost of each role at several sizes.
 
 use super::{parse_rate, Cli};
 use clap::CommandFactory;
@@ -9,56 +9,59 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 
+/// Shown at the end of the command's help.
 pub(super) const EXAMPLES: &str = "Examples:
   roseyard-testbed scale --role decision --sizes 17,1000,54000
   roseyard-testbed scale --role daemon --daemon-before old/roseyard-ingress --services --repeats 3
   roseyard-testbed scale --role all --json scale.json";
 
+/// The arguments of `roseyard-testbed scale`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct ScaleArgs {
-    /// What is measured.
+    /// The role to measure.
     #[arg(long, value_enum, default_value = "all")]
     pub(super) role: Role,
-    /// Sizes, such as 17,1000,54000: servers, tenants, members, addresses, routes or ingresses, by
-    /// the role; each role has its own if none are given.
+    /// Sizes to measure, such as 17,1000,54000. Depending on the role, a size is a number of
+    /// servers, tenants, members, addresses, routes or ingresses. Each role has its own default.
     #[arg(long, value_delimiter = ',')]
     pub(super) sizes: Vec<usize>,
-    /// Virtual seconds of a sample; with '--role daemon' or 'faults' real seconds of load.
+    /// Virtual seconds per sample; with '--role daemon' or 'faults', real seconds of load.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=600))]
     pub(super) seconds: u64,
-    /// Samples at each size.
+    /// Number of samples at each size.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=100))]
     pub(super) repeats: u16,
-    /// With '--role daemon' or 'faults': the daemon's program; by default the one beside this one.
+    /// With '--role daemon' or 'faults': path of the daemon's executable; by default
+    /// `roseyard-ingress` in this program's directory.
     #[arg(long)]
     pub(super) daemon: Option<PathBuf>,
-    /// With '--role daemon': an earlier version of it, measured alternately with the other.
+    /// With '--role daemon': path of an earlier version of the daemon, measured for comparison.
     #[arg(long)]
     pub(super) daemon_before: Option<PathBuf>,
-    /// Divide the servers into services, 3,200 of them at full size; with the roles decision, list,
-    /// quotas, events and daemon.
-    /// With '--role daemon': measure that too. '--role all' measures both.
+    /// Divide the servers into services, of which there are 3,200 at full size. Applies to the
+    /// roles decision, list, quotas, events and daemon. '--role daemon' then measures both one
+    /// service and many; '--role all' always measures both.
     #[arg(long)]
     pub(super) services: bool,
-    /// With '--role daemon': measure 1 and 95,000 tenants too, at the greatest size.
+    /// With '--role daemon': also measure 1 and 95,000 tenants, at the largest size.
     #[arg(long)]
     pub(super) all_tenants: bool,
     /// With '--role daemon': run without a shared counter.
     #[arg(long)]
     pub(super) without_counter: bool,
-    /// With '--role daemon': the settings forbid health checks of servers.
+    /// With '--role daemon': disable health checks of servers in the platform's settings.
     #[arg(long)]
     pub(super) without_probes: bool,
-    /// With '--role daemon': servers close a connection once they have answered a request on it.
+    /// With '--role daemon': servers close a connection after they have answered a request on it.
     #[arg(long)]
     pub(super) servers_close: bool,
-    /// With '--role daemon': requests a second.
+    /// With '--role daemon': requests per second.
     #[arg(long, default_value_t = 256.0, value_parser = parse_rate)]
     pub(super) rate: f64,
-    /// With '--role daemon': ingresses through which each tenant's requests come.
+    /// With '--role daemon': number of ingresses that each tenant's requests are spread over.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=4_300))]
     pub(super) spread: u32,
-    /// Where the figures are written as JSON; - for the standard output, in place of the tables.
+    /// File to write the figures to as JSON; - prints JSON on standard output, without tables.
     #[arg(long)]
     pub(super) json: Option<PathBuf>,
     /// Seed of all random numbers.
@@ -92,7 +95,7 @@
     Ok(())
 }
 
-/// What the role is run with; ends the program if the sizes are not allowed.
+/// Returns the options of the role's run; exits with a usage error if the sizes are invalid.
 fn run_options(args: &ScaleArgs) -> RunOptions {
     let sizes = args.role.sizes(&args.sizes).unwrap_or_else(|error| {
         Cli::command()
@@ -121,7 +124,7 @@
     }
     match findings.iter().filter(|finding| !finding.kept).count() {
         0 => Ok(()),
-        violated => Err(io::Error::other(format!("{violated} rules broken"))),
+        violated => Err(io::Error::other(format!("{violated} rules violated"))),
     }
 }
 
@@ -142,14 +145,15 @@
     })
 }
 
-/// All roles with one service, and those that can be divided into services with them too.
+/// Returns each role with the value of `--services`: every role without it, and the roles that
+/// support it also with it.
 fn role_runs() -> impl Iterator<Item = (Role, bool)> {
     Role::each()
         .flat_map(|role| [(role, false), (role, true)])
         .filter(|(role, services)| !services || scale::SERVICE_ROLES.contains(role))
 }
 
-/// Runs a role in a process of its own, so that the memory of one role does not add to the next.
+/// Runs a role in a child process, so that the memory of one role is not counted for the next.
 fn run_in_child_process(args: &ScaleArgs, role: Role, services: bool) -> io::Result<RoleReport> {
     let output = std::process::Command::new(std::env::current_exe()?)
         .args(["scale", "--role", &role.argument(), "--json", "-"])
@@ -161,7 +165,7 @@
         .output()?;
     if !output.status.success() {
         return Err(io::Error::other(format!(
-            "{}: {}",
+            "measurement of role '{}' failed: {}",
             role.argument(),
             output.status
         )));
--- a/crates/testbed/src/cli/soak.rs
+++ b/crates/testbed/src/cli/soak.rs
@@ -1,4 +1,5 @@
-//! `roseyard-testbed soak`: seeded series of signals to real daemons under kept connections.
+//! `roseyard-testbed soak`: sends seeded random series of signals to real daemons while clients
+//! keep their connections open.
 
 use roseyard_testbed::daemon::daemon_program;
 use roseyard_testbed::soak::{self, SoakOptions, SoakReport};
@@ -6,30 +7,31 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Every so many seeds are played beside a crowd of idle clients.
-const CROWD_SEEDS: u64 = 4;
+/// Seeds that are a multiple of this are run with a crowd of additional idle clients.
+const CROWD_SEED_INTERVAL: u64 = 4;
 
-/// Observations of requests that violated a rule that are printed for each seed.
+/// The maximum number of observations of violating requests that are printed for each seed.
 const MAX_EVIDENCE_LINES: usize = 60;
 
+/// The arguments of `roseyard-testbed soak`.
 #[derive(Debug, clap::Args)]
 pub(crate) struct SoakArgs {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// How many seeds are played, one after the other; each fourth beside a crowd.
+    /// Number of consecutive seeds to run; seeds divisible by 4 add a crowd of idle clients.
     #[arg(long, default_value_t = 1)]
     pub(super) seeds: u64,
-    /// Length of each in seconds.
+    /// Duration of the run of each seed, in seconds.
     #[arg(long, default_value_t = 20)]
     pub(super) seconds: u64,
-    /// Daemons.
+    /// Number of daemons.
     #[arg(long, default_value_t = 3)]
     pub(super) members: usize,
-    /// Clients, each with one connection.
+    /// Number of clients; each has one connection.
     #[arg(long, default_value_t = 48)]
     pub(super) clients: u64,
-    /// The daemon's program; by default the one beside this one.
+    /// Path of the daemon's executable; by default `roseyard-ingress` in this program's directory.
     #[arg(long)]
     pub(super) daemon: Option<PathBuf>,
 }
@@ -43,7 +45,7 @@
             seed,
             members: args.members,
             clients: args.clients,
-            crowd: seed % CROWD_SEEDS == 0,
+            crowd: seed % CROWD_SEED_INTERVAL == 0,
             duration: Duration::from_secs(args.seconds),
         };
         let report = soak::run(&options)?;
@@ -52,7 +54,7 @@
     }
     match violated {
         0 => Ok(()),
-        _ => Err(io::Error::other(format!("{violated} rules broken"))),
+        _ => Err(io::Error::other(format!("{violated} rules violated"))),
     }
 }
 
@@ -64,7 +66,7 @@
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
     println!(
-        "seed {}{}: {}, ended {}, killed {}, rules broken {}",
+        "seed {}{}: {}, exited {}, killed {}, rules violated {}",
         options.seed,
         if options.crowd { " (crowd)" } else { "" },
         counts.join(", "),
@@ -73,7 +75,7 @@
         report.verdict.violations.len()
     );
     for violation in &report.verdict.violations {
-        println!("broken: {violation}");
+        println!("violated: {violation}");
     }
     for event in report.evidence.iter().take(MAX_EVIDENCE_LINES) {
         let at = event.at.as_secs_f64();
--- a/crates/testbed/src/scale/daemon/case.rs
+++ b/crates/testbed/src/scale/daemon/case.rs
@@ -1,43 +1,44 @@
-//! The cases that are measured: a version of the daemon at a size.
+//! The measured cases: each is a version of the daemon at one size.
 
 use super::options::{DaemonOptions, ALL_TENANTS, DEFAULT_TENANTS};
 use crate::scale::targets;
 use crate::scale::topology::ServiceTopology;
 
-/// How servers are divided into services.
+/// How the servers are divided into services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServiceLayout {
-    /// One service without a name, as without a section on services.
+    /// One unnamed service, as when the operator's file has no `services` section.
     Unnamed,
-    /// Services with a long tail, 17 servers in the mean.
+    /// Services whose sizes have a long-tailed distribution, with 17 servers on average.
     LongTail,
 }
 
 /// One version of the daemon at one size.
 #[derive(Clone, Debug)]
 pub(super) struct Case {
-    /// Is it the earlier version?
+    /// Whether this is the earlier version of the daemon.
     pub is_baseline: bool,
-    /// How servers are divided.
+    /// How the servers are divided into services.
     pub layout: ServiceLayout,
-    /// Servers.
+    /// The number of servers.
     pub servers: u32,
-    /// Tenants.
+    /// The number of tenants.
     pub tenants: u64,
 }
 
-/// Cases that differ only in their size, which make one report.
+/// Identifies the cases that differ only in their size and share a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CaseSeries {
-    /// Are they of the earlier version?
+    /// Whether the cases are of the earlier version of the daemon.
     pub is_baseline: bool,
-    /// How servers are divided.
+    /// How the servers are divided into services.
     pub layout: ServiceLayout,
-    /// Are tenants varied, and not servers?
+    /// Whether the number of tenants is varied instead of the number of servers.
     pub tenants_varied: bool,
 }
 
 impl Case {
+    /// Returns the series that the case belongs to.
     pub(super) fn series(&self) -> CaseSeries {
         CaseSeries {
             is_baseline: self.is_baseline,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// What is varied: servers, or tenants.
+    /// Returns the number that is varied in the case's series: servers or tenants.
     pub(super) fn size(&self) -> usize {
         if self.tenants == DEFAULT_TENANTS {
             self.servers as usize
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Services, the largest of them and routes, in proportion to the planned size.
+    /// Returns a topology whose numbers of services and routes and whose largest service are
+    /// proportional to those of the planned size.
     pub(super) fn topology(&self) -> ServiceTopology {
         if self.layout == ServiceLayout::Unnamed {
             return ServiceTopology::unnamed(self.servers);
@@ -72,7 +74,8 @@
     }
 }
 
-/// Each size for each version and layout, and 1 and all tenants at the largest size.
+/// Returns a case for each size, version and layout and, if `all_tenants` is set, further cases
+/// with 1 tenant and with all tenants at the largest size.
 pub(super) fn cases(options: &DaemonOptions) -> Vec<Case> {
     let mut cases = Vec::new();
     for servers in &options.run.sizes {
@@ -87,7 +90,7 @@
     cases
 }
 
-/// The versions follow one another at each size.
+/// Returns the cases of one size, the earlier version first.
 fn cases_of_size(options: &DaemonOptions, servers: u32, tenants: u64) -> Vec<Case> {
     let case = |is_baseline, layout| Case {
         is_baseline,
--- a/crates/testbed/src/scale/daemon/faults/finding.rs
+++ b/crates/testbed/src/scale/daemon/faults/finding.rs
@@ -1,24 +1,24 @@
-//! The faults, and what is found under each.
+//! The faults, and the findings of a run under a fault.
 
 use comfy_table::{presets::ASCII_MARKDOWN, Table};
 use serde::Serialize;
 
-/// A rule, and what was observed of it.
+/// Whether one rule was kept under a fault.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
-    /// The fault.
+    /// The name of the fault.
     pub fault: &'static str,
-    /// The rule.
+    /// The rule that was checked.
     pub rule: String,
     /// What was observed.
     pub seen: String,
-    /// Does it compare times? Whatever else the machine does may violate such a rule.
+    /// Whether the rule compares times, so that other load on the machine may violate it.
     pub timed: bool,
-    /// Was it kept?
+    /// Whether the rule was kept.
     pub kept: bool,
 }
 
-/// Findings as a table in Markdown.
+/// Returns the findings as a Markdown table.
 #[must_use]
 pub fn table(findings: &[Finding]) -> String {
     let mut table = Table::new();
@@ -32,27 +32,27 @@
     table.to_string()
 }
 
-/// A fault of one service, the victim.
+/// A fault that affects one service, the victim, or a change of the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// None but that the daemon has just started.
+    /// No fault: requests arrive directly after the start of the daemon.
     Start,
-    /// All of its servers die.
+    /// All servers of the victim die.
     ServersDie,
-    /// All of its servers drain.
+    /// All servers of the victim drain.
     ServersDrain,
-    /// Its servers die and are removed; then they come back, half of them cold.
+    /// The victim's servers die and are removed; then they come back, half of them cold.
     ComesBackCold,
-    /// Clients flood it.
+    /// Clients flood the victim with requests.
     Flood,
-    /// Routes move between services under load, by SIGHUP.
+    /// Reloads (SIGHUP) move routes between services under load.
     RoutesMove,
-    /// All services are replaced by others, many times, by SIGHUP.
+    /// Reloads (SIGHUP) replace all services by others, many times.
     Churn,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults, in the order in which they are run.
     pub const ALL: [Fault; 7] = [
         Fault::Start,
         Fault::ServersDie,
@@ -63,6 +63,7 @@
         Fault::Churn,
     ];
 
+    /// Returns the name of the fault in reports.
     pub(super) fn name(self) -> &'static str {
         match self {
             Fault::Start => "the daemon has just started",
@@ -75,6 +76,7 @@
         }
     }
 
+    /// Returns a finding under this fault, of a rule that does not compare times.
     pub(super) fn finding(
         self,
         rule: impl Into<String>,
--- a/crates/testbed/src/scale/daemon/faults/flood.rs
+++ b/crates/testbed/src/scale/daemon/faults/flood.rs
@@ -1,11 +1,11 @@
-//! Clients flood one service.
+//! Clients flood one service with requests.
 
 use super::finding::{Fault, Finding};
 use super::testbed::FaultTestbed;
 use crate::scale::daemon::options::DaemonOptions;
 use std::io;
 
-/// Requests a second of the flood.
+/// Requests per second of the flood.
 const FLOOD_RATE: f64 = 2_000.0;
 
 pub(super) fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
--- a/crates/testbed/src/scale/daemon/faults/mod.rs
+++ b/crates/testbed/src/scale/daemon/faults/mod.rs
@@ -1,5 +1,5 @@
-//! Faults of one service on the real daemon, and what clients of the other services observe of
-//! them.
+//! Injects faults of one service into a platform with the real daemon, and checks whether clients
+//! of the other services notice them.
 
 mod finding;
 mod flood;
@@ -14,7 +14,7 @@
 use std::io;
 
 impl Fault {
-    /// Runs it on a daemon of its own.
+    /// Starts a daemon, injects the fault and returns the findings.
     pub fn inject(self, options: &DaemonOptions) -> io::Result<Vec<Finding>> {
         match self {
             Fault::Start => start::run(options),
@@ -28,7 +28,7 @@
     }
 }
 
-/// Runs all faults.
+/// Injects all faults, one after the other, each with a new daemon.
 pub fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let mut findings = Vec::new();
     for fault in Fault::ALL {
--- a/crates/testbed/src/scale/daemon/faults/reload.rs
+++ b/crates/testbed/src/scale/daemon/faults/reload.rs
@@ -1,4 +1,4 @@
-//! The operator's file changes under load, by SIGHUP.
+//! The operator's file is changed and reloaded (SIGHUP) under load.
 
 use super::finding::{Fault, Finding};
 use super::testbed::{FaultTestbed, LARGEST_SERVICE_SERVERS, OTHER_SERVICES_RATE, WARM_UP};
@@ -9,31 +9,34 @@
 use std::io;
 use std::time::Duration;
 
-/// Reloads that move routes.
+/// The number of reloads that move routes.
 const ROUTE_MOVES: u32 = 8;
-/// Time between two of them.
+/// Time between two such reloads.
 const ROUTE_MOVE_INTERVAL: Duration = Duration::from_millis(500);
-const MOVE_SEED_OFFSET: u64 = 3;
-/// Services of each generation.
+/// Added to the seed of the run for the load during the moves.
+const ROUTE_MOVE_SEED_OFFSET: u64 = 3;
+/// The number of services in each generation.
 const CHURN_SERVICES: u32 = 1_000;
+/// The number of times that all services are replaced.
 const CHURN_GENERATIONS: u32 = 100;
-/// The generation at which memory is first read.
+/// The generation after which memory is measured for comparison.
 const CHURN_BASELINE_GENERATION: u32 = 10;
-/// Requests a second while services churn.
+/// Requests per second while services are replaced.
 const CHURN_RATE: f64 = 2_000.0;
+/// Added to the seed of the run for the loads during the churn.
 const CHURN_SEED_OFFSET: u64 = 4;
-/// Largest memory after the churn, as a multiple of the first reading.
+/// The maximum ratio of memory after the last generation to memory after the baseline generation.
 const MAX_CHURN_MEMORY_RATIO: f64 = 1.1;
-/// The daemon logs this if it does not accept a file.
+/// Part of the line that the daemon logs when it rejects an operator's file.
 const FILE_REJECTED: &str = "stays in force";
 
 pub(super) fn routes_move(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let testbed = FaultTestbed::start_warm(options)?;
-    // Idempotent requests would be retried if a server responds late, whatever the routes do.
+    // Idempotent requests are retried if a server responds late, even without a change of routes.
     let all = testbed
-        .load_on_all_services(options, OTHER_SERVICES_RATE, MOVE_SEED_OFFSET)
+        .load_on_all_services(options, OTHER_SERVICES_RATE, ROUTE_MOVE_SEED_OFFSET)
         .non_idempotent();
-    // The daemon has to know the latency of this class too.
+    // The daemon has to have measured latencies of this class too.
     testbed.wait(testbed.spawn_load(&all.with_seed(all.seed + 1), WARM_UP));
     let first_event = testbed.events().len();
     let load_task = testbed.spawn_load(&all, ROUTE_MOVE_INTERVAL * (ROUTE_MOVES + 1));
@@ -42,15 +45,15 @@
     let verdict = check(&testbed.events()[first_event..]);
     Ok(vec![
         Fault::RoutesMove.finding(
-            "every reload is taken",
+            "every reload is accepted",
             format!("{accepted} of {ROUTE_MOVES}"),
             accepted == ROUTE_MOVES,
         ),
         all_served(&outcome, &verdict),
         Fault::RoutesMove.finding(
-            "none is repeated",
+            "no request is executed more than once",
             format!(
-                "{} attempts for {} that were served",
+                "{} attempts for {} served requests",
                 verdict.attempts, verdict.served
             ),
             verdict.attempts == verdict.served,
@@ -58,7 +61,8 @@
     ])
 }
 
-/// Moves the routes to and fro; the number of files that the daemon accepts.
+/// Moves routes to other services and back in turn; returns the number of reloads that the daemon
+/// accepted.
 fn move_routes(testbed: &FaultTestbed) -> io::Result<u32> {
     let mut accepted = 0;
     for number in 0..ROUTE_MOVES {
@@ -79,7 +83,7 @@
     Fault::RoutesMove.finding(
         "every request is served",
         format!(
-            "{} of {} ({} refused, {} failed, rules broken: {violations:?})",
+            "{} of {} ({} rejected, {} failed, rules violated: {violations:?})",
             outcome.served, outcome.requests, outcome.rejected, outcome.failed
         ),
         outcome.requests > 0 && outcome.served == outcome.requests && violations.is_empty(),
@@ -112,8 +116,8 @@
     let ratio = last_kib as f64 / baseline_kib.max(1) as f64;
     let services = CHURN_SERVICES * CHURN_GENERATIONS;
     Ok(vec![Fault::Churn.finding(
-        format!("memory after {services} services within {MAX_CHURN_MEMORY_RATIO} times that after the first tenth"),
-        format!("{ratio:.2} times ({baseline_kib} KiB, {last_kib} KiB), {rejected_files} reloads refused"),
+        format!("memory after {services} services is at most {MAX_CHURN_MEMORY_RATIO} times that after the first tenth"),
+        format!("{ratio:.2} times ({baseline_kib} KiB, {last_kib} KiB), {rejected_files} reloads rejected"),
         rejected_files == 0 && ratio <= MAX_CHURN_MEMORY_RATIO,
     )])
 }
--- a/crates/testbed/src/scale/daemon/faults/servers.rs
+++ b/crates/testbed/src/scale/daemon/faults/servers.rs
@@ -1,4 +1,4 @@
-//! All servers of a service die, drain, or come back cold.
+//! All servers of a service die, drain, or come back with half of them cold.
 
 use super::finding::{Fault, Finding};
 use super::testbed::FaultTestbed;
@@ -8,11 +8,11 @@
 use std::net::Ipv4Addr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time after which a server that was reported as draining gets nothing more.
+/// Time after the report that a server is draining, from which on it gets no more requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
-/// Time over which a cold server is observed.
+/// Duration of the load after cold servers have come back.
 const COLD_LOAD_DURATION: Duration = Duration::from_secs(3);
-/// Largest share of a cold server, compared with a warm one.
+/// The maximum ratio of the attempts at cold servers to those at as many warm ones.
 const MAX_COLD_TO_WARM_RATIO: f64 = 0.5;
 
 pub(super) fn die(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
@@ -50,22 +50,22 @@
     });
     let mut findings = outcomes.findings(fault);
     findings.push(fault.finding(
-        format!("nothing is sent to them {DRAIN_GRACE:?} after they were told"),
+        format!("no requests are sent to a server from {DRAIN_GRACE:?} after it was reported as draining"),
         format!("{late_attempts} requests"),
         late_attempts == 0,
     ));
     Ok(findings)
 }
 
-/// Attempts at the cold servers, and at as many warm ones.
+/// Counts of attempts at the cold servers and at as many warm ones.
 #[derive(Default)]
 struct ColdAttempts {
     cold: u64,
     warm: u64,
 }
 
-/// All servers of the service die and are removed. Then they come back: every second one has just
-/// started.
+/// All servers of the victim die and are removed. Then they come back, and every second one has
+/// just booted.
 pub(super) fn restart_cold_servers(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ComesBackCold;
     let testbed = FaultTestbed::start_warm(options)?;
@@ -80,21 +80,23 @@
     });
     let mut findings = outcomes.findings(fault);
     let ColdAttempts { cold, warm } = attempts;
-    let share = cold as f64 / (warm as f64).max(1.0);
+    let ratio = cold as f64 / (warm as f64).max(1.0);
     findings.push(fault.finding(
         format!(
-            "in {COLD_LOAD_DURATION:?} a cold server gets at most {MAX_COLD_TO_WARM_RATIO} of what a warm one gets"
+            "in {COLD_LOAD_DURATION:?} a cold server gets at most {MAX_COLD_TO_WARM_RATIO} times the requests of a warm one"
         ),
-        format!("{cold} to cold, {warm} to as many warm ones: {share:.2}"),
-        warm > 0 && share <= MAX_COLD_TO_WARM_RATIO,
+        format!("{cold} requests to cold servers, {warm} to as many warm ones: {ratio:.2} times"),
+        warm > 0 && ratio <= MAX_COLD_TO_WARM_RATIO,
     ));
     Ok(findings)
 }
 
+/// Whether the victim's server of this number comes back cold.
 fn is_cold(number: usize) -> bool {
     number.is_multiple_of(2)
 }
 
+/// Kills and removes the victim's servers, and then restores them with half of them just booted.
 fn restart_half_cold(testbed: &FaultTestbed) {
     let service = testbed.victim_service();
     testbed.platform.servers.kill(service.addresses());
@@ -106,7 +108,7 @@
 }
 
 impl ColdAttempts {
-    /// Adds the attempts since this many events.
+    /// Counts the attempts at the victim's servers from `first_event` of the history on.
     fn add(&mut self, testbed: &FaultTestbed, first_event: usize) {
         let addresses: Vec<Ipv4Addr> = testbed.victim_service().addresses().collect();
         for (slot, attempts) in testbed.attempts_at_victim(first_event) {
@@ -122,6 +124,7 @@
     }
 }
 
+/// Returns the current Unix time in milliseconds.
 fn unix_ms() -> f64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/testbed/src/scale/daemon/faults/start.rs
+++ b/crates/testbed/src/scale/daemon/faults/start.rs
@@ -1,4 +1,4 @@
-//! The daemon has just started: requests come before any service was used.
+//! Requests arrive directly after the start of the daemon, before any service has been used.
 
 use super::finding::{Fault, Finding};
 use super::testbed::{FaultTestbed, OTHER_SERVICES_RATE, SERVERS};
@@ -6,8 +6,9 @@
 use crate::scale::targets;
 use std::io;
 
-/// Ingresses of a small platform, in proportion to the planned size.
+/// The number of ingresses that the small platform has in proportion to the planned size.
 const SCALED_INGRESSES: u32 = SERVERS * PLANNED_INGRESSES / targets::SERVERS as u32;
+/// Added to the seed of the run for the load.
 const SEED_OFFSET: u64 = 5;
 
 pub(super) fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
@@ -23,9 +24,9 @@
     let outcome = testbed.wait(testbed.spawn_load(&all, testbed.length()));
     let not_served = outcome.requests - outcome.served;
     Ok(Fault::Start.finding(
-        format!("every request is served, {ingresses} ingresses before {SERVERS} servers"),
+        format!("every request is served with {ingresses} ingresses in front of {SERVERS} servers"),
         format!(
-            "{not_served} of {} not served: {} refused",
+            "{not_served} of {} not served, of which {} rejected",
             outcome.requests, outcome.rejected
         ),
         not_served == 0,
--- a/crates/testbed/src/scale/daemon/faults/testbed.rs
+++ b/crates/testbed/src/scale/daemon/faults/testbed.rs
@@ -1,4 +1,5 @@
-//! A daemon among the fakes, with a load of the service that has the fault, and one of all others.
+//! A daemon with a loopback platform, a load on the service with the fault, the victim, and a load
+//! on all other services.
 
 use super::finding::{Fault, Finding};
 use crate::checker::{Event, Observation};
@@ -17,51 +18,56 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Servers of a small platform.
+/// The number of servers of the small platform that faults are injected into.
 pub(super) const SERVERS: u32 = 340;
+/// The number of services of the small platform.
 const SERVICES: u32 = 20;
-/// Servers of the largest service.
+/// The number of servers of the largest service.
 pub(super) const LARGEST_SERVICE_SERVERS: u32 = 60;
+/// The number of routes of the small platform.
 const ROUTES: u32 = 60;
-/// The service that the fault is of, which is the largest.
-const VICTIM: u32 = 0;
-/// Requests a second of the victim.
+/// The index of the service with the fault, which is the largest service.
+const VICTIM_SERVICE: u32 = 0;
+/// Requests per second to the victim.
 const VICTIM_RATE: f64 = 100.0;
-/// Requests a second of all others together.
+/// Requests per second to all other services together.
 pub(super) const OTHER_SERVICES_RATE: f64 = 256.0;
+/// The number of tenants that send requests.
 const TENANTS: u64 = 400;
-/// Time that a server takes for a request.
+/// Time that a server takes to execute a request.
 const SERVICE_TIME: Duration = Duration::from_millis(2);
-/// Load before a fault.
+/// Duration of the load before a fault.
 pub(super) const WARM_UP: Duration = Duration::from_secs(4);
-/// Largest p99 of the others, as a multiple of that without the fault.
+/// The maximum ratio of the other services' p99 with the fault to that without it.
 const MAX_P99_RATIO: f64 = 1.2;
 
+/// A running daemon and platform with the loads of a fault test.
 pub(super) struct FaultTestbed {
     /// The platform's services.
     pub topology: ServiceTopology,
-    // Dropped before the daemon: clients end before it drains.
+    // Dropped before the daemon, so that clients end before it drains.
     runtimes: Runtimes,
-    /// The fakes.
+    /// The fake platform.
     pub platform: LoopbackPlatform,
-    /// The daemon.
+    /// The daemon under test.
     pub daemon: MeasuredDaemon,
-    /// The load of the victim.
+    /// The load on the victim.
     pub victim: TenantLoad,
+    /// The load on all other services.
     other_services: TenantLoad,
-    /// Real time of one load.
+    /// Real duration of one load.
     length: Duration,
-    /// Pairs of loads in a comparison.
+    /// The number of pairs of loads, without and with the fault, in a comparison.
     repeats: usize,
 }
 
 impl FaultTestbed {
-    /// A daemon whose settings name the planned number of ingresses.
+    /// Starts a small platform and a daemon whose settings state the planned number of ingresses.
     pub(super) fn start(options: &DaemonOptions) -> io::Result<FaultTestbed> {
         FaultTestbed::start_with_ingresses(PLANNED_INGRESSES, options)
     }
 
-    /// A daemon whose settings name this many ingresses.
+    /// Starts a small platform and a daemon whose settings state this number of ingresses.
     pub(super) fn start_with_ingresses(
         ingresses: u32,
         options: &DaemonOptions,
@@ -71,7 +77,7 @@
         FaultTestbed::start_with_topology(options, topology, ingresses)
     }
 
-    /// A daemon whose services have been in use for a while.
+    /// Starts a testbed and sends requests to all services until they are warmed up.
     pub(super) fn start_warm(options: &DaemonOptions) -> io::Result<FaultTestbed> {
         let testbed = FaultTestbed::start(options)?;
         let victim = testbed.spawn_load(&testbed.victim, WARM_UP);
@@ -81,6 +87,8 @@
         Ok(testbed)
     }
 
+    /// Starts a platform of this topology and a daemon whose settings state this number of
+    /// ingresses.
     pub(super) fn start_with_topology(
         options: &DaemonOptions,
         topology: ServiceTopology,
@@ -99,8 +107,8 @@
         let settings = options.settings_for(ingresses);
         let daemon = MeasuredDaemon::start(&options.daemon, &topology, &platform, &settings)?;
         let services = topology.services.len() as u32;
-        let victim_routes = Routes::of(&topology, VICTIM..VICTIM + 1);
-        let other_routes = Routes::of(&topology, VICTIM + 1..services);
+        let victim_routes = Routes::of(&topology, VICTIM_SERVICE..VICTIM_SERVICE + 1);
+        let other_routes = Routes::of(&topology, VICTIM_SERVICE + 1..services);
         Ok(FaultTestbed {
             topology,
             platform,
@@ -113,7 +121,7 @@
         })
     }
 
-    /// A load of all services.
+    /// Returns a load on all services, at `rate` requests per second.
     pub(super) fn load_on_all_services(
         &self,
         options: &DaemonOptions,
@@ -123,16 +131,17 @@
         load(options, rate, seed_offset, Routes::of_all(&self.topology))
     }
 
+    /// Returns the address of the daemon.
     fn address(&self) -> SocketAddr {
         self.daemon.daemon.address
     }
 
-    /// Real time of one load.
+    /// Returns the real duration of one load.
     pub(super) fn length(&self) -> Duration {
         self.length
     }
 
-    /// Plays a load beside what follows.
+    /// Generates a load in the background; its requests are recorded in the history.
     pub(super) fn spawn_load(
         &self,
         load: &TenantLoad,
@@ -147,24 +156,27 @@
         })
     }
 
-    /// Plays a load beside what follows, without waiting for its end.
+    /// Generates a load in the background for [`FaultTestbed::length`], and ignores its outcome.
     pub(super) fn spawn_detached_load(&self, load: &TenantLoad) {
         drop(self.spawn_load(load, self.length));
     }
 
+    /// Waits for a load to end and returns its outcome.
     pub(super) fn wait(&self, load_task: JoinHandle<LoadOutcome>) -> LoadOutcome {
-        // A load that panicked shows as one without requests.
+        // The outcome of a load that panicked has no requests.
         self.runtimes
             .clients
             .block_on(load_task)
             .unwrap_or_default()
     }
 
+    /// Returns the service with the fault.
     pub(super) fn victim_service(&self) -> Service {
-        self.topology.services[VICTIM as usize]
+        self.topology.services[VICTIM_SERVICE as usize]
     }
 
-    /// Has discovery send this state of the victim's servers; `boot_ms` gets the number of each.
+    /// Publishes a state of all the victim's servers through discovery. `boot_ms` returns the boot
+    /// time (Unix time in milliseconds) of the server with a given number.
     pub(super) fn send_victim_state(&self, state: &str, boot_ms: impl Fn(usize) -> f64) {
         let service = self.victim_service();
         let servers = service.addresses().enumerate();
@@ -174,12 +186,13 @@
         self.platform.discovery.send_change(&targets);
     }
 
-    /// What clients and servers observed so far.
+    /// Returns what clients and servers have observed so far.
     pub(super) fn events(&self) -> Vec<Event> {
         self.platform.servers.history.events()
     }
 
-    /// Attempts at the victim's servers since this many events, by the number of their address.
+    /// Returns the numbers of attempts at the victim's servers from `first_event` of the history
+    /// on, by the slot of the server's address.
     pub(super) fn attempts_at_victim(&self, first_event: usize) -> HashMap<usize, u64> {
         let slots: Vec<usize> = self
             .victim_service()
@@ -197,8 +210,8 @@
         attempts
     }
 
-    /// Plays the load of the others without and with a fault in turn; `set_fault` puts it on and
-    /// off.
+    /// Generates the load on the other services without and with the fault in turn. `set_fault` is
+    /// called with `true` to inject the fault and with `false` to remove it.
     pub(super) fn compare(&self, mut set_fault: impl FnMut(bool)) -> PairedOutcomes {
         let mut outcomes = PairedOutcomes::default();
         for pair in 0..self.repeats as u64 {
@@ -227,7 +240,7 @@
     }
 }
 
-/// The outcomes of the others without and with a fault, pair by pair.
+/// The outcomes of the load on the other services without and with the fault, pair by pair.
 #[derive(Default)]
 pub(super) struct PairedOutcomes {
     without_fault: Vec<LoadOutcome>,
@@ -247,6 +260,7 @@
     median(outcomes.iter().map(p99_ms).collect())
 }
 
+/// Returns the number of requests that were not served.
 fn not_served(outcomes: &[LoadOutcome]) -> u64 {
     let not_served = outcomes
         .iter()
@@ -255,7 +269,7 @@
 }
 
 impl PairedOutcomes {
-    /// The others are served, in about the same time.
+    /// Returns findings on whether the other services' requests are served, in about the same time.
     pub(super) fn findings(&self, fault: Fault) -> Vec<Finding> {
         vec![self.all_served(fault), self.p99_unchanged(fault)]
     }
@@ -265,7 +279,7 @@
         let without = not_served(&self.without_fault);
         let with = not_served(&self.with_fault);
         fault.finding(
-            "every request of the others is served",
+            "every request to the other services is served",
             format!("{with} of {requests} not served ({without} without the fault)"),
             with == 0,
         )
@@ -280,8 +294,8 @@
         Finding {
             timed: true,
             ..fault.finding(
-                format!("p99 of the others within {MAX_P99_RATIO} times"),
-                format!("{ratio:.2} times ({without:.2} ms, {with:.2} ms)"),
+                format!("p99 of the other services is at most {MAX_P99_RATIO} times that without the fault"),
+                format!("{ratio:.2} times ({without:.2} ms without the fault, {with:.2} ms with it)"),
                 ratio <= MAX_P99_RATIO,
             )
         }
--- a/crates/testbed/src/scale/daemon/load.rs
+++ b/crates/testbed/src/scale/daemon/load.rs
@@ -1,4 +1,5 @@
-//! What clients request: of tenants evenly, of services by their size.
+//! The requests of clients: evenly distributed over tenants, and over services in proportion to
+//! their sizes.
 
 use crate::checker::History;
 use crate::client_load::{generate_with, LoadOutcome, OpenLoopLoad};
@@ -10,42 +11,42 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Addresses that clients connect from.
+/// The number of addresses that clients connect from.
 const CLIENT_ADDRESSES: u8 = 200;
-/// A service's weight is divided among its routes in integer shares.
-const ROUTE_SHARES: u64 = 1000;
+/// Weight of a service per server; large enough to be divided among its routes in integers.
+const WEIGHT_PER_SERVER: u64 = 1000;
 
-/// A route that is requested.
+/// A route and its cumulative weight.
 #[derive(Clone, Copy, Debug)]
 struct WeightedRoute {
-    /// The sum of the weights up to and with this route.
-    weight_sum: u64,
+    /// The sum of the weights of this route and all routes before it.
+    cumulative_weight: u64,
     route: u32,
 }
 
-/// Routes by the weights of their services; none where services have no names.
+/// Routes, weighted by the sizes of their services; empty if the services are unnamed.
 #[derive(Clone, Debug)]
 pub(super) struct Routes(Vec<WeightedRoute>);
 
 impl Routes {
-    /// The routes of all services.
+    /// Returns the routes of all services.
     pub(super) fn of_all(topology: &ServiceTopology) -> Routes {
         Routes::of(topology, 0..topology.services.len() as u32)
     }
 
-    /// The routes of some services. A service's weight is its size, and is divided evenly among its
-    /// routes.
+    /// Returns the routes of the given services. A service's weight is proportional to its number
+    /// of servers and is divided evenly among its routes.
     pub(super) fn of(topology: &ServiceTopology, services: Range<u32>) -> Routes {
         let mut routes = Vec::new();
-        let mut weight_sum = 0;
+        let mut cumulative_weight = 0;
         for service in services.filter(|_| topology.named) {
             let service_routes: Vec<u32> = topology.routes_of(service).collect();
             let servers = topology.services[service as usize].servers;
-            let weight = u64::from(servers) * ROUTE_SHARES;
+            let weight = u64::from(servers) * WEIGHT_PER_SERVER;
             for route in &service_routes {
-                weight_sum += weight / service_routes.len() as u64;
+                cumulative_weight += weight / service_routes.len() as u64;
                 routes.push(WeightedRoute {
-                    weight_sum,
+                    cumulative_weight,
                     route: *route,
                 });
             }
@@ -53,37 +54,40 @@
         Routes(routes)
     }
 
-    /// The parameter that names a random route.
+    /// Returns the request parameter that names a randomly chosen route, or an empty string if
+    /// there are no routes.
     fn parameter(&self, random: &mut StdRng) -> String {
         let Some(last) = self.0.last() else {
             return String::new();
         };
-        let drawn = random.random_range(0..last.weight_sum);
-        let index = self.0.partition_point(|route| route.weight_sum <= drawn);
+        let drawn = random.random_range(0..last.cumulative_weight);
+        let index = self
+            .0
+            .partition_point(|route| route.cumulative_weight <= drawn);
         format!(",route=r{}", self.0[index].route)
     }
 }
 
-/// The requests of tenants for the routes of services.
+/// An open-loop load of requests from tenants to the routes of services.
 #[derive(Clone, Debug)]
 pub(super) struct TenantLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Tenants.
+    /// The number of tenants.
     pub tenants: u64,
-    /// Ingresses through which a tenant's requests come.
+    /// The number of ingresses that a tenant's requests are spread over.
     pub ingress_count: u32,
-    /// May a request be executed more than once? An ingress retries such a one if its server seems
-    /// unresponsive.
+    /// Whether a request may be executed more than once. An ingress retries such a request if its
+    /// server seems unresponsive.
     pub idempotent: bool,
-    /// For times, tenants and routes.
+    /// Seed of the request times and of the choice of tenants and routes.
     pub seed: u64,
-    /// The routes that are requested.
+    /// The routes that requests are sent to.
     pub routes: Routes,
 }
 
 impl TenantLoad {
-    /// The same with other times, tenants and routes.
+    /// Returns the load with another seed.
     pub(super) fn with_seed(&self, seed: u64) -> TenantLoad {
         TenantLoad {
             seed,
@@ -91,7 +95,7 @@
         }
     }
 
-    /// The same with requests that are not idempotent.
+    /// Returns the load with requests that are not idempotent.
     pub(super) fn non_idempotent(&self) -> TenantLoad {
         TenantLoad {
             idempotent: false,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// The same at another rate.
+    /// Returns the load at another rate, in requests per second.
     pub(super) fn with_rate(&self, rate: f64) -> TenantLoad {
         TenantLoad {
             rate,
@@ -112,12 +116,12 @@
         request_through(self.idempotent, tenant, id, self.ingress_count, &route)
     }
 
-    /// Plays it in an open loop for this long.
+    /// Generates the load for `length`, and waits for the responses.
     pub(super) async fn generate(&self, destination: SocketAddr, length: Duration) -> LoadOutcome {
         self.generate_recorded(destination, length, None).await
     }
 
-    /// The same; requests and responses are recorded in the history.
+    /// Like [`TenantLoad::generate`], but also records requests and responses in the history.
     pub(super) async fn generate_recorded(
         &self,
         destination: SocketAddr,
@@ -129,7 +133,7 @@
         generate_with(load, destination, length, history, encode).await
     }
 
-    /// Sends one request of each tenant at this rate.
+    /// Sends one request for each tenant, at `rate` requests per second.
     pub(super) async fn generate_for_each_tenant(
         &self,
         destination: SocketAddr,
--- a/crates/testbed/src/scale/daemon/measured_daemon.rs
+++ b/crates/testbed/src/scale/daemon/measured_daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon among the fakes, and its measured quantities: readiness, memory and processor time.
+//! A daemon that runs against a loopback platform, with measurements of its startup and CPU time.
 
 use super::platform::LoopbackPlatform;
 use crate::daemon::Daemon;
@@ -13,32 +13,34 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 
-/// Longest time until a daemon is ready or has read a file.
+/// Time limit for a daemon to become ready or to reload its operator's file.
 const READY_TIMEOUT: Duration = Duration::from_secs(120);
-/// Time between two `PING`s.
+/// Pause between a reply to `PING` and the next `PING` of the readiness check.
 const PING_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A running daemon, its operator's file, and the lines that it logs.
+/// A running daemon with its operator's file and its log.
 pub(super) struct MeasuredDaemon {
-    /// The daemon.
+    /// The process.
     pub daemon: Daemon,
-    /// Time from its start until it responds to `PING`.
+    /// Time from the start of the process until the first `PONG`.
     pub ready_after: Duration,
-    folder: tempfile::TempDir,
+    /// Holds the operator's file.
+    directory: tempfile::TempDir,
+    /// The lines that the daemon logs.
     log: Receiver<String>,
 }
 
 impl MeasuredDaemon {
-    /// Starts the program with the endpoint list in its configuration, and waits until it responds
-    /// to `PING`.
+    /// Starts the program with the complete endpoint list in its configuration, and waits until it
+    /// responds to `PING` with `PONG`.
     pub(super) fn start(
         program: &Path,
         topology: &ServiceTopology,
         platform: &LoopbackPlatform,
         settings: &Value,
     ) -> io::Result<MeasuredDaemon> {
-        let folder = tempfile::tempdir()?;
-        let operator_file = folder.path().join("roseyard.kdl");
+        let directory = tempfile::tempdir()?;
+        let operator_file = directory.path().join("roseyard.kdl");
         fs::write(&operator_file, topology.operator_file())?;
         let known = topology.list(platform.port);
         let configuration = topology.configuration(
@@ -54,15 +56,15 @@
         Ok(MeasuredDaemon {
             daemon,
             ready_after,
-            folder,
+            directory,
             log,
         })
     }
 
-    /// Writes another operator's file and sends SIGHUP; returns the line that the daemon logs about
-    /// it.
+    /// Replaces the operator's file and sends SIGHUP; returns the line in which the daemon logs
+    /// that it reloaded or rejected the configuration.
     pub(super) fn reload(&self, operator_file: &str) -> io::Result<String> {
-        fs::write(self.folder.path().join("roseyard.kdl"), operator_file)?;
+        fs::write(self.directory.path().join("roseyard.kdl"), operator_file)?;
         while self.log.try_recv().is_ok() {}
         self.daemon.send_signal(Signal::HUP)?;
         loop {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Share of a core that the daemon uses over this long.
+    /// Waits for `length`, and returns the share of a core that the daemon used in that time.
     pub(super) fn core_share(&self, length: Duration) -> io::Result<f64> {
         let began_at = Instant::now();
         let before = self.daemon.scheduler_cpu_time()?;
@@ -86,10 +88,10 @@
     }
 }
 
-/// Reads a daemon's log to its end, so that it never blocks on a full pipe.
+/// Reads a daemon's log in a thread until it ends, so that the daemon never blocks on a full pipe.
 fn read_to_end(log: BufReader<ChildStderr>) -> Receiver<String> {
     let (lines, receiver) = mpsc::channel();
-    // The log is read to its end even without a receiver.
+    // Sending fails once the receiver is dropped; the log is read to its end all the same.
     std::thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
             let _ = lines.send(line);
@@ -98,7 +100,7 @@
     receiver
 }
 
-/// Sends `PING` until the daemon responds with `PONG`.
+/// Sends `PING` until the daemon responds with `PONG`; fails after [`READY_TIMEOUT`].
 fn wait_for_pong(daemon: &Daemon) -> io::Result<()> {
     let mut stream = TcpStream::connect(daemon.address)?;
     stream.set_nodelay(true)?;
@@ -115,6 +117,6 @@
         std::thread::sleep(PING_INTERVAL);
     }
     Err(io::Error::other(format!(
-        "not ready after {READY_TIMEOUT:?}: PING was answered {response:?}"
+        "daemon not ready within {READY_TIMEOUT:?}: last reply to PING was {response:?}"
     )))
 }
--- a/crates/testbed/src/scale/daemon/metered_listener.rs
+++ b/crates/testbed/src/scale/daemon/metered_listener.rs
@@ -1,4 +1,4 @@
-//! A listener that counts the connections it accepts and the bytes on them.
+//! A TCP listener that counts accepted connections and the bytes transferred on them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Counts of what has gone over the connections of a listener.
+/// Counters of a listener's connections, shared with its streams.
 #[derive(Debug, Default)]
 pub(super) struct Traffic {
     received: AtomicU64,
@@ -17,19 +17,19 @@
     connections: AtomicU64,
 }
 
-/// [`Traffic`] at one time.
+/// A snapshot of [`Traffic`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Totals {
-    /// Bytes from the daemon.
+    /// Bytes received from the daemon.
     pub received: u64,
-    /// Bytes to the daemon.
+    /// Bytes sent to the daemon.
     pub sent: u64,
-    /// Connections accepted.
+    /// The number of accepted connections.
     pub connections: u64,
 }
 
 impl Totals {
-    /// What was added since the earlier totals.
+    /// Returns the increase since an earlier snapshot.
     pub(super) fn since(self, earlier: Totals) -> Totals {
         Totals {
             received: self.received - earlier.received,
@@ -40,7 +40,7 @@
 }
 
 impl Traffic {
-    /// The counts so far.
+    /// Returns a snapshot of the counters.
     pub(super) fn totals(&self) -> Totals {
         let read = |total: &AtomicU64| total.load(Ordering::Relaxed);
         Totals {
@@ -50,17 +50,17 @@
         }
     }
 
-    /// Counts a connection that was accepted.
-    pub(super) fn connected(&self) {
+    /// Counts an accepted connection.
+    pub(super) fn connection_accepted(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// A listener with counts.
+/// A listener that counts its traffic.
 pub(super) struct MeteredListener {
-    /// Where it listens.
+    /// The underlying listener.
     pub listener: TcpListener,
-    /// Its counts.
+    /// The counters of all its connections.
     pub traffic: Arc<Traffic>,
 }
 
@@ -70,8 +70,9 @@
 
     async fn accept(&mut self) -> (MeteredStream, SocketAddr) {
         let (stream, peer) = axum::serve::Listener::accept(&mut self.listener).await;
-        self.traffic.connected();
-        // The first read reports a connection that has ended already.
+        self.traffic.connection_accepted();
+        // Setting the option fails if the connection has already ended, which the first read
+        // reports.
         let _ = stream.set_nodelay(true);
         (
             MeteredStream {
@@ -87,7 +88,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// An accepted connection that counts its bytes.
 pub(super) struct MeteredStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
--- a/crates/testbed/src/scale/daemon/mod.rs
+++ b/crates/testbed/src/scale/daemon/mod.rs
@@ -1,6 +1,6 @@
-//! The real daemon at size: one process on loopback among fakes, with up to 54,000 servers at
-//! addresses of their own, one version beside another. Cost is processor time by the scheduler's
-//! account.
+//! Measures the real daemon at several sizes: one process on loopback with a fake platform of up to
+//! 54,000 servers, each at its own address. Two versions of the daemon can be compared. Cost is CPU
+//! time from the scheduler's statistics.
 
 mod case;
 mod discovery;
@@ -23,13 +23,13 @@
 use sample::{direct_latency_note, sample};
 use std::io;
 
-/// The report of the cases of one series.
+/// The report on the cases of one series.
 struct SeriesReport {
     series: CaseSeries,
     report: RoleReport,
 }
 
-/// Measures each case; the versions alternate at each size.
+/// Measures each case and returns a report for each series; the versions alternate at each size.
 pub fn run(options: &DaemonOptions) -> io::Result<Vec<RoleReport>> {
     let mut reports: Vec<SeriesReport> = Vec::new();
     for case in cases(options) {
@@ -50,7 +50,7 @@
     Ok(reports)
 }
 
-/// The report of a series, which is added if there is none yet.
+/// Returns the report on a series; adds an empty one if there is none yet.
 fn report_of(reports: &mut Vec<SeriesReport>, series: CaseSeries) -> &mut RoleReport {
     let existing = reports.iter().position(|entry| entry.series == series);
     let index = existing.unwrap_or_else(|| {
--- a/crates/testbed/src/scale/daemon/options.rs
+++ b/crates/testbed/src/scale/daemon/options.rs
@@ -1,4 +1,4 @@
-//! What is measured on the daemon, and the runtimes of a measurement.
+//! The options of measurements of the daemon, and the runtimes that they use.
 
 use super::load::{Routes, TenantLoad};
 use super::platform::LoopbackPlatform;
@@ -14,43 +14,45 @@
 use std::time::Duration;
 use tokio::runtime::Runtime;
 
-/// Ingresses that the settings name.
+/// The planned number of ingresses, which the platform's settings state by default.
 pub(super) const PLANNED_INGRESSES: u32 = targets::INGRESSES as u32;
-/// Quota of each tenant, so high that no request is rejected for it.
+/// Quota of each tenant: high enough that no request is rejected because of it.
 const QUOTA_UNITS_PER_SECOND: f64 = 1000.0;
-/// Tenants at the planned size.
+/// The number of tenants at the planned size.
 pub(super) const ALL_TENANTS: u64 = targets::TENANTS as u64;
-/// Tenants where their number is not varied.
+/// The number of tenants in cases that do not vary it.
 pub(super) const DEFAULT_TENANTS: u64 = 1_000;
-/// Time after a load or a start until the work that they leave behind is done.
+/// Time for the daemon to finish its remaining work after its start, a load or a change.
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// What is measured.
+/// The options of measurements of the daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonOptions {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// An earlier version of it, measured alternately with the other.
+    /// Path of an earlier version of the daemon, measured alternately with the current one.
     pub baseline_daemon: Option<PathBuf>,
-    /// Are 1 and all tenants measured at the largest size too?
+    /// Whether 1 tenant and all tenants are measured too, at the largest size.
     pub all_tenants: bool,
-    /// Does the daemon have a shared counter?
+    /// Whether the daemon has a shared counter.
     pub has_counter: bool,
-    /// May the daemon check the health of servers?
+    /// Whether the platform's settings allow health checks of servers.
     pub health_checks: bool,
-    /// Do servers close a connection once they have responded to a request on it? Each request then
-    /// needs a new one.
+    /// Whether servers close a connection after they have responded to a request on it, so that
+    /// each request needs a new connection.
     pub servers_close: bool,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Ingresses through which each tenant's requests come; 1 needs no shared counter.
+    /// The number of ingresses that each tenant's requests are spread over; with 1, the ingress
+    /// needs no shared counter.
     pub ingress_count: u32,
-    /// Sizes in servers, real seconds of load, samples, whether servers are divided into services
-    /// too, and the seed for times, tenants and services.
+    /// The options that all roles share: sizes are numbers of servers, `seconds` is the real
+    /// duration of a load, and `services` adds cases with the servers divided into services.
     pub run: RunOptions,
 }
 
 impl DaemonOptions {
+    /// Returns the options of the servers, which respond without delay.
     pub(super) fn server_options(&self) -> ServerOptions {
         ServerOptions {
             service_time: Duration::ZERO,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Starts a platform of these servers.
+    /// Starts a platform with the servers of this topology.
     pub(super) fn start_platform(
         &self,
         topology: &ServiceTopology,
@@ -71,19 +73,19 @@
         ))
     }
 
-    /// The platform's settings for one of the planned ingresses.
+    /// Returns the platform's settings for an ingress among the planned number of ingresses.
     pub(super) fn settings(&self) -> Value {
         self.settings_for(PLANNED_INGRESSES)
     }
 
-    /// The platform's settings for one of this many ingresses.
+    /// Returns the platform's settings for an ingress among `ingresses` ingresses.
     pub(super) fn settings_for(&self, ingresses: u32) -> Value {
         let mut settings = platform_settings::settings_for(ingresses, QUOTA_UNITS_PER_SECOND);
         settings["Ceilings"]["Probes"] = self.health_checks.into();
         settings
     }
 
-    /// A load of all services.
+    /// Returns a load on all services.
     pub(super) fn load(&self, topology: &ServiceTopology, seed: u64) -> TenantLoad {
         TenantLoad {
             rate: self.rate,
@@ -96,11 +98,11 @@
     }
 }
 
-/// The runtimes of the platform and of the clients, each with a thread of its own.
+/// The runtimes of the platform and of the clients, each with its own thread.
 pub(super) struct Runtimes {
-    /// Of the fakes.
+    /// Runs the servers, discovery and the counter.
     pub platform: Runtime,
-    /// Of the clients.
+    /// Runs the clients.
     pub clients: Runtime,
 }
 
--- a/crates/testbed/src/scale/daemon/platform.rs
+++ b/crates/testbed/src/scale/daemon/platform.rs
@@ -1,5 +1,5 @@
-//! The platform around the daemon, in one process: servers, a counter and discovery, each with
-//! counts of what goes over its connections.
+//! The platform that the daemon runs on, in this process: servers, a shared counter and discovery,
+//! each with counts of its connections.
 
 use super::discovery::FakeDiscovery;
 use super::metered_listener::{MeteredListener, Totals, Traffic};
@@ -12,26 +12,29 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// An HTTP server on a port of its own.
+/// A running HTTP server on its own port.
 struct HttpServer {
     address: SocketAddr,
     traffic: Arc<Traffic>,
 }
 
+/// A platform of fakes on loopback.
 pub(super) struct LoopbackPlatform {
     /// The port that all servers listen on.
     pub port: u16,
-    /// The servers.
+    /// The servers that execute requests.
     pub servers: Arc<LoopbackServers>,
-    /// Discovery.
+    /// The discovery service.
     pub discovery: Arc<FakeDiscovery>,
     discovery_server: HttpServer,
     counter_server: HttpServer,
+    /// Whether the daemon is told the counter's address.
     has_counter: bool,
 }
 
 impl LoopbackPlatform {
-    /// Starts it for these servers; without `has_counter` the daemon gets no counter's address.
+    /// Starts a platform with the servers of this topology. Without `has_counter`,
+    /// [`LoopbackPlatform::counter_address`] returns `None`.
     pub(super) async fn start(
         topology: &ServiceTopology,
         options: ServerOptions,
@@ -54,22 +57,22 @@
         })
     }
 
-    /// Where discovery listens.
+    /// Returns the address of discovery.
     pub(super) fn discovery_address(&self) -> SocketAddr {
         self.discovery_server.address
     }
 
-    /// Where the counter listens, if the daemon has one.
+    /// Returns the address of the shared counter, or `None` if the daemon is to have none.
     pub(super) fn counter_address(&self) -> Option<SocketAddr> {
         self.has_counter.then_some(self.counter_server.address)
     }
 
-    /// What went to and from the counter so far.
+    /// Returns the traffic between the daemon and the counter so far.
     pub(super) fn counter_totals(&self) -> Totals {
         self.counter_server.traffic.totals()
     }
 
-    /// What went to and from discovery so far.
+    /// Returns the traffic between the daemon and discovery so far.
     pub(super) fn discovery_totals(&self) -> Totals {
         self.discovery_server.traffic.totals()
     }
--- a/crates/testbed/src/scale/daemon/quantities.rs
+++ b/crates/testbed/src/scale/daemon/quantities.rs
@@ -1,51 +1,51 @@
-//! The figures of a sample of the daemon.
+//! The quantities that a sample of the daemon consists of, and their conversion to report figures.
 
 use crate::scale::report::SizeSeries;
 
-/// The figures of one sample.
+/// The measured values of one sample.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Sample {
-    /// Time from the start until it responds.
+    /// Seconds from the start of the process until it responds to `PING`.
     pub ready_s: f64,
-    /// Resident memory at the end.
+    /// Resident memory after all loads and changes of the list, in MiB.
     pub resident_mib: f64,
-    /// Largest resident memory.
+    /// Peak resident memory, in MiB.
     pub peak_mib: f64,
-    /// Resident memory once each of all tenants has sent a request; NaN where it is not measured.
+    /// Resident memory in MiB after every tenant has sent a request; NaN if it was not measured.
     pub all_tenants_mib: f64,
-    /// Share of a core without load, after the start.
+    /// CPU use in percent of a core, before any load.
     pub idle_percent: f64,
-    /// Share of a core without load, after load.
+    /// CPU use in percent of a core, after the load has ended.
     pub idle_after_load_percent: f64,
-    /// Processor time of a request.
+    /// Microseconds of CPU time per request.
     pub request_us: f64,
-    /// Median latency at the client.
+    /// Median latency at the client, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the latency at the client.
+    /// 99th percentile of the latency at the client, in milliseconds.
     pub p99_ms: f64,
-    /// Processor time of a change of one server, alone.
+    /// Microseconds of CPU time per change of one server, with a pause after each change.
     pub change_us: f64,
-    /// Processor time of a change of one server, of many at once.
+    /// Microseconds of CPU time per change of one server, with changes sent in a burst.
     pub change_burst_us: f64,
-    /// Bytes to the counter for a request.
+    /// Bytes sent to the shared counter per request.
     pub counter_bytes_out: f64,
-    /// Bytes from the counter for a request.
+    /// Bytes received from the shared counter per request.
     pub counter_bytes_in: f64,
-    /// Bytes from discovery without load.
+    /// Bytes received from discovery per second, without load.
     pub discovery_bytes_per_second: f64,
-    /// Connections opened to servers.
+    /// Connections opened to servers per second, under load.
     pub connections_per_second: f64,
-    /// Requests rejected.
+    /// Rejected requests, in percent of all requests.
     pub rejected_percent: f64,
-    /// Requests failed.
+    /// Failed requests, in percent of all requests.
     pub failed_percent: f64,
 }
 
-/// A figure of a sample.
+/// One quantity of a sample, with its name and unit in reports.
 struct Quantity {
     name: &'static str,
     unit: &'static str,
-    /// Its value; NaN where the sample has none.
+    /// Returns its value in a sample; NaN if it was not measured.
     value: fn(&Sample) -> f64,
 }
 
@@ -97,7 +97,7 @@
     quantity("failed", "% of requests", |sample| sample.failed_percent),
 ];
 
-/// A series without points for each figure of a sample.
+/// Returns an empty series for each of [`QUANTITIES`].
 pub(super) fn empty_figures() -> Vec<SizeSeries> {
     QUANTITIES
         .iter()
@@ -105,7 +105,8 @@
         .collect()
 }
 
-/// Adds the samples of a case to the figures, which are in the order of [`empty_figures`].
+/// Adds the samples of a case of this size to the figures, which have to be in the order of
+/// [`empty_figures`].
 pub(super) fn push_samples(figures: &mut [SizeSeries], size: usize, samples: &[Sample]) {
     for (figure, quantity) in figures.iter_mut().zip(&QUANTITIES) {
         let values = samples.iter().map(quantity.value);
--- a/crates/testbed/src/scale/daemon/sample.rs
+++ b/crates/testbed/src/scale/daemon/sample.rs
@@ -1,5 +1,5 @@
-//! One sample of a case: a daemon and a platform of its own, measured without load, under load and
-//! under changes of the endpoint list.
+//! Takes one sample of a case: a new daemon with its own platform is measured without load, under
+//! load and during changes of the endpoint list.
 
 use super::case::Case;
 use super::load::TenantLoad;
@@ -14,18 +14,18 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Requests a second while each tenant sends one: an ingress removes a quota that is unused for
-/// 30 s.
+/// Requests per second while every tenant sends one request: high enough that all of them are sent
+/// within 30 s, after which an ingress removes an unused quota.
 const ALL_TENANTS_RATE: f64 = 4_000.0;
-/// Load before what is measured.
+/// Duration of the load before the measured load.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// Time over which the daemon is measured without load.
+/// Duration of a CPU measurement without load.
 const IDLE_WINDOW: Duration = Duration::from_secs(2);
-/// Changes of one server that discovery sends.
+/// The number of endpoint list changes, of one server each, in a measurement.
 const ENDPOINT_CHANGES: u32 = 300;
-/// Time between two changes that are sent alone.
+/// Time between two changes when they are not sent in a burst.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(5);
-/// Added to the seed of the measured load, so that it differs from the load before it.
+/// Added to the seed of the measured load, so that it differs from the warm-up load.
 const MEASURED_SEED_OFFSET: u64 = 1_000;
 
 /// Takes one sample of a case.
@@ -53,7 +53,7 @@
     trial.run(case)
 }
 
-/// What one sample is taken with.
+/// Everything that one sample is taken with.
 struct Trial<'a> {
     options: &'a DaemonOptions,
     topology: &'a ServiceTopology,
@@ -64,6 +64,7 @@
 }
 
 impl Trial<'_> {
+    /// Takes all measurements of the sample.
     fn run(&self, case: &Case) -> io::Result<Sample> {
         let mut sample = Sample {
             ready_s: self.daemon.ready_after.as_secs_f64(),
@@ -91,6 +92,7 @@
         Ok(sample)
     }
 
+    /// Runs the measured load.
     fn measure_load(&self) -> io::Result<LoadMeasurement> {
         let load = self.load.with_seed(self.load.seed + MEASURED_SEED_OFFSET);
         let began_at = Instant::now();
@@ -111,10 +113,10 @@
         })
     }
 
-    /// Microseconds of processor time of a change that discovery sends: one server is added, or
-    /// removed again.
+    /// Returns the microseconds of CPU time per endpoint list change. The changes add and remove
+    /// the same server in turn, with a pause of `interval` after each.
     fn change_us(&self, interval: Duration) -> io::Result<f64> {
-        // Health checks have ceased since the load.
+        // Measured again here: since the load, health checks have stopped.
         let idle_share = self.daemon.core_share(IDLE_WINDOW)?;
         let began_at = Instant::now();
         let used_before = self.daemon.daemon.scheduler_cpu_time()?;
@@ -136,7 +138,8 @@
         Ok(change_cpu_seconds * 1e6 / f64::from(ENDPOINT_CHANGES))
     }
 
-    /// Memory once each of all tenants has sent a request; NaN for other cases.
+    /// Returns the resident memory in MiB after every tenant has sent a request; NaN unless the
+    /// case is of the current version with all tenants.
     fn all_tenants_mib(&self, case: &Case) -> io::Result<f64> {
         if case.tenants != ALL_TENANTS || case.is_baseline {
             return Ok(f64::NAN);
@@ -154,20 +157,21 @@
     kib as f64 / 1024.0
 }
 
-/// The result of a load.
+/// The results of the measured load.
 struct LoadMeasurement {
     outcome: LoadOutcome,
-    /// Of the daemon.
+    /// CPU time that the daemon used.
     cpu_time: Duration,
     duration: Duration,
+    /// Traffic between the daemon and the shared counter.
     counter: Totals,
-    /// Connections opened to servers.
+    /// The number of connections opened to servers.
     connections: u64,
 }
 
 impl LoadMeasurement {
-    /// Puts its figures into a sample; `idle_share` is the share of a core that the daemon uses
-    /// without load.
+    /// Stores the results in a sample. `idle_share` is the share of a core that the daemon uses
+    /// without load; it is subtracted from the CPU time of the requests.
     fn record(&self, idle_share: f64, sample: &mut Sample) {
         let outcome = &self.outcome;
         let seconds = self.duration.as_secs_f64();
@@ -184,13 +188,14 @@
     }
 }
 
-/// A quantile of the time from when a client sends a request, in milliseconds.
+/// Returns a quantile of the latency in milliseconds, measured from when the client sends a
+/// request.
 pub(super) fn latency_ms(outcome: &LoadOutcome, quantile: f64) -> f64 {
     outcome.latency_from_send.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// A note on the latency of requests straight from the client to a server, which is what the
-/// machine itself adds.
+/// Measures the latency of requests that clients send directly to a server, which is the share of
+/// the machine in the measured latencies; returns it as a note for the reports.
 pub(super) fn direct_latency_note(options: &DaemonOptions) -> io::Result<String> {
     let topology = ServiceTopology::unnamed(1);
     let runtimes = Runtimes::start()?;
@@ -207,7 +212,7 @@
     let length = Duration::from_secs(options.run.seconds);
     let outcome = runtimes.clients.block_on(load.generate(address, length));
     Ok(format!(
-        "straight from the client to a server, without the daemon: p50 {:.2} ms, p99 {:.2} ms",
+        "latency from the client directly to a server, without the daemon: p50 {:.2} ms, p99 {:.2} ms",
         latency_ms(&outcome, 0.5),
         latency_ms(&outcome, 0.99)
     ))
--- a/crates/testbed/src/scale/daemon/servers.rs
+++ b/crates/testbed/src/scale/daemon/servers.rs
@@ -1,4 +1,4 @@
-//! All servers of the platform: one listener at addresses of their own.
+//! All servers of the platform: one listener serves the loopback addresses of all of them.
 
 use super::metered_listener::Traffic;
 use crate::checker::History;
@@ -11,42 +11,45 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What all servers do alike.
+/// The behavior that all servers share.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServerOptions {
-    /// Time that a server takes for a request.
+    /// Time that a server takes to execute a request.
     pub service_time: Duration,
-    /// Do servers close a connection once they have responded to a request on it?
+    /// Whether servers close a connection after they have responded to a request on it.
     pub close_after_response: bool,
 }
 
-/// All servers, by the numbers of their addresses.
+/// All servers, indexed by the slots of their addresses ([`ServiceTopology::slot`]).
 pub(super) struct LoopbackServers {
+    /// Whether each server is dead, by slot.
     dead: Vec<AtomicBool>,
     traffic: Traffic,
-    changed: watch::Sender<()>,
+    /// Notifies connections that some server has died or come back.
+    dead_changed: watch::Sender<()>,
     options: ServerOptions,
-    /// What they observe; clients may record theirs here too.
+    /// The observations of the servers; clients may record theirs here too.
     pub history: History,
 }
 
 impl LoopbackServers {
+    /// Returns servers for this many slots, all alive.
     pub(super) fn new(slots: usize, options: ServerOptions) -> LoopbackServers {
         LoopbackServers {
             dead: (0..slots).map(|_| AtomicBool::new(false)).collect(),
             traffic: Traffic::default(),
-            changed: watch::channel(()).0,
+            dead_changed: watch::channel(()).0,
             options,
             history: History::default(),
         }
     }
 
-    /// These servers die: their connections are reset, and new ones too.
+    /// Simulates the death of these servers: their existing and new connections are reset.
     pub(super) fn kill(&self, servers: impl Iterator<Item = Ipv4Addr>) {
         self.set_dead(servers, true);
     }
 
-    /// These servers respond again.
+    /// Makes these servers respond again.
     pub(super) fn revive(&self, servers: impl Iterator<Item = Ipv4Addr>) {
         self.set_dead(servers, false);
     }
@@ -55,10 +58,10 @@
         for slot in servers.filter_map(ServiceTopology::slot) {
             self.dead[slot].store(dead, Ordering::Relaxed);
         }
-        self.changed.send_replace(());
+        self.dead_changed.send_replace(());
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far, by all servers.
     pub(super) fn connections(&self) -> u64 {
         self.traffic.totals().connections
     }
@@ -69,14 +72,14 @@
             .is_none_or(|dead| dead.load(Ordering::Relaxed))
     }
 
-    /// Accepts for all servers until the runtime ends.
+    /// Accepts connections for all servers until the runtime shuts down.
     pub(super) async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            // An error is that of one connection, which ended before it was accepted.
+            // An error concerns only one connection, which ended before it was accepted.
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            self.traffic.connected();
+            self.traffic.connection_accepted();
             tokio::spawn(Arc::clone(&self).serve(stream));
         }
     }
@@ -93,12 +96,12 @@
             service_time,
             close_after_response,
         } = self.options;
-        // A connection that is dropped before its end is reset, as those of a machine that has
-        // died. Those that close after a response end in order.
+        // Dropping a connection resets it, as when the server's machine has died. Connections that
+        // are closed after a response have to end in an orderly way instead.
         if !close_after_response && stream.set_zero_linger().is_err() {
             return;
         }
-        let mut changed = self.changed.subscribe();
+        let mut dead_changed = self.dead_changed.subscribe();
         let history = self.history.clone();
         let serving = serve_form_connection(
             stream,
@@ -111,7 +114,7 @@
         while !self.is_dead(slot) {
             tokio::select! {
                 _ = &mut serving => return,
-                _ = changed.changed() => {}
+                _ = dead_changed.changed() => {}
             }
         }
     }
