--- a/crates/testbed/src/cli/scale.rs
+++ b/crates/testbed/src/cli/scale.rs
@@ -46,10 +46,11 @@
     /// With '--role daemon': also measure 1 and 95,000 tenants, at the largest size.
     #[arg(long)]
     pub(super) all_tenants: bool,
-    /// With '--role daemon': run without a shared counter.
+    /// With '--role daemon' or 'faults': run without a shared counter.
     #[arg(long)]
     pub(super) without_counter: bool,
-    /// With '--role daemon': disable health checks of servers in the platform's settings.
+    /// With '--role daemon' or 'faults': disable health checks of servers in the platform's
+    /// settings.
     #[arg(long)]
     pub(super) without_probes: bool,
     /// With '--role daemon': servers close a connection after they have answered a request on it.
@@ -58,7 +59,8 @@
     /// With '--role daemon': requests per second.
     #[arg(long, default_value_t = 256.0, value_parser = parse_rate)]
     pub(super) rate: f64,
-    /// With '--role daemon': number of ingresses that each tenant's requests are spread over.
+    /// With '--role daemon' or 'faults': number of ingresses that each tenant's requests are spread
+    /// over.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=4_300))]
     pub(super) spread: u32,
     /// File to write the figures to as JSON; - prints JSON on standard output, without tables.
--- a/crates/testbed/src/client_connection.rs
+++ b/crates/testbed/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connections: one request on a connection that is idle in the pool, or on a new one.
+//! A pool of client connections. Each connection carries one request at a time.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -6,44 +6,44 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// The first line of a form server's own response, for clients without an ingress: an array of the
-/// value and two empty fields.
-const FORM_SERVER_RESPONSE: &str = "*3";
+/// The first line of a response that comes directly from a form server instead of an ingress: an
+/// array of the value and two null fields.
+const FORM_SERVER_RESPONSE_HEADER: &str = "*3";
 
-/// What became of one request.
+/// The outcome of one request at the client.
 #[derive(Clone, Copy)]
 pub(crate) enum Reply {
-    /// A response with its own value.
+    /// The response contains the request's own value.
     Served,
-    /// Rejected.
+    /// The response is `-BUSY`.
     Rejected,
-    /// Any other response.
+    /// The response is another error or contains another value.
     Failed,
-    /// The connection ended, there was none, or the time was over.
+    /// There is no response: connecting failed, the connection ended, or the request timed out.
     Missing,
 }
 
-/// One request as it is sent.
+/// An encoded request.
 pub(crate) struct ClientRequest {
-    /// The address that a new connection comes from.
+    /// The source address of a new connection.
     pub source: Ipv4Addr,
-    /// Its id, which is the value that it expects.
+    /// The request's id, which the response has to return as its value.
     pub id: u64,
     /// The encoded request.
     pub bytes: Vec<u8>,
-    /// Is the connection closed after it?
+    /// Whether the connection is closed after the response.
     pub close_after: bool,
 }
 
 type Connection = BufReader<TcpStream>;
 
-/// Idle connections to one address.
+/// A pool of idle connections to one address.
 pub(crate) struct ConnectionPool {
     destination: SocketAddr,
     idle: Mutex<Vec<Connection>>,
 }
 
-/// Opens a connection from an address of loopback.
+/// Opens a connection from the given loopback address.
 pub(crate) async fn connect(source: Ipv4Addr, destination: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::new(IpAddr::V4(source), 0))?;
@@ -53,6 +53,7 @@
 }
 
 impl ConnectionPool {
+    /// Returns an empty pool.
     pub(crate) fn new(destination: SocketAddr) -> ConnectionPool {
         ConnectionPool {
             destination,
@@ -74,8 +75,9 @@
             .push(connection);
     }
 
-    /// Sends one request. A reused connection that has ended is replaced, as the protocol has it; a
-    /// new one that ends is a missing reply.
+    /// Sends one request and waits for the response, without a timeout. If a reused connection has
+    /// ended, the request is sent on another one, as the protocol allows; if a new connection ends,
+    /// the reply is [`Reply::Missing`].
     pub(crate) async fn request(&self, request: &ClientRequest) -> Reply {
         loop {
             let pooled = self.take();
@@ -101,14 +103,14 @@
     }
 }
 
-/// Sends one request and reads its response.
+/// Sends one request on the connection and reads its response. Fails if the connection ends.
 async fn exchange(connection: &mut Connection, request: &ClientRequest) -> io::Result<Reply> {
     connection.get_mut().write_all(&request.bytes).await?;
     let mut line = String::new();
     if connection.read_line(&mut line).await? == 0 {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    if line.trim_end() == FORM_SERVER_RESPONSE {
+    if line.trim_end() == FORM_SERVER_RESPONSE_HEADER {
         return read_form_server_response(connection, request).await;
     }
     if line.starts_with("-BUSY") {
@@ -127,7 +129,7 @@
     Ok(served_if(is_own_value))
 }
 
-/// Reads the fields of a form server's own response.
+/// Reads the fields of a response that comes directly from a form server.
 async fn read_form_server_response(
     connection: &mut Connection,
     request: &ClientRequest,
--- a/crates/testbed/src/client_load.rs
+++ b/crates/testbed/src/client_load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load of clients: requests at random times with exponential gaps, whatever became of
-//! those before, on connections that are reused.
+//! An open-loop client load: requests are sent at exponentially distributed intervals, regardless
+//! of the outcome of earlier requests, on reused connections.
 
 use crate::checker::{History, Observation, ResponseKind};
 use crate::client_connection::{ClientRequest, ConnectionPool, Reply};
@@ -13,43 +13,45 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A client waits this long for a response.
+/// Time that a client waits for a response, including the time to connect.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest latency that is distinguished.
+/// The maximum latency that the histograms record; longer ones are counted as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// An open-loop load.
+/// The parameters of an open-loop load.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenLoopLoad {
-    /// Requests a second; above 0.
+    /// Mean number of requests per second; above 0.
     pub rate: f64,
-    /// Customers, from 1 on.
+    /// The number of customers; at least 1. Each request is for a random one.
     pub customers: u64,
-    /// Addresses that clients connect from.
+    /// The number of loopback addresses that clients connect from.
     pub addresses: u8,
-    /// Share of the requests after which the connection is closed.
+    /// Share of the requests, from 0 to 1, after which the connection is closed.
     pub reconnect_ratio: f64,
-    /// May a request be executed more than once?
+    /// Whether a request may be executed more than once. The request's encoding has to agree.
     pub idempotent: bool,
-    /// For times and customers.
+    /// Seed of the request times and of the choice of customers; also the upper 32 bits of each
+    /// request's id.
     pub seed: u64,
 }
 
-/// What became of the requests of a load.
+/// The numbers of requests of a load by outcome, and their latencies.
 #[derive(Clone, Debug)]
 pub struct LoadOutcome {
-    /// Requests sent.
+    /// The number of requests sent.
     pub requests: u64,
-    /// Those served with their own value.
+    /// Requests that were served with their own value.
     pub served: u64,
-    /// Those rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Those that failed or had no response or connection.
+    /// Requests that failed or got no response or connection.
     pub failed: u64,
-    /// Microseconds from when a request was due to its complete response, of those served.
+    /// Latency of served requests in microseconds, from the time at which the request was due to
+    /// its complete response.
     pub latency_from_due: Histogram<u64>,
-    /// Microseconds from when the client began to send it, which excludes the lateness of the
-    /// client's timers of up to a millisecond.
+    /// Latency of served requests in microseconds, from the time at which the client began to send
+    /// the request. This excludes the delay of the client's timers, of up to a millisecond.
     pub latency_from_send: Histogram<u64>,
 }
 
@@ -69,6 +71,7 @@
 }
 
 impl LoadOutcome {
+    /// Counts a request with this reply.
     fn record(&mut self, reply: Reply, from_send: Duration, from_due: Duration) {
         self.requests += 1;
         match reply {
@@ -99,7 +102,7 @@
     }
 }
 
-/// What the requests of one load share.
+/// The state that the requests of one load share.
 struct LoadState {
     pool: ConnectionPool,
     outcome: Mutex<LoadOutcome>,
@@ -111,13 +114,14 @@
         self.outcome.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Records an observation in the history, if there is one.
     fn observe(&self, id: u64, observation: Observation) {
         if let Some(history) = &self.history {
             history.record(id, observation);
         }
     }
 
-    /// Sends one request and counts what becomes of it.
+    /// Sends one request, and counts and records its outcome.
     async fn send(&self, request: ClientRequest, idempotent: bool, due_at: Instant) {
         self.observe(request.id, Observation::RequestSent { idempotent });
         let sent_at = Instant::now();
@@ -132,7 +136,8 @@
     }
 }
 
-/// Plays a load of idempotent requests for this long, and waits for the responses.
+/// Generates a load of idempotent requests for `length`, waits for the responses and returns the
+/// outcome.
 pub async fn generate(
     load: OpenLoopLoad,
     destination: SocketAddr,
@@ -144,8 +149,8 @@
     .await
 }
 
-/// The same with requests that `encode` makes of a customer and an id. Each request and its
-/// response are recorded in the history.
+/// Like [`generate`], but with requests that `encode` returns for a customer and a request id. If
+/// there is a history, each request and its response are recorded in it.
 pub async fn generate_with(
     load: OpenLoopLoad,
     destination: SocketAddr,
@@ -154,7 +159,7 @@
     mut encode: impl FnMut(&mut StdRng, u64, u64) -> Vec<u8>,
 ) -> LoadOutcome {
     let mut random = StdRng::seed_from_u64(load.seed);
-    let gaps = Exp::new(load.rate).expect("a rate above 0");
+    let intervals = Exp::new(load.rate).expect("a rate above 0");
     let state = Arc::new(LoadState {
         pool: ConnectionPool::new(destination),
         outcome: Mutex::default(),
@@ -165,7 +170,7 @@
     let mut id = load.seed << 32;
     let mut tasks = Vec::new();
     loop {
-        due += Duration::from_secs_f64(gaps.sample(&mut random));
+        due += Duration::from_secs_f64(intervals.sample(&mut random));
         if due >= length {
             break;
         }
@@ -185,7 +190,7 @@
         }));
     }
     for task in tasks {
-        // A task that panicked has counted nothing and shows as a missing request.
+        // A request whose task panicked is missing from the counts.
         let _ = task.await;
     }
     let outcome = state.outcome().clone();
@@ -193,7 +198,7 @@
 }
 
 impl OpenLoopLoad {
-    /// The loopback address that the client of a request connects from.
+    /// Returns the loopback address that the client of a request connects from.
     fn source(&self, id: u64) -> Ipv4Addr {
         let host = id % u64::from(self.addresses.max(1));
         Ipv4Addr::new(127, 1, 0, 1 + host as u8)
--- a/crates/testbed/src/daemon.rs
+++ b/crates/testbed/src/daemon.rs
@@ -1,4 +1,5 @@
-//! The real daemon as a child process: its start, its signals, its processor time and memory.
+//! Runs the real daemon as a child process: starts it, sends it signals, and reads its CPU time and
+//! memory from `/proc`.
 
 use crate::fakes::FakePlatform;
 use rustix::process::{kill_process, Pid, Signal};
@@ -9,8 +10,8 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The path of the daemon's program: the one given, or the one in the folder of this program. An
-/// error names the missing file.
+/// Returns the path of the daemon's executable: `given`, or by default `roseyard-ingress` in the
+/// directory of the current executable. Fails if there is no such file.
 pub fn daemon_program(given: Option<&Path>) -> io::Result<PathBuf> {
     let found = match given {
         Some(path) => path.to_owned(),
@@ -20,14 +21,14 @@
         return Ok(found);
     }
     let message = format!(
-        "no daemon at {}: build it with 'cargo build', or name it with --daemon",
+        "no daemon executable at {}: build it with 'cargo build', or give its path with --daemon",
         found.display()
     );
     Err(io::Error::new(io::ErrorKind::NotFound, message))
 }
 
-/// Starts the program with a configuration and, if any, an operator's file. The caller reads its
-/// log.
+/// Starts the program with a configuration file and, if given, an operator's file. The caller has
+/// to read its log, as the process blocks once the pipe is full.
 pub(crate) fn spawn_process(
     program: &Path,
     operator_file: Option<&Path>,
@@ -48,35 +49,36 @@
     Ok((child, log))
 }
 
-/// A running daemon, which is terminated and awaited on drop.
+/// A running daemon. Dropping it sends SIGTERM and waits until the process has exited.
 pub struct Daemon {
     child: Child,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// When its process was started.
+    /// When the process was started.
     pub(crate) started_at: Instant,
-    _folder: tempfile::TempDir,
+    /// Holds the configuration file while the daemon runs.
+    _directory: tempfile::TempDir,
 }
 
-/// How a daemon is started.
+/// The options for starting a daemon.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions {
-    /// The program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// The operator's file, for a program that takes one.
+    /// The operator's file; `None` for a program that does not support one.
     pub operator_file: Option<PathBuf>,
-    /// Descriptors that its configuration allows.
+    /// The number of file descriptors that the daemon's configuration allows.
     pub max_descriptors: usize,
 }
 
-/// Reads the log up to the line that contains this text.
+/// Reads the log up to the first line that contains `text`, and returns this line.
 fn wait_for(log: &mut impl BufRead, text: &str) -> io::Result<String> {
     let mut line = String::new();
     while !line.contains(text) {
         line.clear();
         if log.read_line(&mut line)? == 0 {
             return Err(io::Error::other(format!(
-                "the daemon ended before it logged '{text}'"
+                "the daemon's log ended without a line containing '{text}'"
             )));
         }
     }
@@ -84,7 +86,8 @@
 }
 
 impl Daemon {
-    /// Starts it among the fakes and waits until it is ready. Its log continues on standard error.
+    /// Starts a daemon on a fake platform and waits until it is ready. The rest of its log is
+    /// copied to standard error.
     pub fn start(options: &LaunchOptions, platform: &FakePlatform) -> io::Result<Daemon> {
         let configuration = platform
             .ingress_configuration(options.max_descriptors)
@@ -96,15 +99,15 @@
         Ok(daemon)
     }
 
-    /// Starts it with this configuration and waits until it listens. The caller has to read its log
-    /// from then on.
+    /// Starts a daemon with this configuration (JSON) and waits until it listens. The caller has to
+    /// read the returned rest of its log.
     pub(crate) fn launch(
         program: &Path,
         operator_file: Option<&Path>,
         configuration: &str,
     ) -> io::Result<(Daemon, BufReader<ChildStderr>)> {
-        let folder = tempfile::tempdir()?;
-        let configuration_file = folder.path().join("config.json");
+        let directory = tempfile::tempdir()?;
+        let configuration_file = directory.path().join("config.json");
         fs::write(&configuration_file, configuration)?;
         let started_at = Instant::now();
         let (child, mut log) = spawn_process(program, operator_file, &configuration_file)?;
@@ -113,7 +116,7 @@
             child,
             address: placeholder_address,
             started_at,
-            _folder: folder,
+            _directory: directory,
         };
         let line = wait_for(&mut log, "info: listening name=")?;
         let address = line
@@ -124,12 +127,13 @@
         Ok((daemon, log))
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub(crate) fn send_signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// Processor time that its threads have used, by the scheduler's account in nanoseconds.
+    /// Returns the CPU time that the daemon's threads have used, with the nanosecond resolution of
+    /// the scheduler's statistics.
     pub(crate) fn scheduler_cpu_time(&self) -> io::Result<Duration> {
         let mut nanos = 0;
         for task in fs::read_dir(self.proc_file("task"))? {
@@ -138,16 +142,17 @@
                 .split_whitespace()
                 .next()
                 .and_then(|field| field.parse::<u64>().ok());
-            nanos += first.ok_or_else(|| io::Error::other("no number in schedstat"))?;
+            nanos += first.ok_or_else(|| io::Error::other("no CPU time in schedstat"))?;
         }
         Ok(Duration::from_nanos(nanos))
     }
 
-    /// Processor time that it has used, in ticks of the kernel's clock.
+    /// Returns the CPU time that the process has used, with the resolution of the kernel's clock
+    /// ticks.
     pub fn cpu_time(&self) -> io::Result<Duration> {
         let stat = fs::read_to_string(self.proc_file("stat"))?;
-        // The name in brackets may contain blanks; user and system time are the 12th and 13th field
-        // after it.
+        // The process name in parentheses may contain spaces; user and system time are the 12th and
+        // 13th fields after it.
         let fields: Vec<u64> = stat
             .rsplit(") ")
             .next()
@@ -163,17 +168,17 @@
         ))
     }
 
-    /// Its resident memory in KiB.
+    /// Returns the resident memory in KiB.
     pub fn rss_kib(&self) -> io::Result<u64> {
         self.memory_status_kib("VmRSS:")
     }
 
-    /// Its largest resident memory so far, in KiB.
+    /// Returns the peak resident memory in KiB.
     pub fn peak_rss_kib(&self) -> io::Result<u64> {
         self.memory_status_kib("VmHWM:")
     }
 
-    /// A line of its memory status, in KiB; 0 where the system has none of this name.
+    /// Returns the value of a line of `/proc/PID/status` in KiB, or 0 if there is no such line.
     fn memory_status_kib(&self, name: &str) -> io::Result<u64> {
         let status = fs::read_to_string(self.proc_file("status"))?;
         let line = status
@@ -183,6 +188,7 @@
         Ok(line.trim().trim_end_matches(" kB").parse().unwrap_or(0))
     }
 
+    /// Returns the path of a file of the process in `/proc`.
     fn proc_file(&self, name: &str) -> PathBuf {
         Path::new("/proc")
             .join(self.child.id().to_string())
--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -1,4 +1,4 @@
-//! Floods of connections, from one address or from many.
+//! Floods of connections from one or many addresses.
 
 use crate::client_connection::connect;
 use crate::request::request;
@@ -13,20 +13,21 @@
 use tokio::sync::Semaphore;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// Customers of a flood, from this number on: not those of client load.
+/// The first customer number of a flood; beyond the customers of the client load.
 const FIRST_FLOOD_CUSTOMER: u64 = 1 << 20;
-/// Customers that the connections of a flood use in turn.
+/// The number of customers that the connections of a flood use in turn.
 const FLOOD_CUSTOMERS: u64 = 997;
-/// The customer of client load that [`FloodShape::Pretend`] uses.
+/// The customer of the client load that [`FloodShape::Pretend`] sends requests for.
 const IMPERSONATED_CUSTOMER: u64 = 1;
-/// Bytes of a request that [`FloodShape::Half`] sends.
+/// The number of bytes of a request that [`FloodShape::Half`] sends.
 const PARTIAL_REQUEST_BYTES: usize = 40;
-/// New connections are made in batches: finer ticks cost more than the connections.
+/// Interval at which new connections are opened in batches. Shorter intervals cost more CPU time
+/// than the connections themselves.
 const TICK_MS: u64 = 5;
-/// Time between two writes on a connection that goes on writing.
+/// Time to wait for input between two writes on a connection that writes repeatedly.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a connect that failed.
+/// Pause after a failed connection attempt.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// What the connections of a flood do.
@@ -34,56 +35,58 @@
 pub enum FloodShape {
     /// Connect and send nothing.
     Silent,
-    /// Send one byte a second.
+    /// Send one byte per second.
     Drip,
     /// Connect and close at once.
     ConnectClose,
     /// Send half a request, then close.
     Half,
-    /// Send one request and stay.
+    /// Send one request and keep the connection open.
     Once,
-    /// Send one request, stay, and reconnect as soon as the connection is rejected or closed.
+    /// Send one request, keep the connection open, and reconnect as soon as it is rejected or
+    /// closed.
     Again,
-    /// Send one request for a customer of the client load and stay.
+    /// Send one request for a customer of the client load and keep the connection open.
     Pretend,
-    /// Send requests repeatedly, for a customer beyond its quota.
+    /// Send requests repeatedly for one customer, which exceeds its quota.
     Active,
-    /// Send bytes that are no request.
+    /// Send bytes that are not a request.
     Garbage,
 }
 
-/// A flood.
+/// The parameters of a flood.
 #[derive(Clone, Copy, Debug)]
 pub struct Flood {
     /// What its connections do.
     pub shape: FloodShape,
-    /// New connections a second.
+    /// New connections per second.
     pub rate: f64,
-    /// Connections that it holds at most; further ones are not made.
+    /// The maximum number of open connections; no more are opened while there are as many.
     pub max_connections: usize,
-    /// Addresses that it comes from.
+    /// The number of source addresses.
     pub addresses: u32,
 }
 
-/// What a flood has done so far.
+/// Counts of a flood's connections and replies, updated while it runs.
 #[derive(Debug, Default)]
 pub struct FloodCounters {
-    /// Connections made.
+    /// The number of connections opened.
     pub connected: AtomicU64,
-    /// Connects that failed.
+    /// The number of connection attempts that failed or timed out.
     pub connect_failures: AtomicU64,
-    /// `-BUSY` replies received.
+    /// The number of `-BUSY` replies received.
     pub busy_replies: AtomicU64,
 }
 
-/// The n-th of this many source addresses, in 127.64.0.0/10.
+/// Returns the source address of the `n`-th connection: one of `addresses` consecutive addresses in
+/// 127.64.0.0/10, in turn.
 #[must_use]
 pub fn source_address(n: u64, addresses: u32) -> Ipv4Addr {
     let offset = (n % u64::from(addresses.max(1))) as u32;
     Ipv4Addr::from_bits(Ipv4Addr::new(127, 64, 0, 1).to_bits() + offset)
 }
 
-/// Plays a flood until `stop` is set.
+/// Generates a flood until `stop` is set. Connections that are open then end within about a second.
 pub async fn generate(
     flood: Flood,
     destination: SocketAddr,
@@ -119,16 +122,19 @@
     }
 }
 
-/// One client of a flood, which has one connection at a time.
+/// A client of a flood, which has one connection at a time.
 struct FloodClient {
     flood: Flood,
     destination: SocketAddr,
+    /// The number of the client, from 1 on, which its source address, customer and request ids
+    /// depend on.
     number: u64,
     stop: Arc<AtomicBool>,
     counters: Arc<FloodCounters>,
 }
 
 impl FloodClient {
+    /// Connects and uses the connection; repeats this for [`FloodShape::Again`].
     async fn run(&self) {
         let source = source_address(self.number, self.flood.addresses);
         loop {
@@ -150,11 +156,13 @@
         }
     }
 
-    /// Does what the shape says until the other side ends the connection or the flood stops.
+    /// Uses the connection as the flood's shape demands until the peer closes it or the flood
+    /// stops.
     async fn use_connection(&self, mut stream: TcpStream) {
         let shape = self.flood.shape;
         let first_write = self.write_first(&mut stream).await;
-        // A reset instead of an orderly end: thousands of ended connections would use up the ports.
+        // Connections are reset on close: after an orderly close, thousands of connections in
+        // TIME_WAIT would use up the local ports.
         let _ = stream.set_zero_linger();
         if first_write.is_err() || matches!(shape, FloodShape::ConnectClose | FloodShape::Half) {
             return;
@@ -178,11 +186,12 @@
         }
     }
 
-    /// The id of the first request of this client.
+    /// Returns the id of the client's first request.
     fn request_id(&self) -> u64 {
         1 << 60 | self.number
     }
 
+    /// Writes what the shape sends directly after connecting.
     async fn write_first(&self, stream: &mut TcpStream) -> io::Result<()> {
         let id = self.request_id();
         let customer = FIRST_FLOOD_CUSTOMER + self.number % FLOOD_CUSTOMERS;
@@ -201,6 +210,7 @@
         }
     }
 
+    /// Writes what the shape sends repeatedly; `requests` counts these requests.
     async fn write_next(&self, stream: &mut TcpStream, requests: &mut u64) -> io::Result<()> {
         match self.flood.shape {
             FloodShape::Drip => stream.write_all(b"1").await,
