--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -22,7 +22,7 @@
 const MAX_PER_CLIENT: u32 = 1 << 20;
 
 /// Measures one controller for each number of addresses.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut decision = SizeSeries::measured("processor time of connect, displace and close", "us");
     let mut tables =
         SizeSeries::measured("memory of the tables, as counted by the controller", "MiB");
@@ -30,21 +30,21 @@
     // No controller is dropped before the end, because the next one would reuse its memory and the
     // growth of the resident memory would be too small.
     let mut controllers = Vec::new();
-    for &size in &run.sizes {
-        run.progress(&format!("admission: {size} addresses"));
+    for &size in &options.sizes {
+        options.progress(&format!("admission: {size} addresses"));
         let resident_before = resident_bytes();
         let mut controller = Controller::new(size);
         memory.push(size, &[resident_growth_mib(resident_before)]);
         let table_bytes = controller.controller.cache_sizes().bytes;
         tables.push(size, &[table_bytes as f64 / f64::from(1 << 20)]);
-        let samples: Vec<f64> = (0..run.repeats as u64)
+        let samples: Vec<f64> = (0..options.repeats as u64)
             .map(|round| controller.decision_us(size as u64, round))
             .collect();
         decision.push(size, &samples);
         controllers.push(controller);
     }
     let figures = vec![decision, memory, tables];
-    run.report("admission", "addresses", figures, Vec::new())
+    options.report("admission", "addresses", figures, Vec::new())
 }
 
 fn peer(number: u64) -> IpAddr {
--- a/crates/testbed/src/scale/configuration.rs
+++ b/crates/testbed/src/scale/configuration.rs
@@ -12,13 +12,13 @@
 const MAX_FILE_BYTES: usize = 1 << 20;
 
 /// Reads a file for each number of routes, with services in proportion to the planned size.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
-    for &size in &run.sizes {
-        run.progress(&format!("configuration: {size} routes"));
+    for &size in &options.sizes {
+        options.progress(&format!("configuration: {size} routes"));
         let text = file_of_routes(size);
-        measure(run, size, &text, &mut figures);
+        measure(options, size, &text, &mut figures);
         if text.len() > MAX_FILE_BYTES {
             notes.push(format!(
                 "the file with {size} routes exceeds the limit of {MAX_FILE_BYTES} bytes"
@@ -29,15 +29,15 @@
         "a change requires a new file on each machine and SIGHUP; the platform has no means to distribute the file"
             .into(),
     );
-    run.report("configuration", "routes", figures.series(), notes)
+    options.report("configuration", "routes", figures.series(), notes)
 }
 
-fn measure(run: &RunOptions, size: usize, text: &str, figures: &mut Figures) {
+fn measure(options: &RunOptions, size: usize, text: &str, figures: &mut Figures) {
     let changes_a_second = targets::CHANGES_A_DAY / targets::SECONDS_A_DAY;
     let bytes = text.len() as f64;
     figures.bytes.push(size, &[bytes]);
     figures.byte_rate.push(size, &[bytes * changes_a_second]);
-    let parses_ms = samples_ms(run, || {
+    let parses_ms = samples_ms(options, || {
         KdlDocument::parse_v2(text).expect("the testbed's text parses")
     });
     let share = |ms: &f64| ms / 1e3 * changes_a_second * 100.0;
@@ -46,19 +46,19 @@
         .push(size, &parses_ms.iter().map(share).collect::<Vec<_>>());
     figures.parse.push(size, &parses_ms);
     let address_file = file_of_addresses(size);
-    let checks_ms = samples_ms(run, || {
+    let checks_ms = samples_ms(options, || {
         OperatorFile::parse("scale.kdl", &address_file).map_err(|error| error.lines())
     });
     figures.check.push(size, &checks_ms);
 }
 
 /// Returns the processor time of each repeat in milliseconds.
-fn samples_ms<T>(run: &RunOptions, work: impl Fn() -> T) -> Vec<f64> {
+fn samples_ms<T>(options: &RunOptions, work: impl Fn() -> T) -> Vec<f64> {
     let sample = |_| {
         let (_, took) = timed(|| std::hint::black_box(work()));
         millis(took)
     };
-    (0..run.repeats).map(sample).collect()
+    (0..options.repeats).map(sample).collect()
 }
 
 struct Figures {
--- a/crates/testbed/src/scale/counter.rs
+++ b/crates/testbed/src/scale/counter.rs
@@ -24,21 +24,21 @@
 };
 
 /// Runs a fleet of each size at the peak request rate.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
-    for &size in &run.sizes {
-        run.progress(&format!("counter: {size} ingresses"));
-        measure(run, &endpoints, size, &mut figures);
+    for &size in &options.sizes {
+        options.progress(&format!("counter: {size} ingresses"));
+        measure(options, &endpoints, size, &mut figures);
     }
     let note = "each ingress receives 256 requests per second".to_owned();
-    run.report("counter", "ingresses", figures.series(), vec![note])
+    options.report("counter", "ingresses", figures.series(), vec![note])
 }
 
-fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
-    let mut environment = SimulatedEnvironment::new(run.seed);
+fn measure(options: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+    let mut environment = SimulatedEnvironment::new(options.seed);
     let resident_before = resident_bytes();
-    let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
+    let mut fleet = SimulatedFleet::new(endpoints, size, options.seed, &mut environment);
     let mut now = WARM_UP_DURATION;
     fleet.run(now, PEAK_LOAD, &mut environment);
     let grown_kib = resident_bytes().saturating_sub(resident_before) as f64 / 1024.0;
@@ -46,7 +46,7 @@
     let mut samples = Vec::new();
     let mut cores = Vec::new();
     let mut spent = Duration::ZERO;
-    while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
+    while samples.is_empty() || samples.len() < options.repeats && spent < MAX_PROCESSOR_TIME {
         fleet.reset_traffic();
         now += SAMPLE_TIME;
         let (_, took) = timed(|| fleet.run(now, PEAK_LOAD, &mut environment));
--- a/crates/testbed/src/scale/decision.rs
+++ b/crates/testbed/src/scale/decision.rs
@@ -20,40 +20,40 @@
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(8);
 
 /// Measures one ingress for each number of servers.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     // No ingress is dropped before the end, because the next one would reuse its memory and the
     // growth of the resident memory would be too small.
     let mut ingresses = Vec::new();
-    for &size in &run.sizes {
-        run.progress(&format!("decision: {size} servers"));
-        ingresses.push(measure(run, size, &mut figures));
+    for &size in &options.sizes {
+        options.progress(&format!("decision: {size} servers"));
+        ingresses.push(measure(options, size, &mut figures));
     }
-    run.report(
+    options.report(
         "decision",
         "servers",
         figures.series(),
-        vec![run.division()],
+        vec![options.describe_services()],
     )
 }
 
-fn measure(run: &RunOptions, size: usize, figures: &mut Figures) -> SimulatedIngress {
-    let mut environment = SimulatedEnvironment::new(run.seed);
+fn measure(options: &RunOptions, size: usize, figures: &mut Figures) -> SimulatedIngress {
+    let mut environment = SimulatedEnvironment::new(options.seed);
     let resident_before = resident_bytes();
-    let endpoints = Arc::new(EndpointSet::new(size, run.services));
-    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+    let endpoints = Arc::new(EndpointSet::new(size, options.services));
+    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, options.seed);
     let list = roseyard_ingress::protocol::list::decode(&mut endpoints.complete_list());
     ingress.apply_endpoint_list(
         &list.expect("a list of the testbed decodes"),
         &mut environment,
     );
-    let by_servers = samples(run, &mut ingress, Demand::ByServers, &mut environment);
+    let by_servers = samples(options, &mut ingress, Demand::ByServers, &mut environment);
     figures
         .memory
         .push(size, &[resident_growth_mib(resident_before)]);
     figures.push(size, &by_servers);
-    if run.services {
-        let even = samples(run, &mut ingress, Demand::Even, &mut environment);
+    if options.services {
+        let even = samples(options, &mut ingress, Demand::Even, &mut environment);
         figures
             .request_even
             .push(size, &values_of(&even, Sample::request_us));
@@ -144,7 +144,7 @@
 }
 
 fn samples(
-    run: &RunOptions,
+    options: &RunOptions,
     ingress: &mut SimulatedIngress,
     demand: Demand,
     environment: &mut SimulatedEnvironment,
@@ -157,8 +157,8 @@
     let (_, mut spent) =
         timed(|| ingress.run(ingress.now() + WARM_UP_DURATION, Some(load), environment));
     let mut samples = Vec::new();
-    while samples.is_empty() || samples.len() < run.repeats && spent < MAX_PROCESSOR_TIME {
-        let (sample, took) = sample(run, ingress, load, environment);
+    while samples.is_empty() || samples.len() < options.repeats && spent < MAX_PROCESSOR_TIME {
+        let (sample, took) = sample(options, ingress, load, environment);
         samples.push(sample);
         spent += took;
     }
@@ -167,12 +167,12 @@
 
 /// Takes one sample and returns it with the processor time that it took.
 fn sample(
-    run: &RunOptions,
+    options: &RunOptions,
     ingress: &mut SimulatedIngress,
     load: RequestLoad,
     environment: &mut SimulatedEnvironment,
 ) -> (Sample, Duration) {
-    let seconds = Duration::from_secs(run.seconds);
+    let seconds = Duration::from_secs(options.seconds);
     // Requests in flight complete before the idle cost is measured.
     ingress.run(ingress.now() + WARM_UP_DURATION, None, environment);
     let (_, idle) = timed(|| ingress.run(ingress.now() + seconds, None, environment));
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -19,20 +19,20 @@
 const CHUNK_OVERHEAD_BYTES: usize = 8;
 
 /// Sends the changes of restarting servers to a fleet of each size.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
-    for &size in &run.sizes {
-        run.progress(&format!("discovery: {size} ingresses"));
-        measure(run, &endpoints, size, &mut figures);
+    for &size in &options.sizes {
+        options.progress(&format!("discovery: {size} ingresses"));
+        measure(options, &endpoints, size, &mut figures);
     }
     let note = "the values for relays are calculated; the platform has no relays".to_owned();
-    run.report("discovery", "ingresses", figures.series(), vec![note])
+    options.report("discovery", "ingresses", figures.series(), vec![note])
 }
 
-fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
-    let mut environment = SimulatedEnvironment::new(run.seed);
-    let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
+fn measure(options: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+    let mut environment = SimulatedEnvironment::new(options.seed);
+    let mut fleet = SimulatedFleet::new(endpoints, size, options.seed, &mut environment);
     let mut bytes = Vec::new();
     let mut costs_ms = Vec::new();
     for restart in 0..RESTARTS {
--- a/crates/testbed/src/scale/events/mod.rs
+++ b/crates/testbed/src/scale/events/mod.rs
@@ -14,28 +14,28 @@
 use measurement::Figures;
 
 /// Runs the events that depend on the fleet size at each size, and the others once.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::default();
-    let first = run.sizes[0];
-    run.progress("events: one ingress restarts");
-    restart::ingress(run, first, &mut figures);
-    run.progress("events: a rack fails");
-    rack::run(run, first, &mut figures);
-    for &size in &run.sizes {
-        run.progress("events: two regions are partitioned");
-        regions::run(run, size, &mut figures);
-        run.progress("events: a zone fails and returns cold");
-        zone::run(run, size, &mut figures);
+    let first_size = options.sizes[0];
+    options.progress("events: one ingress restarts");
+    restart::ingress(options, first_size, &mut figures);
+    options.progress("events: a rack fails");
+    rack::run(options, first_size, &mut figures);
+    for &size in &options.sizes {
+        options.progress("events: two regions are partitioned");
+        regions::run(options, size, &mut figures);
+        options.progress("events: a zone fails and returns cold");
+        zone::run(options, size, &mut figures);
     }
-    run.progress("events: a zone changes in the complete list");
-    zone::in_complete_list(run, first, &mut figures);
-    restart::control(&run.sizes, &mut figures);
-    run.report("events", "ingresses", figures.0, notes(run))
+    options.progress("events: a zone changes in the complete list");
+    zone::in_complete_list(options, first_size, &mut figures);
+    restart::control(&options.sizes, &mut figures);
+    options.report("events", "ingresses", figures.0, notes(options))
 }
 
-fn notes(run: &RunOptions) -> Vec<String> {
+fn notes(options: &RunOptions) -> Vec<String> {
     vec![
-        run.division(),
+        options.describe_services(),
         format!(
             "restart, and bytes and processor time of a zone's changes: one ingress with all {} servers",
             targets::SERVERS
--- a/crates/testbed/src/scale/events/rack.rs
+++ b/crates/testbed/src/scale/events/rack.rs
@@ -15,11 +15,11 @@
 const FAILS_AT: Duration = Duration::from_secs(60);
 const REPORTED_AT: Duration = Duration::from_secs(70);
 
-pub(super) fn run(run: &RunOptions, size: usize, figures: &mut Figures) {
-    let mut environment = SimulatedEnvironment::new(run.seed);
+pub(super) fn run(options: &RunOptions, size: usize, figures: &mut Figures) {
+    let mut environment = SimulatedEnvironment::new(options.seed);
     let endpoints = Arc::new(EndpointSet::single(SERVICE_SERVERS));
     let ingresses = targets::INGRESSES;
-    let mut fleet = SimulatedFleet::new(&endpoints, ingresses, run.seed, &mut environment);
+    let mut fleet = SimulatedFleet::new(&endpoints, ingresses, options.seed, &mut environment);
     // The requests of an ingress are spread evenly over all services, one of which is simulated.
     let load = RequestLoad {
         rate: targets::REQUESTS_PER_INGRESS / targets::SERVICES as f64,
--- a/crates/testbed/src/scale/events/regions.rs
+++ b/crates/testbed/src/scale/events/regions.rs
@@ -24,10 +24,10 @@
     demand: Demand::ByServers,
 };
 
-pub(super) fn run(run: &RunOptions, ingresses: usize, figures: &mut Figures) {
-    let mut environment = SimulatedEnvironment::new(run.seed);
+pub(super) fn run(options: &RunOptions, ingresses: usize, figures: &mut Figures) {
+    let mut environment = SimulatedEnvironment::new(options.seed);
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
-    let mut fleet = SimulatedFleet::new(&endpoints, ingresses, run.seed, &mut environment);
+    let mut fleet = SimulatedFleet::new(&endpoints, ingresses, options.seed, &mut environment);
     run_until(&mut fleet, SPLIT_AT, LOAD, &mut environment);
     environment.split = Some(Split {
         ingresses: ingresses / 2,
--- a/crates/testbed/src/scale/events/restart.rs
+++ b/crates/testbed/src/scale/events/restart.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 /// Measures an ingress that starts without endpoints and receives the complete list.
-pub(super) fn ingress(run: &RunOptions, size: usize, figures: &mut Figures) {
-    let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
+pub(super) fn ingress(options: &RunOptions, size: usize, figures: &mut Figures) {
+    let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, options.services));
     let line = endpoints.complete_list();
-    let mut environment = SimulatedEnvironment::new(run.seed);
+    let mut environment = SimulatedEnvironment::new(options.seed);
     let (mut ingress, took) = timed(|| {
-        let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+        let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, options.seed);
         ingress.receive_line(&line, &mut environment);
         ingress
     });
--- a/crates/testbed/src/scale/events/zone.rs
+++ b/crates/testbed/src/scale/events/zone.rs
@@ -21,12 +21,17 @@
 
 /// Runs only the failure and return of a zone, at each size.
 #[must_use]
-pub fn zone_returns(run: &RunOptions) -> RoleReport {
+pub fn zone_returns(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::default();
-    for &size in &run.sizes {
-        self::run(run, size, &mut figures);
+    for &size in &options.sizes {
+        self::run(options, size, &mut figures);
     }
-    run.report("zone", "ingresses", figures.0, vec![run.division()])
+    options.report(
+        "zone",
+        "ingresses",
+        figures.0,
+        vec![options.describe_services()],
+    )
 }
 
 /// Returns the servers of the first zone among this many servers.
@@ -53,11 +58,11 @@
 
 /// Measures a fleet while the servers of a zone fail and return cold. The number of servers is in
 /// proportion to the planned size.
-pub(super) fn run(run: &RunOptions, ingresses: usize, figures: &mut Figures) {
+pub(super) fn run(options: &RunOptions, ingresses: usize, figures: &mut Figures) {
     let servers = ingresses * targets::SERVERS / targets::INGRESSES;
-    let mut environment = SimulatedEnvironment::new(run.seed);
-    let endpoints = Arc::new(EndpointSet::new(servers, run.services));
-    let mut fleet = SimulatedFleet::new(&endpoints, ingresses, run.seed, &mut environment);
+    let mut environment = SimulatedEnvironment::new(options.seed);
+    let endpoints = Arc::new(EndpointSet::new(servers, options.services));
+    let mut fleet = SimulatedFleet::new(&endpoints, ingresses, options.seed, &mut environment);
     run_until(&mut fleet, FAILS_AT, PEAK_LOAD, &mut environment);
     fleet.receive_line(&zone_line(&endpoints, 2, deleted), &mut environment);
     let while_down = run_until(&mut fleet, RETURNS_AT, PEAK_LOAD, &mut environment);
@@ -75,7 +80,7 @@
     let quantity = "zone: requests not served in the 3 s after its return";
     figures.measured(quantity, "%", ingresses, after_return.not_served_percent());
     let arrivals = environment.arrivals.take().unwrap_or_default();
-    let ratio = ColdServerRatio::of(&arrivals, servers);
+    let ratio = ColdServerRatio::from_arrivals(&arrivals, servers);
     let quantity = "zone: attempts at a cold server in its first 3 s, mean";
     figures.measured(quantity, "of those at a warm server", ingresses, ratio.mean);
     let quantity = "zone: attempts at a cold server in its first 3 s, maximum";
@@ -89,7 +94,7 @@
 }
 
 impl ColdServerRatio {
-    fn of(arrivals: &[Arrival], servers: usize) -> ColdServerRatio {
+    fn from_arrivals(arrivals: &[Arrival], servers: usize) -> ColdServerRatio {
         let mut attempts = vec![0usize; servers];
         for arrival in arrivals {
             attempts[arrival.server] += 1;
@@ -111,10 +116,10 @@
 }
 
 /// Measures the changes of a zone at an ingress with all servers of the planned size.
-pub(super) fn in_complete_list(run: &RunOptions, size: usize, figures: &mut Figures) {
-    let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, run.services));
-    let mut environment = SimulatedEnvironment::new(run.seed);
-    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+pub(super) fn in_complete_list(options: &RunOptions, size: usize, figures: &mut Figures) {
+    let endpoints = Arc::new(EndpointSet::new(targets::SERVERS, options.services));
+    let mut environment = SimulatedEnvironment::new(options.seed);
+    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, options.seed);
     ingress.receive_line(&endpoints.complete_list(), &mut environment);
     for (revision, state, change) in [
         (2, EndpointState::Deleted, "fails"),
--- a/crates/testbed/src/scale/list.rs
+++ b/crates/testbed/src/scale/list.rs
@@ -21,16 +21,16 @@
 const DESCRIPTORS: usize = 1024;
 
 /// Measures one ingress for each number of servers.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
-    let mut notes = vec![run.division()];
+    let mut notes = vec![options.describe_services()];
     let max_bytes = limits().protocol.max_list_bytes;
     // No ingress is dropped before the end, because the next one would reuse its memory and the
     // growth of the resident memory would be too small.
     let mut ingresses = Vec::new();
-    for &size in &run.sizes {
-        run.progress(&format!("list: {size} servers"));
-        let endpoints = Arc::new(EndpointSet::new(size, run.services));
+    for &size in &options.sizes {
+        options.progress(&format!("list: {size} servers"));
+        let endpoints = Arc::new(EndpointSet::new(size, options.services));
         let line = endpoints.complete_list();
         if line.len() > max_bytes {
             notes.push(format!(
@@ -39,14 +39,15 @@
             ));
         }
         figures.push_length(size, line.len());
-        let mut environment = SimulatedEnvironment::new(run.seed);
-        let mut ingress = complete_lists(run, &endpoints, &line, &mut environment, &mut figures);
-        let changes = changes(run, &endpoints, &mut ingress, &mut environment);
+        let mut environment = SimulatedEnvironment::new(options.seed);
+        let mut ingress =
+            complete_lists(options, &endpoints, &line, &mut environment, &mut figures);
+        let changes = changes(options, &endpoints, &mut ingress, &mut environment);
         figures.change.push(size, &changes.costs_us);
         figures.change_bytes.push(size, &[changes.mean_bytes]);
         ingresses.push(ingress);
     }
-    run.report("list", "servers", figures.series(), notes)
+    options.report("list", "servers", figures.series(), notes)
 }
 
 struct Figures {
@@ -103,19 +104,19 @@
 /// Decodes the complete list and applies it to a new ingress in each repeat. Returns the last
 /// ingress.
 fn complete_lists(
-    run: &RunOptions,
+    options: &RunOptions,
     endpoints: &Arc<EndpointSet>,
     line: &[u8],
     environment: &mut SimulatedEnvironment,
     figures: &mut Figures,
 ) -> SimulatedIngress {
     let size = endpoints.servers();
-    let new_ingress = || SimulatedIngress::new(endpoints, targets::INGRESSES, 0, run.seed);
+    let new_ingress = || SimulatedIngress::new(endpoints, targets::INGRESSES, 0, options.seed);
     let mut decodes_ms = Vec::new();
     let mut applies_ms = Vec::new();
     let resident_before = resident_bytes();
     let mut ingress = new_ingress();
-    for repeat in 0..run.repeats {
+    for repeat in 0..options.repeats {
         let (message, took) = timed(|| decode(line));
         decodes_ms.push(millis(took));
         if repeat > 0 {
@@ -162,18 +163,18 @@
 
 /// Restarts random servers and measures the changes that the ingress receives.
 fn changes(
-    run: &RunOptions,
+    options: &RunOptions,
     endpoints: &EndpointSet,
     ingress: &mut SimulatedIngress,
     environment: &mut SimulatedEnvironment,
 ) -> Changes {
-    let mut random = fastrand::Rng::with_seed(run.seed);
+    let mut random = fastrand::Rng::with_seed(options.seed);
     let mut costs_us = Vec::new();
     let mut bytes = 0;
     let mut lines = 0;
     let mut revision = ingress.engine.endpoint_registry().revision();
     let mut generations = vec![0u32; endpoints.servers()];
-    for _ in 0..run.repeats {
+    for _ in 0..options.repeats {
         let mut spent = Duration::ZERO;
         for _ in 0..RESTARTS_PER_SAMPLE {
             let server = random.usize(0..endpoints.servers());
--- a/crates/testbed/src/scale/membership/mod.rs
+++ b/crates/testbed/src/scale/membership/mod.rs
@@ -21,20 +21,20 @@
 const SPLIT_DURATION: Duration = Duration::from_secs(300);
 
 /// Measures a single member and, up to [`MAX_FLEET_SIZE`], a complete fleet at each size.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let mut notes = Vec::new();
-    for &size in &run.sizes {
-        run.progress(&format!("membership: one member of {size}"));
-        measure_single_member(run, size, &mut figures);
+    for &size in &options.sizes {
+        options.progress(&format!("membership: one member of {size}"));
+        measure_single_member(options, size, &mut figures);
         if size > MAX_FLEET_SIZE {
             notes.push(format!(
                 "a complete fleet of {size} is not simulated: the cost of joining grows faster than the square of its size"
             ));
             continue;
         }
-        run.progress(&format!("membership: a fleet of {size}"));
-        if !measure_fleet(run, size, &mut figures) {
+        options.progress(&format!("membership: a fleet of {size}"));
+        if !measure_fleet(options, size, &mut figures) {
             notes.push(format!(
                 "{size} members did not agree within {MAX_AGREEMENT_TIME:?} or {MAX_PROCESSOR_TIME:?} of processor time"
             ));
@@ -44,32 +44,32 @@
     notes.push(format!(
         "the program keeps at most {max_members} members; this run keeps all members"
     ));
-    run.report("membership", "members", figures.series(), notes)
+    options.report("membership", "members", figures.series(), notes)
 }
 
-fn measure_single_member(run: &RunOptions, size: usize, figures: &mut Figures) {
-    let mut member = SingleMember::new(size, run.seed);
+fn measure_single_member(options: &RunOptions, size: usize, figures: &mut Figures) {
+    let mut member = SingleMember::new(size, options.seed);
     let join = member.receive_all_records(size);
     figures.join.push(size, &[millis(join.processor_time)]);
     figures.join_one_bytes.push(size, &[join.bytes as f64]);
     // The member gossips new records for some time; the idle cost is measured after that.
     member.run(SETTLE_TIME);
-    let length = Duration::from_secs(run.seconds);
+    let length = Duration::from_secs(options.seconds);
     let idle_percent = |_| {
         let (_, took) = timed(|| member.run(length));
         took.as_secs_f64() * 100.0 / length.as_secs_f64()
     };
-    let idle_percents: Vec<f64> = (0..run.repeats).map(idle_percent).collect();
+    let idle_percents: Vec<f64> = (0..options.repeats).map(idle_percent).collect();
     figures.idle.push(size, &idle_percents);
-    let updates_us: Vec<f64> = (0..run.repeats)
+    let updates_us: Vec<f64> = (0..options.repeats)
         .map(|round| member.update_us(size, round))
         .collect();
     figures.update.push(size, &updates_us);
 }
 
 /// Measures a complete fleet. Returns false if its members do not agree in time.
-fn measure_fleet(run: &RunOptions, size: usize, figures: &mut Figures) -> bool {
-    let mut fleet = VirtualFleet::new(size, run.seed);
+fn measure_fleet(options: &RunOptions, size: usize, figures: &mut Figures) -> bool {
+    let mut fleet = VirtualFleet::new(size, options.seed);
     let (agreed, spent) = timed(|| fleet.run_until_agreed());
     if !agreed {
         return false;
@@ -77,11 +77,11 @@
     figures.join_bytes.push(size, &[fleet.bytes_of_member(0)]);
     fleet.run(SETTLE_TIME);
     let repeats = if spent > MAX_PROCESSOR_TIME / 4 {
-        run.repeats.min(1)
+        options.repeats.min(1)
     } else {
-        run.repeats
+        options.repeats
     };
-    let length = Duration::from_secs(run.seconds);
+    let length = Duration::from_secs(options.seconds);
     let mut core_percents = Vec::new();
     let mut byte_rates = Vec::new();
     for _ in 0..repeats {
@@ -93,7 +93,7 @@
     }
     figures.fleet_idle.push(size, &core_percents);
     figures.fleet_bytes.push(size, &byte_rates);
-    run.progress(&format!("membership: a fleet of {size} in failures"));
+    options.progress(&format!("membership: a fleet of {size} in failures"));
     measure_failures(size, &mut fleet, figures);
     true
 }
--- a/crates/testbed/src/scale/quotas.rs
+++ b/crates/testbed/src/scale/quotas.rs
@@ -18,30 +18,30 @@
 const RAMP_UP_DURATION: Duration = Duration::from_secs(20);
 
 /// Measures one ingress for each number of tenants, after each tenant has sent a request.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     // No ingress is dropped before the end, because the next one would reuse its memory and the
     // growth of the resident memory would be too small.
     let mut ingresses = Vec::new();
-    for &size in &run.sizes {
-        run.progress(&format!("quotas: {size} tenants"));
-        ingresses.push(measure(run, size, &mut figures));
+    for &size in &options.sizes {
+        options.progress(&format!("quotas: {size} tenants"));
+        ingresses.push(measure(options, size, &mut figures));
     }
     let note =
         "bytes are those of the calls and replies, without the headers of TCP and IP".to_owned();
-    let notes = vec![run.division(), note];
-    run.report("quotas", "tenants", figures.series(), notes)
+    let notes = vec![options.describe_services(), note];
+    options.report("quotas", "tenants", figures.series(), notes)
 }
 
-fn measure(run: &RunOptions, size: usize, figures: &mut Figures) -> SimulatedIngress {
-    let mut environment = SimulatedEnvironment::new(run.seed);
-    let servers = if run.services {
+fn measure(options: &RunOptions, size: usize, figures: &mut Figures) -> SimulatedIngress {
+    let mut environment = SimulatedEnvironment::new(options.seed);
+    let servers = if options.services {
         targets::SERVERS
     } else {
         FEW_SERVERS
     };
-    let endpoints = Arc::new(EndpointSet::new(servers, run.services));
-    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, run.seed);
+    let endpoints = Arc::new(EndpointSet::new(servers, options.services));
+    let mut ingress = SimulatedIngress::new(&endpoints, targets::INGRESSES, 0, options.seed);
     ingress.receive_line(&endpoints.complete_list(), &mut environment);
     let resident_before = resident_bytes();
     for tenant in 0..size {
@@ -52,14 +52,14 @@
     figures
         .memory
         .push(size, &[resident_growth_mib(resident_before)]);
-    let traffic = samples(run, size, &mut ingress, &mut environment, figures);
+    let traffic = samples(options, size, &mut ingress, &mut environment, figures);
     figures.push_traffic(size, &traffic);
     ingress
 }
 
 /// Measures an ingress alternately without and under load. Returns its traffic under load.
 fn samples(
-    run: &RunOptions,
+    options: &RunOptions,
     size: usize,
     ingress: &mut SimulatedIngress,
     environment: &mut SimulatedEnvironment,
@@ -70,11 +70,11 @@
         tenants: size,
         demand: Demand::ByServers,
     };
-    let length = Duration::from_millis(1000 * run.seconds / run.repeats as u64);
+    let length = Duration::from_millis(1000 * options.seconds / options.repeats as u64);
     let mut idle_percents = Vec::new();
     let mut requests_us = Vec::new();
     let mut total = Traffic::default();
-    for _ in 0..run.repeats {
+    for _ in 0..options.repeats {
         let (_, took) = timed(|| ingress.run(ingress.now() + length, None, environment));
         let idle_s = took.as_secs_f64() / length.as_secs_f64();
         ingress.traffic = Traffic::default();
--- a/crates/testbed/src/scale/role.rs
+++ b/crates/testbed/src/scale/role.rs
@@ -32,10 +32,10 @@
     Servers,
     /// Failures and restarts in a large deployment.
     Events,
-    /// The real daemon on the loopback interface; needs `--daemon`.
+    /// The real daemon on the loopback interface; `--daemon` names its program.
     Daemon,
-    /// The effect of faults in one service on the other services of the real daemon; needs
-    /// `--daemon`.
+    /// The effect of faults in one service on the other services of the real daemon; `--daemon`
+    /// names its program.
     Faults,
     /// All roles that do not need the real daemon, each in a separate process.
     All,
@@ -236,7 +236,7 @@
     /// Runs the role in this process. Returns `None` for [`Role::All`], [`Role::Daemon`] and
     /// [`Role::Faults`], which run elsewhere.
     #[must_use]
-    pub fn run(self, run: &RunOptions) -> Option<RoleReport> {
-        self.entry().map(|entry| (entry.run)(run))
+    pub fn run(self, options: &RunOptions) -> Option<RoleReport> {
+        self.entry().map(|entry| (entry.run)(options))
     }
 }
--- a/crates/testbed/src/scale/run_options.rs
+++ b/crates/testbed/src/scale/run_options.rs
@@ -28,7 +28,7 @@
     }
 
     /// Describes how the servers are divided into services, for the notes of a report.
-    pub(super) fn division(&self) -> String {
+    pub(super) fn describe_services(&self) -> String {
         if self.services {
             let (services, servers) = (targets::SERVICES, targets::SERVERS);
             format!(
--- a/crates/testbed/src/scale/servers.rs
+++ b/crates/testbed/src/scale/servers.rs
@@ -22,36 +22,36 @@
 const STEP: Duration = Duration::from_secs(1);
 
 /// Runs the traffic of one service through a fleet of each size.
-pub(super) fn run(run: &RunOptions) -> RoleReport {
+pub(super) fn run(options: &RunOptions) -> RoleReport {
     let mut figures = Figures::new();
     let endpoints = Arc::new(EndpointSet::single(SERVERS));
-    for &size in &run.sizes {
-        run.progress(&format!("servers: {size} ingresses"));
-        measure(run, &endpoints, size, &mut figures);
+    for &size in &options.sizes {
+        options.progress(&format!("servers: {size} ingresses"));
+        measure(options, &endpoints, size, &mut figures);
     }
     let notes = vec![
         "the traffic of each ingress is spread evenly over 3,200 services, and every ingress has traffic for each service"
             .into(),
     ];
-    run.report("servers", "ingresses", figures.series(), notes)
+    options.report("servers", "ingresses", figures.series(), notes)
 }
 
-fn measure(run: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
+fn measure(options: &RunOptions, endpoints: &Arc<EndpointSet>, size: usize, figures: &mut Figures) {
     // The requests of an ingress are spread evenly over all services.
     let load = RequestLoad {
         rate: targets::REQUESTS_PER_INGRESS / targets::SERVICES as f64,
         tenants: targets::TENANTS,
         demand: Demand::ByServers,
     };
-    let mut environment = SimulatedEnvironment::new(run.seed);
+    let mut environment = SimulatedEnvironment::new(options.seed);
     environment.arrivals = Some(Vec::new());
-    let mut fleet = SimulatedFleet::new(endpoints, size, run.seed, &mut environment);
+    let mut fleet = SimulatedFleet::new(endpoints, size, options.seed, &mut environment);
     let mut now = Duration::ZERO;
     while now < WARM_UP_DURATION + SAMPLE_TIME {
         now += STEP;
         fleet.run(now, load, &mut environment);
     }
-    let connections = Connections::of(environment.arrivals.take().unwrap_or_default());
+    let connections = Connections::from_arrivals(environment.arrivals.take().unwrap_or_default());
     figures.push_connections(size, &connections);
     let traffic = fleet.traffic();
     let rejected_percent = 100.0 * traffic.rejected as f64 / traffic.ended().max(1) as f64;
@@ -124,7 +124,7 @@
 }
 
 impl Connections {
-    fn of(mut arrivals: Vec<Arrival>) -> Connections {
+    fn from_arrivals(mut arrivals: Vec<Arrival>) -> Connections {
         arrivals.sort_by_key(|arrival| arrival.at);
         let end = WARM_UP_DURATION + SAMPLE_TIME;
         let mut last_use: HashMap<(usize, usize), Duration> = HashMap::new();
