--- a/crates/testbed/src/flood.rs
+++ b/crates/testbed/src/flood.rs
@@ -61,7 +61,7 @@
     pub shape: FloodShape,
     /// New connections per second.
     pub rate: f64,
-    /// The maximum number of open connections; no more are opened while there are as many.
+    /// The maximum number of open connections; at the maximum, no further ones are opened.
     pub max_connections: usize,
     /// The number of source addresses.
     pub addresses: u32,
--- a/crates/testbed/src/scale/daemon/faults/reload.rs
+++ b/crates/testbed/src/scale/daemon/faults/reload.rs
@@ -30,6 +30,8 @@
 /// Part of the line that the daemon logs when it rejects an operator's file.
 const FILE_REJECTED: &str = "stays in force";
 
+/// Moves routes between services during a load of requests that are not idempotent, and checks that
+/// each request is executed once.
 pub(super) fn routes_move(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let testbed = FaultTestbed::start_warm(options)?;
     // Idempotent requests are retried if a server responds late, even without a change of routes.
@@ -90,6 +92,8 @@
     )
 }
 
+/// Replaces all services [`CHURN_GENERATIONS`] times, and checks that the daemon's memory does not
+/// grow with them.
 pub(super) fn churn(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let topology = ServiceTopology::long_tail(
         CHURN_SERVICES * 2,
@@ -116,7 +120,7 @@
     let ratio = last_kib as f64 / baseline_kib.max(1) as f64;
     let services = CHURN_SERVICES * CHURN_GENERATIONS;
     Ok(vec![Fault::Churn.finding(
-        format!("memory after {services} services is at most {MAX_CHURN_MEMORY_RATIO} times that after the first tenth"),
+        format!("memory after {services} services is at most {MAX_CHURN_MEMORY_RATIO} times that after the first tenth of them"),
         format!("{ratio:.2} times ({baseline_kib} KiB, {last_kib} KiB), {rejected_files} reloads rejected"),
         rejected_files == 0 && ratio <= MAX_CHURN_MEMORY_RATIO,
     )])
--- a/crates/testbed/src/scale/daemon/faults/servers.rs
+++ b/crates/testbed/src/scale/daemon/faults/servers.rs
@@ -8,13 +8,15 @@
 use std::net::Ipv4Addr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time after the report that a server is draining, from which on it gets no more requests.
+/// Time within which an ingress has to stop sending requests to a server that is reported as
+/// draining.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_000);
 /// Duration of the load after cold servers have come back.
 const COLD_LOAD_DURATION: Duration = Duration::from_secs(3);
 /// The maximum ratio of the attempts at cold servers to those at as many warm ones.
 const MAX_COLD_TO_WARM_RATIO: f64 = 0.5;
 
+/// All servers of the victim die, and come back after the load.
 pub(super) fn die(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let testbed = FaultTestbed::start_warm(options)?;
     let service = testbed.victim_service();
@@ -29,6 +31,7 @@
     Ok(outcomes.findings(Fault::ServersDie))
 }
 
+/// All servers of the victim are reported as draining, and as serving again after the load.
 pub(super) fn drain(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     let fault = Fault::ServersDrain;
     let testbed = FaultTestbed::start_warm(options)?;
@@ -50,7 +53,7 @@
     });
     let mut findings = outcomes.findings(fault);
     findings.push(fault.finding(
-        format!("no requests are sent to a server from {DRAIN_GRACE:?} after it was reported as draining"),
+        format!("no requests are sent to servers more than {DRAIN_GRACE:?} after they were reported as draining"),
         format!("{late_attempts} requests"),
         late_attempts == 0,
     ));
--- a/crates/testbed/src/scale/daemon/faults/start.rs
+++ b/crates/testbed/src/scale/daemon/faults/start.rs
@@ -11,6 +11,8 @@
 /// Added to the seed of the run for the load.
 const SEED_OFFSET: u64 = 5;
 
+/// Checks that a daemon serves every request from its start on, with the planned number of
+/// ingresses and with one in proportion to the small platform.
 pub(super) fn run(options: &DaemonOptions) -> io::Result<Vec<Finding>> {
     [PLANNED_INGRESSES, SCALED_INGRESSES]
         .into_iter()
--- a/crates/testbed/src/scale/daemon/faults/testbed.rs
+++ b/crates/testbed/src/scale/daemon/faults/testbed.rs
@@ -1,5 +1,5 @@
-//! A daemon with a loopback platform, a load on the service with the fault, the victim, and a load
-//! on all other services.
+//! A daemon on a loopback platform, with one load on the victim (the service with the fault) and
+//! another load on all other services.
 
 use super::finding::{Fault, Finding};
 use crate::checker::{Event, Observation};
--- a/crates/testbed/src/scale/daemon/sample.rs
+++ b/crates/testbed/src/scale/daemon/sample.rs
@@ -53,7 +53,7 @@
     trial.run(case)
 }
 
-/// Everything that one sample is taken with.
+/// The daemon, the platform and the load of one sample.
 struct Trial<'a> {
     options: &'a DaemonOptions,
     topology: &'a ServiceTopology,
@@ -116,7 +116,7 @@
     /// Returns the microseconds of CPU time per endpoint list change. The changes add and remove
     /// the same server in turn, with a pause of `interval` after each.
     fn change_us(&self, interval: Duration) -> io::Result<f64> {
-        // Measured again here: since the load, health checks have stopped.
+        // Measured again because the health checks have stopped since the load.
         let idle_share = self.daemon.core_share(IDLE_WINDOW)?;
         let began_at = Instant::now();
         let used_before = self.daemon.daemon.scheduler_cpu_time()?;
@@ -194,8 +194,8 @@
     outcome.latency_from_send.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// Measures the latency of requests that clients send directly to a server, which is the share of
-/// the machine in the measured latencies; returns it as a note for the reports.
+/// Measures the latency of requests that clients send directly to a server, and returns it as a
+/// note for the reports. It is the part of the other latencies that the machine itself causes.
 pub(super) fn direct_latency_note(options: &DaemonOptions) -> io::Result<String> {
     let topology = ServiceTopology::unnamed(1);
     let runtimes = Runtimes::start()?;
