--- a/crates/testbed/src/scale/admission.rs
+++ b/crates/testbed/src/scale/admission.rs
@@ -18,8 +18,8 @@
     per_second: 1e6,
     burst: 1e6,
 };
-/// A connection limit that is never reached.
-const MAX_PER_CLIENT: u32 = 1 << 20;
+/// A limit of connections per client and per network that is never reached.
+const UNLIMITED_CONNECTIONS: u32 = 1 << 20;
 
 /// Measures one controller for each number of addresses.
 pub(super) fn run(options: &RunOptions) -> RoleReport {
@@ -62,8 +62,8 @@
     fn new(addresses: usize) -> Controller {
         let policy = AdmissionPolicy {
             identify_clients_by_address: true,
-            max_per_client: Some(MAX_PER_CLIENT),
-            max_per_network: Some(MAX_PER_CLIENT),
+            max_per_client: Some(UNLIMITED_CONNECTIONS),
+            max_per_network: Some(UNLIMITED_CONNECTIONS),
             client_connect_rate: Some(UNLIMITED_RATE),
             network_connect_rate: Some(UNLIMITED_RATE),
             history_cache_capacity: addresses,
--- a/crates/testbed/src/scale/discovery.rs
+++ b/crates/testbed/src/scale/discovery.rs
@@ -8,8 +8,8 @@
 use super::targets;
 use std::sync::Arc;
 
-/// Servers in the endpoint list. The role of the endpoint list measures how the cost of a change
-/// depends on this number.
+/// Servers in the endpoint list. The role `list` measures how the cost of a change depends on this
+/// number.
 const SERVERS: usize = 170;
 /// The number of server restarts that are measured.
 const RESTARTS: usize = 20;
