--- a/crates/decision/src/balancer/endpoint_table.rs
+++ b/crates/decision/src/balancer/endpoint_table.rs
@@ -1,5 +1,6 @@
-//! The known endpoints of a service, which are those that the ingress keeps state for. They are all
-//! listed endpoints, or a part of them if the list is very long.
+//! The endpoints of a service. An endpoint is listed if discovery's list contains it as ready, and
+//! known if the ingress keeps state for it. If the list is very long, only a part of the listed
+//! endpoints may be known, otherwise all are.
 
 use crate::balancer::endpoint_ring::EndpointRing;
 use crate::balancer::subset::{subset_weights, MIN_KNOWN_ENDPOINTS, MIN_SUBSET_ENDPOINTS};
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Applies a complete list. Endpoints that it does not contain are removed.
+    /// Applies a complete list. Endpoints that it does not contain get no new attempts, and are
+    /// dropped once they have no attempt in flight.
     pub(crate) fn replace(&mut self, entries: &[EndpointEntry], now: f64, rng: &mut Rng) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.ready = false;
@@ -49,17 +51,18 @@
         for entry in entries {
             self.update(entry, now, rng);
         }
-        self.drop_removed();
+        self.drop_drained();
     }
 
-    /// Removes endpoints that are not ready and have no attempt in flight.
-    pub(crate) fn drop_removed(&mut self) {
+    /// Drops the endpoints that are not ready and have no attempt in flight.
+    pub(crate) fn drop_drained(&mut self) {
         self.endpoints
             .retain(|_, endpoint| endpoint.ready || !endpoint.in_flight.is_empty());
     }
 
-    /// Determines which endpoints are known and which part of each belongs to this ingress's
-    /// subset. Does nothing if the list has not changed since the last call.
+    /// Determines which endpoints are known and which fraction of each, from 0 to 1, belongs to
+    /// this ingress's subset (see [`subset_weights`]). Does nothing if the list has not changed
+    /// since the last call.
     pub(crate) fn refresh_subset(&mut self, settings: &Settings, now: f64, rng: &mut Rng) {
         let Some(ring) = self.ring.take_changed() else {
             return;
@@ -87,8 +90,10 @@
         }
     }
 
-    /// Updates an endpoint's state from its entry, or creates the state. A new start time resets
-    /// its latency, its circuit breaker and whether it is unresponsive.
+    /// Updates or creates an endpoint's state from its entry. After a restart, which a new start
+    /// time shows, its latency ratio, the time of its last response, its circuit breaker and
+    /// whether it is unresponsive are reset. An endpoint that is not ready and has no attempt in
+    /// flight is dropped.
     fn upsert(&mut self, entry: EndpointEntry, now: f64, rng: &mut Rng) {
         let sample = rng.f64();
         let mut slot = match self.endpoints.entry(entry.endpoint) {
--- a/crates/decision/src/service/upstream.rs
+++ b/crates/decision/src/service/upstream.rs
@@ -201,6 +201,6 @@
         }
         self.health_checks
             .start_due(&mut table.endpoints, &self.settings, now, actions);
-        table.drop_removed();
+        table.drop_drained();
     }
 }
--- a/crates/decision/src/service_table.rs
+++ b/crates/decision/src/service_table.rs
@@ -1,7 +1,8 @@
 //! All services of an ingress, and the order in which their timers expire.
 //!
 //! A [`Service`] is created for its first endpoint or request and dropped when it has neither. A
-//! change of the endpoint list is applied only to the endpoints that it names.
+//! changed entry of the endpoint list affects only the endpoint that it describes; a complete list
+//! replaces the endpoints of all services.
 
 use crate::event::EndpointEntry;
 use crate::ids::ServiceId;
@@ -12,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Smaller weights of endpoints are raised to this value.
+/// Endpoint weights below this value are raised to it.
 const MIN_ENDPOINT_WEIGHT: f64 = 0.05;
 
 /// A service and its contribution to the totals and the schedule of [`ServiceTable`].
@@ -31,7 +32,7 @@
     services: BTreeMap<ServiceId, ScheduledService>,
     /// Number of endpoints of all services.
     endpoint_count: usize,
-    /// Number of attempts in flight at all services that have not responded yet.
+    /// Number of attempts in flight, summed over the services that have not responded yet.
     unmeasured_in_flight: usize,
     /// When the next timer of each service expires; services without a timer are left out.
     schedule: BTreeSet<(Duration, ServiceId)>,
@@ -58,7 +59,7 @@
         self.endpoint_count
     }
 
-    /// The number of attempts in flight at all services that have not responded yet.
+    /// The number of attempts in flight, summed over the services that have not responded yet.
     pub(crate) fn unmeasured_in_flight(&self) -> usize {
         self.unmeasured_in_flight
     }
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Called when a service has handled an event. Updates its schedule and the totals, and drops
-    /// the service if it is unused.
+    /// Called when a service has handled an event. Updates the service's entry in the schedule and
+    /// the totals, and drops the service if it is unused.
     pub(crate) fn after_event(&mut self, id: ServiceId) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
@@ -136,7 +137,8 @@
         self.update_counts(id);
     }
 
-    /// Updates the totals by the service's current counts, and drops the service if it is unused.
+    /// Updates the totals to include the service's current counts, and drops the service if it is
+    /// unused.
     fn update_counts(&mut self, id: ServiceId) {
         let Some(scheduled) = self.services.get_mut(&id) else {
             return;
--- a/crates/ingress/src/program/status_file.rs
+++ b/crates/ingress/src/program/status_file.rs
@@ -18,7 +18,7 @@
     writer: FileWriter,
 }
 
-/// Error in showing a status file.
+/// The error of [`show`]: a status file could not be shown.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {reason}", path.display())]
 pub struct StatusError {
@@ -33,7 +33,7 @@
     Unreadable(#[from] io::Error),
     #[error("status file is longer than 4 MiB")]
     TooLong,
-    #[error("invalid status: {0}")]
+    #[error("invalid status file: {0}")]
     Invalid(#[from] simd_json::Error),
 }
 
--- a/crates/ingress/src/routing/counter_client/call.rs
+++ b/crates/ingress/src/routing/counter_client/call.rs
@@ -8,7 +8,7 @@
 /// The current address of the counter. A reload may change it.
 #[derive(Clone)]
 pub(super) struct CounterAddress {
-    pub(super) address: SocketAddr,
+    pub(super) socket_address: SocketAddr,
     /// Number of changes of the address, by which streams to an old address are recognised.
     pub(super) epoch: u32,
     /// The address as the value of the `Host` header.
--- a/crates/ingress/src/routing/counter_client/connection.rs
+++ b/crates/ingress/src/routing/counter_client/connection.rs
@@ -11,7 +11,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A connection to the counter. It opens a new TCP stream when the previous one was closed.
+/// A logical connection to the counter, which outlives its TCP streams: after a stream was closed,
+/// another is opened for the next call.
 pub(super) struct CounterConnection {
     /// Index of the connection in the client.
     pub(super) index: u16,
@@ -33,15 +34,15 @@
     pub(super) timed_out_calls: usize,
     /// Number of bytes queued on this stream since it was opened.
     pub(super) bytes_queued: u64,
-    /// When the stream was opened or established, the last reply was received, or the first of the
-    /// pending calls was queued, whichever was last.
+    /// The latest of these times: the stream was opened; it was established; a reply was received;
+    /// a call was queued while no other call was queued on the stream.
     pub(super) last_active_at: Duration,
     /// No stream is opened before this time.
     pub(super) retry_at: Duration,
     /// When the first part of an incomplete reply was received.
     pub(super) reply_incomplete_since: Option<Duration>,
     /// The deadline that is registered with [`Io::deadlines`].
-    pub(super) due: Option<Duration>,
+    pub(super) registered_deadline: Option<Duration>,
     /// Whether calls have been queued since the last flush.
     pub(super) has_output: bool,
 }
@@ -67,13 +68,13 @@
             last_active_at: Duration::ZERO,
             retry_at: Duration::ZERO,
             reply_incomplete_since: None,
-            due: None,
+            registered_deadline: None,
             has_output: false,
         }
     }
 
     /// Makes a call. It is completed at once with [`CounterResult::NotAdded`] during the backoff
-    /// after a failure, if too many calls are pending, or if the amount is not finite.
+    /// after a failure, if too many calls have no reply yet, or if the amount is not finite.
     pub(super) fn call(
         &mut self,
         call: CounterCall,
@@ -98,7 +99,7 @@
         }
         let stream = self.stream.as_mut();
         if stream.is_some_and(|stream| stream.flush().is_err()) {
-            self.fail(self.limits.retry_interval, io.now, engine);
+            self.close(self.limits.retry_interval, io.now, engine);
             self.update_deadline(io);
         }
     }
@@ -126,8 +127,8 @@
         if self.serial != serial || self.stream.is_none() {
             return;
         }
-        if !self.is_established && !self.establish(ready, target, io.now) {
-            self.fail(self.limits.retry_interval, io.now, engine);
+        if !self.is_established && !self.check_connect(ready, target, io.now) {
+            self.close(self.limits.retry_interval, io.now, engine);
             self.update_deadline(io);
             return;
         }
@@ -149,17 +150,17 @@
         io: &mut Io,
         engine: &mut IngressEngine,
     ) {
-        self.due = None;
+        self.registered_deadline = None;
         self.time_out_calls(io.now, engine);
         if self.must_close(io.now) {
-            self.fail(Duration::ZERO, io.now, engine);
+            self.close(Duration::ZERO, io.now, engine);
         }
         self.update_deadline(io);
         self.reconnect_if_moved(target, io, engine);
     }
 
-    /// Opens a stream if calls wait for one, and queues the waiting calls on it once it is
-    /// established.
+    /// Opens a stream if there is none and calls are waiting. Queues the waiting calls if the
+    /// stream is established; otherwise they are queued when it is.
     fn open(&mut self, target: &CounterAddress, io: &mut Io, engine: &mut IngressEngine) {
         if self.stream.is_none() && !self.calls.is_empty() {
             self.last_active_at = io.now;
@@ -168,22 +169,23 @@
             self.epoch = target.epoch;
             self.serial = self.serial.wrapping_add(1);
             let token = EventSource::Counter(self.index, self.serial).token();
-            let opened = io.connect(&target.address).and_then(|stream| {
+            let opened = io.connect(&target.socket_address).and_then(|stream| {
                 io.poller.add(stream.fd(), token)?;
                 Ok(stream)
             });
             match opened {
                 Ok(stream) => self.stream = Some(stream),
-                Err(_) => self.fail(self.limits.retry_interval, io.now, engine),
+                Err(_) => self.close(self.limits.retry_interval, io.now, engine),
             }
         }
         self.queue_calls(target, io.now);
         self.update_deadline(io);
     }
 
-    /// Marks the stream as established once it is writable, and queues the waiting calls. Returns
-    /// false if the connection attempt has failed.
-    fn establish(&mut self, ready: Ready, target: &CounterAddress, now: Duration) -> bool {
+    /// If the stream is writable, the connection attempt has ended: marks the stream as established
+    /// and queues the waiting calls, or returns false if the attempt has failed. Returns true while
+    /// the attempt is still in progress.
+    fn check_connect(&mut self, ready: Ready, target: &CounterAddress, now: Duration) -> bool {
         let Some(stream) = self.stream.as_ref().filter(|_| ready.writable) else {
             return true;
         };
@@ -198,9 +200,9 @@
 
     /// Closes a stream that can no longer be used.
     ///
-    /// The next call opens a new stream at once if the counter is presumably reachable: the stream
-    /// was idle, had already brought replies, or was out of sync. Otherwise the connection waits
-    /// for [`CounterLimits::retry_interval`].
+    /// The next call opens a new stream at once if the counter is presumably reachable, that is, if
+    /// the stream was idle, a reply had been received on it, or it is [`StreamStatus::OutOfSync`].
+    /// Otherwise none is opened for [`CounterLimits::retry_interval`].
     fn on_unusable(&mut self, status: StreamStatus, now: Duration, engine: &mut IngressEngine) {
         let is_counter_reachable =
             status == StreamStatus::OutOfSync || self.has_replied || self.calls.is_empty();
@@ -209,7 +211,7 @@
         } else {
             self.limits.retry_interval
         };
-        self.fail(retry_after, now, engine);
+        self.close(retry_after, now, engine);
     }
 
     /// Queues the waiting calls on the stream if it is established and connected to the current
@@ -263,16 +265,17 @@
         self.open(target, io, engine);
     }
 
-    /// Whether a call that is queued on the stream has not been completed.
+    /// Whether a call that is queued on the stream awaits its result. Calls that have timed out do
+    /// not, because they are completed already.
     fn awaits_reply(&self) -> bool {
         let oldest = self.calls.get(self.timed_out_calls);
         oldest.is_some_and(|call| call.end_offset.is_some())
     }
 
-    /// Closes the stream, and completes all calls in order: with [`CounterResult::Unknown`] if the
-    /// call was written completely, else with [`CounterResult::NotAdded`]. No stream is opened for
-    /// `retry_after`.
-    fn fail(&mut self, retry_after: Duration, now: Duration, engine: &mut IngressEngine) {
+    /// Closes the stream, and completes in order all calls that have not timed out: with
+    /// [`CounterResult::Unknown`] if the call was written completely, else with
+    /// [`CounterResult::NotAdded`]. No stream is opened for `retry_after`.
+    fn close(&mut self, retry_after: Duration, now: Duration, engine: &mut IngressEngine) {
         let stream = self.stream.take();
         let unwritten = stream.map_or(0, |stream| stream.unwritten() as u64);
         let written = self.bytes_queued - unwritten;
@@ -306,6 +309,6 @@
     Usable,
     /// The stream was closed by the peer, or failed.
     Closed,
-    /// Replies can no longer be matched to calls.
+    /// Replies can no longer be matched to calls, or the last reply ends the connection.
     OutOfSync,
 }
--- a/crates/ingress/src/routing/counter_client/mod.rs
+++ b/crates/ingress/src/routing/counter_client/mod.rs
@@ -1,11 +1,11 @@
 //! The client of the shared counter. Calls are pipelined on a few connections. All calls for a key
 //! use the same connection, so that their results are reported in the order of the calls.
 //!
-//! - `call`: a call
-//! - `connection`: a connection with its calls
+//! - `call`: a call to the counter, and the counter's address
+//! - `connection`: a connection with its pending calls
 //! - `replies`: reads replies and matches them to calls
-//! - `timeouts`: time-outs of calls and connections
-//! - `limits`: the limits
+//! - `timeouts`: timeouts of calls and connections
+//! - `limits`: limits on connections and calls
 
 mod call;
 mod connection;
@@ -38,23 +38,24 @@
     /// Creates a client of the counter at this address. A call times out after `call_timeout`.
     #[must_use]
     pub fn new(
-        address: SocketAddr,
+        socket_address: SocketAddr,
         call_timeout: Duration,
         limits: CounterLimits,
     ) -> CounterClient {
         let connection = |index| CounterConnection::new(index as u16, limits, call_timeout);
         CounterClient {
             address: CounterAddress {
-                address,
+                socket_address,
                 epoch: 0,
-                host: address.to_string(),
+                host: socket_address.to_string(),
             },
             connections: (0..limits.connections.max(1)).map(connection).collect(),
         }
     }
 
-    /// Adds an amount to the counter of a key, and reports the result to the request engine. The
-    /// call fails at once during the backoff after a failure of the key's connection.
+    /// Adds an amount to the total that the shared counter keeps for a key, and reports the result
+    /// to the request engine. If the call creates the total, `time_to_live` applies to it. The call
+    /// fails at once during the backoff after a failure of the key's connection.
     pub fn increment(
         &mut self,
         key: CounterKey,
@@ -69,15 +70,20 @@
         self.connections[index].call(call, &self.address, io, engine);
     }
 
-    /// Uses another address of the counter for new calls.
-    pub fn migrate_to(&mut self, address: SocketAddr, io: &mut Io, engine: &mut IngressEngine) {
-        if address == self.address.address {
+    /// Uses another address of the counter for all calls that are not queued on a stream yet.
+    pub fn migrate_to(
+        &mut self,
+        socket_address: SocketAddr,
+        io: &mut Io,
+        engine: &mut IngressEngine,
+    ) {
+        if socket_address == self.address.socket_address {
             return;
         }
         self.address = CounterAddress {
-            address,
+            socket_address,
             epoch: self.address.epoch + 1,
-            host: address.to_string(),
+            host: socket_address.to_string(),
         };
         for connection in &mut self.connections {
             connection.migrate_to(&self.address, io, engine);
@@ -92,7 +98,7 @@
     }
 
     /// Called when the connection with this index is readable or writable. The event is ignored if
-    /// its stream has another serial number by now.
+    /// `serial` is not the serial number of the connection's present stream.
     pub fn on_ready(
         &mut self,
         index: u16,
--- a/crates/ingress/src/routing/counter_client/timeouts.rs
+++ b/crates/ingress/src/routing/counter_client/timeouts.rs
@@ -69,6 +69,7 @@
         .flatten()
         .min();
         let source = EventSource::Counter(self.index, 0);
-        io.deadlines.set(&mut self.due, next_deadline, source);
+        io.deadlines
+            .set(&mut self.registered_deadline, next_deadline, source);
     }
 }
